--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -5,7 +5,7 @@
 use adapter::store::Table;
 use catalog::endpoint::Run;
 use catalog::source::Page;
-use place::order::{Given, Order};
+use place::order::{Order, Outcome};
 use std::net::SocketAddr;
 use steer::note::Note;
 use tokio::sync::mpsc;
@@ -23,7 +23,7 @@
     /// The endpoint's report just before; nothing if it did not answer.
     pub report: Option<Report>,
     /// What came of it.
-    pub given: Given,
+    pub given: Outcome,
 }
 
 /// An input.
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -14,9 +14,9 @@
 use catalog::{Catalog, Endpoint};
 use journal::Journal;
 use journal::event::Event;
-use place::order::{Given, Order};
+use place::holder::Holder;
+use place::order::{Order, Outcome};
 use place::plan;
-use place::stock::Holder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -161,7 +161,7 @@
         let under = &mut self.under;
         self.moves.retain(|(_, Planned { order, .. })| {
             let own = holders.iter().any(|h| h.run == order.run);
-            let kept = !own || (part.first && plan::spared(engine, holders, order));
+            let kept = !own || (part.first && plan::preserves_coverage(engine, holders, order));
             if !kept {
                 under.remove(&order.run);
             }
@@ -188,7 +188,7 @@
     ) {
         let mut holders: Vec<Holder> = Vec::new();
         for endpoint in endpoints {
-            let Some(mut holder) = Holder::of(endpoint) else {
+            let Some(mut holder) = Holder::from_endpoint(endpoint) else {
                 continue;
             };
             match self.under.get(&holder.run) {
@@ -209,7 +209,7 @@
             return;
         }
         let crowd = holders.len().div_ceil(engine.loads.max(1)) as u32;
-        let orders = plan::next(engine, &holders).into_iter();
+        let orders = plan::next_orders(engine, &holders).into_iter();
         let orders = orders.filter(|o| part.orders_to(&o.run, o.held));
         for order in orders {
             let load = engine.load.mul_f64(engine.part(order.span.len())) * crowd;
@@ -239,9 +239,9 @@
             outcome: format!("{:?}", ordered.given),
         });
         let under = match (ordered.given, report) {
-            (Given::Taken, _) => return,
+            (Outcome::Taken, _) => return,
             // It holds something else than its row says.
-            (Given::Refused, Some(report)) if !report.busy && report.span != order.held => {
+            (Outcome::Refused, Some(report)) if !report.busy && report.span != order.held => {
                 Under::Holds {
                     span: report.span,
                     until: now + SHOWN,
@@ -273,11 +273,11 @@
 async fn give(order: &Order) -> Ordered {
     let control = Control::new(order.addr);
     let Ok(report) = control.report().await else {
-        let (report, given) = (None, Given::Refused);
+        let (report, given) = (None, Outcome::Refused);
         return Ordered { report, given };
     };
     let given = match report.of_another(&order.run) || report.busy || report.span != order.held {
-        true => Given::Refused,
+        true => Outcome::Refused,
         false => control.place(order, report.orders).await,
     };
     let report = Some(report);
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/capacity.rs
@@ -7,35 +7,35 @@
 use catalog::engine::Engine;
 
 /// Requests of usual size that a cover should have room for, at the least.
-const LEAST: f64 = 20.0;
+const MIN_REQUESTS: f64 = 20.0;
 /// Requests of usual size that a cover has room for where room and second copies compete. Grounds:
 /// three zones with 225 requests in flight have 75 each, and half as many again when one of them
 /// sends its requests to the others. Worth (0 to 1) of five days of trouble, three seeds each, on
 /// accelerators with memory for 1.7 covers a zone: 150 gives 0.544, 100 gives 0.572, 75 gives 0.571;
 /// on two fleets with larger ones, two seeds each, 100 gains 0.027 and 0.018 on 150.
-const ENOUGH: f64 = 100.0;
+const SUFFICIENT_REQUESTS: f64 = 100.0;
 /// Requests of usual size past which a cover gets no more room. On days of trouble with 38 endpoints
 /// in three zones 300 lose a seventh of the worth against 150. Zones with memory for several covers
 /// and 200 requests in flight need it: with 100, requests of a calm day went to other zones.
-const MOST: f64 = 150.0;
+const MAX_REQUESTS: f64 = 150.0;
 
 /// Tokens of a usual request.
-fn usual(engine: &Engine) -> f64 {
+fn tokens_per_request(engine: &Engine) -> f64 {
     let tokens = f64::from(engine.usual.prompt) + f64::from(engine.usual.answer);
     tokens.max(1.0)
 }
 
 /// The least room of a cover, in tokens.
-pub fn least_tokens(engine: &Engine) -> f64 {
-    LEAST * usual(engine)
+pub fn min_tokens(engine: &Engine) -> f64 {
+    MIN_REQUESTS * tokens_per_request(engine)
 }
 
 /// The most room of a cover that is looked for, in tokens.
-pub fn most_tokens(engine: &Engine) -> f64 {
-    MOST * usual(engine)
+pub fn max_tokens(engine: &Engine) -> f64 {
+    MAX_REQUESTS * tokens_per_request(engine)
 }
 
 /// The room of a cover, in tokens, that suffices where more of it would cost second copies.
-pub fn enough_tokens(engine: &Engine) -> f64 {
-    ENOUGH * usual(engine)
+pub fn sufficient_tokens(engine: &Engine) -> f64 {
+    SUFFICIENT_REQUESTS * tokens_per_request(engine)
 }
--- a/crates/place/src/stock.rs
+++ b/crates/place/src/holder.rs
@@ -25,7 +25,7 @@
 
 impl Holder {
     /// The holder that an endpoint is; nothing for one without an accelerator.
-    pub fn of(endpoint: &Endpoint) -> Option<Self> {
+    pub fn from_endpoint(endpoint: &Endpoint) -> Option<Self> {
         Some(Self {
             run: endpoint.run.clone(),
             addr: endpoint.addr,
--- a/crates/place/src/order.rs
+++ b/crates/place/src/order.rs
@@ -18,7 +18,7 @@
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum Outcome {
     /// The endpoint has begun, or holds the layers already.
     Taken,
     /// The endpoint's state is another than the order expected.
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -6,44 +6,44 @@
 //! then hold second copies of the layers that the whole fleet holds least often. An endpoint that
 //! holds layers keeps them: an order costs seconds of loading and the requests that wait for it.
 
-use crate::demand::least_tokens;
+use crate::capacity::min_tokens;
+use crate::holder::Holder;
 use crate::order::Order;
 use crate::quota::{self, Quota};
-use crate::stock::Holder;
 use catalog::Layer;
 use catalog::endpoint::Span;
 use catalog::engine::Engine;
 use std::collections::BTreeMap;
 
 /// Worth of a layer's next copy, by what is there already.
-mod worth {
+mod value {
     /// No endpoint of the fleet holds it: nothing is served without it.
-    pub const NOWHERE: f64 = 1000.0;
+    pub const UNHELD_IN_FLEET: f64 = 1000.0;
     /// No endpoint of the zone holds it.
-    pub const NOT_IN_ZONE: f64 = 30.0;
+    pub const UNHELD_IN_ZONE: f64 = 30.0;
     /// It is there: a copy more is worth this, over the number of copies in the zone, squared. A
     /// zone's requests stay in it, so what its scarcest layer can do is what the zone can do.
-    pub const SPARE: f64 = 3.0;
+    pub const REPLICA_IN_ZONE: f64 = 3.0;
     /// The same for the copies in the fleet, between layers that the zone holds equally often.
-    pub const FLEET: f64 = 0.3;
+    pub const REPLICA_IN_FLEET: f64 = 0.3;
 }
 
 /// How often each layer is held.
-struct Cover {
+struct Replicas {
     fleet: Vec<u32>,
     zones: BTreeMap<String, Vec<u32>>,
 }
 
-impl Cover {
-    fn of<'a>(engine: &Engine, holders: impl IntoIterator<Item = &'a Holder>) -> Self {
-        let mut cover = Self {
+impl Replicas {
+    fn count<'a>(engine: &Engine, holders: impl IntoIterator<Item = &'a Holder>) -> Self {
+        let mut replicas = Self {
             fleet: vec![0; engine.layers as usize],
             zones: BTreeMap::new(),
         };
         for holder in holders {
-            cover.add(&holder.zone, holder.span);
+            replicas.add(&holder.zone, holder.span);
         }
-        cover
+        replicas
     }
 
     fn add(&mut self, zone: &str, span: Span) {
@@ -68,7 +68,7 @@
     }
 
     /// The first stretch of layers that no endpoint of a zone holds.
-    fn hole(&self, zone: &str) -> Option<Span> {
+    fn gap(&self, zone: &str) -> Option<Span> {
         let own = self.zones.get(zone)?;
         let from = own.iter().position(|&n| n == 0)?;
         let len = own[from..].iter().take_while(|&&n| n == 0).count();
@@ -79,7 +79,7 @@
     }
 
     /// Whether all layers of a span are held twice or more in a zone.
-    fn spared(&self, zone: &str, span: Span) -> bool {
+    fn is_redundant(&self, zone: &str, span: Span) -> bool {
         let Some(own) = self.zones.get(zone) else {
             return false;
         };
@@ -87,16 +87,17 @@
     }
 
     /// Worth of one more copy of each layer, held in `zone`.
-    fn worth(&self, zone: &str) -> Vec<f64> {
+    fn values(&self, zone: &str) -> Vec<f64> {
         let none = vec![0; self.fleet.len()];
         let own = self.zones.get(zone).unwrap_or(&none);
         let pairs = self.fleet.iter().zip(own);
         pairs
             .map(|(&all, &here)| match (all, here) {
-                (0, _) => worth::NOWHERE,
-                (_, 0) => worth::NOT_IN_ZONE,
+                (0, _) => value::UNHELD_IN_FLEET,
+                (_, 0) => value::UNHELD_IN_ZONE,
                 (all, here) => {
-                    worth::SPARE / f64::from(here * here) + worth::FLEET / f64::from(all * all)
+                    value::REPLICA_IN_ZONE / f64::from(here * here)
+                        + value::REPLICA_IN_FLEET / f64::from(all * all)
                 }
             })
             .collect()
@@ -105,24 +106,24 @@
 
 /// The orders that can be given now: to each endpoint that holds nothing, and where a zone's cover
 /// has a hole, to those of its endpoints that hold nothing but second copies.
-pub fn next(engine: &Engine, holders: &[Holder]) -> Vec<Order> {
-    let mut cover = Cover::of(engine, holders);
-    let quotas = quota::of(engine, holders);
-    let mut orders = fill(engine, holders, &quotas, &mut cover);
-    orders.extend(repair(engine, holders, &quotas, &mut cover));
+pub fn next_orders(engine: &Engine, holders: &[Holder]) -> Vec<Order> {
+    let mut replicas = Replicas::count(engine, holders);
+    let quotas = quota::per_zone(engine, holders);
+    let mut orders = fill(engine, holders, &quotas, &mut replicas);
+    orders.extend(repair(engine, holders, &quotas, &mut replicas));
     orders
 }
 
 /// Whether the layers that an order's endpoint gives up are all held by others of its zone, loaded.
-pub fn spared(engine: &Engine, holders: &[Holder], order: &Order) -> bool {
+pub fn preserves_coverage(engine: &Engine, holders: &[Holder], order: &Order) -> bool {
     let Some(own) = holders.iter().find(|h| h.run == order.run) else {
         return false;
     };
     let others = holders.iter().filter(|h| h.run != order.run);
     let others = others.filter(|h| h.zone == own.zone && !h.loading);
-    let cover = Cover::of(engine, others);
-    let mut given = (order.held.from..order.held.to).filter(|&l| !order.span.holds(l));
-    given.all(|l| cover.fleet.get(l as usize).is_some_and(|&n| n > 0))
+    let replicas = Replicas::count(engine, others);
+    let mut released = (order.held.from..order.held.to).filter(|&l| !order.span.holds(l));
+    released.all(|l| replicas.fleet.get(l as usize).is_some_and(|&n| n > 0))
 }
 
 /// Orders to the endpoints that hold nothing.
@@ -130,7 +131,7 @@
     engine: &Engine,
     holders: &[Holder],
     quotas: &BTreeMap<String, Quota>,
-    cover: &mut Cover,
+    replicas: &mut Replicas,
 ) -> Vec<Order> {
     let mut empty: Vec<&Holder> = holders
         .iter()
@@ -156,11 +157,11 @@
         let Some(quota) = quotas.get(&holder.zone) else {
             continue;
         };
-        let most = quota.layers(engine, kind);
-        let Some(span) = window(&cover.worth(&holder.zone), most) else {
+        let max_layers = quota.max_layers(engine, kind);
+        let Some(span) = window(&replicas.values(&holder.zone), max_layers) else {
             continue;
         };
-        cover.add(&holder.zone, span);
+        replicas.add(&holder.zone, span);
         orders.push(holder.order(span));
     }
     orders
@@ -175,43 +176,44 @@
     engine: &Engine,
     holders: &[Holder],
     quotas: &BTreeMap<String, Quota>,
-    cover: &mut Cover,
+    replicas: &mut Replicas,
 ) -> Vec<Order> {
     let mut orders = Vec::new();
     let mut moved: Vec<&Holder> = Vec::new();
     // A copy that is still to be loaded does not make another one spare: moved meanwhile, that one
     // would leave its layers without any.
-    let loaded = holders.iter().filter(|h| !h.loading);
-    let mut present = Cover::of(engine, loaded);
+    let finished = holders.iter().filter(|h| !h.loading);
+    let mut loaded = Replicas::count(engine, finished);
     for (zone, quota) in quotas {
         let own = |h: &&Holder| h.zone == *zone && !h.busy && !h.loading && !h.span.is_empty();
-        if holders.iter().any(|h| h.zone == *zone && h.busy) || !able(engine, holders, zone) {
+        if holders.iter().any(|h| h.zone == *zone && h.busy) || !can_hold_all(engine, holders, zone)
+        {
             continue;
         }
-        while let Some(hole) = cover.hole(zone) {
+        while let Some(gap) = replicas.gap(zone) {
             let free = holders.iter().filter(own).filter(|h| !moved.contains(h));
-            let free = free.filter(|h| present.spared(zone, h.span));
-            let most = |h: &Holder| {
+            let free = free.filter(|h| loaded.is_redundant(zone, h.span));
+            let max_layers = |h: &Holder| {
                 engine
                     .accelerator(&h.kind)
-                    .map_or(0, |k| quota.layers(engine, k))
+                    .map_or(0, |k| quota.max_layers(engine, k))
             };
             // The smallest that closes the hole, or else the largest: what is moved serves nobody
             // while it loads, and a large endpoint loads for seconds.
-            let key = |h: &Holder| match most(h) {
-                fit if fit >= hole.len() => (0, fit),
+            let key = |h: &Holder| match max_layers(h) {
+                fit if fit >= gap.len() => (0, fit),
                 fit => (1, Layer::MAX - fit),
             };
             let Some(holder) = free.min_by(|a, b| (key(a), &a.run).cmp(&(key(b), &b.run))) else {
                 break;
             };
-            let fit = most(holder);
-            cover.remove(zone, holder.span);
-            present.remove(zone, holder.span);
-            let Some(span) = window(&cover.worth(zone), fit) else {
+            let fit = max_layers(holder);
+            replicas.remove(zone, holder.span);
+            loaded.remove(zone, holder.span);
+            let Some(span) = window(&replicas.values(zone), fit) else {
                 break;
             };
-            cover.add(zone, span);
+            replicas.add(zone, span);
             moved.push(holder);
             orders.push(holder.order(span));
         }
@@ -220,34 +222,34 @@
 }
 
 /// Whether the endpoints of a zone can hold all layers with the least room for requests.
-fn able(engine: &Engine, holders: &[Holder], zone: &str) -> bool {
-    let least = least_tokens(engine);
+fn can_hold_all(engine: &Engine, holders: &[Holder], zone: &str) -> bool {
+    let min_tokens = min_tokens(engine);
     let own = holders.iter().filter(|h| h.zone == zone);
     let kinds = own.filter_map(|h| engine.accelerator(&h.kind));
-    kinds.map(|k| engine.fit(k, least)).sum::<Layer>() >= engine.layers
+    kinds.map(|k| engine.fit(k, min_tokens)).sum::<Layer>() >= engine.layers
 }
 
 /// The stretch of at most `most` layers that is worth the most; cut to what is worth most if it
 /// only completes a gap.
-fn window(worth: &[f64], most: Layer) -> Option<Span> {
-    let most = (most as usize).min(worth.len());
-    if most == 0 {
+fn window(values: &[f64], max_layers: Layer) -> Option<Span> {
+    let max_layers = (max_layers as usize).min(values.len());
+    if max_layers == 0 {
         return None;
     }
     let mut best: Option<(f64, usize)> = None;
-    let mut sum: f64 = worth[..most].iter().sum();
-    for from in 0..=worth.len() - most {
+    let mut sum: f64 = values[..max_layers].iter().sum();
+    for from in 0..=values.len() - max_layers {
         if from > 0 {
-            sum += worth[from + most - 1] - worth[from - 1];
+            sum += values[from + max_layers - 1] - values[from - 1];
         }
         // The first of equal stretches wins, so that spans stand in a row without gaps.
-        if best.is_none_or(|(b, _)| sum > b + 1e-6) {
+        if best.is_none_or(|(best, _)| sum > best + 1e-6) {
             best = Some((sum, from));
         }
     }
     let (_, from) = best?;
     Some(Span {
         from: u32::try_from(from).ok()?,
-        to: u32::try_from(from + most).ok()?,
+        to: u32::try_from(from + max_layers).ok()?,
     })
 }
--- a/crates/place/tests/plan.rs
+++ b/crates/place/tests/plan.rs
@@ -3,9 +3,9 @@
 use catalog::Layer;
 use catalog::endpoint::{Run, Span};
 use catalog::engine::{Accelerator, Engine, Size};
+use place::holder::Holder;
 use place::order::Order;
 use place::plan;
-use place::stock::Holder;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
@@ -109,7 +109,7 @@
 
 fn placed() -> Vec<Holder> {
     let mut holders = fleet();
-    let orders = plan::next(&engine(), &holders);
+    let orders = plan::next_orders(&engine(), &holders);
     carry_out(&mut holders, &orders);
     holders
 }
@@ -125,7 +125,7 @@
             cover(&holders, Some(zone))
         );
     }
-    assert_eq!(plan::next(&engine(), &holders), []);
+    assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
 /// A fleet of 93 endpoints in three zones that differ in what they have.
@@ -145,7 +145,7 @@
 fn the_copies_of_a_zone_are_even() {
     let engine = engine();
     let mut holders = large();
-    let orders = plan::next(&engine, &holders);
+    let orders = plan::next_orders(&engine, &holders);
     carry_out(&mut holders, &orders);
     for name in ["a", "b", "c"] {
         let cover = cover(&holders, Some(name));
@@ -197,14 +197,14 @@
 fn a_tight_zone_is_whole_again_after_the_loss_of_a_small_endpoint() {
     let engine = small_engine();
     let mut placed = tight();
-    let orders = plan::next(&engine, &placed);
+    let orders = plan::next_orders(&engine, &placed);
     carry_out(&mut placed, &orders);
     verify(&engine, &placed);
     for gone in placed.iter().filter(|h| h.kind == "t4") {
         let mut left = placed.clone();
         left.retain(|h| h.run != gone.run);
         for _ in 0..4 {
-            let orders = plan::next(&engine, &left);
+            let orders = plan::next_orders(&engine, &left);
             carry_out(&mut left, &orders);
         }
         let own = cover(&left, Some(&gone.zone));
@@ -221,7 +221,7 @@
 fn a_zone_with_memory_for_several_covers_keeps_room_for_its_requests() {
     let engine = engine();
     let mut placed = zone("a", 1, 16, 7);
-    let orders = plan::next(&engine, &placed);
+    let orders = plan::next_orders(&engine, &placed);
     carry_out(&mut placed, &orders);
     let usual = f64::from(engine.usual.prompt + engine.usual.answer);
     for holder in &placed {
@@ -238,8 +238,8 @@
     let mut turned = fleet();
     turned.reverse();
     let (mut a, mut b) = (
-        plan::next(&engine(), &fleet()),
-        plan::next(&engine(), &turned),
+        plan::next_orders(&engine(), &fleet()),
+        plan::next_orders(&engine(), &turned),
     );
     a.sort_by(|x, y| x.run.cmp(&y.run));
     b.sort_by(|x, y| x.run.cmp(&y.run));
@@ -254,7 +254,7 @@
     let lost = holders[0].span;
     holders[0].span = Span::default();
     holders[0].run.born = 2;
-    let orders = plan::next(&engine(), &holders);
+    let orders = plan::next_orders(&engine(), &holders);
     assert!(orders.iter().any(|o| o.run == holders[0].run));
     carry_out(&mut holders, &orders);
     assert!(
@@ -276,7 +276,7 @@
     let gone = holders.iter().position(needed).unwrap();
     holders.remove(gone);
     assert!(!whole(&holders, "a"));
-    let orders = plan::next(&engine(), &holders);
+    let orders = plan::next_orders(&engine(), &holders);
     assert_eq!(orders.len(), 1, "{orders:?}");
     for order in &orders {
         let own = cover(&holders, Some("a"));
@@ -285,7 +285,7 @@
     }
     carry_out(&mut holders, &orders);
     assert!(whole(&holders, "a"));
-    assert_eq!(plan::next(&engine(), &holders), []);
+    assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
 // Endpoints die, come back, arrive and leave at random, and orders are carried out at once, late
@@ -315,7 +315,7 @@
                 }
                 _ => {}
             }
-            let orders = plan::next(&engine, &holders);
+            let orders = plan::next_orders(&engine, &holders);
             for order in orders {
                 check_order(&holders, &order);
                 match rng.random_range(0..4) {
@@ -331,7 +331,7 @@
             verify(&engine, &holders);
         }
         for _ in 0..5 {
-            let orders = plan::next(&engine, &holders);
+            let orders = plan::next_orders(&engine, &holders);
             orders.iter().for_each(|o| take(&mut holders, o));
         }
         let held = cover(&holders, None);
@@ -401,7 +401,7 @@
     let zones = (0..18).map(|z| format!("z{z}"));
     let holders: Vec<Holder> = zones.flat_map(|z| zone(&z, 28, 137, 96)).collect();
     let begun = Instant::now();
-    let orders = plan::next(&engine(), &holders);
+    let orders = plan::next_orders(&engine(), &holders);
     println!("{} orders in {:?}", orders.len(), begun.elapsed());
     assert_eq!(orders.len(), holders.len());
 }
