--- a/crates/gate/src/forward/story.rs
+++ b/crates/gate/src/forward/story.rs
@@ -55,7 +55,7 @@
     pub(crate) fn sent(&mut self, target: &Target, crossings: u32) {
         self.attempts += 1;
         self.metrics.attempt("sent");
-        self.journal.tell(Event::Sent {
+        self.journal.record(Event::Sent {
             id: self.id.clone(),
             attempt: self.attempts,
             stages: text(&target.stages),
@@ -67,7 +67,7 @@
     /// A stage of an attempt was replaced.
     pub(crate) fn detour(&self, culprit: SocketAddr, stages: &[Stage], crossings: u32) {
         self.metrics.attempt("stage replaced");
-        self.journal.tell(Event::Detour {
+        self.journal.record(Event::Detour {
             id: self.id.clone(),
             attempt: self.attempts,
             culprit: culprit.to_string(),
@@ -80,7 +80,7 @@
     /// No endpoint could take the request.
     pub(crate) fn short(&self, shortage: Shortage, scarcity: &Scarcity) {
         let percent = |part: f64| (part * 100.0).round() as u64;
-        self.journal.tell(Event::Short {
+        self.journal.record(Event::Short {
             id: self.id.clone(),
             shortage: shortage.word(),
             known: scarcity.known,
@@ -96,7 +96,7 @@
     /// An attempt failed.
     pub(crate) fn failed(&self, why: &str, ran: bool) {
         self.metrics.attempt(if ran { "failed" } else { "not run" });
-        self.journal.tell(Event::Failed {
+        self.journal.record(Event::Failed {
             id: self.id.clone(),
             attempt: self.attempts,
             why: why.to_owned(),
@@ -145,7 +145,7 @@
         self.ended = true;
         let head = self.head.unwrap_or_else(Instant::now);
         self.metrics.ended(outcome, status, self.came.elapsed());
-        self.journal.tell(Event::Ended {
+        self.journal.record(Event::Ended {
             id: std::mem::take(&mut self.id),
             route: std::mem::take(&mut self.route),
             status,
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -281,7 +281,7 @@
         let all_ms = came.elapsed().as_millis() as u64;
         let status = refusal.reason.status().as_u16();
         self.metrics.ended("refused", status, came.elapsed());
-        self.journal.tell(Event::Ended {
+        self.journal.record(Event::Ended {
             id: id.to_owned(),
             route: String::new(),
             status,
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -178,7 +178,7 @@
 
 /// Starts a node; it knows nothing until a view is put on its board.
 pub async fn start(allowance: Allowance) -> Node {
-    start_with(allowance, Journal::silent()).await
+    start_with(allowance, Journal::disabled()).await
 }
 
 /// The same with a journal.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Lines that may wait to be written: a few seconds of a busy node, some 2 MB.
-pub const QUEUE: usize = 4096;
+pub const QUEUE_CAPACITY: usize = 4096;
 
 /// An event with its time.
 #[derive(Debug, Serialize)]
@@ -48,8 +48,8 @@
 
 impl Journal {
     /// A journal and the lines that are told it.
-    pub fn new(queue: usize) -> (Self, Receiver<Message>) {
-        let (tx, rx) = sync_channel(queue);
+    pub fn new(capacity: usize) -> (Self, Receiver<Message>) {
+        let (tx, rx) = sync_channel(capacity);
         let journal = Self {
             queue: Some(tx),
             dropped: Arc::default(),
@@ -58,7 +58,7 @@
     }
 
     /// A journal that nobody reads.
-    pub fn silent() -> Self {
+    pub fn disabled() -> Self {
         Self {
             queue: None,
             dropped: Arc::default(),
@@ -66,12 +66,12 @@
     }
 
     /// Tells an event.
-    pub fn tell(&self, event: Event) {
+    pub fn record(&self, event: Event) {
         let Some(queue) = &self.queue else {
             return;
         };
         let line = Line {
-            time: millis(),
+            time: unix_millis(),
             event,
         };
         if queue.try_send(Message::Line(line)).is_err() {
@@ -86,7 +86,7 @@
     }
 }
 
-pub(crate) fn millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    u64::try_from(since.unwrap_or(Duration::ZERO).as_millis()).unwrap_or(u64::MAX)
+pub(crate) fn unix_millis() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    u64::try_from(elapsed.unwrap_or(Duration::ZERO).as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/journal/src/logger.rs
+++ b/crates/journal/src/logger.rs
@@ -15,7 +15,7 @@
 
     fn log(&self, record: &Record<'_>) {
         if self.enabled(record.metadata()) {
-            self.journal.tell(Event::Note {
+            self.journal.record(Event::Note {
                 level: record.level().as_str(),
                 target: record.target().to_owned(),
                 message: record.args().to_string(),
@@ -27,7 +27,7 @@
 }
 
 /// Takes the lines of the whole process from now on.
-pub fn start(journal: &Journal, level: LevelFilter) -> Result<(), SetLoggerError> {
+pub fn install(journal: &Journal, level: LevelFilter) -> Result<(), SetLoggerError> {
     let journal = journal.clone();
     log::set_boxed_logger(Box::new(Logger { journal }))?;
     log::set_max_level(level);
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writes lines in batches from a thread of its own.
 
 use crate::event::Event;
-use crate::{Journal, Line, Message, millis};
+use crate::{Journal, Line, Message, unix_millis};
 use std::io::Write;
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::thread::JoinHandle;
@@ -9,12 +9,12 @@
 
 /// Time in which lines are gathered before they are written: one write for many lines costs a
 /// small instance less, and a reader is not late by it.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Lines of one write.
-const BATCH: usize = 512;
+const MAX_BATCH_LINES: usize = 512;
 
 /// How often the end of the thread is looked for.
-const LOOK: Duration = Duration::from_millis(10);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The thread that writes.
 #[derive(Debug)]
@@ -26,12 +26,12 @@
 impl Writer {
     /// Writes what was told and ends; gives up after `most`, so that an output which takes nothing
     /// does not keep the process.
-    pub fn finish(self, most: Duration) {
-        let last = Instant::now() + most;
-        let mut told = false;
-        while !self.thread.is_finished() && Instant::now() < last {
-            told = told || self.journal.end();
-            std::thread::sleep(LOOK);
+    pub fn finish(self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        let mut end_sent = false;
+        while !self.thread.is_finished() && Instant::now() < deadline {
+            end_sent = end_sent || self.journal.end();
+            std::thread::sleep(FINISH_POLL_INTERVAL);
         }
     }
 }
@@ -45,18 +45,18 @@
     let dropped = journal.dropped.clone();
     let builder = std::thread::Builder::new().name("journal".to_owned());
     let thread = builder.spawn(move || {
-        let mut text = Vec::new();
+        let mut buffer = Vec::new();
         loop {
-            let ended = gather(&lines, &mut text);
+            let ended = collect_batch(&lines, &mut buffer);
             let lost = dropped.swap(0, std::sync::atomic::Ordering::Relaxed);
             if lost > 0 {
                 let event = Event::Overflow { lost };
-                let time = millis();
-                push(&Line { time, event }, &mut text);
+                let time = unix_millis();
+                append_line(&Line { time, event }, &mut buffer);
             }
             // Nobody can be told that standard output is gone; requests go on without it.
-            let _ = out.write_all(&text).and_then(|()| out.flush());
-            text.clear();
+            let _ = out.write_all(&buffer).and_then(|()| out.flush());
+            buffer.clear();
             if ended {
                 return;
             }
@@ -67,15 +67,15 @@
 }
 
 /// Waits for a line, gathers those that follow; whether they have ended.
-fn gather(lines: &Receiver<Message>, text: &mut Vec<u8>) -> bool {
+fn collect_batch(lines: &Receiver<Message>, buffer: &mut Vec<u8>) -> bool {
     match lines.recv() {
-        Ok(Message::Line(line)) => push(&line, text),
+        Ok(Message::Line(line)) => append_line(&line, buffer),
         Ok(Message::End) | Err(_) => return true,
     }
-    std::thread::sleep(GATHER);
-    for _ in 0..BATCH {
+    std::thread::sleep(BATCH_INTERVAL);
+    for _ in 0..MAX_BATCH_LINES {
         match lines.try_recv() {
-            Ok(Message::Line(line)) => push(&line, text),
+            Ok(Message::Line(line)) => append_line(&line, buffer),
             Ok(Message::End) | Err(TryRecvError::Disconnected) => return true,
             Err(TryRecvError::Empty) => return false,
         }
@@ -83,9 +83,9 @@
     false
 }
 
-fn push(line: &Line, text: &mut Vec<u8>) {
+fn append_line(line: &Line, buffer: &mut Vec<u8>) {
     // An event is made of texts and numbers, which can always be written as JSON.
-    if serde_json::to_writer(&mut *text, line).is_ok() {
-        text.push(b'\n');
+    if serde_json::to_writer(&mut *buffer, line).is_ok() {
+        buffer.push(b'\n');
     }
 }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -9,14 +9,14 @@
 
 /// Standard output that takes nothing until it is let go.
 struct Stuck {
-    go: Receiver<()>,
-    taken: Arc<Mutex<Vec<u8>>>,
+    release: Receiver<()>,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Write for Stuck {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go.recv();
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        let _ = self.release.recv();
+        self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -39,18 +39,18 @@
 // does not fit is counted, and the count is written once there is room.
 #[test]
 fn a_stuck_output_stops_nothing_and_losses_are_told() {
-    let (go, stuck): (Sender<()>, _) = channel();
-    let taken = Arc::new(Mutex::new(Vec::new()));
+    let (release, stuck): (Sender<()>, _) = channel();
+    let written = Arc::new(Mutex::new(Vec::new()));
     let (journal, lines) = Journal::new(8);
     let out = Stuck {
-        go: stuck,
-        taken: taken.clone(),
+        release: stuck,
+        written: written.clone(),
     };
-    (0..100).for_each(|n| journal.tell(order(n)));
+    (0..100).for_each(|n| journal.record(order(n)));
     let writer = journal::writer::start(&journal, lines, out).unwrap();
-    drop(go);
+    drop(release);
     writer.finish(Duration::from_secs(30));
-    let text = String::from_utf8(taken.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     let events: Vec<serde_json::Value> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
@@ -63,7 +63,7 @@
 #[test]
 fn a_line_has_the_time_the_kind_and_the_fields() {
     let (journal, lines) = Journal::new(8);
-    journal.tell(order(7));
+    journal.record(order(7));
     let Message::Line(line) = lines.recv().unwrap() else {
         panic!("no line");
     };
@@ -79,10 +79,10 @@
     let (_go, stuck): (Sender<()>, _) = channel();
     let (journal, lines) = Journal::new(8);
     let out = Stuck {
-        go: stuck,
-        taken: Arc::default(),
+        release: stuck,
+        written: Arc::default(),
     };
     let writer = journal::writer::start(&journal, lines, out).unwrap();
-    (0..100).for_each(|n| journal.tell(order(n)));
+    (0..100).for_each(|n| journal.record(order(n)));
     writer.finish(Duration::from_millis(50));
 }
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -231,7 +231,7 @@
     pub fn ordered(&mut self, now: Instant, order: Order, ordered: &Ordered) {
         self.giving = self.giving.saturating_sub(1);
         let report = ordered.report.as_ref();
-        self.journal.tell(Event::Order {
+        self.journal.record(Event::Order {
             run: order.run.to_string(),
             held: order.held.to_string(),
             layers: order.span.to_string(),
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -248,7 +248,7 @@
             Note::Down(run) => (run, true),
             Note::Up(run) => (run, false),
         };
-        self.journal.tell(Told::Endpoint {
+        self.journal.record(Told::Endpoint {
             run: run.to_string(),
             state: if ejected {
                 "fails here"
@@ -276,7 +276,7 @@
         }
         if lost.is_some() || first {
             let away = lost.map_or(Duration::ZERO, |at| now - at);
-            self.journal.tell(Told::Dependency {
+            self.journal.record(Told::Dependency {
                 name: table_name(table),
                 up: true,
                 detail: format!("away for {} ms", away.as_millis()),
@@ -319,7 +319,7 @@
             return;
         }
         reading.lost = Some(now);
-        self.journal.tell(Told::Dependency {
+        self.journal.record(Told::Dependency {
             name: table_name(table),
             up: false,
             detail: why.to_owned(),
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -64,7 +64,7 @@
                 let row = self.group.roster().get(peer);
                 let name = row.map_or("?", |p| p.identity.name.as_str()).to_owned();
                 let state = format!("{state:?}");
-                self.journal.tell(Told::Node { name, state });
+                self.journal.record(Told::Node { name, state });
             }
             Action::Learned(_) => self.dirty = true,
             Action::Newer { .. } => {}
--- a/crates/node/src/hosted/control/state/share.rs
+++ b/crates/node/src/hosted/control/state/share.rs
@@ -70,7 +70,7 @@
         if !self.pulls.failed(now, peer) {
             return;
         }
-        self.journal.tell(Told::Unanswered {
+        self.journal.record(Told::Unanswered {
             peer: peer.to_string(),
             ask: format!("{ask:?}"),
             why,
--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -136,7 +136,7 @@
                 (0, findings.join("; "), false)
             }
         };
-        self.journal.tell(Event::Catalog {
+        self.journal.record(Event::Catalog {
             version,
             before,
             source,
@@ -225,6 +225,6 @@
     fn tell(&self, key: &str, state: String, offset: Offset) {
         let run = self.known.get(key);
         let run = run.map_or_else(|| key.to_owned(), |k| k.endpoint.run.to_string());
-        self.journal.tell(Event::Endpoint { run, state, offset });
+        self.journal.record(Event::Endpoint { run, state, offset });
     }
 }
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -62,10 +62,10 @@
 
 /// Runs a node until a signal ends it.
 pub fn run(file: &Path, settings: Settings) -> Result<()> {
-    let (journal, lines) = Journal::new(journal::QUEUE);
+    let (journal, lines) = Journal::new(journal::QUEUE_CAPACITY);
     let writer = journal::writer::start(&journal, lines, std::io::stdout())?;
-    journal::logger::start(&journal, settings.level)?;
-    journal.tell(Event::Start {
+    journal::logger::install(&journal, settings.level)?;
+    journal.record(Event::Start {
         node: settings.name.clone(),
         callers: settings.callers.to_string(),
     });
@@ -113,7 +113,7 @@
             .join()
             .map_err(|_| eyre::eyre!("a thread panicked"))??;
     }
-    journal.tell(Event::Stop { reason: "ended" });
+    journal.record(Event::Stop { reason: "ended" });
     writer.finish(LAST_LINES);
     result
 }
@@ -200,7 +200,7 @@
 async fn leave(watched: &Watched, ends: &Ends, term: &mut Signal) {
     let grace = watched.settings.grace;
     let begun = tokio::time::Instant::now();
-    watched.journal.tell(Event::Stop {
+    watched.journal.record(Event::Stop {
         reason: "signal to end",
     });
     ends.leave.cancel();
@@ -241,7 +241,7 @@
                 format!("kept the old ones: {}", findings.join("; "))
             }
         };
-        self.journal.tell(Event::Reload { outcome });
+        self.journal.record(Event::Reload { outcome });
     }
 }
 
