--- a/crates/gate/src/admit.rs
+++ b/crates/gate/src/admit.rs
@@ -1,6 +1,6 @@
 //! Checks a caller's request against the catalog.
 
-use crate::dialect::{Ask, Dialect};
+use crate::dialect::{Dialect, RequestInfo};
 use crate::job::Job;
 use crate::refusal::{Reason, Refusal};
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Headers that concern one connection only.
-const HOP: [&str; 8] = [
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Admitted {
     /// What the head says.
-    pub ask: Ask,
+    pub info: RequestInfo,
     /// The route.
     pub route: RouteId,
     /// The caller's team, and its rank if it has one of its own.
@@ -38,23 +38,23 @@
 }
 
 /// Checks a head, of which `ask` was read.
-pub fn head(catalog: &Catalog, parts: &Parts, ask: Ask) -> Result<Admitted, Refusal> {
+pub fn head(catalog: &Catalog, parts: &Parts, info: RequestInfo) -> Result<Admitted, Refusal> {
     let host = parts.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
     let route = catalog
         .route_id(host, parts.uri.path())
         .ok_or(Refusal::new(Reason::NoRoute))?;
-    let team = ask.key.as_deref().and_then(|k| catalog.team(k)).cloned();
+    let team = info.key.as_deref().and_then(|k| catalog.team(k)).cloned();
     let public = catalog.routes[route as usize].public;
     if catalog.keyed && !public && team.is_none() {
         return Err(Refusal::new(Reason::NoKey));
     }
-    Ok(Admitted { ask, route, team })
+    Ok(Admitted { info, route, team })
 }
 
 /// Reads a body of at most `most` bytes.
-pub async fn body(body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most).collect().await {
+pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::Large)),
         Err(_) => Err(Refusal::new(Reason::Malformed)),
@@ -69,59 +69,60 @@
     parts: Parts,
     body: Bytes,
     came: Instant,
-    draw: u64,
+    random: u64,
 ) -> Result<Job, Refusal> {
     let route = &catalog.routes[admitted.route as usize];
     let service = route
-        .service(draw)
+        .service(random)
         .ok_or(Refusal::new(Reason::Unavailable))?;
-    let time = admitted.ask.deadline.unwrap_or(route.timeout);
-    let until = came + time.min(route.timeout).min(LONGEST);
-    let rank = admitted.team.as_ref().and_then(|t| t.priority);
+    let timeout = admitted.info.timeout.unwrap_or(route.timeout);
+    let deadline = came + timeout.min(route.timeout).min(MAX_TIMEOUT);
+    let priority = admitted.team.as_ref().and_then(|t| t.priority);
     Ok(Job {
-        ask: admitted.ask,
+        info: admitted.info,
         catalog: catalog.clone(),
         route: admitted.route,
         service,
-        rank: rank.unwrap_or(route.priority),
+        priority: priority.unwrap_or(route.priority),
         team: admitted.team.map(|t| t.name),
         method: parts.method,
         uri: parts.uri,
-        headers: passed(dialect, &parts.headers),
+        headers: forwarded(dialect, &parts.headers),
         body,
         came,
-        until,
+        deadline,
     })
 }
 
 /// Longest time for any request; a far longer one, added to a clock, would overflow it.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
 /// Headers that are passed on to an endpoint.
-fn passed<D: Dialect>(dialect: &D, headers: &HeaderMap) -> HeaderMap {
-    kept(headers, |name| !dialect.withheld(name))
+fn forwarded<D: Dialect>(dialect: &D, headers: &HeaderMap) -> HeaderMap {
+    filtered(headers, |name| !dialect.is_stripped(name))
 }
 
 /// Headers of an endpoint's answer that are passed on to the caller.
 pub fn returned(headers: &HeaderMap) -> HeaderMap {
-    kept(headers, |_| true)
+    filtered(headers, |_| true)
 }
 
 /// Headers that concern more than one connection and that `wanted` keeps. The length is that of
 /// the body as it is sent on.
-fn kept(headers: &HeaderMap, wanted: impl Fn(&HeaderName) -> bool) -> HeaderMap {
-    let named = connection_names(headers);
-    let kept = headers.iter();
-    let kept = kept.filter(|(n, _)| !hop(n, &named) && *n != CONTENT_LENGTH && wanted(n));
-    kept.map(|(n, v)| (n.clone(), v.clone())).collect()
+fn filtered(headers: &HeaderMap, keep: impl Fn(&HeaderName) -> bool) -> HeaderMap {
+    let listed = connection_options(headers);
+    let filtered = headers.iter();
+    let filtered =
+        filtered.filter(|(n, _)| !is_hop_by_hop(n, &listed) && *n != CONTENT_LENGTH && keep(n));
+    filtered.map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
-fn hop(name: &HeaderName, named: &[String]) -> bool {
-    HOP.contains(&name.as_str()) || named.iter().any(|n| n == name.as_str())
+fn is_hop_by_hop(name: &HeaderName, listed: &[String]) -> bool {
+    HOP_BY_HOP.contains(&name.as_str()) || listed.iter().any(|n| n == name.as_str())
 }
 
 /// Headers that `Connection` names as concerning this connection only.
-fn connection_names(headers: &HeaderMap) -> Vec<String> {
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter();
     let values = values.filter_map(|v| v.to_str().ok());
     let names = values.flat_map(|v| v.split(','));
--- a/crates/gate/src/forward.rs
+++ b/crates/gate/src/forward.rs
@@ -7,7 +7,7 @@
 
 use crate::admit;
 use crate::answer::{self, Answer};
-use crate::dialect::{Dialect, Told};
+use crate::dialect::{Dialect, ResponseInfo};
 use crate::job::Job;
 use crate::pool::Conn;
 use crate::refusal::{Reason, Refusal};
@@ -116,7 +116,7 @@
     async fn settle(&mut self) -> Ending<D> {
         let mut unsent = 0;
         loop {
-            if self.job.left().is_zero() {
+            if self.job.time_left().is_zero() {
                 return Ending::Own(Refusal::new(self.over()));
             }
             let target = match self.target(None).await {
@@ -138,7 +138,7 @@
                         unsent += 1;
                     }
                     if failure.ran() && !self.job.kind().repeatable() {
-                        let late = failure == Failure::Silent && self.job.left().is_zero();
+                        let late = failure == Failure::Silent && self.job.time_left().is_zero();
                         let reason = if late { Reason::Late } else { Reason::Lost };
                         return Ending::Own(Refusal::new(reason));
                     }
@@ -153,7 +153,7 @@
     /// What an endpoint's head leads to; nothing if the request is sent again.
     async fn take(&mut self, sent: Sent<D>) -> Option<Ending<D>> {
         let status = sent.response.status();
-        if sent.unrun() {
+        if sent.not_run() {
             self.decline(sent).await;
             return self.again_or_spent();
         }
@@ -163,7 +163,7 @@
             return Some(Ending::Live(Box::new(Live::new(sent))));
         }
         let repeat = status.is_server_error() && self.job.kind().repeatable();
-        let told = sent.told.clone();
+        let info = sent.info.clone();
         let Some(answer) = self.whole(sent).await else {
             self.story.failed("the answer broke off", true);
             if !self.job.kind().repeatable() {
@@ -171,7 +171,7 @@
             }
             return self.again_or_spent();
         };
-        if repeat && told.sealed && self.job.left() > Duration::ZERO && self.again(true) {
+        if repeat && info.sealed && self.job.time_left() > Duration::ZERO && self.again(true) {
             self.story.failed(&format!("status {status}"), true);
             return None;
         }
@@ -183,19 +183,19 @@
         let Sent {
             conn,
             response,
-            told,
+            info,
             held,
         } = sent;
         let (mut parts, body) = response.into_parts();
         let body = http_body_util::Limited::new(body, GATHERED).collect();
-        let body = timeout(self.job.left(), body).await;
+        let body = timeout(self.job.time_left(), body).await;
         let Ok(Ok(body)) = body else {
             held.end(Outcome::Failed, None);
             return None;
         };
         held.end(Outcome::Good, None);
         if !closes(&parts.headers) {
-            self.worker.pool.keep(conn, told.idle);
+            self.worker.pool.keep(conn, info.idle_timeout);
         }
         parts.headers = admit::returned(&parts.headers);
         Some(Response::from_parts(parts, body.to_bytes()))
@@ -204,27 +204,32 @@
     /// Gives up an attempt whose endpoint refused it.
     pub(crate) async fn decline(&mut self, sent: Sent<D>) {
         let status = sent.response.status();
-        let unrun = sent.unrun();
+        let not_run = sent.not_run();
         self.story
-            .failed(&refused(status, unrun, &sent.told), !unrun);
-        let outcome = declined(status, &sent.told);
+            .failed(&refused(status, not_run, &sent.info), !not_run);
+        let outcome = declined(status, &sent.info);
         let Sent {
             conn,
             response,
-            told,
+            info,
             held,
         } = sent;
-        held.end(outcome, told.culprit);
-        self.drain(conn, response, &told).await;
+        held.end(outcome, info.faulty_stage);
+        self.drain(conn, response, &info).await;
     }
 
     /// Reads the short body of a refusal, so that its connection can be used again.
-    async fn drain(&self, conn: Conn, response: Response<hyper::body::Incoming>, told: &Told) {
+    async fn drain(
+        &self,
+        conn: Conn,
+        response: Response<hyper::body::Incoming>,
+        info: &ResponseInfo,
+    ) {
         let closes = closes(response.headers());
         let body = http_body_util::Limited::new(response.into_body(), SHORT).collect();
-        let read = timeout(self.job.left().min(DRAIN), body).await;
+        let read = timeout(self.job.time_left().min(DRAIN), body).await;
         if matches!(read, Ok(Ok(_))) && !closes {
-            self.worker.pool.keep(conn, told.idle);
+            self.worker.pool.keep(conn, info.idle_timeout);
         }
     }
 
@@ -265,7 +270,7 @@
     ) -> Result<steer::target::Target, Shortage> {
         let begun = tokio::time::Instant::now();
         let usual = self.job.route().target.mul_f64(PATIENCE);
-        let patience = patience.unwrap_or(usual).min(self.job.left());
+        let patience = patience.unwrap_or(usual).min(self.job.time_left());
         let need = self.job.need();
         loop {
             let found =
@@ -337,7 +342,7 @@
 
     /// Longest wait for an answer's head.
     fn head_limit(&self) -> Duration {
-        let left = self.job.left();
+        let left = self.job.time_left();
         let last = self.ran + 1 >= self.job.route().attempts;
         match self.job.kind() {
             Kind::Idempotent if !last => left.min(self.job.route().target.mul_f64(SLOW)),
@@ -357,7 +362,7 @@
     fn spent(&self) -> Refusal {
         match self.ran {
             0 => Refusal::after(Reason::Unavailable, spread(AFTER_FULL)),
-            _ if self.job.left().is_zero() => Refusal::new(Reason::Late),
+            _ if self.job.time_left().is_zero() => Refusal::new(Reason::Late),
             _ => Refusal::new(Reason::Lost),
         }
     }
@@ -382,9 +387,9 @@
 }
 
 /// A refusal in words, with the stage that the head of a chain names.
-fn refused(status: StatusCode, unrun: bool, told: &Told) -> String {
-    let run = if unrun { ", not run" } else { "" };
-    let culprit = told.culprit.map(|c| format!(", for {c}"));
+fn refused(status: StatusCode, not_run: bool, info: &ResponseInfo) -> String {
+    let run = if not_run { ", not run" } else { "" };
+    let culprit = info.faulty_stage.map(|c| format!(", for {c}"));
     format!(
         "status {}{run}{}",
         status.as_u16(),
@@ -393,10 +398,10 @@
 }
 
 /// What a refusal says of the endpoint that it is about.
-fn declined(status: StatusCode, told: &Told) -> Outcome {
+fn declined(status: StatusCode, info: &ResponseInfo) -> Outcome {
     match status {
         StatusCode::MISDIRECTED_REQUEST => Outcome::Elsewhere,
-        _ if told.culprit.is_some() => Outcome::Named,
+        _ if info.faulty_stage.is_some() => Outcome::Named,
         _ => Outcome::Full,
     }
 }
--- a/crates/gate/src/forward/attempt.rs
+++ b/crates/gate/src/forward/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::Run;
 use super::look::{self, Look};
-use crate::dialect::{Dialect, Order, Told};
+use crate::dialect::{Dialect, ForwardInfo, ResponseInfo};
 use crate::pool::{self, Conn};
 use crate::worker::Worker;
 use http::{Request, Response, StatusCode};
@@ -51,14 +51,14 @@
 pub(crate) struct Sent<D: Dialect> {
     pub(crate) conn: Conn,
     pub(crate) response: Response<Incoming>,
-    pub(crate) told: Told,
+    pub(crate) info: ResponseInfo,
     pub(crate) held: Held<D>,
 }
 
 impl<D: Dialect> Sent<D> {
     /// Whether the endpoint says that it did not run the request.
-    pub(crate) fn unrun(&self) -> bool {
-        self.told.unrun || self.response.status() == StatusCode::MISDIRECTED_REQUEST
+    pub(crate) fn not_run(&self) -> bool {
+        self.info.not_run || self.response.status() == StatusCode::MISDIRECTED_REQUEST
     }
 }
 
@@ -106,7 +106,7 @@
     pub(crate) async fn send(
         &mut self,
         mut held: Held<D>,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
         limit: Duration,
     ) -> Result<Sent<D>, Failure> {
         let addr = held.target.head().addr;
@@ -114,15 +114,15 @@
             .extend(held.target.stages.iter().map(|s| s.run.clone()));
         let crossings = self.crossings(&held.target.stages);
         self.story.sent(&held.target, crossings);
-        let exchanged = self.exchange(&mut held, after, limit).await;
+        let exchanged = self.exchange(&mut held, last_event_id, limit).await;
         let failure = match exchanged {
             Ok((conn, response)) => {
-                let told = self.worker.dialect.told(response.headers());
-                if self.genuine(&response, &told) {
+                let info = self.worker.dialect.response_info(response.headers());
+                if self.genuine(&response, &info) {
                     return Ok(Sent {
                         conn,
                         response,
-                        told,
+                        info,
                         held,
                     });
                 }
@@ -144,18 +144,18 @@
     async fn exchange(
         &self,
         held: &mut Held<D>,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
         limit: Duration,
     ) -> Result<(Conn, Response<Incoming>), Failure> {
         let addr = held.target.head().addr;
         let mut conn = self.worker.pool.conn(addr).await?;
-        let request = self.request(&held.target, after);
+        let request = self.request(&held.target, last_event_id);
         match self.answer(&mut conn, request, held, limit).await {
             // A kept connection that was closed before the request left: a new one is made.
             Err(Failure::Unsent) => {
                 self.worker.pool.forget(addr);
                 let mut conn = self.worker.pool.conn(addr).await?;
-                let request = self.request(&held.target, after);
+                let request = self.request(&held.target, last_event_id);
                 let response = self.answer(&mut conn, request, held, limit).await?;
                 Ok((conn, response))
             }
@@ -173,7 +173,7 @@
         limit: Duration,
     ) -> Result<Response<Incoming>, Failure> {
         let begun = Instant::now();
-        let last = self.job.left();
+        let last = self.job.time_left();
         let mut response = pin!(conn.send(request));
         let mut next = look::FIRST.min(limit);
         loop {
@@ -207,32 +207,34 @@
         }
     }
 
-    fn request(&self, target: &Target, after: Option<u64>) -> Request<Full<bytes::Bytes>> {
+    fn request(&self, target: &Target, last_event_id: Option<u64>) -> Request<Full<bytes::Bytes>> {
         let job = &self.job;
         let mut request = Request::new(Full::new(job.body.clone()));
         *request.method_mut() = job.method.clone();
         *request.uri_mut() = job.uri.clone();
         *request.headers_mut() = job.headers.clone();
-        let order = Order {
+        let info = ForwardInfo {
             target,
-            left: job.left(),
+            time_left: job.time_left(),
             team: job.team.as_deref(),
-            rank: job.service().engine.as_ref().map(|_| job.rank),
-            after,
+            priority: job.service().engine.as_ref().map(|_| job.priority),
+            last_event_id,
         };
-        self.worker.dialect.order(request.headers_mut(), &order);
+        self.worker
+            .dialect
+            .add_headers(request.headers_mut(), &info);
         request
     }
 
     /// Whether an answer is this request's and the endpoint vouches for it. An endpoint may send
     /// a second answer late, at the place of the next one; a success without a seal is nobody's.
-    fn genuine(&self, response: &Response<Incoming>, told: &Told) -> bool {
-        let own = told.id.is_none() || told.id == self.job.ask.id;
+    fn genuine(&self, response: &Response<Incoming>, info: &ResponseInfo) -> bool {
+        let own = info.request_id.is_none() || info.request_id == self.job.info.id;
         let success = response.status().is_success();
         let encoded = response
             .headers()
             .contains_key(http::header::CONTENT_ENCODING);
         let informational = response.status() == StatusCode::SWITCHING_PROTOCOLS;
-        own && !informational && !encoded && (!success || told.sealed)
+        own && !informational && !encoded && (!success || info.sealed)
     }
 }
--- a/crates/gate/src/forward/look.rs
+++ b/crates/gate/src/forward/look.rs
@@ -7,7 +7,7 @@
 
 use super::Run;
 use super::attempt::Held;
-use crate::dialect::{Account, Detoured, Dialect};
+use crate::dialect::{Dialect, RerouteOutcome, StatusReport};
 use crate::worker::Worker;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -49,12 +49,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Known {
     at: Instant,
-    account: Option<Rc<Account>>,
+    account: Option<Rc<StatusReport>>,
 }
 
 impl<D: Dialect> Worker<D> {
     /// The account of an engine, not much older than [`FRESH`].
-    async fn account(&self, addr: SocketAddr) -> Option<Rc<Account>> {
+    async fn account(&self, addr: SocketAddr) -> Option<Rc<StatusReport>> {
         let known = self.accounts.borrow().get(&addr).cloned();
         let fresh = known.as_ref().is_some_and(|k| k.at.elapsed() < FRESH);
         let account = known.and_then(|k| k.account);
@@ -63,13 +63,13 @@
         }
         // Those that come meanwhile take the old account instead of asking too.
         self.keep(addr, account);
-        let asked = timeout(ANSWER, self.dialect.account(addr)).await;
+        let asked = timeout(ANSWER, self.dialect.status_report(addr)).await;
         let account = asked.ok().flatten().map(Rc::new);
         self.keep(addr, account.clone());
         account
     }
 
-    fn keep(&self, addr: SocketAddr, account: Option<Rc<Account>>) {
+    fn keep(&self, addr: SocketAddr, account: Option<Rc<StatusReport>>) {
         let at = Instant::now();
         let known = Known { at, account };
         self.accounts.borrow_mut().insert(addr, known);
@@ -79,7 +79,7 @@
 impl<D: Dialect> Run<D> {
     /// Asks the head of a silent answer what it waits for. Dropped before its end, it changes
     /// nothing, so that an event which comes meanwhile is passed on at once.
-    pub(crate) async fn ask(&self, target: &Target) -> Option<Rc<Account>> {
+    pub(crate) async fn ask(&self, target: &Target) -> Option<Rc<StatusReport>> {
         match target.head().span.is_empty() {
             true => None,
             false => self.worker.account(target.head().addr).await,
@@ -90,7 +90,7 @@
     pub(crate) async fn look(
         &self,
         held: &mut Held<D>,
-        account: Option<Rc<Account>>,
+        account: Option<Rc<StatusReport>>,
         silent: Duration,
     ) -> Look {
         let chain = !held.target.head().span.is_empty();
@@ -108,7 +108,7 @@
         };
         let own = account.stalls.iter().find(|s| s.request == self.job.id());
         match own {
-            Some(stall) => self.detour(held, stall.culprit).await,
+            Some(stall) => self.detour(held, stall.blocked_on).await,
             None => Look::Wait,
         }
     }
@@ -121,7 +121,7 @@
         }
         self.worker.steer(|steer, now| steer.accuse(now, culprit));
         match self.replace_all(held, culprit).await {
-            Some(Detoured::Done) => Look::Wait,
+            Some(RerouteOutcome::Done) => Look::Wait,
             Some(_) => Look::Lost("a stage is dead, and the head can't replace it"),
             None => Look::Lost("a stage is dead, and nothing replaces it"),
         }
@@ -131,7 +131,7 @@
     /// goes on as it is.
     pub(crate) async fn evacuate(&self, held: &mut Held<D>, culprit: SocketAddr) {
         let before = held.target.stages.clone();
-        if self.replace_all(held, culprit).await == Some(Detoured::Done) {
+        if self.replace_all(held, culprit).await == Some(RerouteOutcome::Done) {
             return;
         }
         held.target.stages = before;
@@ -142,10 +142,10 @@
 
     /// Replaces a stage, and each further one that the head names as missing meanwhile: endpoints die, and
     /// give up layers, together.
-    async fn replace_all(&self, held: &mut Held<D>, culprit: SocketAddr) -> Option<Detoured> {
+    async fn replace_all(&self, held: &mut Held<D>, culprit: SocketAddr) -> Option<RerouteOutcome> {
         let mut done = self.replace(held, culprit).await?;
         for _ in 1..MOST_REPLACED {
-            let Detoured::Missing(next) = done else {
+            let RerouteOutcome::Missing(next) = done else {
                 break;
             };
             self.worker.steer(|steer, now| steer.named(now, next));
@@ -156,7 +156,7 @@
 
     /// Takes another endpoint for a stage and orders the head to go on over it; nothing if no endpoint
     /// can.
-    async fn replace(&self, held: &mut Held<D>, culprit: SocketAddr) -> Option<Detoured> {
+    async fn replace(&self, held: &mut Held<D>, culprit: SocketAddr) -> Option<RerouteOutcome> {
         let need = self.job.need();
         let service = self.service_now();
         let target = &held.target;
@@ -168,7 +168,7 @@
         let order = self
             .worker
             .dialect
-            .detour(self.job.id(), &held.target.stages);
+            .reroute(self.job.id(), &held.target.stages);
         Some(order.await)
     }
 }
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -1,6 +1,6 @@
 //! A request that was admitted.
 
-use crate::dialect::Ask;
+use crate::dialect::RequestInfo;
 use bytes::Bytes;
 use catalog::Catalog;
 use catalog::engine::Size;
@@ -15,16 +15,16 @@
 use tokio::time::Instant;
 
 /// Rank of urgent requests.
-const URGENT: u8 = 0;
+const URGENT_PRIORITY: u8 = 0;
 /// Part by which an answer may be longer than its caller expects before room runs short: the
 /// estimate is right at the median only.
-const MARGIN: f64 = 1.25;
+const OUTPUT_LENGTH_MARGIN: f64 = 1.25;
 
 /// A request on its way.
 #[derive(Debug)]
 pub struct Job {
     /// What its head says.
-    pub ask: Ask,
+    pub info: RequestInfo,
     /// The catalog that admitted it.
     pub catalog: Arc<Catalog>,
     /// Its route.
@@ -34,7 +34,7 @@
     /// Name of the caller's team.
     pub team: Option<String>,
     /// Rank, 0 first.
-    pub rank: u8,
+    pub priority: u8,
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -46,7 +46,7 @@
     /// When it came.
     pub came: Instant,
     /// When its time is over: the caller's, or the route's if that is shorter.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 impl Job {
@@ -67,27 +67,27 @@
 
     /// Its id; empty if it has none.
     pub fn id(&self) -> &str {
-        self.ask.id.as_deref().unwrap_or_default()
+        self.info.id.as_deref().unwrap_or_default()
     }
 
     /// Time that is left.
-    pub fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// What it needs of a chain.
     pub fn need(&self) -> Need {
         let usual = self.service().engine.as_ref().map(|e| e.usual);
         let usual = usual.unwrap_or_default();
-        let asked = self.ask.size.unwrap_or(usual);
-        let expected = self.ask.expected.unwrap_or(usual.answer);
-        let expected = (f64::from(expected) * MARGIN) as u32;
+        let requested = self.info.size.unwrap_or(usual);
+        let expected = self.info.expected_output.unwrap_or(usual.answer);
+        let expected = (f64::from(expected) * OUTPUT_LENGTH_MARGIN) as u32;
         Need {
             size: Size {
-                prompt: asked.prompt,
-                answer: expected.min(asked.answer),
+                prompt: requested.prompt,
+                answer: expected.min(requested.answer),
             },
-            urgent: self.rank == URGENT,
+            urgent: self.priority == URGENT_PRIORITY,
         }
     }
 }
--- a/crates/gate/src/splice.rs
+++ b/crates/gate/src/splice.rs
@@ -93,7 +93,7 @@
 /// The body of an answer that begins with `live`.
 pub(crate) fn stream<D: Dialect>(run: Run<D>, live: Live<D>) -> impl Stream<Item = Chunk> {
     let splice = Splice {
-        last: run.job.ask.after,
+        last: run.job.info.last_event_id,
         moved: run.job.came,
         run,
         live: Some(live),
@@ -191,7 +191,7 @@
         let usual = if self.begun { look::NEXT } else { look::FIRST };
         let mut next = usual;
         loop {
-            let left = self.run.job.left();
+            let left = self.run.job.time_left();
             if left.is_zero() {
                 return Step::Lost("the time is over");
             }
@@ -246,13 +246,13 @@
             live.sent.held.end(Outcome::Failed, None);
         }
         let kind = self.run.job.kind();
-        while kind.repeatable() && !self.run.job.left().is_zero() && self.run.again(true) {
+        while kind.repeatable() && !self.run.job.time_left().is_zero() && self.run.again(true) {
             let Ok(target) = self.run.target(Some(PATIENCE)).await else {
                 self.run.story.note("no endpoint to go on from");
                 return false;
             };
             let held = Held::new(self.run.worker.clone(), target);
-            let limit = self.run.job.left();
+            let limit = self.run.job.time_left();
             match self.run.send(held, self.last, limit).await {
                 Ok(sent) if sent.response.status() == StatusCode::OK => {
                     self.run.ran += 1;
@@ -261,7 +261,7 @@
                     return true;
                 }
                 Ok(sent) => {
-                    self.run.ran += u32::from(!sent.unrun());
+                    self.run.ran += u32::from(!sent.not_run());
                     self.run.decline(sent).await;
                 }
                 Err(failure) => self.run.ran += u32::from(failure.ran()),
@@ -276,7 +276,7 @@
             let closes = closes(sent.response.headers());
             sent.held.end(Outcome::Good, None);
             if !closes {
-                self.run.worker.pool.keep(sent.conn, sent.told.idle);
+                self.run.worker.pool.keep(sent.conn, sent.info.idle_timeout);
             }
         }
         self.run.story.answered(StatusCode::OK.as_u16());
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -259,17 +259,17 @@
         came: Instant,
     ) -> Result<Job, (Refusal, String)> {
         let (parts, incoming) = request.into_parts();
-        let ask = self.dialect.ask(&parts.headers);
-        let id = ask.id.clone().unwrap_or_default();
+        let info = self.dialect.request_info(&parts.headers);
+        let id = info.id.clone().unwrap_or_default();
         let checked = async {
-            let Some(view) = self.first_view(ask.deadline, came).await else {
+            let Some(view) = self.first_view(info.timeout, came).await else {
                 return Err(Refusal::after(Reason::NoCatalog, forward::spread(BLIND)));
             };
             if self.closing.get() {
                 return Err(Refusal::after(Reason::Leaving, ELSEWHERE));
             }
             let catalog = &view.fleet.catalog;
-            let admitted = admit::head(catalog, &parts, ask)?;
+            let admitted = admit::head(catalog, &parts, info)?;
             let body = admit::body(incoming, catalog.limits.body_bytes).await?;
             let draw = rand::rng().random();
             admit::job(&self.dialect, catalog, admitted, parts, body, came, draw)
--- a/crates/gate/tests/support/dialect.rs
+++ b/crates/gate/tests/support/dialect.rs
@@ -2,7 +2,9 @@
 
 use bytes::Bytes;
 use catalog::engine::Size;
-use gate::dialect::{Account, Ask, Detoured, Dialect, Order, Stall, Told};
+use gate::dialect::{
+    Dialect, ForwardInfo, RequestInfo, RerouteOutcome, ResponseInfo, Stall, StatusReport,
+};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,71 +15,73 @@
 pub struct Plain;
 
 impl Dialect for Plain {
-    fn ask(&self, headers: &HeaderMap) -> Ask {
-        Ask {
+    fn request_info(&self, headers: &HeaderMap) -> RequestInfo {
+        RequestInfo {
             id: text(headers, "id"),
             key: text(headers, "key"),
-            deadline: number(headers, "deadline").map(Duration::from_millis),
+            timeout: number(headers, "deadline").map(Duration::from_millis),
             size: Some(Size {
                 prompt: 10,
                 answer: 10,
             }),
-            expected: None,
-            after: number(headers, "after"),
+            expected_output: None,
+            last_event_id: number(headers, "after"),
         }
     }
 
-    fn withheld(&self, name: &HeaderName) -> bool {
+    fn is_stripped(&self, name: &HeaderName) -> bool {
         ["key", "deadline", "team", "chain", "after"].contains(&name.as_str())
     }
 
-    fn order(&self, headers: &mut HeaderMap, order: &Order<'_>) {
+    fn add_headers(&self, headers: &mut HeaderMap, info: &ForwardInfo<'_>) {
         let mut set = |name: &'static str, value: String| {
             headers.insert(name, HeaderValue::try_from(value).unwrap());
         };
-        set("deadline", order.left.as_millis().to_string());
-        set("expect", order.target.head().run.id.clone());
-        if let Some(team) = order.team {
+        set("deadline", info.time_left.as_millis().to_string());
+        set("expect", info.target.head().run.id.clone());
+        if let Some(team) = info.team {
             set("team", team.to_owned());
         }
-        if let Some(after) = order.after {
+        if let Some(after) = info.last_event_id {
             set("after", after.to_string());
         }
-        let stages = order.target.stages.iter();
+        let stages = info.target.stages.iter();
         let stages: Vec<_> = stages.map(|s| format!("{}={}", s.addr, s.span)).collect();
         set("chain", stages.join(","));
     }
 
-    fn told(&self, headers: &HeaderMap) -> Told {
-        Told {
-            id: text(headers, "id"),
-            unrun: headers.contains_key("unrun"),
+    fn response_info(&self, headers: &HeaderMap) -> ResponseInfo {
+        ResponseInfo {
+            request_id: text(headers, "id"),
+            not_run: headers.contains_key("unrun"),
             sealed: headers.contains_key("seal"),
-            culprit: text(headers, "culprit").and_then(|a| a.parse().ok()),
-            idle: None,
+            faulty_stage: text(headers, "culprit").and_then(|a| a.parse().ok()),
+            idle_timeout: None,
         }
     }
 
-    async fn account(&self, addr: SocketAddr) -> Option<Account> {
+    async fn status_report(&self, addr: SocketAddr) -> Option<StatusReport> {
         let body = super::caller::get(addr, "/report").await?;
         let stalls = body.lines().filter_map(|line| {
-            let (request, culprit) = line.split_once(' ')?;
+            let (request, blocked_on) = line.split_once(' ')?;
             Some(Stall {
                 request: request.to_owned(),
-                culprit: culprit.parse().ok()?,
+                blocked_on: blocked_on.parse().ok()?,
             })
         });
-        Some(Account {
+        Some(StatusReport {
             stalls: stalls.collect(),
         })
     }
 
-    async fn detour(&self, request: &str, stages: &[Stage]) -> Detoured {
+    async fn reroute(&self, request: &str, stages: &[Stage]) -> RerouteOutcome {
         let path = format!("/detour/{request}/{}", stages.len());
         match super::caller::get(stages[0].addr, &path).await {
-            Some(body) if body.is_empty() => Detoured::Done,
-            Some(body) => body.parse().map_or(Detoured::Failed, Detoured::Missing),
-            None => Detoured::Failed,
+            Some(body) if body.is_empty() => RerouteOutcome::Done,
+            Some(body) => body
+                .parse()
+                .map_or(RerouteOutcome::Failed, RerouteOutcome::Missing),
+            None => RerouteOutcome::Failed,
         }
     }
 
