--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -10,7 +10,7 @@
 use member::demand::{Demand, Limit};
 use member::event::Event;
 use member::head::Head;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::message::Message;
 use member::peer::State;
 use member::settings::Settings;
@@ -99,14 +99,16 @@
                 digest: [1; 32],
             },
         );
-        let condemned = Body::Condemned {
+        let condemned = Observation::Condemned {
             fingerprint: round,
             ttl: SECOND * 60,
         };
         net.event(origin, Event::Publish(vec![condemned]));
         net.event(
             origin,
-            Event::Publish(vec![Body::Load(member::level::Level(round as u8 + 1))]),
+            Event::Publish(vec![Observation::Load(member::level::Level(
+                round as u8 + 1,
+            ))]),
         );
         net.run(net.now + SECOND * 15);
         let last = net
--- a/crates/member/src/action.rs
+++ b/crates/member/src/action.rs
@@ -20,7 +20,7 @@
         message: Message,
     },
     /// A peer is in another state, or was first heard of.
-    Changed {
+    StateChanged {
         /// The peer.
         peer: Id,
         /// Its state.
@@ -31,7 +31,7 @@
     /// An item is new here.
     Learned(Item),
     /// A peer has a bundle in force that is newer than the one here; ask it for the record.
-    Newer {
+    FetchHead {
         /// What it has.
         head: Head,
         /// The peer.
--- a/crates/member/src/check.rs
+++ b/crates/member/src/check.rs
@@ -94,7 +94,7 @@
             if buried.is_some_and(|g| g.incarnation >= peer.identity.incarnation) {
                 errors.push(error("peer", peer.id, Fault::Buried));
             }
-            let waited = peer.since.saturating_sub(peer.lost);
+            let waited = peer.state_since.saturating_sub(peer.lost_at);
             if peer.state > State::Suspect && waited < self.settings.suspicion {
                 errors.push(error("peer", peer.id, Fault::Hasty));
             }
--- a/crates/member/src/demand.rs
+++ b/crates/member/src/demand.rs
@@ -1,7 +1,7 @@
 //! Announcing a node's own demand: what changed most first, within a budget of items.
 
 use crate::Now;
-use crate::item::{Body, Team};
+use crate::item::{Observation, Team};
 use crate::level::Level;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -125,7 +125,7 @@
         budget: Budget,
         limits: &[Limit],
         demands: &[Demand],
-    ) -> Vec<Body> {
+    ) -> Vec<Observation> {
         let gap = self
             .stepped
             .map_or(Duration::from_secs(1), |s| now.saturating_sub(s));
@@ -143,7 +143,7 @@
         }
         let body = |c: Change| {
             let (rate, in_flight) = c.levels;
-            Body::Demand {
+            Observation::Demand {
                 team: limits[c.row].team,
                 rate,
                 in_flight,
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::head::Head;
 use crate::identity::Id;
-use crate::item::Body;
+use crate::item::Observation;
 use crate::message::Message;
 use crate::peer::Entry;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     /// Time passed; comes at least every [`TICK`].
     Tick,
     /// A peer sent a message.
-    Frame {
+    Received {
         /// Where that peer listens.
         from: SocketAddr,
         /// What it sent.
@@ -25,9 +25,9 @@
     /// peers that learn of it ask this node for the record.
     Head(Head),
     /// This node observed something. All of one event are spread together.
-    Publish(Vec<Body>),
+    Publish(Vec<Observation>),
     /// A new connection to a peer failed.
-    Unreached(Id),
+    ConnectFailed(Id),
     /// This node is about to exit, with nothing in flight.
     Quit,
 }
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -10,7 +10,9 @@
 use crate::group::Group;
 use crate::identity::{Id, id};
 use crate::item::{self, Item, Version};
-use crate::message::{self, Batch, Body, Bucket, Delta, Gap, Place, Print, Row, Summary, Want};
+use crate::message::{
+    self, Batch, Body, Bucket, Delta, KnownVersion, Publication, Request, Row, RowIndex, Summary,
+};
 use crate::peer::Peer;
 use crate::roster::{BUCKETS, row};
 use rand::RngExt;
@@ -23,12 +25,12 @@
 const SMALL: usize = 7;
 
 /// Bytes of an item in a frame, as an estimate.
-fn weight(body: &item::Body) -> usize {
+fn weight(body: &item::Observation) -> usize {
     match body {
-        item::Body::Endpoint { name, .. } | item::Body::Moving { name, .. } => {
+        item::Observation::Endpoint { name, .. } | item::Observation::Releasing { name, .. } => {
             SMALL + 8 + name.len()
         }
-        item::Body::Suspect { .. } | item::Body::Condemned { .. } => SMALL + 8,
+        item::Observation::Suspect { .. } | item::Observation::Condemned { .. } => SMALL + 8,
         _ => SMALL,
     }
 }
@@ -74,7 +76,7 @@
             let index = (first + step) % BUCKETS;
             self.answer_bucket(now, index as Bucket, &theirs[index], &mut room, &mut delta);
         }
-        self.counters.differing += u64::from(!delta.whole.is_empty());
+        self.counters.differing += u64::from(!delta.complete.is_empty());
         if delta != Delta::default() {
             self.send(peer, to, Body::Delta(delta), out);
         }
@@ -93,23 +95,27 @@
         if hash != theirs.hash || rows.len() != theirs.versions.len() {
             if delta.rows.len() + rows.len() <= self.settings.rows {
                 delta.rows.extend(rows.iter().map(row));
-                delta.whole.push(bucket);
+                delta.complete.push(bucket);
             }
             return;
         }
         let behind = |i: usize, p: &Peer| p.version < theirs.versions[i];
-        let gap = |i: usize, p: &Peer| Gap {
-            place: i as Place,
+        let gap = |i: usize, p: &Peer| KnownVersion {
+            row: i as RowIndex,
             version: p.version,
         };
         let gaps = rows.iter().enumerate().filter(|(i, p)| behind(*i, p));
-        let gaps: Vec<Gap> = gaps.map(|(i, p)| gap(i, p)).collect();
+        let gaps: Vec<KnownVersion> = gaps.map(|(i, p)| gap(i, p)).collect();
         if !gaps.is_empty() {
-            delta.wants.push(Want { bucket, hash, gaps });
+            delta.requests.push(Request {
+                bucket,
+                hash,
+                known: gaps,
+            });
         }
         let known = theirs.versions.iter().enumerate();
-        let known = known.map(|(i, v)| Gap {
-            place: i as Place,
+        let known = known.map(|(i, v)| KnownVersion {
+            row: i as RowIndex,
             version: *v,
         });
         self.fill(now, bucket, known, room, delta);
@@ -120,14 +126,14 @@
         &self,
         now: Now,
         bucket: Bucket,
-        gaps: impl Iterator<Item = Gap>,
+        gaps: impl Iterator<Item = KnownVersion>,
         room: &mut usize,
         delta: &mut Delta,
     ) {
         let rows = self.roster.bucket(bucket);
         let mut batches = Vec::new();
         for gap in gaps {
-            let Some(peer) = rows.get(usize::from(gap.place)) else {
+            let Some(peer) = rows.get(usize::from(gap.row)) else {
                 continue;
             };
             if peer.version > gap.version && *room > BATCH {
@@ -138,7 +144,7 @@
             return;
         }
         let hash = self.roster.hash(bucket).unwrap_or_default();
-        delta.groups.push(message::Group {
+        delta.items.push(message::BucketItems {
             bucket,
             hash,
             batches,
@@ -147,31 +153,34 @@
 
     /// Whole publications in their order. What came ahead of its turn (version above the row's)
     /// is left out, or the receiver would take the versions between for known.
-    fn batch(&self, now: Now, peer: &Peer, gap: Gap, room: &mut usize) -> Option<Batch> {
-        let mut prints: BTreeMap<Version, Vec<item::Body>> = BTreeMap::new();
+    fn batch(&self, now: Now, peer: &Peer, gap: KnownVersion, room: &mut usize) -> Option<Batch> {
+        let mut prints: BTreeMap<Version, Vec<item::Observation>> = BTreeMap::new();
         for (_, slot) in self.store.of(peer.id) {
             if slot.version > gap.version && slot.version <= peer.version {
                 prints.entry(slot.version).or_default().push(slot.rest(now));
             }
         }
         let mut batch = Batch {
-            place: gap.place,
-            upto: peer.version,
-            prints: Vec::new(),
+            row: gap.row,
+            up_to: peer.version,
+            publications: Vec::new(),
         };
         let mut upto = gap.version;
         *room = room.saturating_sub(BATCH);
         for (version, bodies) in prints {
             let size: usize = 2 + bodies.iter().map(weight).sum::<usize>();
             if size > *room {
-                batch.upto = upto;
+                batch.up_to = upto;
                 break;
             }
             *room -= size;
             upto = version;
-            batch.prints.push(Print { version, bodies });
+            batch.publications.push(Publication {
+                version,
+                observations: bodies,
+            });
         }
-        (batch.upto > gap.version).then_some(batch)
+        (batch.up_to > gap.version).then_some(batch)
     }
 
     pub(crate) fn delta(
@@ -183,10 +192,10 @@
         out: &mut Vec<Action>,
     ) {
         let Delta {
-            groups,
+            items: groups,
             rows,
-            whole,
-            wants,
+            complete: whole,
+            requests: wants,
         } = delta;
         groups
             .into_iter()
@@ -199,24 +208,24 @@
                 self.fill(
                     now,
                     want.bucket,
-                    want.gaps.into_iter(),
+                    want.known.into_iter(),
                     &mut room,
                     &mut answer,
                 );
             }
         }
-        if !answer.groups.is_empty() {
+        if !answer.items.is_empty() {
             self.send(peer, to, Body::Delta(answer), out);
         }
     }
 
-    fn take_group(&mut self, now: Now, group: message::Group, out: &mut Vec<Action>) {
+    fn take_group(&mut self, now: Now, group: message::BucketItems, out: &mut Vec<Action>) {
         for batch in group.batches {
             // A row that came or went since the digest was sent moves the places of the others.
             if self.roster.hash(group.bucket) != Some(group.hash) {
                 return;
             }
-            let place = usize::from(batch.place);
+            let place = usize::from(batch.row);
             let Some(row) = self.roster.bucket(group.bucket).get(place) else {
                 continue;
             };
@@ -235,8 +244,8 @@
         batch: Batch,
         out: &mut Vec<Action>,
     ) {
-        for print in batch.prints {
-            for body in print.bodies {
+        for print in batch.publications {
+            for body in print.observations {
                 let version = print.version;
                 self.learn(
                     now,
@@ -251,7 +260,7 @@
             }
         }
         if let Some(row) = self.roster.get_mut(origin) {
-            row.version = row.version.max(batch.upto);
+            row.version = row.version.max(batch.up_to);
         }
     }
 
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -7,8 +7,8 @@
 use crate::head::Head;
 use crate::identity::{Id, Identity, Incarnation};
 use crate::item::Version;
-use crate::message::{Body, Message, News, Row, Run};
-use crate::peer::{Entry, Peer, Standing, State};
+use crate::message::{Body, Message, Row, Run, Update};
+use crate::peer::{Entry, ListedState, Peer, State};
 use crate::probe::Probes;
 use crate::roster::{self, Roster};
 use crate::settings::Settings;
@@ -93,11 +93,11 @@
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Frame { from, message } => self.frame(now, from, message, out),
+            Event::Received { from, message } => self.frame(now, from, message, out),
             Event::Listed(entries) => self.list(entries),
             Event::Head(head) => self.adopt(head),
             Event::Publish(bodies) => self.publish(now, bodies),
-            Event::Unreached(peer) => self.unreached(peer, out),
+            Event::ConnectFailed(peer) => self.unreached(peer, out),
             Event::Quit => self.quit(),
         }
         self.flush(now, out);
@@ -130,7 +130,7 @@
         self.probes.reset(now);
         for peer in self.roster.iter_mut() {
             if peer.state == State::Suspect {
-                peer.since = now;
+                peer.state_since = now;
             }
         }
         // Peers that suspected this node meanwhile may already wait to judge it.
@@ -142,7 +142,7 @@
             from: id,
             incarnation,
             head,
-            news,
+            updates: news,
             body,
         } = message;
         if id == self.me {
@@ -177,11 +177,11 @@
         match body {
             Body::Ping { seq, to } => self.answer(id, from, seq, to, out),
             Body::Ack { seq, of } => self.acked(now, seq, of, out),
-            Body::Relay { seq, to, addr } => self.relay(now, (id, from, seq), to, addr, out),
-            Body::Who => self.introduce(id, from, out),
+            Body::IndirectPing { seq, to, addr } => self.relay(now, (id, from, seq), to, addr, out),
+            Body::Identify => self.introduce(id, from, out),
             Body::Rows(rows) => rows.into_iter().for_each(|r| self.merge(now, r, out)),
-            Body::Note => {}
-            Body::Rumour(items) => items.into_iter().for_each(|i| self.hear_item(now, i, out)),
+            Body::Empty => {}
+            Body::Items(items) => items.into_iter().for_each(|i| self.hear_item(now, i, out)),
             Body::Digest(summaries) => self.digest(now, id, from, &summaries, out),
             Body::Delta(delta) => self.delta(now, id, from, delta, out),
         }
@@ -207,7 +207,7 @@
             Some(known) if known == run => self.up(now, id, out),
             _ => {
                 self.graves.remove(&id);
-                self.send(id, from, Body::Who, out);
+                self.send(id, from, Body::Identify, out);
             }
         }
         true
@@ -223,7 +223,7 @@
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
             Some(known) if known > run => {}
-            Some(known) if known == run => self.raise(now, id, row.turn, out),
+            Some(known) if known == run => self.raise(now, id, row.refutations, out),
             Some(_) if id == self.me => {}
             known => self.enter(now, row, known.is_some(), out),
         }
@@ -246,8 +246,8 @@
             return;
         }
         let mut peer = Peer::new(row.identity.clone(), now);
-        peer.turn = row.turn;
-        peer.standing = self.standing(peer.id);
+        peer.refutations = row.refutations;
+        peer.listed = self.standing(peer.id);
         let id = peer.id;
         if !self.roster.insert(peer) {
             self.counters.dropped += 1;
@@ -256,7 +256,7 @@
         self.grown = now;
         self.store.forget(id);
         self.tell_join(row);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
             restarted,
@@ -276,7 +276,7 @@
         };
         self.graves.insert(id, grave);
         self.probes.forget(id);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Left,
             restarted: false,
@@ -289,13 +289,13 @@
             .map(|e| (crate::identity::id(&e.name), e))
             .collect();
         for peer in self.roster.iter_mut() {
-            peer.standing = table.get(&peer.id).map(|e| e.standing);
+            peer.listed = table.get(&peer.id).map(|e| e.state);
         }
         self.listed = Some(table);
     }
 
-    fn standing(&self, id: Id) -> Option<Standing> {
-        self.listed.as_ref()?.get(&id).map(|e| e.standing)
+    fn standing(&self, id: Id) -> Option<ListedState> {
+        self.listed.as_ref()?.get(&id).map(|e| e.state)
     }
 
     /// Sends a message with the head and some news. What this node thinks of the rows in it goes along.
@@ -317,20 +317,20 @@
         &mut self,
         peer: Id,
         to: SocketAddr,
-        news: Vec<News>,
+        news: Vec<Update>,
         out: &mut Vec<Action>,
     ) {
-        let message = self.message(news, Body::Note);
+        let message = self.message(news, Body::Empty);
         out.push(Action::Send { peer, to, message });
     }
 
-    fn message(&self, news: Vec<News>, body: Body) -> Message {
+    fn message(&self, news: Vec<Update>, body: Body) -> Message {
         let incarnation = self.incarnation();
         Message {
             from: self.me,
             incarnation,
             head: self.head,
-            news,
+            updates: news,
             body,
         }
     }
@@ -373,7 +373,7 @@
 
     /// Whether the nodes known at `now` are likely all that there are. Nodes that start together know
     /// few of the others at first: each of them would take the duties of the first node for its own.
-    pub fn settled(&self, now: Now) -> bool {
+    pub fn is_settled(&self, now: Now) -> bool {
         let Some(began) = self.began else {
             return false;
         };
@@ -386,8 +386,8 @@
     }
 
     /// Nodes that count as existing: heard of, or listed as live.
-    pub fn size(&self) -> usize {
-        let live = |e: &Entry| e.standing == Standing::Live;
+    pub fn node_count(&self) -> usize {
+        let live = |e: &Entry| e.state == ListedState::Live;
         let unknown = |(id, e): &(&Id, &Entry)| live(e) && self.roster.get(**id).is_none();
         let listed = self.listed.iter().flatten();
         self.roster.len() + listed.filter(unknown).count()
@@ -395,11 +395,11 @@
 }
 
 /// What the sender of `rows` thinks of them, and the news.
-fn split_doubts(news: Vec<News>, rows: &[Row]) -> (Vec<Run>, Vec<News>) {
+fn split_doubts(news: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
     let sent: BTreeSet<Id> = rows.iter().map(|row| row.identity.id()).collect();
     let mut doubts = Vec::new();
     let news = news.into_iter().filter(|piece| match piece {
-        News::Suspect(run) if sent.contains(&run.id) => {
+        Update::Suspect(run) if sent.contains(&run.id) => {
             doubts.push(*run);
             false
         }
--- a/crates/member/src/item.rs
+++ b/crates/member/src/item.rs
@@ -32,7 +32,7 @@
     /// An endpoint, by name.
     Endpoint(String),
     /// An endpoint that is about to give up layers, by name.
-    Moving(String),
+    Releasing(String),
     /// A fingerprint in flight at an endpoint's death.
     Suspect(Fingerprint),
     /// A fingerprint on which a verdict is awaited.
@@ -45,7 +45,7 @@
 
 /// One observation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Body {
+pub enum Observation {
     /// The origin takes no new work.
     Leaving,
     /// Load of the origin as a fraction of what it can carry.
@@ -66,8 +66,8 @@
         /// How long this counts.
         ttl: Duration,
     },
-    /// The origin is about to order an endpoint to give up its layers for others.
-    Moving {
+    /// The origin is about to order an endpoint to release its layers and load others.
+    Releasing {
         /// Name of the endpoint.
         name: String,
         /// How long this counts.
@@ -105,7 +105,7 @@
     },
 }
 
-impl Body {
+impl Observation {
     /// What it is about.
     pub fn key(&self) -> Key {
         match self {
@@ -113,7 +113,7 @@
             Self::Load(_) => Key::Load,
             Self::Callers { .. } => Key::Callers,
             Self::Endpoint { name, .. } => Key::Endpoint(name.clone()),
-            Self::Moving { name, .. } => Key::Moving(name.clone()),
+            Self::Releasing { name, .. } => Key::Releasing(name.clone()),
             Self::Suspect { fingerprint, .. } => Key::Suspect(*fingerprint),
             Self::Pending { fingerprint, .. } => Key::Pending(*fingerprint),
             Self::Condemned { fingerprint, .. } => Key::Condemned(*fingerprint),
@@ -125,7 +125,7 @@
     pub fn ttl(&self) -> Option<Duration> {
         match self {
             Self::Endpoint { ttl, .. }
-            | Self::Moving { ttl, .. }
+            | Self::Releasing { ttl, .. }
             | Self::Suspect { ttl, .. }
             | Self::Pending { ttl, .. }
             | Self::Condemned { ttl, .. } => Some(*ttl),
@@ -137,7 +137,7 @@
     pub fn with_ttl(mut self, left: Duration) -> Self {
         match &mut self {
             Self::Endpoint { ttl, .. }
-            | Self::Moving { ttl, .. }
+            | Self::Releasing { ttl, .. }
             | Self::Suspect { ttl, .. }
             | Self::Pending { ttl, .. }
             | Self::Condemned { ttl, .. } => *ttl = left,
@@ -163,10 +163,10 @@
     /// Number of the publication; items that were published together share it.
     pub version: Version,
     /// The observation.
-    pub body: Body,
+    pub body: Observation,
 }
 
-impl fmt::Display for Body {
+impl fmt::Display for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Leaving => write!(f, "leaving"),
@@ -175,7 +175,7 @@
             Self::Endpoint { name, ejected, ttl } => {
                 write!(f, "endpoint {name} ejected={ejected} for {ttl:?}")
             }
-            Self::Moving { name, ttl } => write!(f, "moving {name} for {ttl:?}"),
+            Self::Releasing { name, ttl } => write!(f, "moving {name} for {ttl:?}"),
             Self::Suspect { fingerprint, ttl } => write!(f, "suspect {fingerprint:x} for {ttl:?}"),
             Self::Pending { fingerprint, ttl } => write!(f, "pending {fingerprint:x} for {ttl:?}"),
             Self::Condemned { fingerprint, ttl } => {
--- a/crates/member/src/judge.rs
+++ b/crates/member/src/judge.rs
@@ -5,7 +5,7 @@
 use crate::group::Group;
 use crate::identity::Id;
 use crate::message::Run;
-use crate::peer::{Peer, State, Turn};
+use crate::peer::{Peer, Refutations, State};
 use crate::roster::age;
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
-        peer.heard = Some(now);
+        peer.heard_at = Some(now);
         if peer.state == State::Up || id == self.me {
             return;
         }
         let back = peer.state > State::Suspect;
         peer.state = State::Up;
-        peer.since = now;
+        peer.state_since = now;
         let run = crate::spread::run(peer);
         self.counters.returned += u64::from(back);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
             restarted: false,
@@ -43,27 +43,27 @@
     fn warn(&mut self, id: Id, run: Run, out: &mut Vec<Action>) {
         let Some(to) = self.addr(id) else { return };
         self.news
-            .retain(|p| p.news != crate::message::News::Suspect(run));
-        self.send_with(id, to, vec![crate::message::News::Suspect(run)], out);
+            .retain(|p| p.news != crate::message::Update::Suspect(run));
+        self.send_with(id, to, vec![crate::message::Update::Suspect(run)], out);
     }
 
     /// A refutation, or a row that holds one.
-    pub(crate) fn raise(&mut self, now: Now, id: Id, turn: Turn, out: &mut Vec<Action>) {
+    pub(crate) fn raise(&mut self, now: Now, id: Id, turn: Refutations, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
-        if turn <= peer.turn {
+        if turn <= peer.refutations {
             return;
         }
-        peer.turn = turn;
+        peer.refutations = turn;
         if peer.state == State::Up {
             return;
         }
         let back = peer.state > State::Suspect;
         peer.state = State::Up;
-        peer.since = now;
+        peer.state_since = now;
         self.counters.returned += u64::from(back);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
             restarted: false,
@@ -75,7 +75,7 @@
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
-        peer.failed = Some(now);
+        peer.probe_failed_at = Some(now);
         if peer.state != State::Up {
             return;
         }
@@ -90,7 +90,7 @@
         let Some(run) = self.begin_suspicion(now, id, out) else {
             return;
         };
-        self.tell(crate::message::News::Suspect(run));
+        self.tell(crate::message::Update::Suspect(run));
         self.hot = true;
     }
 
@@ -98,7 +98,9 @@
     /// that run itself, so it is suspected here until it answers; the others know better than this node.
     pub(crate) fn doubt(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let unheard = |p: &Peer| {
-            p.heard.is_none() && p.identity.incarnation == run.incarnation && p.turn <= run.turn
+            p.heard_at.is_none()
+                && p.identity.incarnation == run.incarnation
+                && p.refutations <= run.refutations
         };
         if self.roster.get(run.id).is_some_and(unheard) {
             self.begin_suspicion(now, run.id, out);
@@ -112,12 +114,12 @@
             return None;
         }
         peer.state = State::Suspect;
-        peer.since = now;
-        peer.lost = now;
-        peer.zoned = None;
+        peer.state_since = now;
+        peer.lost_at = now;
+        peer.zone_alive_since = None;
         let run = crate::spread::run(peer);
         self.focus(id);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Suspect,
             restarted: false,
@@ -129,7 +131,7 @@
     pub(crate) fn judge(&mut self, now: Now, out: &mut Vec<Action>) {
         let wait = self.settings.suspicion(self.roster.len());
         let suspects = self.roster.iter().filter(|p| p.state == State::Suspect);
-        let suspects: Vec<(Id, Now)> = suspects.map(|p| (p.id, p.since)).collect();
+        let suspects: Vec<(Id, Now)> = suspects.map(|p| (p.id, p.state_since)).collect();
         for (id, since) in suspects {
             self.look(now, id);
             if age(now, since) < wait {
@@ -151,15 +153,15 @@
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
-        if alive && peer.zoned.is_none() {
-            peer.zoned = Some(now);
+        if alive && peer.zone_alive_since.is_none() {
+            peer.zone_alive_since = Some(now);
         }
     }
 
     /// Whether this node's own probe failed that began when the zone was known to answer.
     pub(crate) fn tried(&self, peer: &Peer) -> bool {
-        let begun = peer.zoned.map(|z| z + self.settings.probe);
-        begun.is_some_and(|b| peer.failed.is_some_and(|f| f >= b))
+        let begun = peer.zone_alive_since.map(|z| z + self.settings.probe);
+        begun.is_some_and(|b| peer.probe_failed_at.is_some_and(|f| f >= b))
     }
 
     /// Judges dead and parted peers anew: what happened to their availability zone may show
@@ -170,7 +172,7 @@
             .roster
             .iter()
             .filter(gone)
-            .map(|p| (p.id, p.state, p.since))
+            .map(|p| (p.id, p.state, p.state_since))
             .collect();
         for (id, state, since) in gone {
             match (state, self.verdict(id)) {
@@ -189,13 +191,13 @@
     /// What was known of its zone before it parted says nothing now.
     fn look_anew(&mut self, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
-            peer.zoned = None;
+            peer.zone_alive_since = None;
         }
     }
 
     fn renew(&mut self, now: Now, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
-            peer.since = now;
+            peer.state_since = now;
         }
     }
 
@@ -204,13 +206,13 @@
             return;
         };
         peer.state = state;
-        peer.since = now;
+        peer.state_since = now;
         match state {
             State::Dead => self.counters.dead += 1,
             State::Parted => self.counters.parted += 1,
             _ => {}
         }
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state,
             restarted: false,
@@ -235,12 +237,12 @@
     /// Counts peers; those that died at another time than `peer` are left out.
     fn tally(&self, peer: &Peer, like: impl Fn(&Peer) -> bool) -> Tally {
         let others = self.roster.iter().filter(|p| p.id != self.me && like(p));
-        let apart = |p: &Peer| p.lost.abs_diff(peer.lost) > TOGETHER;
+        let apart = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > TOGETHER;
         let mut tally = Tally::default();
         for other in others.filter(|p| p.state != State::Dead || !apart(p)) {
             tally.all += 1;
             tally.away += usize::from(other.state != State::Up);
-            tally.heard += usize::from(other.heard.is_some_and(|h| h > peer.lost));
+            tally.heard += usize::from(other.heard_at.is_some_and(|h| h > peer.lost_at));
         }
         tally
     }
@@ -257,8 +259,8 @@
         let gone = |p: &&Peer| {
             p.id != self.me
                 && p.state > State::Suspect
-                && p.standing.is_none()
-                && age(now, p.lost) >= keep
+                && p.listed.is_none()
+                && age(now, p.lost_at) >= keep
         };
         let gone: Vec<Id> = self.roster.iter().filter(gone).map(|p| p.id).collect();
         gone.into_iter()
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`group::Group`] decides who lives: it takes [`event::Event`]s with the time they came at and
 //! gives [`action::Action`]s back. It probes one peer per round and exchanges digests with that
 //! same peer, and probes the two that it watches, so that a node's cost per round does not depend on
-//! the number of nodes. What one node publishes ([`item::Body`]) reaches all others; the highest bundle
+//! the number of nodes. What one node publishes ([`item::Observation`]) reaches all others; the highest bundle
 //! head is part of every message. [`team::Teams`] turns the spread demand into each node's share of the team limits.
 //!
 //! Time is passed in as the time since the process started, chance as a seed: the same events
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -3,7 +3,7 @@
 use crate::head::Head;
 use crate::identity::{Id, Identity, Incarnation};
 use crate::item::{self, Item, Version};
-use crate::peer::Turn;
+use crate::peer::Refutations;
 use std::net::SocketAddr;
 
 /// Number of a probe of one node.
@@ -11,7 +11,7 @@
 /// Index of a bucket of the roster.
 pub type Bucket = u8;
 /// Index of a row in its bucket.
-pub type Place = u8;
+pub type RowIndex = u8;
 
 /// A message.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,9 +22,9 @@
     pub incarnation: Incarnation,
     /// What it has in force.
     pub head: Option<Head>,
-    /// What changed in the group of late. A [`News::Suspect`] of a run whose row is in the body is what
+    /// What changed in the group of late. A [`Update::Suspect`] of a run whose row is in the body is what
     /// the sender thinks of it, and no news.
-    pub news: Vec<News>,
+    pub updates: Vec<Update>,
     /// The matter itself.
     pub body: Body,
 }
@@ -47,7 +47,7 @@
         of: Id,
     },
     /// Probe `to` for me.
-    Relay {
+    IndirectPing {
         /// Number of the sender's probe.
         seq: Seq,
         /// Whom to probe.
@@ -56,13 +56,13 @@
         addr: SocketAddr,
     },
     /// Who are you? The asked one answers with [`Body::Rows`] of itself.
-    Who,
+    Identify,
     /// Rows of the roster.
     Rows(Vec<Row>),
     /// Only the head and the news matter.
-    Note,
+    Empty,
     /// Urgent items.
-    Rumour(Vec<Item>),
+    Items(Vec<Item>),
     /// What the sender knows, by bucket; answered by [`Body::Delta`].
     Digest(Vec<Summary>),
     /// What the other side of an exchange lacks.
@@ -86,12 +86,12 @@
     /// Name, place and run.
     pub identity: Identity,
     /// Its last refutation.
-    pub turn: Turn,
+    pub refutations: Refutations,
 }
 
 /// A change in the group.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// A node is there.
     Join(Row),
     /// A node did not answer.
@@ -110,7 +110,7 @@
     /// The run.
     pub incarnation: Incarnation,
     /// The last refutation known to the sender.
-    pub turn: Turn,
+    pub refutations: Refutations,
 }
 
 /// What a node knows of one bucket.
@@ -126,18 +126,18 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
     /// Items that the other side lacks.
-    pub groups: Vec<Group>,
+    pub items: Vec<BucketItems>,
     /// Rows of buckets that differ.
     pub rows: Vec<Row>,
     /// Buckets whose rows are all in `rows`: answer with those missing there.
-    pub whole: Vec<Bucket>,
+    pub complete: Vec<Bucket>,
     /// What the sender lacks.
-    pub wants: Vec<Want>,
+    pub requests: Vec<Request>,
 }
 
 /// Items of one bucket.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
+pub struct BucketItems {
     /// The bucket.
     pub bucket: Bucket,
     /// Its hash; places are void under another one.
@@ -150,38 +150,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
     /// Place of the origin in its bucket.
-    pub place: Place,
+    pub row: RowIndex,
     /// The version up to which this is complete.
-    pub upto: Version,
+    pub up_to: Version,
     /// Items by publication, ascending.
-    pub prints: Vec<Print>,
+    pub publications: Vec<Publication>,
 }
 
 /// Items of one publication that are still current.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Print {
+pub struct Publication {
     /// Its version.
     pub version: Version,
     /// The observations.
-    pub bodies: Vec<item::Body>,
+    pub observations: Vec<item::Observation>,
 }
 
 /// What the sender lacks of one bucket.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Want {
+pub struct Request {
     /// The bucket.
     pub bucket: Bucket,
     /// Its hash.
     pub hash: u32,
     /// Rows where it is behind.
-    pub gaps: Vec<Gap>,
+    pub known: Vec<KnownVersion>,
 }
 
 /// A row where the sender is behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gap {
+pub struct KnownVersion {
     /// Place of the origin in its bucket.
-    pub place: Place,
+    pub row: RowIndex,
     /// The version up to which the sender knows all.
     pub version: Version,
 }
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// How often a node has refuted a suspicion in one run.
-pub type Turn = u32;
+pub type Refutations = u32;
 
 /// What this node thinks of a peer. `Dead` and `Parted` are each node's own judgement; only
 /// suspicion and its refutation are spread.
@@ -28,7 +28,7 @@
 
 /// What the instance list says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ListedState {
     /// It is listed as live.
     Live,
     /// It is listed as leaving.
@@ -47,7 +47,7 @@
     /// Name of its region.
     pub region: String,
     /// What the list says of it.
-    pub standing: Standing,
+    pub state: ListedState,
 }
 
 /// A peer.
@@ -58,23 +58,23 @@
     /// Name, place and run.
     pub identity: Identity,
     /// Its last known refutation.
-    pub turn: Turn,
+    pub refutations: Refutations,
     /// What this node thinks of it.
     pub state: State,
     /// Since when.
-    pub since: Now,
+    pub state_since: Now,
     /// When it was last no longer up; what followed has one cause with what other peers lost
     /// then.
-    pub lost: Now,
+    pub lost_at: Now,
     /// When something last came from it or proved that it lives; nothing if it is only known from
     /// others.
-    pub heard: Option<Now>,
+    pub heard_at: Option<Now>,
     /// When this node's own probe of it last failed.
-    pub failed: Option<Now>,
+    pub probe_failed_at: Option<Now>,
     /// Since when, after it was lost, its availability zone is known to answer.
-    pub zoned: Option<Now>,
+    pub zone_alive_since: Option<Now>,
     /// What the list says; nothing if it does not name the peer.
-    pub standing: Option<Standing>,
+    pub listed: Option<ListedState>,
     /// All its publications up to this one are stored.
     pub version: Version,
     /// Whether it said that it takes no new work.
@@ -87,22 +87,22 @@
         Self {
             id: identity.id(),
             identity,
-            turn: 0,
+            refutations: 0,
             state: State::Up,
-            since: now,
-            lost: now,
-            heard: None,
-            failed: None,
-            zoned: None,
-            standing: None,
+            state_since: now,
+            lost_at: now,
+            heard_at: None,
+            probe_failed_at: None,
+            zone_alive_since: None,
+            listed: None,
             version: 0,
             leaving: false,
         }
     }
 
     /// Whether work may be sent to it.
-    pub fn open(&self) -> bool {
-        let live = self.standing != Some(Standing::Leaving);
+    pub fn accepts_work(&self) -> bool {
+        let live = self.listed != Some(ListedState::Leaving);
         self.state == State::Up && !self.leaving && live
     }
 }
@@ -111,9 +111,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             identity,
-            turn,
+            refutations: turn,
             state,
-            since,
+            state_since: since,
             version,
             leaving,
             ..
@@ -122,7 +122,7 @@
             f,
             "{identity} {state:?} since {since:?} turn {turn} v{version}"
         )?;
-        let standing = self.standing;
+        let standing = self.listed;
         write!(f, " list {standing:?} leaving={leaving}")
     }
 }
--- a/crates/member/src/probe.rs
+++ b/crates/member/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::action::Action;
 use crate::group::Group;
 use crate::identity::Id;
-use crate::message::{Body, News, Seq};
+use crate::message::{Body, Seq, Update};
 use crate::peer::State;
 use crate::roster::age;
 use rand::RngExt;
@@ -228,7 +228,7 @@
                 continue;
             };
             self.counters.relays += 1;
-            self.send(helper, at, Body::Relay { seq, to, addr }, out);
+            self.send(helper, at, Body::IndirectPing { seq, to, addr }, out);
         }
     }
 
@@ -315,7 +315,7 @@
             return;
         };
         let zone = row.identity.zone.clone();
-        let (tried, zoned) = (self.tried(row), row.zoned.is_some());
+        let (tried, zoned) = (self.tried(row), row.zone_alive_since.is_some());
         let mates = self
             .roster
             .iter()
@@ -337,9 +337,9 @@
         }
     }
 
-    /// News that concern the receiver: that it is suspected, so that it can refute.
-    pub(crate) fn charge(&self, peer: Id) -> Option<News> {
+    /// Update that concern the receiver: that it is suspected, so that it can refute.
+    pub(crate) fn charge(&self, peer: Id) -> Option<Update> {
         let row = self.roster.get(peer)?;
-        (row.state > State::Up).then(|| News::Suspect(crate::spread::run(row)))
+        (row.state > State::Up).then(|| Update::Suspect(crate::spread::run(row)))
     }
 }
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::Now;
 use crate::identity::{Id, Identity};
-use crate::message::{Bucket, Place, Row};
+use crate::message::{Bucket, Row, RowIndex};
 use crate::peer::Peer;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -65,7 +65,7 @@
         let rows = &mut self.rows[index];
         match rows.binary_search_by_key(&peer.id, |p| p.id) {
             Ok(i) => rows[i] = peer,
-            Err(_) if rows.len() > usize::from(Place::MAX) => return false,
+            Err(_) if rows.len() > usize::from(RowIndex::MAX) => return false,
             Err(i) => rows.insert(i, peer),
         }
         self.rehash(index);
@@ -126,7 +126,7 @@
 pub(crate) fn row(peer: &Peer) -> Row {
     Row {
         identity: peer.identity.clone(),
-        turn: peer.turn,
+        refutations: peer.refutations,
     }
 }
 
--- a/crates/member/src/side.rs
+++ b/crates/member/src/side.rs
@@ -7,7 +7,7 @@
 use crate::demand::{Announcer, Demand, Limit};
 use crate::group::Group;
 use crate::identity::Id;
-use crate::item::{Body, Team};
+use crate::item::{Observation, Team};
 use crate::level::Level;
 use crate::peer::{Peer, State};
 use crate::share;
@@ -186,12 +186,13 @@
     /// its requests in flight may still run.
     pub(crate) fn sums(&self, cx: &Context) -> Vec<Sum> {
         let mut sums = vec![Sum::default(); cx.limits.len()];
-        let over = |p: &Peer| p.state == State::Dead && cx.now.saturating_sub(p.since) >= cx.hold;
+        let over =
+            |p: &Peer| p.state == State::Dead && cx.now.saturating_sub(p.state_since) >= cx.hold;
         let peers = cx.group.roster().iter();
         for peer in peers.filter(|p| p.id != cx.group.me() && !over(p)) {
             let far = self.far.contains_key(&peer.id);
             for (_, slot) in cx.group.store().of(peer.id) {
-                let Body::Demand {
+                let Observation::Demand {
                     team,
                     rate,
                     in_flight,
--- a/crates/member/src/spread.rs
+++ b/crates/member/src/spread.rs
@@ -1,4 +1,4 @@
-//! News of the group, heads and urgent items: sent on at once or with other messages.
+//! Update of the group, heads and urgent items: sent on at once or with other messages.
 
 use crate::Now;
 use crate::action::Action;
@@ -6,7 +6,7 @@
 use crate::head::Head;
 use crate::identity::Id;
 use crate::item::{self, Item};
-use crate::message::{Body, News, Row, Run};
+use crate::message::{Body, Row, Run, Update};
 use crate::peer::{Peer, State};
 use crate::roster;
 use crate::store::Put;
@@ -15,7 +15,7 @@
 
 /// How long a peer that was named for a newer head gets before another one is named.
 const FETCH: Duration = Duration::from_millis(400);
-/// News kept at most; the most often told go first.
+/// Update kept at most; the most often told go first.
 const NEWS: usize = 512;
 /// Shortest time between two flushes, so that a storm of observations costs a bounded rate.
 const FLUSH: Duration = Duration::from_millis(250);
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Piece {
     pub(crate) about: Id,
-    pub(crate) news: News,
+    pub(crate) news: Update,
     pub(crate) left: u32,
 }
 
@@ -50,21 +50,21 @@
     Run {
         id: peer.id,
         incarnation: peer.identity.incarnation,
-        turn: peer.turn,
+        refutations: peer.refutations,
     }
 }
 
 /// Whom a piece of news is about.
-pub(crate) fn subject(news: &News) -> Id {
+pub(crate) fn subject(news: &Update) -> Id {
     match news {
-        News::Join(row) => row.identity.id(),
-        News::Suspect(run) | News::Alive(run) | News::Left(run) => run.id,
+        Update::Join(row) => row.identity.id(),
+        Update::Suspect(run) | Update::Alive(run) | Update::Left(run) => run.id,
     }
 }
 
 impl Group {
     /// Takes a piece of news to tell; one about the same node gives way.
-    pub(crate) fn tell(&mut self, news: News) {
+    pub(crate) fn tell(&mut self, news: Update) {
         let about = subject(&news);
         self.news.retain(|p| p.about != about);
         let left = self.repeats(&news);
@@ -76,16 +76,16 @@
     }
 
     /// A row is long, and the exchange of rosters brings it anyway.
-    fn repeats(&self, news: &News) -> u32 {
+    fn repeats(&self, news: &Update) -> u32 {
         let most = self.settings.repeats(self.roster.len());
         match news {
-            News::Join(_) => most / 3,
+            Update::Join(_) => most / 3,
             _ => most,
         }
     }
 
     pub(crate) fn tell_join(&mut self, row: Row) {
-        self.tell(News::Join(row));
+        self.tell(Update::Join(row));
     }
 
     /// Those of `rows` that are not up here.
@@ -96,18 +96,18 @@
     }
 
     /// What this node thinks of `rows`, whose runs are not up here.
-    pub(crate) fn doubts(&self, rows: &[Row]) -> Vec<News> {
+    pub(crate) fn doubts(&self, rows: &[Row]) -> Vec<Update> {
         let peers = rows.iter().map(|row| row.identity.id());
         let peers = peers.filter_map(|id| self.roster.get(id));
-        peers.map(|p| News::Suspect(run(p))).collect()
+        peers.map(|p| Update::Suspect(run(p))).collect()
     }
 
     /// The least told news, and what the receiver needs to know of itself.
-    pub(crate) fn pick_news(&mut self, peer: Id) -> Vec<News> {
+    pub(crate) fn pick_news(&mut self, peer: Id) -> Vec<Update> {
         self.news.sort_by_key(|p| std::cmp::Reverse(p.left));
         let most = self.settings.news;
         let charge = self.charge(peer);
-        let mut picked: Vec<News> = charge.into_iter().collect();
+        let mut picked: Vec<Update> = charge.into_iter().collect();
         for piece in self.news.iter_mut().take(most) {
             piece.left -= 1;
             picked.push(piece.news.clone());
@@ -116,13 +116,13 @@
         picked
     }
 
-    pub(crate) fn hear_news(&mut self, now: Now, news: News, out: &mut Vec<Action>) {
+    pub(crate) fn hear_news(&mut self, now: Now, news: Update, out: &mut Vec<Action>) {
         match news {
-            News::Join(row) => self.merge(now, row, out),
-            News::Suspect(run) if run.id == self.me => self.refute(run),
-            News::Suspect(run) => self.hear_suspect(now, run, out),
-            News::Alive(run) => self.hear_alive(now, run, out),
-            News::Left(run) => self.hear_left(now, run, out),
+            Update::Join(row) => self.merge(now, row, out),
+            Update::Suspect(run) if run.id == self.me => self.refute(run),
+            Update::Suspect(run) => self.hear_suspect(now, run, out),
+            Update::Alive(run) => self.hear_alive(now, run, out),
+            Update::Left(run) => self.hear_left(now, run, out),
         }
     }
 
@@ -131,10 +131,10 @@
         let Some(own) = self.roster.get_mut(self.me) else {
             return;
         };
-        if run.incarnation != own.identity.incarnation || run.turn < own.turn {
+        if run.incarnation != own.identity.incarnation || run.refutations < own.refutations {
             return;
         }
-        own.turn = run.turn;
+        own.refutations = run.refutations;
         self.counters.refuted += 1;
         self.refute_ahead();
     }
@@ -144,9 +144,9 @@
         let Some(own) = self.roster.get_mut(self.me) else {
             return;
         };
-        own.turn += 1;
+        own.refutations += 1;
         let run = run(own);
-        self.tell(News::Alive(run));
+        self.tell(Update::Alive(run));
         self.hot = true;
     }
 
@@ -157,16 +157,16 @@
         if peer.identity.incarnation != run.incarnation || peer.state != State::Up {
             return;
         }
-        if peer.turn > run.turn {
+        if peer.refutations > run.refutations {
             // The sender missed the refutation; others may have too.
-            let alive = News::Alive(crate::spread::run(peer));
+            let alive = Update::Alive(crate::spread::run(peer));
             if !self.news.iter().any(|p| p.news == alive) {
                 self.tell(alive);
             }
             return;
         }
         let probe = self.settings.probe;
-        if peer.heard.is_none_or(|h| roster::age(now, h) >= probe) {
+        if peer.heard_at.is_none_or(|h| roster::age(now, h) >= probe) {
             self.suspect(now, run.id, out);
         }
     }
@@ -175,13 +175,14 @@
         let Some(peer) = self.roster.get(run.id) else {
             return;
         };
-        let newer = peer.identity.incarnation == run.incarnation && peer.turn < run.turn;
+        let newer =
+            peer.identity.incarnation == run.incarnation && peer.refutations < run.refutations;
         if !newer || run.id == self.me {
             return;
         }
         let away = peer.state != State::Up;
-        self.raise(now, run.id, run.turn, out);
-        self.tell(News::Alive(run));
+        self.raise(now, run.id, run.refutations, out);
+        self.tell(Update::Alive(run));
         self.hot |= away;
     }
 
@@ -193,7 +194,7 @@
             return;
         }
         self.remove(now, run.id, true, out);
-        self.tell(News::Left(run));
+        self.tell(Update::Left(run));
         self.hot = true;
     }
 
@@ -210,8 +211,8 @@
         for peer in self.receivers() {
             let Some(to) = self.addr(peer) else { continue };
             let body = match items.is_empty() {
-                true => Body::Note,
-                false => Body::Rumour(items.clone()),
+                true => Body::Empty,
+                false => Body::Items(items.clone()),
             };
             self.send(peer, to, body, out);
         }
@@ -255,7 +256,7 @@
             return;
         };
         let run = run(own);
-        self.tell(News::Left(run));
+        self.tell(Update::Left(run));
         self.hot = true;
         self.flushed = None;
     }
@@ -288,12 +289,12 @@
             return;
         }
         self.asked = Some((head.number, now));
-        out.push(Action::Newer { head, peer, addr });
+        out.push(Action::FetchHead { head, peer, addr });
     }
 
     /// Takes this node's own observations. One that a peer published already is left out: when
     /// an endpoint dies, every node sees it, and one item tells it as well as hundreds.
-    pub(crate) fn publish(&mut self, now: Now, mut bodies: Vec<item::Body>) {
+    pub(crate) fn publish(&mut self, now: Now, mut bodies: Vec<item::Observation>) {
         bodies.retain(|b| !self.told(now, b));
         if bodies.is_empty() {
             return;
@@ -324,7 +325,7 @@
     }
 
     /// Whether another node's item says the same and counts for at least half as long.
-    fn told(&self, now: Now, body: &item::Body) -> bool {
+    fn told(&self, now: Now, body: &item::Observation) -> bool {
         let (Some(ttl), key) = (body.ttl(), body.key()) else {
             return false;
         };
@@ -372,8 +373,8 @@
         true
     }
 
-    fn mark(&mut self, origin: Id, body: &item::Body) {
-        if *body != item::Body::Leaving {
+    fn mark(&mut self, origin: Id, body: &item::Observation) {
+        if *body != item::Observation::Leaving {
             return;
         }
         if let Some(peer) = self.roster.get_mut(origin) {
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::Now;
 use crate::identity::Id;
-use crate::item::{Body, Key, Version};
+use crate::item::{Key, Observation, Version};
 use crate::level::Level;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// When it stops to count.
     pub until: Option<Now>,
     /// The observation.
-    pub body: Body,
+    pub body: Observation,
     /// What a demand was before, if that was less, and when it last changed.
     pub low: Option<Low>,
 }
@@ -32,7 +32,7 @@
     /// The least that this demand was within `time`, or less: changes that follow each other
     /// within that time are taken as one.
     pub fn least(&self, now: Now, time: Duration) -> (Level, Level) {
-        let Body::Demand {
+        let Observation::Demand {
             rate, in_flight, ..
         } = &self.body
         else {
@@ -48,7 +48,7 @@
 
     fn begin(&mut self, now: Now) {
         let none = Level::default();
-        self.low = matches!(self.body, Body::Demand { .. }).then_some(Low {
+        self.low = matches!(self.body, Observation::Demand { .. }).then_some(Low {
             rate: none,
             in_flight: none,
             changed: now,
@@ -56,7 +56,7 @@
     }
 
     fn follow(&mut self, old: &Slot, now: Now) {
-        if matches!(old.body, Body::Demand { .. }) {
+        if matches!(old.body, Observation::Demand { .. }) {
             let (rate, in_flight) = old.least(now, LOW);
             self.low = Some(Low {
                 rate,
@@ -67,7 +67,7 @@
     }
 
     /// The observation with the time that it still counts.
-    pub fn rest(&self, now: Now) -> Body {
+    pub fn rest(&self, now: Now) -> Observation {
         let left = self.until.map(|u| u.saturating_sub(now));
         match left {
             Some(left) => self.body.clone().with_ttl(left),
@@ -93,7 +93,7 @@
         &mut self,
         origin: Id,
         version: Version,
-        body: Body,
+        body: Observation,
         now: Now,
         most: usize,
     ) -> Put {
--- a/crates/member/src/team.rs
+++ b/crates/member/src/team.rs
@@ -3,7 +3,7 @@
 use crate::Now;
 use crate::demand::{Announcer, Budget, Demand, Limit};
 use crate::group::Group;
-use crate::item::{Body, Team};
+use crate::item::{Observation, Team};
 use crate::peer::{Peer, State};
 use crate::settings::SMALL;
 use crate::share::{self, Input};
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Step {
     /// To be given to [`crate::event::Event::Publish`].
-    pub publish: Vec<Body>,
+    pub publish: Vec<Observation>,
     /// By team, in the order of the limits.
     pub shares: Vec<Share>,
 }
@@ -163,7 +163,7 @@
     fn nodes(&self, group: &Group) -> usize {
         let unread = group.listed().next().is_none();
         let least = if unread { self.settings.expected } else { 1 };
-        group.size().max(least)
+        group.node_count().max(least)
     }
 
     fn budget(&self, nodes: usize) -> Budget {
@@ -229,10 +229,10 @@
     /// Steps since a suspect was lost whose zone was not heard since. Until it is known whether the
     /// zone parted, the own demand of before then counts: what grew since may not have reached the other side.
     fn doubt(&self, now: Now, group: &Group) -> usize {
-        let parting = |p: &&Peer| p.state == State::Suspect && p.zoned.is_none();
+        let parting = |p: &&Peer| p.state == State::Suspect && p.zone_alive_since.is_none();
         let suspects = group.roster().iter().filter(parting);
         let age = suspects
-            .map(|p| now.saturating_sub(p.lost))
+            .map(|p| now.saturating_sub(p.lost_at))
             .max()
             .unwrap_or_default();
         age.div_duration_f64(self.settings.step).ceil() as usize
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -3,7 +3,7 @@
 use crate::Now;
 use crate::group::Group;
 use crate::identity::Id;
-use crate::item::{Body, Fingerprint, Key};
+use crate::item::{Fingerprint, Key, Observation};
 use crate::level::Level;
 use crate::peer::Peer;
 use crate::store::Slot;
@@ -14,7 +14,7 @@
     /// Endpoints that some node has ejected.
     pub fn ejected(&self, now: Now) -> BTreeSet<&str> {
         let name = |body| match body {
-            &Body::Endpoint {
+            &Observation::Endpoint {
                 ref name,
                 ejected: true,
                 ..
@@ -25,9 +25,9 @@
     }
 
     /// Endpoints that some node is about to order to give up their layers.
-    pub fn moving(&self, now: Now) -> BTreeSet<String> {
-        let name = |body: &Body| match body {
-            Body::Moving { name, .. } => Some(name.clone()),
+    pub fn releasing(&self, now: Now) -> BTreeSet<String> {
+        let name = |body: &Observation| match body {
+            Observation::Releasing { name, .. } => Some(name.clone()),
             _ => None,
         };
         self.observed(now).filter_map(name).collect()
@@ -37,7 +37,7 @@
     pub fn ejected_by(&self, now: Now, least: usize) -> BTreeSet<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for body in self.observed(now) {
-            if let Body::Endpoint {
+            if let Observation::Endpoint {
                 name,
                 ejected: true,
                 ..
@@ -51,18 +51,18 @@
     }
 
     /// Fingerprints in flight at the death of an endpoint.
-    pub fn suspects(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Body| match body {
-            Body::Suspect { fingerprint, .. } => Some(*fingerprint),
+    pub fn suspect_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
+        let print = |body: &Observation| match body {
+            Observation::Suspect { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
         self.observed(now).filter_map(print).collect()
     }
 
     /// Fingerprints of requests that every node refuses.
-    pub fn condemned(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Body| match body {
-            Body::Condemned { fingerprint, .. } => Some(*fingerprint),
+    pub fn condemned_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
+        let print = |body: &Observation| match body {
+            Observation::Condemned { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
         self.observed(now).filter_map(print).collect()
@@ -71,18 +71,18 @@
     /// The load that a node announced.
     pub fn load(&self, node: Id) -> Option<Level> {
         match self.store().get(node, &Key::Load)?.body {
-            Body::Load(level) => Some(level),
+            Observation::Load(level) => Some(level),
             _ => None,
         }
     }
 
     /// Nodes that may be named to callers, this one among them.
-    pub fn open(&self) -> impl Iterator<Item = &Peer> {
-        self.roster().iter().filter(|p| p.open())
+    pub fn accepting(&self) -> impl Iterator<Item = &Peer> {
+        self.roster().iter().filter(|p| p.accepts_work())
     }
 
     /// The node that listens on `addr`.
-    pub fn at(&self, addr: SocketAddr) -> Option<Id> {
+    pub fn node_at(&self, addr: SocketAddr) -> Option<Id> {
         self.roster()
             .iter()
             .find(|p| p.identity.addr == addr)
@@ -90,7 +90,7 @@
     }
 
     /// All observations but demand, which comes last in the order of keys and is by far the most.
-    fn observed(&self, now: Now) -> impl Iterator<Item = &Body> {
+    fn observed(&self, now: Now) -> impl Iterator<Item = &Observation> {
         let counts = move |slot: &Slot| slot.until.is_none_or(|u| u > now);
         let origins = self.store().origins().flat_map(|o| {
             self.store()
--- a/crates/member/tests/failure.rs
+++ b/crates/member/tests/failure.rs
@@ -5,7 +5,7 @@
 
 use member::event::Event;
 use member::head::Head;
-use member::item::{Body, Key};
+use member::item::{Key, Observation};
 use member::peer::State;
 use member::settings::Settings;
 use net::{Faults, Net, QUIET, ms};
@@ -66,11 +66,11 @@
         net.run_with(SECOND * 3, |net, index| {
             let now = net.now;
             let group = net.group(index).expect("it runs");
-            if !group.settled(now) {
+            if !group.is_settled(now) {
                 return;
             }
-            let known = group.open().map(|p| p.id).min();
-            let count = group.open().count();
+            let known = group.accepting().map(|p| p.id).min();
+            let count = group.accepting().count();
             assert_eq!(
                 known, first,
                 "node {index} of {nodes} at {now:?} knows {count}"
@@ -280,12 +280,12 @@
 #[test]
 fn restart_is_a_new_run() {
     let mut net = joined(8, 3, 11);
-    net.event(4, Event::Publish(vec![Body::Leaving]));
+    net.event(4, Event::Publish(vec![Observation::Leaving]));
     net.run(net.now + SECOND * 5);
     let open = |net: &Net, by: usize| {
         net.group(by)
             .and_then(|g| g.roster().get(net.id(4)))
-            .is_some_and(|p| p.open())
+            .is_some_and(|p| p.accepts_work())
     };
     assert!((0..8).all(|by| !open(&net, by)));
     net.kill(4);
@@ -355,7 +355,7 @@
 fn missed_items_arrive_anyway() {
     let mut net = joined(54, 6, 14);
     net.faults = Faults { loss: 0.3, ..QUIET };
-    let body = |n: u64| Body::Condemned {
+    let body = |n: u64| Observation::Condemned {
         fingerprint: n,
         ttl: SECOND * 3600,
     };
@@ -396,7 +396,7 @@
 #[test]
 fn one_observation_is_told_once_and_expires() {
     let mut net = joined(8, 3, 16);
-    let body = Body::Endpoint {
+    let body = Observation::Endpoint {
         name: "e-1".into(),
         ejected: true,
         ttl: SECOND * 20,
--- a/crates/member/tests/naming.rs
+++ b/crates/member/tests/naming.rs
@@ -5,7 +5,7 @@
 
 use member::Now;
 use member::event::Event;
-use member::item::Body;
+use member::item::Observation;
 use member::peer::State;
 use member::settings::Settings;
 use net::{Faults, Net, QUIET, ms};
@@ -33,7 +33,7 @@
 /// Whether `by` names `of` to callers.
 fn names(net: &Net, by: usize, of: usize) -> bool {
     let group = net.group(by);
-    group.is_some_and(|g| g.roster().get(net.id(of)).is_some_and(|p| p.open()))
+    group.is_some_and(|g| g.roster().get(net.id(of)).is_some_and(|p| p.accepts_work()))
 }
 
 /// Runs for `time`. How long after now any node still named one of `gone`, and which did so last.
@@ -187,7 +187,7 @@
     for seed in 270..276 {
         let (mut net, mut random) = lossy(195, seed, 0.05);
         for of in draw(&mut random, 195, 4) {
-            net.event(of, Event::Publish(vec![Body::Leaving]));
+            net.event(of, Event::Publish(vec![Observation::Leaving]));
             let (time, by) = named(&mut net, &[of], SECOND * 5);
             println!("seed {seed}: {of} named for {time:?}, last by {by}");
             assert!(time <= NAMED, "seed {seed}: {time:?}, last by {by}");
--- a/crates/member/tests/random.rs
+++ b/crates/member/tests/random.rs
@@ -10,8 +10,8 @@
 use member::Now;
 use member::event::Event;
 use member::head::Head;
-use member::item::Body;
-use member::message::{Body as MessageBody, Message, News, Row};
+use member::item::Observation;
+use member::message::{Body as MessageBody, Message, Row, Update};
 use member::peer::State;
 use member::settings::Settings;
 use member::team;
@@ -82,7 +82,7 @@
                 );
             }
             7 => {
-                let body = Body::Condemned {
+                let body = Observation::Condemned {
                     fingerprint: now.as_millis() as u64,
                     ttl: SECOND * 600,
                 };
@@ -305,15 +305,15 @@
         let peer = group.roster().get(id).expect("known");
         Row {
             identity: peer.identity.clone(),
-            turn: peer.turn,
+            refutations: peer.refutations,
         }
     };
     let late = Message {
         from: net.id(1),
         incarnation: row(net.id(1)).identity.incarnation,
         head: None,
-        news: vec![News::Join(row(net.id(7)))],
-        body: MessageBody::Note,
+        updates: vec![Update::Join(row(net.id(7)))],
+        body: MessageBody::Empty,
     };
     net.event(7, Event::Quit);
     net.kill(7);
@@ -323,7 +323,7 @@
     let from = net.nodes[1].identity.addr;
     net.event(
         0,
-        Event::Frame {
+        Event::Received {
             from,
             message: late,
         },
--- a/crates/member/tests/share.rs
+++ b/crates/member/tests/share.rs
@@ -3,7 +3,7 @@
 use member::demand::{Demand, Limit};
 use member::group::Group;
 use member::identity::Identity;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::level::Level;
 use member::settings::Settings;
 use member::share::{self, Input};
@@ -125,8 +125,8 @@
             .step(Duration::from_secs(s), &group, &limits, &demands)
             .publish
     };
-    let named = |b: &Body| match b {
-        Body::Demand { team, .. } => limits.iter().position(|l| l.team == *team),
+    let named = |b: &Observation| match b {
+        Observation::Demand { team, .. } => limits.iter().position(|l| l.team == *team),
         _ => None,
     };
     let first: Vec<_> = step(1).iter().map(named).collect();
@@ -141,12 +141,12 @@
 #[test]
 fn a_group_prints_its_state() {
     let mut group = group();
-    let body = Body::Demand {
+    let body = Observation::Demand {
         team: 7,
         rate: Level::of(10.0),
         in_flight: Level::of(20.0),
     };
-    let event = member::event::Event::Publish(vec![body, Body::Leaving]);
+    let event = member::event::Event::Publish(vec![body, Observation::Leaving]);
     group.handle(Duration::from_secs(1), event, &mut Vec::new());
     let text = group.to_string();
     let lines: Vec<&str> = text.lines().collect();
--- a/crates/member/tests/support/fleet.rs
+++ b/crates/member/tests/support/fleet.rs
@@ -5,7 +5,7 @@
 use member::Now;
 use member::demand::{Demand, Limit};
 use member::event::Event;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::share::{self, Input};
 use member::team::{Settings, Share, Teams};
 use rand::{RngExt, SeedableRng};
@@ -147,7 +147,7 @@
         let step = self.teams[index].step(now, group, &self.limits, &self.demands[index]);
         let shares = match self.way {
             Way::Window => step.shares,
-            Way::Equal => self.equal(group.size()),
+            Way::Equal => self.equal(group.node_count()),
             Way::Now => self.at_once(group, index),
         };
         self.shares[index] = shares;
@@ -163,14 +163,14 @@
     }
 
     fn at_once(&self, group: &member::group::Group, index: usize) -> Vec<Share> {
-        let nodes = group.size();
+        let nodes = group.node_count();
         let row = |(row, limit): (usize, &Limit)| {
             let others = group.roster().iter().filter(|p| p.id != group.me());
             let items = others
                 .flat_map(|p| group.store().of(p.id))
                 .map(|(_, s)| &s.body);
-            let rate = |b: &Body| match b {
-                Body::Demand { team, rate, .. } if *team == limit.team => rate.amount(),
+            let rate = |b: &Observation| match b {
+                Observation::Demand { team, rate, .. } if *team == limit.team => rate.amount(),
                 _ => 0.0,
             };
             let others = items.map(rate).sum();
--- a/crates/member/tests/support/net.rs
+++ b/crates/member/tests/support/net.rs
@@ -9,7 +9,7 @@
 use member::identity::{Id, Identity};
 use member::item::Item;
 use member::message::Message;
-use member::peer::{Entry, Standing, State};
+use member::peer::{Entry, ListedState, State};
 use member::settings::Settings;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -338,7 +338,7 @@
         self.at(self.now + TICK, Due::Tick(index));
         self.event(index, Event::Tick);
         while let Some((from, message)) = self.nodes[index].inbox.pop_front() {
-            self.event(index, Event::Frame { from, message });
+            self.event(index, Event::Received { from, message });
         }
         Some(index)
     }
@@ -346,7 +346,7 @@
     fn act(&mut self, index: usize, action: Action) {
         match action {
             Action::Send { to, message, .. } => self.send(index, to, message),
-            Action::Changed { peer, state, .. } => {
+            Action::StateChanged { peer, state, .. } => {
                 self.changes.push(Change {
                     at: self.now,
                     by: index,
@@ -355,7 +355,7 @@
                 });
             }
             Action::Learned(item) => self.learned.push((self.now, index, item)),
-            Action::Newer { head, addr, .. } => {
+            Action::FetchHead { head, addr, .. } => {
                 let Some(from) = self.addrs.get(&addr).copied() else {
                     return;
                 };
@@ -410,7 +410,7 @@
             self.nodes[to].inbox.push_back((from, message));
             return;
         }
-        self.event(to, Event::Frame { from, message });
+        self.event(to, Event::Received { from, message });
     }
 
     fn list(&mut self) {
@@ -419,7 +419,7 @@
             addr: n.identity.addr,
             zone: n.identity.zone.clone(),
             region: n.identity.region.clone(),
-            standing: Standing::Live,
+            state: ListedState::Live,
         };
         let entries: Vec<Entry> = self.nodes.iter().filter(|n| n.listed).map(entry).collect();
         self.past.push_back((self.now, entries));
@@ -477,11 +477,11 @@
     match message.body {
         Body::Ping { .. } => "ping",
         Body::Ack { .. } => "ack",
-        Body::Relay { .. } => "relay",
-        Body::Who => "who",
+        Body::IndirectPing { .. } => "indirect ping",
+        Body::Identify => "identify",
         Body::Rows(_) => "rows",
-        Body::Note => "note",
-        Body::Rumour(_) => "rumour",
+        Body::Empty => "empty",
+        Body::Items(_) => "items",
         Body::Digest(_) => "digest",
         Body::Delta(_) => "delta",
     }
--- a/crates/node/src/control/observed.rs
+++ b/crates/node/src/control/observed.rs
@@ -3,7 +3,7 @@
 use bundle::Bundle;
 use bundle::id::EndpointId;
 use member::group::Group;
-use member::item::{Body, Key};
+use member::item::{Key, Observation};
 use std::collections::BTreeSet;
 
 /// Observations of other nodes that count now.
@@ -30,19 +30,19 @@
         let others = origin != group.me();
         for (_, slot) in store.of(origin) {
             match &slot.body {
-                Body::Endpoint {
+                Observation::Endpoint {
                     name,
                     ejected: true,
                     ..
                 } if others => ejected.extend(bundle.endpoint(name)),
-                Body::Suspect { fingerprint, .. } => {
+                Observation::Suspect { fingerprint, .. } => {
                     suspects.insert(*fingerprint);
                 }
                 // The node that awaits the verdict knows by itself when it is due.
-                Body::Pending { fingerprint, .. } if others => {
+                Observation::Pending { fingerprint, .. } if others => {
                     pending.insert(*fingerprint);
                 }
-                Body::Condemned { fingerprint, .. } => {
+                Observation::Condemned { fingerprint, .. } => {
                     condemned.insert(*fingerprint);
                 }
                 _ => {}
@@ -63,7 +63,7 @@
     origin: member::identity::Id,
 ) -> Option<(std::net::SocketAddr, bool)> {
     match group.store().get(origin, &Key::Callers)?.body {
-        Body::Callers { addr, tls } => Some((addr, tls)),
+        Observation::Callers { addr, tls } => Some((addr, tls)),
         _ => None,
     }
 }
@@ -71,7 +71,7 @@
 /// Share of a node's capacity that is free, as it last said.
 pub fn free(group: &Group, origin: member::identity::Id) -> f64 {
     match group.store().get(origin, &Key::Load).map(|s| &s.body) {
-        Some(Body::Load(level)) => (1.0 - level.amount()).clamp(0.0, 1.0),
+        Some(Observation::Load(level)) => (1.0 - level.amount()).clamp(0.0, 1.0),
         _ => 1.0,
     }
 }
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -25,7 +25,7 @@
 use member::event::Event;
 use member::group::Group;
 use member::identity::Identity;
-use member::item::Body;
+use member::item::Observation;
 use member::level::Level;
 use member::team::Teams;
 use platform::Offset;
@@ -248,7 +248,7 @@
         log::info!("node {} leaves", self.settings.node.name);
         self.leaving = true;
         self.dirty = true;
-        self.handle(Event::Publish(vec![Body::Leaving]));
+        self.handle(Event::Publish(vec![Observation::Leaving]));
     }
 
     /// Computes the shares of team limits, and tells peers this node's demand and load.
@@ -269,16 +269,16 @@
     }
 
     /// The node's load as requests in flight over its part of the fleet's slots, if it changed.
-    fn load_item(&mut self, bundle: &bundle::Bundle) -> Option<Body> {
+    fn load_item(&mut self, bundle: &bundle::Bundle) -> Option<Observation> {
         let slots: u32 = bundle.endpoints.iter().map(|e| e.slots).sum();
-        let nodes = self.group.size().max(1) as f64;
+        let nodes = self.group.node_count().max(1) as f64;
         let flying: f64 = self.demand.node(bundle).iter().map(|d| d.in_flight).sum();
         let load = Level::of(flying * nodes / f64::from(slots.max(1)));
         if load == self.load {
             return None;
         }
         self.load = load;
-        Some(Body::Load(load))
+        Some(Observation::Load(load))
     }
 
     fn note(&mut self, worker: usize, note: Note) {
@@ -297,17 +297,17 @@
             }
             Note::Ejected(name) => ejection(&name, true),
             Note::Restored(name) => ejection(&name, false),
-            Note::Suspect(fingerprint) => Body::Suspect {
+            Note::Suspect(fingerprint) => Observation::Suspect {
                 fingerprint,
                 ttl: SUSPECT_TIME,
             },
-            Note::Pending(fingerprint) => Body::Pending {
+            Note::Pending(fingerprint) => Observation::Pending {
                 fingerprint,
                 ttl: PENDING_TIME,
             },
             Note::Condemned(fingerprint) => {
                 log::warn!("requests with fingerprint {fingerprint:016x} crash endpoints");
-                Body::Condemned {
+                Observation::Condemned {
                     fingerprint,
                     ttl: CONDEMNED_TIME,
                 }
@@ -364,14 +364,14 @@
     }
 }
 
-fn ejection(name: &Arc<str>, ejected: bool) -> Body {
+fn ejection(name: &Arc<str>, ejected: bool) -> Observation {
     let word = if ejected {
         "taken out of use"
     } else {
         "back in use"
     };
     log::info!("endpoint {name} is {word}");
-    Body::Endpoint {
+    Observation::Endpoint {
         name: name.to_string(),
         ejected,
         ttl: EJECTED_TIME,
--- a/crates/node/src/control/state/peers.rs
+++ b/crates/node/src/control/state/peers.rs
@@ -3,8 +3,8 @@
 use super::State;
 use member::action::Action;
 use member::event::Event;
-use member::item::Body;
-use member::peer::{Entry, Standing};
+use member::item::Observation;
+use member::peer::{Entry, ListedState};
 use platform::instance::{self, Instance};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 impl State {
     /// Tells peers where this node serves callers.
     pub(super) fn publish_callers(&mut self) {
-        let callers = Body::Callers {
+        let callers = Observation::Callers {
             addr: self.callers,
             tls: self.settings.callers.tls.is_some(),
         };
@@ -38,7 +38,7 @@
                 // A full queue is counted by the link; gossip repeats itself.
                 let _ = self.link.send(to, message);
             }
-            Action::Changed {
+            Action::StateChanged {
                 peer,
                 state,
                 restarted,
@@ -51,16 +51,17 @@
             }
             // Demand and load of peers change all the time; the step reads them once a second.
             Action::Learned(item) => {
-                self.dirty |= !matches!(item.body, Body::Demand { .. } | Body::Load(_));
+                self.dirty |=
+                    !matches!(item.body, Observation::Demand { .. } | Observation::Load(_));
             }
-            Action::Newer { head, addr, .. } => self.fetch(head, addr),
+            Action::FetchHead { head, addr, .. } => self.fetch(head, addr),
         }
     }
 
     /// Takes what came from a peer.
     pub(super) fn inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.handle(Event::Frame { from, message }),
+            Inbound::Member { from, message } => self.handle(Event::Received { from, message }),
             Inbound::Head { ask, reply } => {
                 let _ = reply.send(self.offer(ask));
             }
@@ -90,7 +91,7 @@
         let gone = peers.filter(|p| p.identity.addr == addr).map(|p| p.id);
         let gone: Vec<_> = gone.collect();
         for peer in gone {
-            self.handle(Event::Unreached(peer));
+            self.handle(Event::ConnectFailed(peer));
         }
     }
 
@@ -119,9 +120,9 @@
             addr: instance.addr?,
             zone: instance.zone.clone(),
             region: region.unwrap_or(&instance.zone).to_owned(),
-            standing: match instance.state {
-                instance::State::Live => Standing::Live,
-                instance::State::Leaving => Standing::Leaving,
+            state: match instance.state {
+                instance::State::Live => ListedState::Live,
+                instance::State::Leaving => ListedState::Leaving,
             },
         })
     }
@@ -140,7 +141,7 @@
                 addr: *addr,
                 zone: node.zone.clone(),
                 region: node.region.clone(),
-                standing: Standing::Live,
+                state: ListedState::Live,
             })
             .collect()
     }
--- a/crates/node/src/control/view.rs
+++ b/crates/node/src/control/view.rs
@@ -145,6 +145,6 @@
 /// A suspected peer is not named: a caller that was sent to a dead node has to ask again, while
 /// one that is sent past a living node loses nothing.
 fn takes_callers(peer: &Peer) -> bool {
-    let listed = peer.standing != Some(member::peer::Standing::Leaving);
+    let listed = peer.listed != Some(member::peer::ListedState::Leaving);
     peer.state == State::Up && !peer.leaving && listed
 }
--- a/crates/node/src/hosted/control/accused.rs
+++ b/crates/node/src/hosted/control/accused.rs
@@ -36,7 +36,7 @@
         group: &Group,
         silent: &BTreeSet<String>,
     ) -> bool {
-        let agree = AGREE.min(group.open().count().max(1));
+        let agree = AGREE.min(group.accepting().count().max(1));
         let mut accused = group.ejected_by(elapsed, agree);
         let alone = group.ejected_by(elapsed, 1);
         let kept = silent
--- a/crates/node/src/hosted/control/readers.rs
+++ b/crates/node/src/hosted/control/readers.rs
@@ -138,7 +138,7 @@
 /// there is no other.
 fn reading<'a>(now: Now, near: &[&'a Peer]) -> Vec<&'a Peer> {
     let most = near.len().div_ceil(READS_FOR).max(READERS);
-    let starts = |p: &Peer| p.since > FINDING && now.saturating_sub(p.since) < STARTING;
+    let starts = |p: &Peer| p.state_since > FINDING && now.saturating_sub(p.state_since) < STARTING;
     let (starting, ready): (Vec<&Peer>, Vec<&Peer>) = near.iter().partition(|p| starts(p));
     let readers = if ready.is_empty() { starting } else { ready };
     readers.into_iter().take(most).collect()
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -27,7 +27,7 @@
 use member::event::Event;
 use member::group::Group;
 use member::identity::Identity;
-use member::item::Body;
+use member::item::Observation;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -165,7 +165,7 @@
             reported: false,
             settings,
         };
-        let callers = Body::Callers {
+        let callers = Observation::Callers {
             addr: state.settings.callers,
             tls: false,
         };
@@ -197,7 +197,7 @@
         if self.leave.is_cancelled() && !self.leaving {
             self.leaving = true;
             self.urgent = true;
-            self.handle(Event::Publish(vec![Body::Leaving]));
+            self.handle(Event::Publish(vec![Observation::Leaving]));
         }
         self.handle(Event::Tick);
         self.dirty |= self.tables.expire(now);
@@ -258,7 +258,7 @@
             .to_owned(),
             offset: self.tables.next(Table::Endpoints),
         });
-        let body = Body::Endpoint {
+        let body = Observation::Endpoint {
             name: run.to_string(),
             ejected,
             ttl: ACCUSED,
@@ -335,7 +335,7 @@
 
     /// Whether this node's part among the others is known: it has not just started beside them.
     fn settled(&self) -> bool {
-        self.group.settled(self.start.elapsed())
+        self.group.is_settled(self.start.elapsed())
     }
 
     /// Gives orders if that is this node's part.
@@ -361,11 +361,11 @@
     /// Tells the other nodes which endpoints are about to give up layers.
     fn announce(&mut self) {
         let moving = self.orders.take_moving().into_iter();
-        let moving = moving.map(|run| Body::Moving {
+        let moving = moving.map(|run| Observation::Releasing {
             name: run.to_string(),
             ttl: MOVING,
         });
-        let moving: Vec<Body> = moving.collect();
+        let moving: Vec<Observation> = moving.collect();
         if !moving.is_empty() {
             self.handle(Event::Publish(moving));
             self.dirty = true;
@@ -397,7 +397,7 @@
                 endpoints: Arc::new(endpoints),
                 loads: Arc::new(self.loads.view(now, self.start)),
                 accused: self.accused.now(),
-                moving: Arc::new(self.group.moving(self.start.elapsed())),
+                moving: Arc::new(self.group.releasing(self.start.elapsed())),
                 nodes: nodes.len().max(1),
                 choosers,
                 sharers: self.sharers(),
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -4,8 +4,8 @@
 use journal::event::Event as Told;
 use member::action::Action;
 use member::event::Event;
-use member::item::{Body, Key};
-use member::peer::{Entry, Standing};
+use member::item::{Key, Observation};
+use member::peer::{Entry, ListedState};
 use std::net::SocketAddr;
 use wire::frame::Status;
 use wire::peer::Inbound;
@@ -13,7 +13,7 @@
 impl State {
     pub(super) fn inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.handle(Event::Frame { from, message }),
+            Inbound::Member { from, message } => self.handle(Event::Received { from, message }),
             // Heads belong to nodes that read signed bundles from a log.
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
@@ -36,7 +36,7 @@
                     .map(|p| p.id)
                     .collect();
                 for peer in gone {
-                    self.handle(Event::Unreached(peer));
+                    self.handle(Event::ConnectFailed(peer));
                 }
             }
         }
@@ -59,7 +59,7 @@
                 // A full queue is counted by the link; gossip repeats itself.
                 let _ = self.link.send(to, message);
             }
-            Action::Changed { peer, state, .. } => {
+            Action::StateChanged { peer, state, .. } => {
                 self.dirty = true;
                 let row = self.group.roster().get(peer);
                 let name = row.map_or("?", |p| p.identity.name.as_str()).to_owned();
@@ -67,7 +67,7 @@
                 self.journal.record(Told::Node { name, state });
             }
             Action::Learned(_) => self.dirty = true,
-            Action::Newer { .. } => {}
+            Action::FetchHead { .. } => {}
         }
     }
 
@@ -81,7 +81,7 @@
                 addr: *addr,
                 zone: self.settings.zone.clone(),
                 region: self.settings.region.clone(),
-                standing: Standing::Live,
+                state: ListedState::Live,
             })
             .collect()
     }
@@ -89,11 +89,11 @@
     /// Where callers reach the nodes that take new work.
     pub(super) fn nodes(&self) -> Vec<SocketAddr> {
         let me = self.group.me();
-        let peers = self.group.open().filter(|p| p.id != me);
+        let peers = self.group.accepting().filter(|p| p.id != me);
         let callers = peers.filter_map(|p| {
             let slot = self.group.store().get(p.id, &Key::Callers)?;
             match slot.body {
-                Body::Callers { addr, .. } => Some(addr),
+                Observation::Callers { addr, .. } => Some(addr),
                 _ => None,
             }
         });
--- a/crates/node/src/hosted/control/state/share.rs
+++ b/crates/node/src/hosted/control/state/share.rs
@@ -21,7 +21,7 @@
 impl State {
     /// Finds this node's part in reading the store and asking engines.
     pub(super) fn share(&mut self, now: Instant) {
-        let (me, open) = (self.group.me(), self.group.open());
+        let (me, open) = (self.group.me(), self.group.accepting());
         let elapsed = self.start.elapsed();
         self.part = Part::of(elapsed, me, &self.settings.zone, open, &self.zones());
         // A node whose readers don't answer, or can't read the store, tries it by itself.
@@ -188,7 +188,7 @@
         let me = self.group.me();
         let peers: Vec<SocketAddr> = self
             .group
-            .open()
+            .accepting()
             .filter(|p| p.id != me)
             .map(|p| p.identity.addr)
             .collect();
--- a/crates/node/tests/support/spread/faults.rs
+++ b/crates/node/tests/support/spread/faults.rs
@@ -107,7 +107,7 @@
         let node = &mut self.nodes[number];
         node.forget();
         (node.runs, node.fresh, node.started) = (true, false, now);
-        self.peers[number].since = now;
+        self.peers[number].state_since = now;
         self.later(STEP, Due::Step(number));
         self.later(WHOLE, Due::Whole(number));
         for after in [KNOWN, KNOWN + AGED] {
--- a/crates/slopes/src/membership.rs
+++ b/crates/slopes/src/membership.rs
@@ -8,7 +8,7 @@
 use member::demand::{Demand, Limit};
 use member::event::Event;
 use member::group::Group;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::level::Level;
 use member::message::Message;
 use member::settings::Settings;
@@ -162,13 +162,13 @@
     let mut net = joined((nodes, zones));
     let limits = limits(teams);
     for index in 0..nodes {
-        let callers = Body::Callers {
+        let callers = Observation::Callers {
             addr: ([10, 0, 1, index as u8], 7100).into(),
             tls: false,
         };
-        let load = Body::Load(Level::of(0.5));
+        let load = Observation::Load(Level::of(0.5));
         net.event(index, Event::Publish(vec![callers, load]));
-        let demand = |l: &Limit| Body::Demand {
+        let demand = |l: &Limit| Observation::Demand {
             team: l.team,
             rate: Level::of(1.0),
             in_flight: Level::of(10.0),
@@ -229,7 +229,7 @@
             from: 1,
             incarnation: 1,
             head: None,
-            news: Vec::new(),
+            updates: Vec::new(),
             body: Body::Digest(vec![summary; 16]),
         };
         let frame = wire::frame::Frame::send(message);
@@ -286,7 +286,7 @@
         digest: [1; 32],
     };
     net.adopt(0, head);
-    let ejected = Body::Endpoint {
+    let ejected = Observation::Endpoint {
         name: "endpoint-00001".to_owned(),
         ejected: true,
         ttl: SECOND * 15,
--- a/crates/wire/src/raw/from.rs
+++ b/crates/wire/src/raw/from.rs
@@ -55,7 +55,7 @@
             from: message.from.to_le_bytes(),
             incarnation: message.incarnation.to_le_bytes(),
             head: message.head.map(|h| (h.number, h.digest)),
-            news: message.news.iter().map(News::from).collect(),
+            news: message.updates.iter().map(News::from).collect(),
             body: (&message.body).into(),
         }
     }
@@ -72,15 +72,15 @@
                 seq: *seq,
                 of: of.to_le_bytes(),
             },
-            message::Body::Relay { seq, to, addr } => Self::Relay {
+            message::Body::IndirectPing { seq, to, addr } => Self::Relay {
                 seq: *seq,
                 to: to.to_le_bytes(),
                 addr: *addr,
             },
-            message::Body::Who => Self::Who,
+            message::Body::Identify => Self::Who,
             message::Body::Rows(rows) => Self::Rows(rows.iter().map(Row::from).collect()),
-            message::Body::Note => Self::Note,
-            message::Body::Rumour(items) => Self::Rumour(items.iter().map(Item::from).collect()),
+            message::Body::Empty => Self::Note,
+            message::Body::Items(items) => Self::Rumour(items.iter().map(Item::from).collect()),
             message::Body::Digest(all) => Self::Digest(all.iter().map(Summary::from).collect()),
             message::Body::Delta(delta) => Self::Delta(delta.into()),
         }
@@ -103,18 +103,18 @@
             zone,
             region,
             incarnation,
-            turn: row.turn,
+            turn: row.refutations,
         }
     }
 }
 
-impl From<&message::News> for News {
-    fn from(news: &message::News) -> Self {
+impl From<&message::Update> for News {
+    fn from(news: &message::Update) -> Self {
         match news {
-            message::News::Join(row) => Self::Join(row.into()),
-            message::News::Suspect(run) => Self::Suspect(run.into()),
-            message::News::Alive(run) => Self::Alive(run.into()),
-            message::News::Left(run) => Self::Left(run.into()),
+            message::Update::Join(row) => Self::Join(row.into()),
+            message::Update::Suspect(run) => Self::Suspect(run.into()),
+            message::Update::Alive(run) => Self::Alive(run.into()),
+            message::Update::Left(run) => Self::Left(run.into()),
         }
     }
 }
@@ -125,7 +125,7 @@
         Self {
             id,
             incarnation,
-            turn: run.turn,
+            turn: run.refutations,
         }
     }
 }
@@ -142,16 +142,16 @@
 impl From<&message::Delta> for Delta {
     fn from(delta: &message::Delta) -> Self {
         Self {
-            groups: delta.groups.iter().map(Group::from).collect(),
+            groups: delta.items.iter().map(Group::from).collect(),
             rows: delta.rows.iter().map(Row::from).collect(),
-            whole: delta.whole.clone(),
-            wants: delta.wants.iter().map(Want::from).collect(),
+            whole: delta.complete.clone(),
+            wants: delta.requests.iter().map(Want::from).collect(),
         }
     }
 }
 
-impl From<&message::Group> for Group {
-    fn from(group: &message::Group) -> Self {
+impl From<&message::BucketItems> for Group {
+    fn from(group: &message::BucketItems) -> Self {
         Self {
             bucket: group.bucket,
             hash: group.hash.to_le_bytes(),
@@ -162,18 +162,18 @@
 
 impl From<&message::Batch> for Batch {
     fn from(batch: &message::Batch) -> Self {
-        let prints = batch.prints.iter().map(Print::from).collect();
+        let prints = batch.publications.iter().map(Print::from).collect();
         Self {
-            place: batch.place,
-            upto: batch.upto,
+            place: batch.row,
+            upto: batch.up_to,
             prints,
         }
     }
 }
 
-impl From<&message::Print> for Print {
-    fn from(print: &message::Print) -> Self {
-        let items = print.bodies.iter().map(Observation::from).collect();
+impl From<&message::Publication> for Print {
+    fn from(print: &message::Publication) -> Self {
+        let items = print.observations.iter().map(Observation::from).collect();
         Self {
             version: print.version,
             items,
@@ -181,13 +181,13 @@
     }
 }
 
-impl From<&message::Want> for Want {
-    fn from(want: &message::Want) -> Self {
-        let gap = |g: &message::Gap| Gap {
-            place: g.place,
+impl From<&message::Request> for Want {
+    fn from(want: &message::Request) -> Self {
+        let gap = |g: &message::KnownVersion| Gap {
+            place: g.row,
             version: g.version,
         };
-        let gaps = want.gaps.iter().map(gap).collect();
+        let gaps = want.known.iter().map(gap).collect();
         Self {
             bucket: want.bucket,
             hash: want.hash.to_le_bytes(),
@@ -207,37 +207,37 @@
     }
 }
 
-impl From<&item::Body> for Observation {
-    fn from(body: &item::Body) -> Self {
+impl From<&item::Observation> for Observation {
+    fn from(body: &item::Observation) -> Self {
         match body {
-            item::Body::Leaving => Self::Leaving,
-            item::Body::Load(level) => Self::Load(level.0),
-            item::Body::Callers { addr, tls } => Self::Callers {
+            item::Observation::Leaving => Self::Leaving,
+            item::Observation::Load(level) => Self::Load(level.0),
+            item::Observation::Callers { addr, tls } => Self::Callers {
                 addr: *addr,
                 tls: *tls,
             },
-            item::Body::Endpoint { name, ejected, ttl } => Self::Endpoint {
+            item::Observation::Endpoint { name, ejected, ttl } => Self::Endpoint {
                 name: name.clone(),
                 ejected: *ejected,
                 ttl: seconds(*ttl),
             },
-            item::Body::Moving { name, ttl } => Self::Moving {
+            item::Observation::Releasing { name, ttl } => Self::Moving {
                 name: name.clone(),
                 ttl: seconds(*ttl),
             },
-            item::Body::Suspect { fingerprint, ttl } => Self::Suspect {
+            item::Observation::Suspect { fingerprint, ttl } => Self::Suspect {
                 fingerprint: fingerprint.to_le_bytes(),
                 ttl: seconds(*ttl),
             },
-            item::Body::Pending { fingerprint, ttl } => Self::Pending {
+            item::Observation::Pending { fingerprint, ttl } => Self::Pending {
                 fingerprint: fingerprint.to_le_bytes(),
                 ttl: seconds(*ttl),
             },
-            item::Body::Condemned { fingerprint, ttl } => Self::Condemned {
+            item::Observation::Condemned { fingerprint, ttl } => Self::Condemned {
                 fingerprint: fingerprint.to_le_bytes(),
                 ttl: seconds(*ttl),
             },
-            item::Body::Demand {
+            item::Observation::Demand {
                 team,
                 rate,
                 in_flight,
--- a/crates/wire/src/raw/into.rs
+++ b/crates/wire/src/raw/into.rs
@@ -102,7 +102,7 @@
             from: u64::from_le_bytes(raw.from),
             incarnation: u64::from_le_bytes(raw.incarnation),
             head: raw.head.map(|(number, digest)| Head { number, digest }),
-            news: all(raw.news, NEWS, "news")?,
+            updates: all(raw.news, NEWS, "news")?,
             body: raw.body.try_into()?,
         })
     }
@@ -121,15 +121,15 @@
                 seq,
                 of: u64::from_le_bytes(of),
             },
-            Matter::Relay { seq, to, addr } => Self::Relay {
+            Matter::Relay { seq, to, addr } => Self::IndirectPing {
                 seq,
                 to: u64::from_le_bytes(to),
                 addr,
             },
-            Matter::Who => Self::Who,
+            Matter::Who => Self::Identify,
             Matter::Rows(rows) => Self::Rows(all(rows, ROWS, "rows")?),
-            Matter::Note => Self::Note,
-            Matter::Rumour(items) => Self::Rumour(all(items, ITEMS, "items")?),
+            Matter::Note => Self::Empty,
+            Matter::Rumour(items) => Self::Items(all(items, ITEMS, "items")?),
             Matter::Digest(summaries) => Self::Digest(all(summaries, BUCKETS, "digest")?),
             Matter::Delta(delta) => Self::Delta(delta.try_into()?),
         })
@@ -149,12 +149,12 @@
         };
         Ok(Self {
             identity,
-            turn: raw.turn,
+            refutations: raw.turn,
         })
     }
 }
 
-impl TryFrom<News> for message::News {
+impl TryFrom<News> for message::Update {
     type Error = Error;
 
     fn try_from(raw: News) -> Result<Self> {
@@ -176,7 +176,7 @@
         Self {
             id,
             incarnation,
-            turn: raw.turn,
+            refutations: raw.turn,
         }
     }
 }
@@ -203,15 +203,15 @@
             return Err(Error::Field("whole"));
         }
         Ok(Self {
-            groups: all(raw.groups, BUCKETS, "groups")?,
+            items: all(raw.groups, BUCKETS, "groups")?,
             rows: all(raw.rows, ROWS, "rows")?,
-            whole: raw.whole.into_iter().map(bucket).collect::<Result<_>>()?,
-            wants: all(raw.wants, BUCKETS, "wants")?,
+            complete: raw.whole.into_iter().map(bucket).collect::<Result<_>>()?,
+            requests: all(raw.wants, BUCKETS, "wants")?,
         })
     }
 }
 
-impl TryFrom<Group> for message::Group {
+impl TryFrom<Group> for message::BucketItems {
     type Error = Error;
 
     fn try_from(raw: Group) -> Result<Self> {
@@ -227,47 +227,47 @@
     type Error = Error;
 
     fn try_from(raw: Batch) -> Result<Self> {
-        let prints: Vec<message::Print> = all(raw.prints, ITEMS, "prints")?;
+        let prints: Vec<message::Publication> = all(raw.prints, ITEMS, "prints")?;
         let ascending = prints.windows(2).all(|w| w[0].version < w[1].version);
         let covered = prints.last().is_none_or(|p| p.version <= raw.upto);
         if !ascending || !covered {
             return Err(Error::Field("prints"));
         }
         Ok(Self {
-            place: raw.place,
-            upto: raw.upto,
-            prints,
+            row: raw.place,
+            up_to: raw.upto,
+            publications: prints,
         })
     }
 }
 
-impl TryFrom<Print> for message::Print {
+impl TryFrom<Print> for message::Publication {
     type Error = Error;
 
     fn try_from(raw: Print) -> Result<Self> {
         Ok(Self {
             version: raw.version,
-            bodies: all(raw.items, ITEMS, "items")?,
+            observations: all(raw.items, ITEMS, "items")?,
         })
     }
 }
 
-impl TryFrom<Want> for message::Want {
+impl TryFrom<Want> for message::Request {
     type Error = Error;
 
     fn try_from(raw: Want) -> Result<Self> {
         if raw.gaps.len() > PLACES {
             return Err(Error::Field("gaps"));
         }
-        let gap = |g: Gap| message::Gap {
-            place: g.place,
+        let gap = |g: Gap| message::KnownVersion {
+            row: g.place,
             version: g.version,
         };
         let gaps = raw.gaps.into_iter().map(gap).collect();
         Ok(Self {
             bucket: bucket(raw.bucket)?,
             hash: u32::from_le_bytes(raw.hash),
-            gaps,
+            known: gaps,
         })
     }
 }
@@ -285,7 +285,7 @@
     }
 }
 
-impl TryFrom<Observation> for item::Body {
+impl TryFrom<Observation> for item::Observation {
     type Error = Error;
 
     fn try_from(raw: Observation) -> Result<Self> {
@@ -305,7 +305,7 @@
             Observation::Moving {
                 name: text,
                 ttl: left,
-            } => Self::Moving {
+            } => Self::Releasing {
                 name: name(text, "endpoint")?,
                 ttl: ttl(left)?,
             },
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -2,10 +2,11 @@
 
 use member::head::Head;
 use member::identity::Identity;
-use member::item::{Body as Observation, Item};
+use member::item::{Item, Observation};
 use member::level::Level;
 use member::message::{
-    Batch, Body, Delta, Gap, Group, Message, News, Print, Row, Run, Summary, Want,
+    Batch, Body, BucketItems, Delta, KnownVersion, Message, Publication, Request, Row, Run,
+    Summary, Update,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -24,7 +25,10 @@
         region: "r1".into(),
         incarnation: 1 << 40,
     };
-    Row { identity, turn: 3 }
+    Row {
+        identity,
+        refutations: 3,
+    }
 }
 
 fn observations() -> Vec<Observation> {
@@ -54,28 +58,28 @@
 }
 
 fn delta() -> Delta {
-    let print = Print {
+    let print = Publication {
         version: 4,
-        bodies: observations(),
+        observations: observations(),
     };
     let batch = Batch {
-        place: 2,
-        upto: 5,
-        prints: vec![print],
+        row: 2,
+        up_to: 5,
+        publications: vec![print],
     };
     Delta {
-        groups: vec![Group {
+        items: vec![BucketItems {
             bucket: 3,
             hash: 99,
             batches: vec![batch],
         }],
         rows: vec![row()],
-        whole: vec![4],
-        wants: vec![Want {
+        complete: vec![4],
+        requests: vec![Request {
             bucket: 1,
             hash: 5,
-            gaps: vec![Gap {
-                place: 0,
+            known: vec![KnownVersion {
+                row: 0,
                 version: 70_000,
             }],
         }],
@@ -92,15 +96,15 @@
     vec![
         Body::Ping { seq: 1, to: 2 },
         Body::Ack { seq: 1, of: 2 },
-        Body::Relay {
+        Body::IndirectPing {
             seq: 1,
             to: 2,
             addr: "[::1]:80".parse().expect("address"),
         },
-        Body::Who,
+        Body::Identify,
         Body::Rows(vec![row()]),
-        Body::Note,
-        Body::Rumour(observations().into_iter().map(item).collect()),
+        Body::Empty,
+        Body::Items(observations().into_iter().map(item).collect()),
         Body::Digest(vec![
             Summary {
                 hash: 1,
@@ -116,13 +120,13 @@
     let run = Run {
         id: 1,
         incarnation: 2,
-        turn: 3,
+        refutations: 3,
     };
     let news = vec![
-        News::Join(row()),
-        News::Suspect(run),
-        News::Alive(run),
-        News::Left(run),
+        Update::Join(row()),
+        Update::Suspect(run),
+        Update::Alive(run),
+        Update::Left(run),
     ];
     let head = Some(Head {
         number: 5,
@@ -132,7 +136,7 @@
         from: 1,
         incarnation: 2,
         head,
-        news: news.clone(),
+        updates: news.clone(),
         body,
     };
     let mut frames: Vec<Frame> = bodies()
@@ -201,7 +205,7 @@
             from: 1,
             incarnation: 1,
             head: None,
-            news: vec![],
+            updates: vec![],
             body,
         })
     };
@@ -210,9 +214,9 @@
     let mut control = row();
     control.identity.zone = "z\n1".into();
     let mut unordered = delta();
-    unordered.groups[0].batches[0].upto = 1;
+    unordered.items[0].batches[0].up_to = 1;
     let mut bucket = delta();
-    bucket.whole = vec![16];
+    bucket.complete = vec![16];
     let digest = vec![Summary {
         hash: 0,
         versions: vec![0; 257],
@@ -233,7 +237,7 @@
         Body::Delta(unordered),
         Body::Delta(bucket),
         Body::Digest(digest),
-        Body::Rumour(vec![item]),
+        Body::Items(vec![item]),
     ];
     for body in bad {
         let bytes = message(body.clone()).encode().expect("encodes");
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -11,7 +11,7 @@
 
 use member::event::Event;
 use member::head::Head;
-use member::item::Body;
+use member::item::Observation;
 use member::message::{Body as MessageBody, Message, Summary};
 use node::{KEY, Node, PATIENCE};
 use proxy::Proxy;
@@ -54,7 +54,7 @@
 #[tokio::test]
 async fn observations_reach_the_peer() {
     let (a, b) = pair().await;
-    let body = Body::Condemned {
+    let body = Observation::Condemned {
         fingerprint: 9,
         ttl: Duration::from_secs(60),
     };
--- a/crates/wire/tests/support/bare.rs
+++ b/crates/wire/tests/support/bare.rs
@@ -59,8 +59,8 @@
         from: number,
         incarnation: 1,
         head: None,
-        news: Vec::new(),
-        body: Body::Note,
+        updates: Vec::new(),
+        body: Body::Empty,
     }
 }
 
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -7,7 +7,7 @@
 use member::head::Head;
 use member::identity::{Id, Identity};
 use member::item::Item;
-use member::peer::{Entry, Standing, State};
+use member::peer::{Entry, ListedState, State};
 use member::settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -76,7 +76,7 @@
             addr: link.addr(),
             zone: "a".into(),
             region: "r".into(),
-            standing: Standing::Live,
+            state: ListedState::Live,
         };
         let settings = Settings {
             round: Duration::from_millis(200),
@@ -153,7 +153,9 @@
 
     async fn inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.event(Event::Frame { from, message }).await,
+            Inbound::Member { from, message } => {
+                self.event(Event::Received { from, message }).await
+            }
             Inbound::Head { reply, .. } => {
                 let head = self.group.head().map(|h| h.number.to_le_bytes().to_vec());
                 let _ = reply.send(head);
@@ -176,7 +178,7 @@
                     .find(|p| p.identity.addr == addr)
                     .map(|p| p.id);
                 if let Some(id) = id {
-                    self.event(Event::Unreached(id)).await;
+                    self.event(Event::ConnectFailed(id)).await;
                 }
             }
         }
@@ -212,12 +214,12 @@
                 let _ = self.link.send(to, message);
                 None
             }
-            Action::Newer { head, addr, .. } => self.fetch(head, addr).await,
+            Action::FetchHead { head, addr, .. } => self.fetch(head, addr).await,
             Action::Learned(item) => {
                 self.show.send_modify(|s| s.items.push(item));
                 None
             }
-            Action::Changed { .. } => None,
+            Action::StateChanged { .. } => None,
         }
     }
 
