--- a/crates/gate/src/forward.rs
+++ b/crates/gate/src/forward.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 use steer::health::Outcome;
 use steer::shortage::Shortage;
-use steer::{Now, Steer};
+use steer::{Selector, Timestamp};
 use story::Story;
 use tokio::time::timeout;
 
@@ -83,7 +83,7 @@
 ) -> Response<Answer<impl Stream<Item = Chunk>>> {
     let story = Story::new(worker.journal.clone(), worker.metrics.clone(), &job);
     let service = job.service().name.clone();
-    worker.steer(|steer, now| steer.first(now, &service));
+    worker.steer(|steer, now| steer.record_request(now, &service));
     let mut run = Run {
         worker,
         job,
@@ -193,7 +193,7 @@
             held.end(Outcome::Failed, None);
             return None;
         };
-        held.end(Outcome::Good, None);
+        held.end(Outcome::Success, None);
         if !closes(&parts.headers) {
             self.worker.pool.keep(conn, info.idle_timeout);
         }
@@ -253,7 +253,9 @@
             return true;
         }
         let service = self.job.service().name.clone();
-        let granted = self.worker.steer(|steer, now| steer.again(now, &service));
+        let granted = self
+            .worker
+            .steer(|steer, now| steer.try_retry(now, &service));
         if granted {
             crate::stats::add(&self.worker.stats.again);
         } else {
@@ -274,7 +276,7 @@
         let need = self.job.need();
         loop {
             let found =
-                self.find(|steer, now, service, tried| steer.target(now, service, &need, tried));
+                self.find(|steer, now, service, tried| steer.select(now, service, &need, tried));
             let shortage = match found {
                 Ok(target) => {
                     self.worker.metrics.queue(begun.elapsed());
@@ -304,19 +306,20 @@
         let service = &self.job.service().name;
         if !self
             .worker
-            .steer(|steer, now| steer.may_again(now, service))
+            .steer(|steer, now| steer.can_retry(now, service))
         {
             return false;
         }
         let need = self.job.need();
-        let found = self.find(|steer, now, service, tried| steer.could(now, service, &need, tried));
+        let found =
+            self.find(|steer, now, service, tried| steer.can_select(now, service, &need, tried));
         found.is_ok()
     }
 
     /// Asks for endpoints that were not tried, or else for any.
     fn find<T>(
         &self,
-        ask: impl Fn(&mut Steer, Now, ServiceId, &[catalog::endpoint::Run]) -> steer::Result<T>,
+        ask: impl Fn(&mut Selector, Timestamp, ServiceId, &[catalog::endpoint::Run]) -> steer::Result<T>,
     ) -> steer::Result<T> {
         let service = self.service_now()?;
         let tried = &self.tried;
@@ -369,7 +372,7 @@
 
     /// The answer when no endpoint can take it.
     fn short(&mut self, shortage: Shortage) -> Refusal {
-        self.story.note(shortage.word());
+        self.story.note(shortage.as_str());
         let scarcity = self
             .service_now()
             .map(|service| self.worker.steer(|steer, now| steer.scarcity(now, service)));
@@ -378,7 +381,7 @@
             return Refusal::new(Reason::Lost);
         }
         let after = match shortage {
-            Shortage::Room => AFTER_FULL,
+            Shortage::Capacity => AFTER_FULL,
             Shortage::Endpoints | Shortage::Layers => AFTER_GONE,
             Shortage::Size => AFTER_SIZE,
         };
@@ -400,8 +403,8 @@
 /// What a refusal says of the endpoint that it is about.
 fn declined(status: StatusCode, info: &ResponseInfo) -> Outcome {
     match status {
-        StatusCode::MISDIRECTED_REQUEST => Outcome::Elsewhere,
-        _ if info.faulty_stage.is_some() => Outcome::Named,
+        StatusCode::MISDIRECTED_REQUEST => Outcome::Misdirected,
+        _ if info.faulty_stage.is_some() => Outcome::Missing,
         _ => Outcome::Full,
     }
 }
--- a/crates/gate/src/forward/attempt.rs
+++ b/crates/gate/src/forward/attempt.rs
@@ -32,17 +32,18 @@
         }
     }
 
-    /// Ends it; see [`steer::Steer::end`].
+    /// Ends it; see [`steer::Selector::end`].
     pub(crate) fn end(mut self, outcome: Outcome, blame: Option<SocketAddr>) {
         self.ended = true;
-        self.worker.end(self.target.hold, outcome, blame);
+        self.worker.end(self.target.reservation, outcome, blame);
     }
 }
 
 impl<D: Dialect> Drop for Held<D> {
     fn drop(&mut self) {
         if !self.ended {
-            self.worker.end(self.target.hold, Outcome::Unknown, None);
+            self.worker
+                .end(self.target.reservation, Outcome::Unknown, None);
         }
     }
 }
--- a/crates/gate/src/forward/look.rs
+++ b/crates/gate/src/forward/look.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use steer::Steer;
+use steer::Selector;
 use steer::target::Target;
 use tokio::time::{Instant, timeout};
 
@@ -119,7 +119,8 @@
             // An account from before the last detour.
             return Look::Wait;
         }
-        self.worker.steer(|steer, now| steer.accuse(now, culprit));
+        self.worker
+            .steer(|steer, now| steer.report_failed(now, culprit));
         match self.replace_all(held, culprit).await {
             Some(RerouteOutcome::Done) => Look::Wait,
             Some(_) => Look::Lost("a stage is dead, and the head can't replace it"),
@@ -137,7 +138,7 @@
         held.target.stages = before;
         let need = self.job.need();
         self.worker
-            .steer(|steer, _| steer.retake(&held.target, &need));
+            .steer(|steer, _| steer.revert_reroute(&held.target, &need));
     }
 
     /// Replaces a stage, and each further one that the head names as missing meanwhile: endpoints die, and
@@ -148,7 +149,8 @@
             let RerouteOutcome::Missing(next) = done else {
                 break;
             };
-            self.worker.steer(|steer, now| steer.named(now, next));
+            self.worker
+                .steer(|steer, now| steer.report_missing(now, next));
             done = self.replace(held, next).await?;
         }
         Some(done)
@@ -160,7 +162,8 @@
         let need = self.job.need();
         let service = self.service_now();
         let target = &held.target;
-        let detour = |steer: &mut Steer, now| steer.detour(now, target, service?, &need, culprit);
+        let detour =
+            |steer: &mut Selector, now| steer.reroute(now, target, service?, &need, culprit);
         let stages = self.worker.steer(detour).ok()?;
         let crossings = self.crossings(&stages);
         self.story.detour(culprit, &stages, crossings);
--- a/crates/gate/src/forward/story.rs
+++ b/crates/gate/src/forward/story.rs
@@ -82,9 +82,9 @@
         let percent = |part: f64| (part * 100.0).round() as u64;
         self.journal.record(Event::Short {
             id: self.id.clone(),
-            shortage: shortage.word(),
+            shortage: shortage.as_str(),
             known: scarcity.known,
-            open: scarcity.open,
+            open: scarcity.available,
             layer: scarcity.layer,
             free_percent: percent(scarcity.free),
             pipe_percent: percent(scarcity.pipe),
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Inputs are callers' connections and the [`view::View`] that control publishes; outputs are
 //! requests to endpoints. One [`worker::Worker`] is one thread with a current-thread runtime; only
-//! that thread touches its `steer::Steer`.
+//! that thread touches its `steer::Selector`.
 //!
 //! Left to others: which endpoint runs a request (`steer`), what the fleet looks like (control, in
 //! the node).
--- a/crates/gate/src/splice.rs
+++ b/crates/gate/src/splice.rs
@@ -274,7 +274,7 @@
         self.done = true;
         if let Some(Live { sent }) = self.live.take() {
             let closes = closes(sent.response.headers());
-            sent.held.end(Outcome::Good, None);
+            sent.held.end(Outcome::Success, None);
             if !closes {
                 self.run.worker.pool.keep(sent.conn, sent.info.idle_timeout);
             }
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -24,11 +24,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use steer::Steer;
+use steer::Selector;
 use steer::budget::Allowance;
 use steer::health::Outcome;
-use steer::note::Note;
-use steer::target::Hold;
+use steer::target::ReservationId;
+use steer::transition::Transition;
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -67,7 +67,7 @@
     /// Seed of its draws.
     pub seed: u64,
     /// What control is told of endpoints.
-    pub notes: mpsc::Sender<Note>,
+    pub notes: mpsc::Sender<Transition>,
 }
 
 /// The state of one worker. Only its own thread touches it.
@@ -79,8 +79,8 @@
     dumps: mpsc::Sender<oneshot::Sender<String>>,
     pub(crate) stats: Rc<Stats>,
     board: Board,
-    notes: mpsc::Sender<Note>,
-    steer: RefCell<Steer>,
+    notes: mpsc::Sender<Transition>,
+    steer: RefCell<Selector>,
     /// The view that `steer` follows.
     view: RefCell<Option<Arc<View>>>,
     /// How many views it has followed.
@@ -108,7 +108,7 @@
             stats,
             board: parts.board,
             notes: parts.notes,
-            steer: RefCell::new(Steer::new(parts.seed, parts.allowance)),
+            steer: RefCell::new(Selector::new(parts.seed, parts.allowance)),
             view: RefCell::new(None),
             views: Cell::new(0),
             freed: Notify::new(),
@@ -146,7 +146,9 @@
         if !same {
             if let Some(view) = &newest {
                 let now = self.now();
-                self.steer.borrow_mut().follow(now, view.fleet.clone());
+                self.steer
+                    .borrow_mut()
+                    .update_fleet(now, view.fleet.clone());
                 self.views.set(self.views.get() + 1);
                 self.freed.notify_waiters();
             }
@@ -186,13 +188,13 @@
     }
 
     /// Asks the table something.
-    pub(crate) fn steer<T>(&self, ask: impl FnOnce(&mut Steer, Duration) -> T) -> T {
+    pub(crate) fn steer<T>(&self, ask: impl FnOnce(&mut Selector, Duration) -> T) -> T {
         // The newest view first, so that no endpoint is chosen that is known to leave.
         self.view();
         let now = self.now();
         let mut steer = self.steer.borrow_mut();
         let answer = ask(&mut steer, now);
-        for note in steer.take_notes() {
+        for note in steer.take_transitions() {
             // Control is behind: a further failure tells it again.
             if self.notes.try_send(note).is_err() {
                 stats::add(&self.stats.untold);
@@ -209,7 +211,7 @@
     }
 
     /// Gives back what an attempt holds.
-    pub(crate) fn end(&self, hold: Hold, outcome: Outcome, blame: Option<SocketAddr>) {
+    pub(crate) fn end(&self, hold: ReservationId, outcome: Outcome, blame: Option<SocketAddr>) {
         self.steer(|steer, now| steer.end(now, hold, outcome, blame));
         self.freed.notify_one();
     }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -168,7 +168,7 @@
             catalog: catalog(),
             endpoints: Arc::new(endpoints),
             nodes: 1,
-            sharers: 1,
+            budget_nodes: 1,
             ..Fleet::default()
         },
         nodes: vec![([127, 0, 0, 1], 9).into()],
--- a/crates/node/src/hosted/control.rs
+++ b/crates/node/src/hosted/control.rs
@@ -26,7 +26,7 @@
 use state::State;
 use std::sync::Arc;
 use std::time::Duration;
-use steer::note::Note;
+use steer::transition::Transition;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::MissedTickBehavior;
 use tokio_util::sync::CancellationToken;
@@ -66,7 +66,7 @@
     /// asks through `asked` for control's part of a dump.
     pub async fn run(
         self,
-        noted: mpsc::Receiver<Note>,
+        noted: mpsc::Receiver<Transition>,
         asked: mpsc::Receiver<oneshot::Sender<String>>,
     ) -> Result<()> {
         let (inbound, peers) = mpsc::channel(INBOUND);
@@ -128,7 +128,7 @@
     state.quit();
 }
 
-async fn from_worker(mut noted: mpsc::Receiver<Note>, inputs: Inputs) {
+async fn from_worker(mut noted: mpsc::Receiver<Transition>, inputs: Inputs) {
     while let Some(note) = noted.recv().await {
         if inputs.send(Input::Note(note)).await.is_err() {
             return;
--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -7,7 +7,7 @@
 use catalog::source::Page;
 use place::order::{Order, Outcome};
 use std::net::SocketAddr;
-use steer::note::Note;
+use steer::transition::Transition;
 use tokio::sync::mpsc;
 use wire::peer::Inbound;
 
@@ -40,7 +40,7 @@
     /// An engine was asked for its report; nothing if it did not answer.
     Report(Run, Option<Report>),
     /// The worker found something out about an endpoint.
-    Note(Note),
+    Note(Transition),
     /// A message of a peer.
     Peer(Inbound),
     /// An order was given, or found not to fit.
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steer::Fleet;
-use steer::note::Note;
+use steer::transition::Transition;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
@@ -243,10 +243,10 @@
     }
 
     /// Tells the other nodes what the worker found out.
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: Transition) {
         let (run, ejected) = match &note {
-            Note::Down(run) => (run, true),
-            Note::Up(run) => (run, false),
+            Transition::Down(run) => (run, true),
+            Transition::Up(run) => (run, false),
         };
         self.journal.record(Told::Endpoint {
             run: run.to_string(),
@@ -387,7 +387,7 @@
         let nodes = self.nodes();
         let endpoints = self.tables.endpoints();
         let endpoints: Vec<Endpoint> = endpoints.map(|e| self.loads.overlay(now, e)).collect();
-        let choosers = match self.settled() {
+        let selecting_nodes = match self.settled() {
             true => nodes.len(),
             false => endpoints.len() / ENDPOINTS_FOR,
         };
@@ -396,11 +396,11 @@
                 catalog: catalog.clone(),
                 endpoints: Arc::new(endpoints),
                 loads: Arc::new(self.loads.view(now, self.start)),
-                accused: self.accused.now(),
-                moving: Arc::new(self.group.releasing(self.start.elapsed())),
+                reported_failed: self.accused.now(),
+                releasing: Arc::new(self.group.releasing(self.start.elapsed())),
                 nodes: nodes.len().max(1),
-                choosers,
-                sharers: self.sharers(),
+                selecting_nodes,
+                budget_nodes: self.sharers(),
             },
             nodes,
             leaving: self.leaving,
--- a/crates/steer/src/chain.rs
+++ b/crates/steer/src/chain.rs
@@ -8,9 +8,9 @@
 /// by token, so nearly all of it can be filled; past that engines refuse what was sent to them, and
 /// each refusal is a further attempt. Worth of five days with 67 nodes: 1.07 gives 0.548, 0.95 gives
 /// 0.564, 0.85 gives 0.560; with 8 nodes 0.572 and 0.575 for the first two.
-pub const FILL: f64 = 0.95;
+pub const MAX_FILL: f64 = 0.95;
 /// The same for urgent requests.
-pub const FILL_URGENT: f64 = 1.0;
+pub const MAX_FILL_URGENT: f64 = 1.0;
 
 /// What a request needs of a chain of endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/steer/src/fleet.rs
+++ b/crates/steer/src/fleet.rs
@@ -15,16 +15,16 @@
     /// Loads that endpoints reported, by the text form of their run.
     pub loads: Arc<BTreeMap<String, Load>>,
     /// Runs of endpoints that several nodes found to fail, in their text form.
-    pub accused: Arc<BTreeSet<String>>,
+    pub reported_failed: Arc<BTreeSet<String>>,
     /// Runs of endpoints that are about to give up their layers for others, in their text form.
-    pub moving: Arc<BTreeSet<String>>,
+    pub releasing: Arc<BTreeSet<String>>,
     /// Nodes that send requests, this one included. Callers spread evenly over them, so what this
     /// node has under way, times this number, is what an endpoint has under way.
     pub nodes: usize,
     /// Nodes that may choose by the same reports as this one; more than `nodes` where this one has just
     /// started and knows few of the others yet.
-    pub choosers: usize,
+    pub selecting_nodes: usize,
     /// Nodes that may send further attempts, those included that are out of reach now: the
     /// budget is shared with them, since they may only be cut off from this one.
-    pub sharers: usize,
+    pub budget_nodes: usize,
 }
--- a/crates/steer/src/jitter.rs
+++ b/crates/steer/src/jitter.rs
@@ -7,38 +7,40 @@
 
 use rand::{Rng, RngExt};
 
-/// Part by which a price changes at the most, among [`NODES`] nodes.
-const PART: f64 = 0.15;
+/// Part by which a price changes at the most, among [`BASE_NODES`] nodes.
+const BASE_AMPLITUDE: f64 = 0.15;
 /// Nodes for which that holds; it grows with the root of their number.
-const NODES: f64 = 8.0;
+const BASE_NODES: f64 = 8.0;
 /// Most that it grows to. Among 84 nodes without it, a quarter of all arrivals were refused as
 /// full while most endpoints had room.
-const MOST: f64 = 0.6;
+const MAX_AMPLITUDE: f64 = 0.6;
 
 /// Power of the factor of a zone: its chain has many stages, whose own factors even out.
-const ZONE: i32 = 2;
+const ZONE_EXPONENT: i32 = 2;
 
 /// Factors on prices for one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Jitter {
-    part: f64,
+    amplitude: f64,
     zones: Vec<f64>,
 }
 
 impl Jitter {
     /// Draws the factors of `zones` availability zones.
     pub(crate) fn new(rng: &mut impl Rng, nodes: f64, zones: usize) -> Self {
-        let part = (PART * (nodes / NODES).sqrt()).min(MOST);
-        let zones = (0..zones).map(|_| factor(rng, part).powi(ZONE)).collect();
-        Self { part, zones }
+        let amplitude = (BASE_AMPLITUDE * (nodes / BASE_NODES).sqrt()).min(MAX_AMPLITUDE);
+        let zones = (0..zones)
+            .map(|_| draw(rng, amplitude).powi(ZONE_EXPONENT))
+            .collect();
+        Self { amplitude, zones }
     }
 
     /// The factor of one endpoint.
-    pub(crate) fn row(&self, rng: &mut impl Rng, zone: usize) -> f64 {
-        factor(rng, self.part) * self.zones.get(zone).copied().unwrap_or(1.0)
+    pub(crate) fn factor(&self, rng: &mut impl Rng, zone: usize) -> f64 {
+        draw(rng, self.amplitude) * self.zones.get(zone).copied().unwrap_or(1.0)
     }
 }
 
-fn factor(rng: &mut impl Rng, part: f64) -> f64 {
-    1.0 + part * rng.random_range(-1.0..=1.0)
+fn draw(rng: &mut impl Rng, amplitude: f64) -> f64 {
+    1.0 + amplitude * rng.random_range(-1.0..=1.0)
 }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which endpoint, or which chain of endpoints, runs a request; without I/O.
 //!
-//! [`Steer`] is the state of one request worker: the endpoints that registered, what this worker
+//! [`Selector`] is the state of one request worker: the endpoints that registered, what this worker
 //! has under way at each, and how each did of late. It is asked for a [`target::Target`] and is
 //! told how the attempt ended. Time is passed in and chance is seeded, so the same calls give the
 //! same choices.
@@ -16,21 +16,21 @@
 pub mod health;
 mod jitter;
 pub mod load;
-pub mod note;
 pub mod pipe;
 pub mod row;
 pub mod scarcity;
 mod search;
+pub mod selector;
 pub mod shortage;
 pub mod shortlist;
-pub mod table;
 pub mod target;
-mod unseen;
+pub mod transition;
+mod unreported;
 
 pub use crate::fleet::Fleet;
-pub use crate::table::Steer;
+pub use crate::selector::Selector;
 
 /// Time since the process started, on the monotonic clock.
-pub type Now = Duration;
+pub type Timestamp = Duration;
 /// Result of asking for a target.
 pub type Result<T> = std::result::Result<T, shortage::Shortage>;
--- a/crates/steer/src/load.rs
+++ b/crates/steer/src/load.rs
@@ -1,10 +1,10 @@
 //! What an endpoint reported of its load.
 
-use crate::Now;
+use crate::Timestamp;
 use std::time::Duration;
 
 /// Age from which a report says nothing any more: most requests of then have ended.
-const OLD: Duration = Duration::from_secs(4);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(4);
 
 /// A report of an endpoint's load.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,41 +23,41 @@
 
 /// The last report, and what this worker held at the endpoint when it came.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct Snapshot {
     load: Load,
-    at: Now,
-    held: f64,
+    taken_at: Timestamp,
+    reserved: f64,
 }
 
-impl Known {
-    /// A report that came at `now`, when this worker held `held` there.
-    pub fn new(load: Load, now: Now, held: f64) -> Self {
+impl Snapshot {
+    /// A report that came at `now`, when this worker reserved `held` there.
+    pub fn new(load: Load, now: Timestamp, reserved: f64) -> Self {
         Self {
             load,
-            at: now.saturating_sub(load.age),
-            held,
+            taken_at: now.saturating_sub(load.age),
+            reserved,
         }
     }
 
     /// The endpoint has just refused a request as full. This is newer than its report, and what
     /// fills it ends by and by, until it reports again.
-    pub fn fill(&mut self, now: Now, room: f64, held: f64) {
-        self.at = now;
-        self.load.used = room;
-        self.held = held;
+    pub fn mark_full(&mut self, now: Timestamp, capacity: f64, reserved: f64) {
+        self.taken_at = now;
+        self.load.used = capacity;
+        self.reserved = reserved;
     }
 
     /// Requests that wait there to begin, if the report still says anything.
-    pub fn queued(&self, now: Now) -> u32 {
-        match self.age(now) < OLD {
+    pub fn queued(&self, now: Timestamp) -> u32 {
+        match self.age(now) < MAX_REPORT_AGE {
             true => self.load.queued,
             false => 0,
         }
     }
 
     /// How old the report is.
-    pub fn age(&self, now: Now) -> Duration {
-        now.saturating_sub(self.at)
+    pub fn age(&self, now: Timestamp) -> Duration {
+        now.saturating_sub(self.taken_at)
     }
 
     /// Whether `load` is another report than this.
@@ -67,10 +67,10 @@
 
     /// Room in use now: by this worker, and by the requests of others that the report counted and
     /// that have not ended since, if a request stays for `stay` on average.
-    pub fn used(&self, now: Now, held: f64, stay: Duration) -> Option<f64> {
+    pub fn used(&self, now: Timestamp, reserved: f64, residence: Duration) -> Option<f64> {
         let age = self.age(now);
-        let others = (self.load.used - self.held).max(0.0);
-        let left = (-age.as_secs_f64() / stay.as_secs_f64().max(1e-9)).exp();
-        (age < OLD).then_some(held + others * left)
+        let others = (self.load.used - self.reserved).max(0.0);
+        let remaining = (-age.as_secs_f64() / residence.as_secs_f64().max(1e-9)).exp();
+        (age < MAX_REPORT_AGE).then_some(reserved + others * remaining)
     }
 }
--- a/crates/steer/src/pipe.rs
+++ b/crates/steer/src/pipe.rs
@@ -4,12 +4,12 @@
 //! that is asked for more than it carries delays every request on it without bound, so its use is
 //! counted and its price grows with it.
 
-use crate::Now;
+use crate::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Time in which what was sent counts less by a factor of e: about the time of a request.
-const MEMORY: Duration = Duration::from_secs(2);
+const DECAY_TIME: Duration = Duration::from_secs(2);
 
 /// Two zones, the smaller number first.
 type Pair = (usize, usize);
@@ -17,33 +17,33 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Pipe {
     bits: f64,
-    at: Now,
+    updated_at: Timestamp,
 }
 
 /// The pipes.
 #[derive(Clone, Debug, Default)]
 pub struct Pipes {
-    rows: BTreeMap<Pair, Pipe>,
+    pipes: BTreeMap<Pair, Pipe>,
 }
 
 impl Pipes {
     /// A request takes a hop from zone `a` to zone `b` that carries `bits` in all.
-    pub fn send(&mut self, now: Now, a: usize, b: usize, bits: f64) {
-        let pipe = self.rows.entry(pair(a, b)).or_default();
-        pipe.bits = faded(pipe, now) + bits;
-        pipe.at = now;
+    pub fn record(&mut self, now: Timestamp, a: usize, b: usize, bits: f64) {
+        let pipe = self.pipes.entry(pair(a, b)).or_default();
+        pipe.bits = decayed_bits(pipe, now) + bits;
+        pipe.updated_at = now;
     }
 
     /// Bits a second that this worker sends over its fullest pipe.
-    pub fn most(&self, now: Now) -> f64 {
-        let rates = self.rows.keys().map(|&(a, b)| self.rate(now, a, b));
+    pub fn max_rate(&self, now: Timestamp) -> f64 {
+        let rates = self.pipes.keys().map(|&(a, b)| self.rate(now, a, b));
         rates.fold(0.0, f64::max)
     }
 
     /// Bits a second that this worker sends between two zones.
-    pub fn rate(&self, now: Now, a: usize, b: usize) -> f64 {
-        let pipe = self.rows.get(&pair(a, b));
-        pipe.map_or(0.0, |p| faded(p, now) / MEMORY.as_secs_f64())
+    pub fn rate(&self, now: Timestamp, a: usize, b: usize) -> f64 {
+        let pipe = self.pipes.get(&pair(a, b));
+        pipe.map_or(0.0, |p| decayed_bits(p, now) / DECAY_TIME.as_secs_f64())
     }
 }
 
@@ -51,7 +51,7 @@
     (a.min(b), a.max(b))
 }
 
-fn faded(pipe: &Pipe, now: Now) -> f64 {
-    let age = now.saturating_sub(pipe.at).as_secs_f64();
-    pipe.bits * (-age / MEMORY.as_secs_f64()).exp()
+fn decayed_bits(pipe: &Pipe, now: Timestamp) -> f64 {
+    let age = now.saturating_sub(pipe.updated_at).as_secs_f64();
+    pipe.bits * (-age / DECAY_TIME.as_secs_f64()).exp()
 }
--- a/crates/steer/src/row.rs
+++ b/crates/steer/src/row.rs
@@ -1,19 +1,19 @@
 //! One endpoint as a worker sees it.
 
-use crate::Now;
+use crate::Timestamp;
 use crate::health::{Health, Outcome};
-use crate::load::{Known, Load};
+use crate::load::{Load, Snapshot};
 use catalog::endpoint::{Endpoint, State};
 use catalog::engine::Engine;
 use std::time::Duration;
 
 /// Part of its memory in use from which an endpoint that is named as the one at fault is taken to
 /// be full.
-const MUCH: f64 = 0.5;
+const FULL_UTILIZATION: f64 = 0.5;
 
 /// Time without a report after which an endpoint that is named as the one at fault is taken to be dead,
 /// however full it was.
-const UNHEARD: Duration = Duration::from_secs(1);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An endpoint and what this worker has under way there.
 #[derive(Clone, Debug)]
@@ -23,29 +23,29 @@
     /// How it did of late.
     pub health: Health,
     /// Requests of this worker.
-    pub flying: u32,
+    pub in_flight: u32,
     /// Room that these take, in tokens times layers.
-    pub held: f64,
+    pub reserved: f64,
     /// Room that it has, in tokens times layers; 0 for a plain service.
-    pub room: f64,
+    pub capacity: f64,
     /// Time of a step through all layers at its pace, in seconds; 0 for a plain service.
-    pub step: f64,
+    pub step_secs: f64,
     /// Time to read a prompt token through all layers at its pace, in seconds.
-    pub read: f64,
+    pub prefill_secs: f64,
     /// How many times slower than its kind it runs, by its last report.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Its last report.
-    pub known: Option<Known>,
+    pub load: Option<Snapshot>,
     /// When it was first named as the one at fault since it last reported or did well.
-    pub doubted: Option<Now>,
+    pub suspected_since: Option<Timestamp>,
     /// Requests under way at once from which on it has more work than time; 0 if unknown.
-    pub most: f64,
+    pub saturation: f64,
     /// Whether the other nodes were told that it fails here.
-    pub told: bool,
+    pub failure_published: bool,
     /// Whether several nodes found it to fail.
-    pub accused: bool,
+    pub reported_failed: bool,
     /// Whether it is about to give up its layers for others.
-    pub moving: bool,
+    pub releasing: bool,
     /// Number of its availability zone in the table.
     pub zone: usize,
 }
@@ -56,71 +56,73 @@
         Self {
             endpoint,
             health: Health::default(),
-            flying: 0,
-            held: 0.0,
-            room: 0.0,
-            step: 0.0,
-            read: 0.0,
-            slow: 1.0,
-            known: None,
-            doubted: None,
-            most: 0.0,
-            told: false,
-            accused: false,
-            moving: false,
+            in_flight: 0,
+            reserved: 0.0,
+            capacity: 0.0,
+            step_secs: 0.0,
+            prefill_secs: 0.0,
+            slowdown: 1.0,
+            load: None,
+            suspected_since: None,
+            saturation: 0.0,
+            failure_published: false,
+            reported_failed: false,
+            releasing: false,
             zone,
         }
     }
 
     /// Takes its paces and room from the engine that the operator describes.
-    pub fn measure(&mut self, engine: &Engine) {
+    pub fn apply_engine(&mut self, engine: &Engine) {
         let kind = self.endpoint.kind.as_deref();
         let Some(kind) = kind.and_then(|k| engine.accelerator(k)) else {
             return;
         };
-        self.room = engine.room(kind, self.endpoint.span.len());
-        self.step = engine.step.as_secs_f64() * kind.pace;
-        self.read = kind.read / engine.read_rate.max(1.0);
+        self.capacity = engine.room(kind, self.endpoint.span.len());
+        self.step_secs = engine.step.as_secs_f64() * kind.pace;
+        self.prefill_secs = kind.read / engine.read_rate.max(1.0);
         let work = engine.work(kind, engine.usual) * self.endpoint.span.len();
-        self.most = engine.stay().as_secs_f64() / work.as_secs_f64().max(1e-9);
+        self.saturation = engine.stay().as_secs_f64() / work.as_secs_f64().max(1e-9);
     }
 
     /// Takes its last report in.
-    pub fn report(&mut self, now: Now, load: Load) {
-        if self.known.is_none_or(|k| k.differs(&load)) {
-            self.known = Some(Known::new(load, now, self.held));
+    pub fn update_load(&mut self, now: Timestamp, load: Load) {
+        if self.load.is_none_or(|l| l.differs(&load)) {
+            self.load = Some(Snapshot::new(load, now, self.reserved));
             // A report from before it was named says nothing of what is wrong since.
-            let made = now.saturating_sub(load.age);
-            self.doubted = self.doubted.filter(|&since| made < since);
-            self.slow = load.pace.max(1.0);
+            let reported_at = now.saturating_sub(load.age);
+            self.suspected_since = self.suspected_since.filter(|&since| reported_at < since);
+            self.slowdown = load.pace.max(1.0);
         }
     }
 
     /// Room in use by all nodes, in tokens times layers, when requests stay for `stay`. Without a
     /// report, all of `nodes` are taken to hold as much there as this one.
-    pub fn used(&self, now: Now, nodes: f64, stay: Duration) -> f64 {
-        let known = self.known.and_then(|k| k.used(now, self.held, stay));
-        known.unwrap_or(self.held * nodes)
+    pub fn used(&self, now: Timestamp, nodes: f64, residence: Duration) -> f64 {
+        let reported = self
+            .load
+            .and_then(|l| l.used(now, self.reserved, residence));
+        reported.unwrap_or(self.reserved * nodes)
     }
 
     /// What a refusal says that names this endpoint: it is full if much of it was in use when it
     /// reported, and it has reported since it was first named. What has ended since may have been
     /// replaced by others' requests.
-    pub fn named(&mut self, now: Now, nodes: f64) -> Outcome {
-        let since = *self.doubted.get_or_insert(now);
+    pub fn judge_missing(&mut self, now: Timestamp, nodes: f64) -> Outcome {
+        let since = *self.suspected_since.get_or_insert(now);
         let used = self.used(now, nodes, Duration::MAX);
-        if used < self.room * MUCH || now >= since + UNHEARD {
+        if used < self.capacity * FULL_UTILIZATION || now >= since + REPORT_TIMEOUT {
             return Outcome::Failed;
         }
-        if let Some(known) = &mut self.known {
-            known.fill(now, self.room, self.held);
+        if let Some(load) = &mut self.load {
+            load.mark_full(now, self.capacity, self.reserved);
         }
         Outcome::Full
     }
 
     /// Whether new work may be sent to it.
-    pub fn open(&self, now: Now) -> bool {
-        let stays = self.endpoint.state == State::Ready && !self.moving;
-        stays && !self.accused && self.health.usable(now)
+    pub fn is_available(&self, now: Timestamp) -> bool {
+        let serving = self.endpoint.state == State::Ready && !self.releasing;
+        serving && !self.reported_failed && self.health.is_usable(now)
     }
 }
--- a/crates/steer/src/scarcity.rs
+++ b/crates/steer/src/scarcity.rs
@@ -1,6 +1,6 @@
 //! What is scarce when a request finds no target, for the line that explains its refusal.
 
-use crate::Now;
+use crate::Timestamp;
 use crate::row::Row;
 use catalog::Layer;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     /// Endpoints of the service.
     pub known: usize,
     /// Those in use.
-    pub open: usize,
+    pub available: usize,
     /// The layer whose roomiest endpoint in use has the least room; nothing for a plain service.
     pub layer: Option<Layer>,
     /// Part of that endpoint's memory that is free; 0 if no endpoint in use holds the layer.
@@ -24,19 +24,26 @@
 
 impl Scarcity {
     /// What is scarce among these rows of a service, whose model has so many layers.
-    pub(crate) fn of(now: Now, nodes: f64, stay: Duration, rows: &[&Row], layers: Layer) -> Self {
-        let open: Vec<&&Row> = rows.iter().filter(|r| r.open(now)).collect();
-        let free = |row: &Row| (1.0 - row.used(now, nodes, stay) / row.room.max(1.0)).max(0.0);
-        let roomiest = |layer: Layer| {
-            let own = open.iter().filter(|r| r.endpoint.span.holds(layer));
+    pub(crate) fn measure(
+        now: Timestamp,
+        nodes: f64,
+        residence: Duration,
+        rows: &[&Row],
+        layers: Layer,
+    ) -> Self {
+        let available: Vec<&&Row> = rows.iter().filter(|r| r.is_available(now)).collect();
+        let free =
+            |row: &Row| (1.0 - row.used(now, nodes, residence) / row.capacity.max(1.0)).max(0.0);
+        let max_free = |layer: Layer| {
+            let own = available.iter().filter(|r| r.endpoint.span.holds(layer));
             own.map(|r| free(r)).fold(0.0, f64::max)
         };
-        let rooms = (0..layers).map(|l| (roomiest(l), l));
-        let scarcest = rooms.min_by(|a, b| a.0.total_cmp(&b.0));
-        let ages = open.iter().filter_map(|r| r.known.map(|k| k.age(now)));
+        let by_layer = (0..layers).map(|l| (max_free(l), l));
+        let scarcest = by_layer.min_by(|a, b| a.0.total_cmp(&b.0));
+        let ages = available.iter().filter_map(|r| r.load.map(|l| l.age(now)));
         Self {
             known: rows.len(),
-            open: open.len(),
+            available: available.len(),
             layer: scarcest.map(|(_, layer)| layer),
             free: scarcest.map_or(0.0, |(free, _)| free),
             pipe: 0.0,
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -6,8 +6,8 @@
 //! costs its delay and its part of the shared pipe. An endpoint runs at most one stage of a chain,
 //! since engines refuse a chain that names one twice.
 
-use crate::Now;
-use crate::chain::{FILL, FILL_URGENT, Need};
+use crate::Timestamp;
+use crate::chain::{MAX_FILL, MAX_FILL_URGENT, Need};
 use crate::pipe::Pipes;
 use crate::row::Row;
 use crate::shortage::Shortage;
@@ -17,29 +17,29 @@
 use std::time::Duration;
 
 /// Most stages of a chain that an engine takes.
-const STAGES: usize = 32;
+const MAX_STAGES: usize = 32;
 /// Cost of a stage by itself, in seconds of a request: each stage is one more endpoint whose loss
 /// stalls the request.
-const STAGE: f64 = 0.004;
+const STAGE_COST_SECS: f64 = 0.004;
 /// How often a request's own transfer counts between availability zones: all requests share a pipe.
-const PIPE: f64 = 60.0;
+const PIPE_COST_FACTOR: f64 = 60.0;
 /// By how much the price of an endpoint grows until its memory is full, as a multiple of its price
 /// when empty. Even, since nodes see uses that are up to a second old: where the price grows
 /// steeply, all leave an endpoint at once and come back at once.
-const SLOPE: f64 = 5.0;
+const UTILIZATION_COST_SLOPE: f64 = 5.0;
 /// How often the wait for a place at the first endpoint counts. The queue is that of half a second
 /// ago and all nodes see it, so it is dear while it is short.
-const QUEUE: f64 = 10.0;
+const QUEUE_COST_FACTOR: f64 = 10.0;
 /// How busy an endpoint counts at the most, as a multiple of what it can do.
-const MOST_BUSY: f64 = 3.0;
+const MAX_LOAD_FACTOR: f64 = 3.0;
 /// Part of an endpoint's memory past which its price does not grow.
-const MOST_USED: f64 = 0.95;
+const MAX_PRICED_UTILIZATION: f64 = 0.95;
 /// Part of a pipe that is used at the most. Past it every request on the pipe is late.
-const MOST_PIPE: f64 = 0.75;
+const MAX_PIPE_UTILIZATION: f64 = 0.75;
 
 /// A stage: an index into the rows, and its layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Part {
+pub(crate) struct Segment {
     pub(crate) row: usize,
     pub(crate) span: Span,
 }
@@ -53,16 +53,16 @@
     /// Its room in use by all nodes.
     pub(crate) used: f64,
     /// Factor on its price.
-    pub(crate) factor: f64,
+    pub(crate) price_factor: f64,
     /// Seconds of reading that stand before this request, as far as they are placed in thought.
-    pub(crate) backlog: f64,
+    pub(crate) backlog_secs: f64,
 }
 
 /// Zones of the stages that stay on both sides of a stage which is replaced; none where the chain
-/// begins or ends. A replaced stage in another zone costs two hops, over which all tokens so far go
+/// begins or neighbors. A replaced stage in another zone costs two hops, over which all tokens so far go
 /// at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct Neighbors {
     pub(crate) before: Option<usize>,
     pub(crate) after: Option<usize>,
 }
@@ -93,49 +93,57 @@
     /// Availability zones by number.
     pub(crate) zones: &'a [String],
     /// What stays of the chain around the layers.
-    pub(crate) ends: Ends,
+    pub(crate) neighbors: Neighbors,
     /// Nodes that send requests as this one does.
     pub(crate) nodes: f64,
     /// What this node sends between zones.
     pub(crate) pipes: &'a Pipes,
     /// How long requests stay on their chains.
-    pub(crate) stay: Duration,
-    pub(crate) now: Now,
+    pub(crate) residence: Duration,
+    pub(crate) now: Timestamp,
 }
 
 /// A cut and an availability zone, by number: where a way through the layers stands.
-type Place = (usize, usize);
+type Vertex = (usize, usize);
 
 /// The cheapest way to have run all layers before a cut, with the last stage in one zone.
 #[derive(Clone, Copy, Debug)]
-struct Best {
+struct Path {
     cost: f64,
-    part: Part,
+    segment: Segment,
     /// Where the way stood before this stage.
-    from: Option<Place>,
+    previous: Option<Vertex>,
 }
 
 impl Search<'_> {
     /// The cheapest chain.
-    pub(crate) fn chain(&self, need: &Need) -> Result<Vec<Part>, Shortage> {
-        debug_assert!(self.rows.iter().all(|c| c.row.open(self.now)));
+    pub(crate) fn cheapest_chain(&self, need: &Need) -> Result<Vec<Segment>, Shortage> {
+        debug_assert!(self.rows.iter().all(|c| c.row.is_available(self.now)));
         let cuts = self.cuts();
-        if !self.covered(&cuts) {
+        if !self.is_covered(&cuts) {
             return Err(Shortage::Layers);
         }
-        let fill = if need.urgent { FILL_URGENT } else { FILL };
+        let max_fill = if need.urgent {
+            MAX_FILL_URGENT
+        } else {
+            MAX_FILL
+        };
         let size = need.tokens();
-        let largest = |l: Layer| self.largest(l) * FILL_URGENT >= size;
-        if !(self.span.from..self.span.to).all(largest) {
+        let fits = |l: Layer| self.max_capacity(l) * MAX_FILL_URGENT >= size;
+        if !(self.span.from..self.span.to).all(fits) {
             return Err(Shortage::Size);
         }
-        let hops = self.hops(need);
-        let prices: Vec<f64> = self.rows.iter().map(|c| self.price(c, need)).collect();
-        let mut best: Vec<Option<Best>> = vec![None; cuts.len() * self.zones.len()];
-        let mut reach: Vec<bool> = vec![false; cuts.len()];
-        reach[0] = true;
+        let hops = self.hop_costs(need);
+        let prices: Vec<f64> = self
+            .rows
+            .iter()
+            .map(|c| self.price_per_layer(c, need))
+            .collect();
+        let mut best: Vec<Option<Path>> = vec![None; cuts.len() * self.zones.len()];
+        let mut reached: Vec<bool> = vec![false; cuts.len()];
+        reached[0] = true;
         for at in 0..cuts.len() - 1 {
-            if !reach[at] {
+            if !reached[at] {
                 continue;
             }
             for (candidate, price) in self.rows.iter().zip(&prices) {
@@ -143,48 +151,48 @@
                     index,
                     row,
                     used,
-                    backlog,
+                    backlog_secs,
                     ..
                 } = candidate;
                 let span = row.endpoint.span;
                 if !span.holds(cuts[at]) {
                     continue;
                 }
-                let Some((start, from)) = self.entry(&best, &hops, at, row, index) else {
+                let Some((start, previous)) = self.best_entry(&best, &hops, at, row, index) else {
                     continue;
                 };
-                let room = row.room * fill - used;
+                let free = row.capacity * max_fill - used;
                 for to in at + 1..cuts.len() {
                     if cuts[to] > span.to.min(self.span.to) {
                         break;
                     }
                     let layers = cuts[to] - cuts[at];
-                    if size * f64::from(layers) > room {
+                    if size * f64::from(layers) > free {
                         break;
                     }
-                    let cost = start + STAGE + backlog + price * f64::from(layers);
+                    let cost = start + STAGE_COST_SECS + backlog_secs + price * f64::from(layers);
                     let slot = &mut best[self.slot((to, row.zone))];
                     if slot.is_none_or(|b| cost < b.cost) {
                         let span = Span {
                             from: cuts[at],
                             to: cuts[to],
                         };
-                        *slot = Some(Best {
+                        *slot = Some(Path {
                             cost,
-                            part: Part { row: index, span },
-                            from,
+                            segment: Segment { row: index, span },
+                            previous,
                         });
-                        reach[to] = true;
+                        reached[to] = true;
                     }
                 }
             }
         }
         let end = cuts.len() - 1;
-        self.walk(&best, &hops, end).ok_or(Shortage::Room)
+        self.backtrack(&best, &hops, end).ok_or(Shortage::Capacity)
     }
 
     /// Where the best way to a place is kept.
-    fn slot(&self, (at, zone): Place) -> usize {
+    fn slot(&self, (at, zone): Vertex) -> usize {
         at * self.zones.len() + zone
     }
 
@@ -199,32 +207,32 @@
         cuts
     }
 
-    fn covered(&self, cuts: &[Layer]) -> bool {
+    fn is_covered(&self, cuts: &[Layer]) -> bool {
         let mut cuts = cuts.iter().filter(|&&c| c < self.span.to);
         cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.holds(c)))
     }
 
     /// Most tokens that any endpoint could hold of a request if it ran just this layer, empty.
-    fn largest(&self, layer: Layer) -> f64 {
+    fn max_capacity(&self, layer: Layer) -> f64 {
         let rows = self.rows.iter().map(|c| c.row);
         let rows = rows.filter(|r| r.endpoint.span.holds(layer));
-        rows.map(|r| r.room).fold(0.0, f64::max)
+        rows.map(|r| r.capacity).fold(0.0, f64::max)
     }
 
     /// Cost before a stage on `row` that begins at cut `at`, and the way there.
-    fn entry(
+    fn best_entry(
         &self,
-        best: &[Option<Best>],
+        best: &[Option<Path>],
         hops: &Hops,
         at: usize,
         row: &Row,
         index: usize,
-    ) -> Option<(f64, Option<Place>)> {
+    ) -> Option<(f64, Option<Vertex>)> {
         if at == 0 {
-            let hop = hops.cost(self.ends.before, Some(row.zone))?;
-            return Some((hop + self.queue(row), None));
+            let hop = hops.cost(self.neighbors.before, Some(row.zone))?;
+            return Some((hop + self.queue_cost(row), None));
         }
-        let mut found: Option<(f64, Option<Place>)> = None;
+        let mut found: Option<(f64, Option<Vertex>)> = None;
         for zone in 0..self.zones.len() {
             let Some(before) = best[self.slot((at, zone))] else {
                 continue;
@@ -234,7 +242,7 @@
             };
             let cost = before.cost + hop;
             let cheaper = found.is_none_or(|(c, _)| cost < c);
-            if cheaper && !self.names(best, (at, zone), index) {
+            if cheaper && !self.path_uses(best, (at, zone), index) {
                 found = Some((cost, Some((at, zone))));
             }
         }
@@ -243,23 +251,23 @@
 
     /// Price of the wait before a chain begins at this row. An endpoint begins a bounded number of
     /// chains at once, whatever memory it has; those beyond wait, and their callers with them.
-    fn queue(&self, row: &Row) -> f64 {
+    fn queue_cost(&self, row: &Row) -> f64 {
         let slots = f64::from(row.endpoint.slots.max(1));
-        let queued = row.known.map_or(0, |k| k.queued(self.now));
+        let queued = row.load.map_or(0, |l| l.queued(self.now));
         match self.span.from {
-            0 => QUEUE * f64::from(queued) * self.stay.as_secs_f64() / slots,
+            0 => QUEUE_COST_FACTOR * f64::from(queued) * self.residence.as_secs_f64() / slots,
             // The endpoints of a detour are not the first of their chain.
             _ => 0.0,
         }
     }
 
     /// Whether the way to a state has a stage on this row.
-    fn names(&self, best: &[Option<Best>], mut state: Place, row: usize) -> bool {
+    fn path_uses(&self, best: &[Option<Path>], mut state: Vertex, row: usize) -> bool {
         while let Some(before) = best[self.slot(state)] {
-            if before.part.row == row {
+            if before.segment.row == row {
                 return true;
             }
-            match before.from {
+            match before.previous {
                 Some(from) => state = from,
                 None => return false,
             }
@@ -268,15 +276,17 @@
     }
 
     /// What hops between all zones cost this request.
-    fn hops(&self, need: &Need) -> Hops {
+    fn hop_costs(&self, need: &Need) -> Hops {
         let zones = self.zones.len();
         let pairs = (0..zones).flat_map(|from| (0..zones).map(move |to| (from, to)));
-        let costs = pairs.map(|(from, to)| self.hop(from, to, need)).collect();
+        let costs = pairs
+            .map(|(from, to)| self.hop_cost(from, to, need))
+            .collect();
         Hops { zones, costs }
     }
 
     /// Time that a hop costs a request; nothing if the pipe can't take it.
-    fn hop(&self, from: usize, to: usize, need: &Need) -> Option<f64> {
+    fn hop_cost(&self, from: usize, to: usize, need: &Need) -> Option<f64> {
         if from == to {
             return Some(0.0);
         }
@@ -284,74 +294,89 @@
         let capacity = self.engine.pipe_bits.max(1.0);
         let transfer = bits(self.engine, need) / capacity;
         let used = self.pipes.rate(self.now, from, to) * self.nodes / capacity;
-        if used > MOST_PIPE {
+        if used > MAX_PIPE_UTILIZATION {
             return None;
         }
         // A token waits for the one before it, so each token pays the delay. The pipe is shared
         // by all requests, so a request's part of it counts several times its own transfer.
-        Some(delay.as_secs_f64() * f64::from(need.size.answer) + PIPE * transfer / (1.0 - used))
+        Some(
+            delay.as_secs_f64() * f64::from(need.size.answer)
+                + PIPE_COST_FACTOR * transfer / (1.0 - used),
+        )
     }
 
     /// Time that a request spends at each layer of a stage, dearer the fuller its memory is.
-    fn price(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
+    fn price_per_layer(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
         let &Candidate { row, used, .. } = candidate;
-        let part = self.engine.part(1);
+        let layer_fraction = self.engine.part(1);
         // Requests under way there, by the room that one of this size would take.
-        let held = f64::from(row.endpoint.span.len()) * need.tokens();
-        let flying = used / held.max(1.0);
-        let each = self.engine.per_request.as_secs_f64()
+        let per_request = f64::from(row.endpoint.span.len()) * need.tokens();
+        let in_flight = used / per_request.max(1.0);
+        let request_time = self.engine.per_request.as_secs_f64()
             + self.engine.per_context.as_secs_f64() * need.tokens() / 1000.0;
-        let crowd = 1.0 + flying * each / self.engine.step.as_secs_f64().max(1e-9);
-        let write = row.step * crowd * f64::from(need.size.answer);
-        let read = row.read * f64::from(need.size.prompt);
-        let used = (used / row.room.max(1.0)).clamp(0.0, MOST_USED);
-        let busy = (flying * row.slow / row.most.max(1.0)).min(MOST_BUSY);
-        (write + read) * part * row.slow * (1.0 + SLOPE * used.max(busy)) * candidate.factor
+        let batch_factor =
+            1.0 + in_flight * request_time / self.engine.step.as_secs_f64().max(1e-9);
+        let decode = row.step_secs * batch_factor * f64::from(need.size.answer);
+        let prefill = row.prefill_secs * f64::from(need.size.prompt);
+        let utilization = (used / row.capacity.max(1.0)).clamp(0.0, MAX_PRICED_UTILIZATION);
+        let load = (in_flight * row.slowdown / row.saturation.max(1.0)).min(MAX_LOAD_FACTOR);
+        (decode + prefill)
+            * layer_fraction
+            * row.slowdown
+            * (1.0 + UTILIZATION_COST_SLOPE * utilization.max(load))
+            * candidate.price_factor
     }
 
-    fn walk(&self, best: &[Option<Best>], hops: &Hops, end: usize) -> Option<Vec<Part>> {
+    fn backtrack(&self, best: &[Option<Path>], hops: &Hops, end: usize) -> Option<Vec<Segment>> {
         let last = (0..self.zones.len()).filter_map(|zone| {
             let last = best[self.slot((end, zone))]?;
-            let cost = last.cost + hops.cost(Some(zone), self.ends.after)?;
-            Some(Best { cost, ..last })
+            let cost = last.cost + hops.cost(Some(zone), self.neighbors.after)?;
+            Some(Path { cost, ..last })
         });
         let last = last.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-        let mut parts = vec![last.part];
-        let mut from = last.from;
-        while let Some((at, zone)) = from {
+        let mut segments = vec![last.segment];
+        let mut previous = last.previous;
+        while let Some((at, zone)) = previous {
             let before = best[self.slot((at, zone))]?;
-            parts.push(before.part);
-            from = before.from;
+            segments.push(before.segment);
+            previous = before.previous;
         }
-        parts.reverse();
-        (parts.len() <= STAGES).then_some(parts)
+        segments.reverse();
+        (segments.len() <= MAX_STAGES).then_some(segments)
     }
 }
 
 /// Takes `tokens` tokens as under way on a chain, for the next search.
-pub(crate) fn load(rows: &mut [Candidate<'_>], chain: &[Part], tokens: f64) {
-    for (candidate, part) in along(rows, chain) {
-        candidate.used += tokens * f64::from(part.span.len());
+pub(crate) fn add_load(rows: &mut [Candidate<'_>], chain: &[Segment], tokens: f64) {
+    for (candidate, segment) in candidates_on(rows, chain) {
+        candidate.used += tokens * f64::from(segment.span.len());
     }
 }
 
 /// Takes `tokens` tokens as being read anew on a chain, for the next search: they take room there
 /// and time before whatever comes later.
-pub(crate) fn reread(engine: &Engine, rows: &mut [Candidate<'_>], chain: &[Part], tokens: f64) {
-    load(rows, chain, tokens);
-    for (candidate, part) in along(rows, chain) {
+pub(crate) fn add_prefill(
+    engine: &Engine,
+    rows: &mut [Candidate<'_>],
+    chain: &[Segment],
+    tokens: f64,
+) {
+    add_load(rows, chain, tokens);
+    for (candidate, segment) in candidates_on(rows, chain) {
         let row = candidate.row;
-        candidate.backlog += row.read * row.slow * tokens * engine.part(part.span.len());
+        candidate.backlog_secs +=
+            row.prefill_secs * row.slowdown * tokens * engine.part(segment.span.len());
     }
 }
 
 /// The candidates that a chain runs on, each with its part; a chain has no endpoint twice.
-fn along<'r, 'a>(
+fn candidates_on<'r, 'a>(
     rows: &'r mut [Candidate<'a>],
-    chain: &'r [Part],
-) -> impl Iterator<Item = (&'r mut Candidate<'a>, &'r Part)> {
-    let part = |c: &Candidate<'_>| chain.iter().find(|p| p.row == c.index);
-    rows.iter_mut().filter_map(move |c| part(c).map(|p| (c, p)))
+    chain: &'r [Segment],
+) -> impl Iterator<Item = (&'r mut Candidate<'a>, &'r Segment)> {
+    let segment = |c: &Candidate<'_>| chain.iter().find(|s| s.row == c.index);
+    rows.iter_mut()
+        .filter_map(move |c| segment(c).map(|s| (c, s)))
 }
 
 /// Bits that a request sends over one hop.
--- a/crates/steer/src/table/chain.rs
+++ b/crates/steer/src/selector/chain.rs
@@ -1,15 +1,15 @@
 //! The choice of a chain.
 
-use super::Steer;
+use super::Selector;
 use crate::chain::Need;
 use crate::jitter::Jitter;
 use crate::row::Row;
-use crate::search::{self, Candidate, Ends, Part, Search};
+use crate::search::{self, Candidate, Neighbors, Search, Segment};
 use crate::shortage::Shortage;
 use crate::shortlist::{self, Holder};
 use crate::target::Stage;
-use crate::unseen::{self, Flow};
-use crate::{Now, Result};
+use crate::unreported::{self, Flow};
+use crate::{Result, Timestamp};
 use catalog::endpoint::{Run, Span};
 use catalog::engine::Engine;
 use catalog::service::Service;
@@ -20,52 +20,65 @@
 pub(super) struct Shortlist<'a> {
     pub(super) rows: &'a [usize],
     /// Part of the usable rows that these are.
-    pub(super) part: f64,
+    pub(super) fraction: f64,
 }
 
-impl Steer {
+impl Selector {
     /// A chain for a request of a model service that was not sent to any of `tried`.
     pub(super) fn chain(
         &mut self,
-        now: Now,
+        now: Timestamp,
         service: &Service,
         engine: &Engine,
         need: &Need,
         tried: &[Run],
-    ) -> Result<Vec<Part>> {
-        let draw = self.rng.random_range(0..unseen::PARTS);
+    ) -> Result<Vec<Segment>> {
+        let increments = self.rng.random_range(0..unreported::INCREMENTS);
         let flow = self.flow(service, engine);
         let usable = |row: &Row| {
             let endpoint = &row.endpoint;
-            endpoint.service == service.name && row.open(now) && !tried.contains(&endpoint.run)
+            endpoint.service == service.name
+                && row.is_available(now)
+                && !tried.contains(&endpoint.run)
         };
         let usable = self.usable(usable);
         if usable.is_empty() {
             return Err(Shortage::Endpoints);
         }
-        self.over_shortlist(engine, &usable, |listed| {
-            let rows = self.candidates(now, flow.stay(), listed.rows);
-            self.place(now, engine, need, rows, flow.scaled(listed.part), draw)
+        self.search_shortlist(engine, &usable, |listed| {
+            let rows = self.candidates(now, flow.residence(), listed.rows);
+            self.chain_after_others(
+                now,
+                engine,
+                need,
+                rows,
+                flow.scaled(listed.fraction),
+                increments,
+            )
         })
     }
 
     /// Looks for a chain among few of the usable rows, and among all of them if these few have none.
-    pub(super) fn over_shortlist(
+    pub(super) fn search_shortlist(
         &self,
         engine: &Engine,
         usable: &[usize],
-        find: impl Fn(Shortlist<'_>) -> Result<Vec<Part>>,
-    ) -> Result<Vec<Part>> {
+        find: impl Fn(Shortlist<'_>) -> Result<Vec<Segment>>,
+    ) -> Result<Vec<Segment>> {
         let all = Shortlist {
             rows: usable,
-            part: 1.0,
+            fraction: 1.0,
         };
         let few = self.shortlist(engine, usable);
         if few.len() == usable.len() {
             return find(all);
         }
-        let part = few.len() as f64 / usable.len() as f64;
-        find(Shortlist { rows: &few, part }).or_else(|_| find(all))
+        let fraction = few.len() as f64 / usable.len() as f64;
+        find(Shortlist {
+            rows: &few,
+            fraction,
+        })
+        .or_else(|_| find(all))
     }
 
     /// A few of these rows, drawn anew for each request.
@@ -75,8 +88,8 @@
             zone: self.rows[row].zone,
         };
         let holders: Vec<Holder> = usable.iter().map(holder).collect();
-        let few = shortlist::draw(&mut self.rng.clone(), engine.layers, &holders);
-        few.into_iter().map(|at| usable[at]).collect()
+        let sample = shortlist::sample(&mut self.rng.clone(), engine.layers, &holders);
+        sample.into_iter().map(|at| usable[at]).collect()
     }
 
     /// Indexes of the rows that may be used.
@@ -88,32 +101,36 @@
 
     /// The chain that is the cheapest once others have placed so many parts of the requests that
     /// no report shows yet.
-    fn place(
+    fn chain_after_others(
         &self,
-        now: Now,
+        now: Timestamp,
         engine: &Engine,
         need: &Need,
         mut rows: Vec<Candidate<'_>>,
         flow: Flow,
-        parts: u32,
-    ) -> Result<Vec<Part>> {
-        let stay = flow.stay();
-        let others = flow.others(now, self.choosers(), lag(now, &rows));
-        let tokens = need.tokens() * others / f64::from(unseen::PARTS);
-        unseen::after(
+        increments: u32,
+    ) -> Result<Vec<Segment>> {
+        let residence = flow.residence();
+        let others =
+            flow.others_in_flight(now, self.selecting_nodes(), mean_report_age(now, &rows));
+        let tokens = need.tokens() * others / f64::from(unreported::INCREMENTS);
+        unreported::assign_incrementally(
             &mut rows,
-            parts,
-            |rows| self.search(now, engine, stay, rows).chain(need),
-            |rows, chain| search::load(rows, chain, tokens),
+            increments,
+            |rows| {
+                self.search(now, engine, residence, rows)
+                    .cheapest_chain(need)
+            },
+            |rows, chain| search::add_load(rows, chain, tokens),
         )
     }
 
     /// A search for a whole chain.
     pub(super) fn search<'a>(
         &'a self,
-        now: Now,
+        now: Timestamp,
         engine: &'a Engine,
-        stay: Duration,
+        residence: Duration,
         rows: &'a [Candidate<'a>],
     ) -> Search<'a> {
         Search {
@@ -122,26 +139,26 @@
                 from: 0,
                 to: engine.layers,
             },
-            ends: Ends::default(),
+            neighbors: Neighbors::default(),
             rows,
             zones: &self.zones,
             nodes: self.nodes(),
             pipes: &self.pipes,
-            stay,
+            residence,
             now,
         }
     }
 
     /// How requests of a model service come and stay.
     pub(super) fn flow(&self, service: &Service, engine: &Engine) -> Flow {
-        let known = self.flows.get(&service.name);
-        known.copied().unwrap_or(Flow::new(engine.stay()))
+        let flow = self.flows.get(&service.name);
+        flow.copied().unwrap_or(Flow::new(engine.stay()))
     }
 
     /// Counts what goes over pipes when each of these zones hands on to the next.
-    pub(super) fn send(&mut self, now: Now, zones: &[usize], bits: f64) {
+    pub(super) fn record_hops(&mut self, now: Timestamp, zones: &[usize], bits: f64) {
         let hops = zones.windows(2).filter(|hop| hop[0] != hop[1]);
-        hops.for_each(|hop| self.pipes.send(now, hop[0], hop[1], bits));
+        hops.for_each(|hop| self.pipes.record(now, hop[0], hop[1], bits));
     }
 
     /// Hops of a chain between availability zones, as far as its endpoints are known.
@@ -158,22 +175,22 @@
     /// The endpoints that a stage may run on, each with its chance factor.
     pub(super) fn candidates(
         &self,
-        now: Now,
-        stay: Duration,
+        now: Timestamp,
+        residence: Duration,
         rows: &[usize],
     ) -> Vec<Candidate<'_>> {
         // A generator of its own, since the table is borrowed by the candidates.
         let mut rng = self.rng.clone();
         let nodes = self.nodes();
-        let jitter = Jitter::new(&mut rng, self.choosers(), self.zones.len());
+        let jitter = Jitter::new(&mut rng, self.selecting_nodes(), self.zones.len());
         let candidate = |&index: &usize| {
             let row = &self.rows[index];
             Candidate {
                 index,
                 row,
-                used: row.used(now, nodes, stay),
-                factor: jitter.row(&mut rng, row.zone),
-                backlog: 0.0,
+                used: row.used(now, nodes, residence),
+                price_factor: jitter.factor(&mut rng, row.zone),
+                backlog_secs: 0.0,
             }
         };
         rows.iter().map(candidate).collect()
@@ -181,8 +198,8 @@
 }
 
 /// Mean age of the reports by which these are chosen.
-fn lag(now: Now, rows: &[Candidate<'_>]) -> Duration {
-    let ages = rows.iter().filter_map(|c| c.row.known.map(|k| k.age(now)));
+fn mean_report_age(now: Timestamp, rows: &[Candidate<'_>]) -> Duration {
+    let ages = rows.iter().filter_map(|c| c.row.load.map(|l| l.age(now)));
     let (count, sum) = ages.fold((0, Duration::ZERO), |(n, sum), age| (n + 1, sum + age));
     sum.checked_div(count).unwrap_or_default()
 }
--- a/crates/steer/src/table/depart.rs
+++ b/crates/steer/src/selector/departing.rs
@@ -1,11 +1,11 @@
 //! Stages of chains under way that are about to go.
 
-use super::Steer;
+use super::Selector;
 use crate::target::{Stage, Target};
 use catalog::endpoint::State;
 use std::net::SocketAddr;
 
-impl Steer {
+impl Selector {
     /// The first stage of a chain under way, its head left out, that will not serve to the answer's
     /// end: its endpoint leaves, is no longer registered, or gives up the stage's layers or is about
     /// to. The head can't be replaced, since the request is there.
@@ -22,6 +22,6 @@
         let endpoint = &row.endpoint;
         let (held, used) = (endpoint.span, stage.span);
         let holds = held.from <= used.from && used.to <= held.to;
-        endpoint.state != State::Ready || row.moving || !holds
+        endpoint.state != State::Ready || row.releasing || !holds
     }
 }
--- a/crates/steer/src/shortage.rs
+++ b/crates/steer/src/shortage.rs
@@ -8,18 +8,18 @@
     /// No chain of endpoints in use holds all layers.
     Layers,
     /// Endpoints are there, but they are full.
-    Room,
+    Capacity,
     /// The request is larger than any chain has memory for.
     Size,
 }
 
 impl Shortage {
     /// The word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Endpoints => "no endpoint",
             Self::Layers => "layers missing",
-            Self::Room => "no room",
+            Self::Capacity => "no room",
             Self::Size => "too large",
         }
     }
--- a/crates/steer/src/shortlist.rs
+++ b/crates/steer/src/shortlist.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 /// Holders of each layer in each zone that a search looks at, if there are so many.
-pub const HOLDERS: u32 = 6;
+pub const HOLDERS_PER_LAYER: u32 = 6;
 
 /// The layers that an endpoint holds, and the number of its availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,20 +24,20 @@
 }
 
 /// Indexes of the holders that are looked at, in ascending order: so many that each of `layers`
-/// layers has [`HOLDERS`] in each zone, or all that there are.
-pub fn draw(rng: &mut impl Rng, layers: Layer, holders: &[Holder]) -> Vec<usize> {
+/// layers has [`HOLDERS_PER_LAYER`] in each zone, or all that there are.
+pub fn sample(rng: &mut impl Rng, layers: Layer, holders: &[Holder]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..holders.len()).collect();
     order.shuffle(rng);
     let mut zones: BTreeMap<usize, Vec<u32>> = BTreeMap::new();
     order.retain(|&at| {
         let Holder { span, zone } = holders[at];
-        let held = zones.entry(zone);
-        let held = held.or_insert_with(|| vec![0; layers as usize]);
+        let counts = zones.entry(zone);
+        let counts = counts.or_insert_with(|| vec![0; layers as usize]);
         let own = span.from.min(layers) as usize..span.to.min(layers) as usize;
-        let Some(own) = held.get_mut(own) else {
+        let Some(own) = counts.get_mut(own) else {
             return false;
         };
-        let wanted = own.iter().any(|&n| n < HOLDERS);
+        let wanted = own.iter().any(|&n| n < HOLDERS_PER_LAYER);
         own.iter_mut().for_each(|n| *n += u32::from(wanted));
         wanted
     });
--- a/crates/steer/src/target.rs
+++ b/crates/steer/src/target.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// A number that names what an attempt holds at endpoints until it ends.
-pub type Hold = u64;
+pub type ReservationId = u64;
 
 /// One stage of a chain, or the one endpoint of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// What it holds, to be given back at the attempt's end.
-    pub hold: Hold,
+    pub reservation: ReservationId,
     /// The stages in the order of their layers; at least one.
     pub stages: Vec<Stage>,
 }
@@ -33,7 +33,7 @@
     }
 
     /// Whether the first stage runs all layers by itself.
-    pub fn single(&self) -> bool {
+    pub fn is_single(&self) -> bool {
         self.stages.len() == 1
     }
 }
--- a/crates/steer/src/note.rs
+++ b/crates/steer/src/transition.rs
@@ -4,7 +4,7 @@
 
 /// A finding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Transition {
     /// It has failed again after it was left out for a while.
     Down(Run),
     /// It does well again.
--- a/crates/steer/tests/budget.rs
+++ b/crates/steer/tests/budget.rs
@@ -25,9 +25,9 @@
         while now < Duration::from_secs(40) {
             now += Duration::from_micros(rng.random_range(1..20_000));
             let node = rng.random_range(0..NODES);
-            budgets[node].first(now, &ALLOWANCE);
+            budgets[node].record_request(now, &ALLOWANCE);
             first.push(now);
-            if budgets[node].take(now, &ALLOWANCE, NODES) {
+            if budgets[node].try_retry(now, &ALLOWANCE, NODES) {
                 further.push(now);
             }
         }
@@ -47,13 +47,13 @@
     let mut budget = Budget::default();
     let mut granted = 0;
     // A node knows the others after its first window; before that it takes less.
-    while budget.take(Duration::from_secs(20), &ALLOWANCE, 1) {
+    while budget.try_retry(Duration::from_secs(20), &ALLOWANCE, 1) {
         granted += 1;
     }
     // Four fifths of the fixed part; what is kept back is for nodes that start anew.
     assert_eq!(granted, 32);
-    assert!(!budget.take(Duration::from_secs(29), &ALLOWANCE, 1));
-    assert!(budget.take(Duration::from_secs(32), &ALLOWANCE, 1));
+    assert!(!budget.try_retry(Duration::from_secs(29), &ALLOWANCE, 1));
+    assert!(budget.try_retry(Duration::from_secs(32), &ALLOWANCE, 1));
 }
 
 // All nodes lose power and start again together. None knows another one yet, so each would take the
@@ -63,7 +63,7 @@
     let mut granted = 0;
     for _ in 0..10 {
         let mut budget = Budget::default();
-        while budget.take(Duration::from_secs(1), &ALLOWANCE, 1) {
+        while budget.try_retry(Duration::from_secs(1), &ALLOWANCE, 1) {
             granted += 1;
         }
     }
@@ -124,8 +124,8 @@
     for number in 0..rate * time.as_secs() as usize {
         let now = start + step * number as u32;
         let budget = &mut budgets[number % nodes];
-        budget.first(now, allowance);
-        while budget.take(now, allowance, known) {
+        budget.record_request(now, allowance);
+        while budget.try_retry(now, allowance, known) {
             spent += 1;
         }
     }
--- a/crates/steer/tests/chain.rs
+++ b/crates/steer/tests/chain.rs
@@ -8,12 +8,12 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use steer::chain::FILL;
+use steer::chain::MAX_FILL;
 use steer::health::Outcome;
 use steer::shortage::Shortage;
 use steer::target::Target;
-use steer::{Fleet, Steer};
-use support::{ALLOWANCE, LAYERS, endpoint, fleet, load, ms, need, steer};
+use steer::{Fleet, Selector};
+use support::{ALLOWANCE, LAYERS, endpoint, fleet, load, ms, need, selector};
 
 const MODEL: u32 = 0;
 
@@ -37,7 +37,9 @@
         endpoint(2, "a", "fast", 3, 6),
         endpoint(3, "a", "fast", 5, 8),
     ];
-    let target = steer(rows).target(ms(0), MODEL, &need(100), &[]).unwrap();
+    let target = selector(rows)
+        .select(ms(0), MODEL, &need(100), &[])
+        .unwrap();
     verify(&target);
 }
 
@@ -47,27 +49,34 @@
         endpoint(1, "a", "fast", 0, 5),
         endpoint(2, "a", "fast", 6, 8),
     ];
-    let short = |steer: &mut steer::Steer, tokens| {
-        steer.target(ms(0), MODEL, &need(tokens), &[]).unwrap_err()
+    let short = |selector: &mut steer::Selector, tokens| {
+        selector
+            .select(ms(0), MODEL, &need(tokens), &[])
+            .unwrap_err()
     };
-    assert_eq!(short(&mut steer(gap), 100), Shortage::Layers);
-    assert_eq!(short(&mut steer(Vec::new()), 100), Shortage::Endpoints);
+    assert_eq!(short(&mut selector(gap), 100), Shortage::Layers);
+    assert_eq!(short(&mut selector(Vec::new()), 100), Shortage::Endpoints);
     // 8 layers leave 2 GB, which hold 2,000 tokens times layers: 250 tokens.
-    let mut full = steer(vec![endpoint(1, "a", "fast", 0, 8)]);
-    full.target(ms(0), MODEL, &need(200), &[]).unwrap();
-    assert_eq!(short(&mut full, 200), Shortage::Room);
+    let mut full = selector(vec![endpoint(1, "a", "fast", 0, 8)]);
+    full.select(ms(0), MODEL, &need(200), &[]).unwrap();
+    assert_eq!(short(&mut full, 200), Shortage::Capacity);
     assert_eq!(short(&mut full, 5000), Shortage::Size);
 }
 
 #[test]
 fn what_ended_gives_its_room_back() {
-    let mut steer = steer(vec![endpoint(1, "a", "fast", 0, 8)]);
+    let mut selector = selector(vec![endpoint(1, "a", "fast", 0, 8)]);
     for _ in 0..10 {
-        let target = steer.target(ms(0), MODEL, &need(200), &[]).unwrap();
-        steer.end(ms(1), target.hold, Outcome::Good, None);
+        let target = selector.select(ms(0), MODEL, &need(200), &[]).unwrap();
+        selector.end(ms(1), target.reservation, Outcome::Success, None);
     }
-    assert_eq!(steer.flying(), 0);
-    assert!(steer.rows().iter().all(|r| r.held == 0.0 && r.flying == 0));
+    assert_eq!(selector.in_flight(), 0);
+    assert!(
+        selector
+            .rows()
+            .iter()
+            .all(|r| r.reserved == 0.0 && r.in_flight == 0)
+    );
 }
 
 // Activations between availability zones go over a pipe that all share; chains that cross without
@@ -80,9 +89,9 @@
         endpoint(3, "b", "slow", 0, 4),
         endpoint(4, "b", "fast", 4, 8),
     ];
-    let mut steer = steer(rows);
+    let mut selector = selector(rows);
     for _ in 0..20 {
-        let target = steer.target(ms(0), MODEL, &need(20), &[]).unwrap();
+        let target = selector.select(ms(0), MODEL, &need(20), &[]).unwrap();
         let zones: BTreeSet<_> = target
             .stages
             .iter()
@@ -91,7 +100,7 @@
         let a = zones.contains("10.0.0.1") && zones.contains("10.0.0.2");
         let b = zones.contains("10.0.0.3") && zones.contains("10.0.0.4");
         assert!(a || b, "{target:?}");
-        steer.end(ms(0), target.hold, Outcome::Unknown, None);
+        selector.end(ms(0), target.reservation, Outcome::Unknown, None);
     }
 }
 
@@ -103,19 +112,19 @@
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "b", "fast", 4, 8),
     ];
-    let mut steer = steer(rows);
+    let mut selector = selector(rows);
     let mut sent = 0;
     let refused = loop {
-        match steer.target(ms(0), MODEL, &need(1000), &[]) {
-            Ok(target) => steer.end(ms(0), target.hold, Outcome::Unknown, None),
+        match selector.select(ms(0), MODEL, &need(1000), &[]) {
+            Ok(target) => selector.end(ms(0), target.reservation, Outcome::Unknown, None),
             Err(shortage) => break shortage,
         }
         sent += 1;
         assert!(sent < 1000, "the pipe has no bound");
     };
     // 1,000 tokens of 10 kB are 80 Mbit; the pipe takes 1 Gbit/s, and two seconds are counted.
-    assert_eq!((refused, sent), (Shortage::Room, 19));
-    assert!(steer.target(ms(4000), MODEL, &need(1000), &[]).is_ok());
+    assert_eq!((refused, sent), (Shortage::Capacity, 19));
+    assert!(selector.select(ms(4000), MODEL, &need(1000), &[]).is_ok());
 }
 
 // An answer over the pipe is silent, and it is asked again and again whether it could go on
@@ -127,12 +136,12 @@
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "b", "fast", 4, 8),
     ];
-    let mut steer = steer(rows);
+    let mut selector = selector(rows);
     for _ in 0..100 {
-        assert_eq!(steer.could(ms(0), MODEL, &need(1000), &[]), Ok(()));
+        assert_eq!(selector.can_select(ms(0), MODEL, &need(1000), &[]), Ok(()));
     }
-    assert_eq!(steer.flying(), 0);
-    let target = steer.target(ms(0), MODEL, &need(1000), &[]);
+    assert_eq!(selector.in_flight(), 0);
+    let target = selector.select(ms(0), MODEL, &need(1000), &[]);
     assert!(target.is_ok(), "{target:?}");
 }
 
@@ -140,17 +149,17 @@
 fn draining_accused_and_failed_endpoints_are_left_out() {
     let mut leaving = endpoint(1, "a", "fast", 0, 8);
     leaving.state = State::Draining;
-    let mut steer = steer(vec![leaving, endpoint(2, "a", "slow", 0, 8)]);
-    let target = steer.target(ms(0), MODEL, &need(50), &[]).unwrap();
+    let mut selector = selector(vec![leaving, endpoint(2, "a", "slow", 0, 8)]);
+    let target = selector.select(ms(0), MODEL, &need(50), &[]).unwrap();
     assert_eq!(target.head().run.id, "e2");
-    steer.end(ms(0), target.hold, Outcome::Failed, None);
-    let short = steer.target(ms(1), MODEL, &need(50), &[]);
+    selector.end(ms(0), target.reservation, Outcome::Failed, None);
+    let short = selector.select(ms(1), MODEL, &need(50), &[]);
     assert_eq!(short.unwrap_err(), Shortage::Endpoints);
-    assert!(steer.target(ms(400), MODEL, &need(50), &[]).is_ok());
+    assert!(selector.select(ms(400), MODEL, &need(50), &[]).is_ok());
     let mut fleet = fleet(vec![endpoint(2, "a", "slow", 0, 8)], 3);
-    fleet.accused = std::sync::Arc::new(BTreeSet::from(["e2@1".to_owned()]));
-    steer.follow(ms(500), fleet);
-    assert!(steer.target(ms(500), MODEL, &need(50), &[]).is_err());
+    fleet.reported_failed = std::sync::Arc::new(BTreeSet::from(["e2@1".to_owned()]));
+    selector.update_fleet(ms(500), fleet);
+    assert!(selector.select(ms(500), MODEL, &need(50), &[]).is_err());
 }
 
 // A caller's answer stalls because a stage died. The rest of the chain keeps its memory, so only
@@ -164,12 +173,12 @@
         endpoint(4, "b", "fast", 2, 5),
         endpoint(5, "b", "fast", 5, 7),
     ];
-    let mut steer = steer(rows);
-    let mut target = steer.target(ms(0), MODEL, &need(50), &[]).unwrap();
+    let mut selector = selector(rows);
+    let mut target = selector.select(ms(0), MODEL, &need(50), &[]).unwrap();
     let dead = target.stages[1].addr;
-    steer.accuse(ms(1), dead);
-    target.stages = steer
-        .detour(ms(1), &target, MODEL, &need(50), dead)
+    selector.report_failed(ms(1), dead);
+    target.stages = selector
+        .reroute(ms(1), &target, MODEL, &need(50), dead)
         .unwrap();
     verify(&target);
     assert!(target.stages.iter().all(|s| s.addr != dead));
@@ -177,18 +186,21 @@
     // The head can't be replaced, and what nobody else holds neither.
     let head = target.head().addr;
     assert!(
-        steer
-            .detour(ms(1), &target, MODEL, &need(50), head)
+        selector
+            .reroute(ms(1), &target, MODEL, &need(50), head)
             .is_err()
     );
     let last = target.stages.last().unwrap().addr;
     assert!(
-        steer
-            .detour(ms(1), &target, MODEL, &need(50), last)
+        selector
+            .reroute(ms(1), &target, MODEL, &need(50), last)
             .is_err()
     );
-    steer.end(ms(2), target.hold, Outcome::Good, None);
-    assert!(steer.rows().iter().all(|r| r.held == 0.0), "{steer}");
+    selector.end(ms(2), target.reservation, Outcome::Success, None);
+    assert!(
+        selector.rows().iter().all(|r| r.reserved == 0.0),
+        "{selector}"
+    );
 }
 
 #[test]
@@ -206,27 +218,30 @@
             })
             .collect();
         let whole = (0..LAYERS).all(|l| rows.iter().any(|r| r.span.holds(l)));
-        let mut steer = steer(rows);
+        let mut selector = selector(rows);
         let mut held = Vec::new();
         for _ in 0..50 {
-            match steer.target(ms(0), MODEL, &need(rng.random_range(2..400)), &[]) {
+            match selector.select(ms(0), MODEL, &need(rng.random_range(2..400)), &[]) {
                 Ok(target) => {
                     verify(&target);
-                    held.push(target.hold);
+                    held.push(target.reservation);
                 }
                 Err(shortage) => assert_eq!(shortage == Shortage::Layers, !whole),
             }
         }
         assert!(
-            steer.rows().iter().all(|r| r.held <= r.room * FILL),
-            "seed {seed}\n{steer}"
+            selector
+                .rows()
+                .iter()
+                .all(|r| r.reserved <= r.capacity * MAX_FILL),
+            "seed {seed}\n{selector}"
         );
         for hold in held {
-            steer.end(ms(1), hold, Outcome::Good, None);
+            selector.end(ms(1), hold, Outcome::Success, None);
         }
         assert!(
-            steer.rows().iter().all(|r| r.held == 0.0),
-            "seed {seed}\n{steer}"
+            selector.rows().iter().all(|r| r.reserved == 0.0),
+            "seed {seed}\n{selector}"
         );
     }
 }
@@ -238,16 +253,16 @@
         endpoint(2, "a", "fast", 4, 8),
         endpoint(3, "a", "slow", 4, 6),
     ];
-    let mut steer = steer(rows);
+    let mut selector = selector(rows);
     // 4 layers leave 6 GB, which hold 6,000 tokens times layers: half of it is taken here.
-    steer.target(ms(0), MODEL, &need(750), &[]).unwrap();
-    let scarcity = steer.scarcity(ms(0), MODEL);
-    assert_eq!((scarcity.known, scarcity.open), (3, 3));
+    selector.select(ms(0), MODEL, &need(750), &[]).unwrap();
+    let scarcity = selector.scarcity(ms(0), MODEL);
+    assert_eq!((scarcity.known, scarcity.available), (3, 3));
     assert_eq!((scarcity.layer, scarcity.free), (Some(0), 0.5));
-    steer.accuse(ms(0), ([10, 0, 0, 2], 80).into());
-    let scarcity = steer.scarcity(ms(0), MODEL);
+    selector.report_failed(ms(0), ([10, 0, 0, 2], 80).into());
+    let scarcity = selector.scarcity(ms(0), MODEL);
     assert_eq!(
-        (scarcity.open, scarcity.layer, scarcity.free),
+        (scarcity.available, scarcity.layer, scarcity.free),
         (2, Some(6), 0.0)
     );
 }
@@ -263,13 +278,13 @@
     let begin = |queued: u32| {
         let told = |e: &Endpoint, queued| (e.run.to_string(), load(1, 0.0, queued, ms(200)));
         let loads = [told(&fast, queued), told(&rest, 50)];
-        let mut steer = Steer::new(1, ALLOWANCE);
+        let mut selector = Selector::new(1, ALLOWANCE);
         let fleet = Fleet {
             loads: Arc::new(loads.into_iter().collect()),
             ..fleet(vec![fast.clone(), slow.clone(), rest.clone()], 1)
         };
-        steer.follow(ms(0), fleet);
-        let target = steer.target(ms(10), 0, &need(200), &[]).unwrap();
+        selector.update_fleet(ms(0), fleet);
+        let target = selector.select(ms(10), 0, &need(200), &[]).unwrap();
         target.stages[0].run.clone()
     };
     assert_eq!(begin(0), fast.run);
@@ -287,18 +302,23 @@
     );
     let room = f64::from(LAYERS) * 250.0;
     let told = load(1, room * 0.66, 0, ms(1000));
-    let mut steer = Steer::new(1, ALLOWANCE);
+    let mut selector = Selector::new(1, ALLOWANCE);
     let fleet = Fleet {
         loads: Arc::new([(fast.run.to_string(), told)].into()),
         ..fleet(vec![fast.clone(), slow.clone()], 1)
     };
-    steer.follow(ms(1000), fleet);
-    let first = steer.target(ms(1000), MODEL, &need(80), &[]).unwrap();
+    selector.update_fleet(ms(1000), fleet);
+    let first = selector.select(ms(1000), MODEL, &need(80), &[]).unwrap();
     assert_eq!(first.head().run, fast.run);
-    steer.end(ms(1000), first.hold, Outcome::Named, Some(fast.addr));
+    selector.end(
+        ms(1000),
+        first.reservation,
+        Outcome::Missing,
+        Some(fast.addr),
+    );
     // It is full, and did not fail.
-    assert_eq!(steer.rows()[0].health.failures(), 0);
-    let next = steer.target(ms(1130), MODEL, &need(200), &[]).unwrap();
+    assert_eq!(selector.rows()[0].health.failures(), 0);
+    let next = selector.select(ms(1130), MODEL, &need(200), &[]).unwrap();
     assert_eq!(next.head().run, slow.run);
 }
 
@@ -308,15 +328,15 @@
 #[test]
 fn others_that_are_guessed_take_no_room() {
     let row = endpoint(1, "a", "fast", 0, 8);
-    let mut steer = Steer::new(1, ALLOWANCE);
+    let mut selector = Selector::new(1, ALLOWANCE);
     let view = Fleet {
-        choosers: 100,
+        selecting_nodes: 100,
         ..fleet(vec![row], 1)
     };
-    steer.follow(ms(0), view);
+    selector.update_fleet(ms(0), view);
     for at in 0..10 {
-        steer.first(ms(at), "model");
-        let found = steer.target(ms(at), MODEL, &need(20), &[]);
+        selector.record_request(ms(at), "model");
+        let found = selector.select(ms(at), MODEL, &need(20), &[]);
         assert!(found.is_ok(), "request {at}: {found:?}");
     }
 }
--- a/crates/steer/tests/depart.rs
+++ b/crates/steer/tests/depart.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steer::target::Target;
-use steer::{Fleet, Steer};
-use support::{endpoint, fleet, need, steer};
+use steer::{Fleet, Selector};
+use support::{endpoint, fleet, need, selector};
 
 fn rows() -> Vec<Endpoint> {
     vec![
@@ -22,20 +22,20 @@
     ]
 }
 
-fn under_way() -> (Steer, Target) {
-    let mut steer = steer(rows());
-    let target = steer.target(Duration::ZERO, 0, &need(20), &[]).unwrap();
-    assert_eq!(steer.departing(&target), None);
-    (steer, target)
+fn under_way() -> (Selector, Target) {
+    let mut selector = selector(rows());
+    let target = selector.select(Duration::ZERO, 0, &need(20), &[]).unwrap();
+    assert_eq!(selector.departing(&target), None);
+    (selector, target)
 }
 
 /// What departs once the endpoints are as `change` makes them.
 fn departs(change: impl Fn(&mut Vec<Endpoint>)) -> Option<usize> {
-    let (mut steer, target) = under_way();
+    let (mut selector, target) = under_way();
     let mut rows = rows();
     change(&mut rows);
-    steer.follow(Duration::from_secs(1), fleet(rows, 1));
-    let addr = steer.departing(&target)?;
+    selector.update_fleet(Duration::from_secs(1), fleet(rows, 1));
+    let addr = selector.departing(&target)?;
     target.stages.iter().position(|s| s.addr == addr)
 }
 
@@ -62,17 +62,17 @@
 // Guards against requests that are sent to an endpoint which is about to give up its layers, and refused.
 #[test]
 fn an_endpoint_that_is_about_to_give_up_its_layers_departs_and_gets_nothing_new() {
-    let (mut steer, target) = under_way();
+    let (mut selector, target) = under_way();
     let moved = &target.stages[1];
-    let moving = BTreeSet::from([moved.run.to_string()]);
+    let releasing = BTreeSet::from([moved.run.to_string()]);
     let view = Fleet {
-        moving: Arc::new(moving),
+        releasing: Arc::new(releasing),
         ..fleet(rows(), 1)
     };
-    steer.follow(Duration::from_secs(1), view);
-    assert_eq!(steer.departing(&target), Some(moved.addr));
-    let row = steer.rows().iter().find(|r| r.endpoint.run == moved.run);
-    assert!(row.is_some_and(|r| !r.open(Duration::from_secs(1))));
-    steer.follow(Duration::from_secs(2), fleet(rows(), 1));
-    assert_eq!(steer.departing(&target), None);
+    selector.update_fleet(Duration::from_secs(1), view);
+    assert_eq!(selector.departing(&target), Some(moved.addr));
+    let row = selector.rows().iter().find(|r| r.endpoint.run == moved.run);
+    assert!(row.is_some_and(|r| !r.is_available(Duration::from_secs(1))));
+    selector.update_fleet(Duration::from_secs(2), fleet(rows(), 1));
+    assert_eq!(selector.departing(&target), None);
 }
--- a/crates/steer/tests/detour.rs
+++ b/crates/steer/tests/detour.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use steer::chain::Need;
 use steer::health::Outcome;
-use steer::{Fleet, Steer};
-use support::{ALLOWANCE, SIZE, catalog_of, endpoint, fleet, load, model, read, steer, tokens};
+use steer::{Fleet, Selector};
+use support::{ALLOWANCE, SIZE, catalog_of, endpoint, fleet, load, model, read, selector, tokens};
 
 const NODES: usize = 84;
 /// Requests that each node has on the endpoint.
@@ -57,14 +57,14 @@
         size: SIZE,
         urgent: false,
     };
-    let mut nodes: Vec<Steer> = (0..NODES as u64)
-        .map(|n| Steer::new(n, ALLOWANCE))
+    let mut nodes: Vec<Selector> = (0..NODES as u64)
+        .map(|n| Selector::new(n, ALLOWANCE))
         .collect();
     let mut targets = Vec::new();
     for (number, node) in nodes.iter_mut().enumerate() {
-        node.follow(Duration::ZERO, base.clone());
+        node.update_fleet(Duration::ZERO, base.clone());
         for _ in 0..EACH {
-            targets.push((number, node.target(Duration::ZERO, 0, &need, &[]).unwrap()));
+            targets.push((number, node.select(Duration::ZERO, 0, &need, &[]).unwrap()));
         }
     }
     let now = Duration::from_millis(500);
@@ -83,9 +83,9 @@
     let mut reads: BTreeMap<String, f64> = BTreeMap::new();
     for (number, target) in &targets {
         let node = &mut nodes[*number];
-        node.follow(now, view.clone());
-        node.accuse(now, dead);
-        let stages = node.detour(now, target, 0, &need, dead).unwrap();
+        node.update_fleet(now, view.clone());
+        node.report_failed(now, dead);
+        let stages = node.reroute(now, target, 0, &need, dead).unwrap();
         for stage in stages.iter().filter(|s| s.addr != dead) {
             let Some(holder) = holders().into_iter().find(|e| e.run == stage.run) else {
                 continue;
@@ -126,12 +126,12 @@
                 .filter(|e| e.span.from == 3)
                 .for_each(|e| e.span.to = 8);
         }
-        let mut steer = steer(rows);
-        let target = steer.target(Duration::ZERO, 0, &need, &[]).unwrap();
+        let mut selector = selector(rows);
+        let target = selector.select(Duration::ZERO, 0, &need, &[]).unwrap();
         let dead = target.stages[1].addr;
         assert_eq!(target.stages[1].run.id, "e2");
-        steer.accuse(Duration::ZERO, dead);
-        let stages = steer.detour(Duration::ZERO, &target, 0, &need, dead);
+        selector.report_failed(Duration::ZERO, dead);
+        let stages = selector.reroute(Duration::ZERO, &target, 0, &need, dead);
         assert_eq!(stages.unwrap()[1].run.id, "e5", "last stage: {last}");
     }
 }
@@ -142,7 +142,7 @@
 fn a_change_that_the_head_refuses_holds_nothing() {
     let mut rows = chain();
     rows.extend(holders());
-    let mut steer = steer(rows);
+    let mut selector = selector(rows);
     let need = Need {
         size: SIZE,
         urgent: false,
@@ -151,21 +151,30 @@
         catalog: catalog_of(model(LOST, PLACES)),
         ..fleet(chain().into_iter().chain(holders()).collect(), 1)
     };
-    steer.follow(Duration::ZERO, model);
-    let target = steer.target(Duration::ZERO, 0, &need, &[]).unwrap();
-    let held = |steer: &Steer| -> Vec<(u32, f64)> {
-        steer.rows().iter().map(|r| (r.flying, r.held)).collect()
+    selector.update_fleet(Duration::ZERO, model);
+    let target = selector.select(Duration::ZERO, 0, &need, &[]).unwrap();
+    let held = |selector: &Selector| -> Vec<(u32, f64)> {
+        selector
+            .rows()
+            .iter()
+            .map(|r| (r.in_flight, r.reserved))
+            .collect()
     };
-    let before = held(&steer);
+    let before = held(&selector);
     for _ in 0..10 {
         let culprit = target.stages[1].addr;
-        steer
-            .detour(Duration::ZERO, &target, 0, &need, culprit)
+        selector
+            .reroute(Duration::ZERO, &target, 0, &need, culprit)
             .unwrap();
-        assert_ne!(held(&steer), before);
-        steer.retake(&target, &need);
-        assert_eq!(held(&steer), before);
+        assert_ne!(held(&selector), before);
+        selector.revert_reroute(&target, &need);
+        assert_eq!(held(&selector), before);
     }
-    steer.end(Duration::ZERO, target.hold, Outcome::Good, None);
-    assert!(steer.rows().iter().all(|r| r.flying == 0 && r.held == 0.0));
+    selector.end(Duration::ZERO, target.reservation, Outcome::Success, None);
+    assert!(
+        selector
+            .rows()
+            .iter()
+            .all(|r| r.in_flight == 0 && r.reserved == 0.0)
+    );
 }
--- a/crates/steer/tests/health.rs
+++ b/crates/steer/tests/health.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steer::health::{Health, Outcome};
-use steer::note::Note;
-use steer::{Fleet, Steer};
-use support::{ALLOWANCE, LAYERS, endpoint, fleet, load, ms, need, plain, steer};
+use steer::transition::Transition;
+use steer::{Fleet, Selector};
+use support::{ALLOWANCE, LAYERS, endpoint, fleet, load, ms, need, plain, selector};
 
 const PLAIN: u32 = 1;
 
@@ -18,8 +18,8 @@
     let mut now = 0;
     let mut trials = Vec::new();
     for _ in 0..count {
-        health.ended(ms(now), ms(now), Outcome::Failed);
-        while !health.usable(ms(now)) {
+        health.record(ms(now), ms(now), Outcome::Failed);
+        while !health.is_usable(ms(now)) {
             now += 1;
         }
         trials.push(now);
@@ -38,25 +38,25 @@
 fn requests_that_break_off_together_are_one_failure() {
     let mut health = Health::default();
     for _ in 0..100 {
-        health.ended(ms(50), ms(10), Outcome::Failed);
+        health.record(ms(50), ms(10), Outcome::Failed);
     }
     assert_eq!(health.failures(), 1);
-    assert!(health.usable(ms(350)));
+    assert!(health.is_usable(ms(350)));
 }
 
 #[test]
 fn one_good_answer_clears_an_endpoint() {
     let mut health = Health::default();
-    health.ended(ms(0), ms(0), Outcome::Failed);
-    health.ended(ms(10), ms(0), Outcome::Good);
-    assert!(health.usable(ms(10)) && health.failures() == 0);
+    health.record(ms(0), ms(0), Outcome::Failed);
+    health.record(ms(10), ms(0), Outcome::Success);
+    assert!(health.is_usable(ms(10)) && health.failures() == 0);
 }
 
 #[test]
 fn a_full_endpoint_is_passed_over_and_not_blamed() {
     let mut health = Health::default();
-    health.ended(ms(0), ms(0), Outcome::Full);
-    assert!(!health.usable(ms(100)) && health.usable(ms(120)));
+    health.record(ms(0), ms(0), Outcome::Full);
+    assert!(!health.is_usable(ms(100)) && health.is_usable(ms(120)));
     assert_eq!(health.failures(), 0);
 }
 
@@ -64,29 +64,32 @@
 // request's or this node's own, so the second in a row is told, and the recovery after it.
 #[test]
 fn the_second_failure_in_a_row_is_told() {
-    let mut steer = steer(vec![plain(1)]);
+    let mut selector = selector(vec![plain(1)]);
     let mut attempt = |now: u64, outcome| {
-        let target = steer.target(ms(now), PLAIN, &need(0), &[]).unwrap();
-        steer.end(ms(now), target.hold, outcome, None);
-        steer.take_notes()
+        let target = selector.select(ms(now), PLAIN, &need(0), &[]).unwrap();
+        selector.end(ms(now), target.reservation, outcome, None);
+        selector.take_transitions()
     };
     assert_eq!(attempt(0, Outcome::Failed), []);
     let run = plain(1).run;
-    assert_eq!(attempt(300, Outcome::Failed), [Note::Down(run.clone())]);
-    assert_eq!(attempt(900, Outcome::Good), [Note::Up(run)]);
+    assert_eq!(
+        attempt(300, Outcome::Failed),
+        [Transition::Down(run.clone())]
+    );
+    assert_eq!(attempt(900, Outcome::Success), [Transition::Up(run)]);
 }
 
 #[test]
 fn the_endpoint_with_the_least_under_way_gets_the_next_request() {
-    let mut steer = steer(vec![plain(1), plain(2), plain(3)]);
+    let mut selector = selector(vec![plain(1), plain(2), plain(3)]);
     let mut heads: Vec<_> = (0..3)
-        .map(|_| steer.target(ms(0), PLAIN, &need(0), &[]).unwrap())
+        .map(|_| selector.select(ms(0), PLAIN, &need(0), &[]).unwrap())
         .map(|t| t.head().run.id.clone())
         .collect();
     heads.sort();
     assert_eq!(heads, ["e1", "e2", "e3"]);
     let tried = [plain(1).run, plain(2).run];
-    let other = steer.target(ms(0), PLAIN, &need(0), &tried);
+    let other = selector.select(ms(0), PLAIN, &need(0), &tried);
     assert_eq!(other.unwrap().head().run.id, "e3");
 }
 
@@ -98,7 +101,7 @@
     // Told again while it lasts, since what one node tells counts for a while only.
     let mut told = named_for_two_seconds(None);
     told.dedup();
-    assert_eq!(told, vec![Note::Down(dead().run)]);
+    assert_eq!(told, vec![Transition::Down(dead().run)]);
 }
 
 // The same with an engine that is alive and full: it is never blamed, however often it refuses.
@@ -113,26 +116,26 @@
 
 /// What a node tells when one endpoint is named in each request to it for two seconds, while it
 /// goes on to report every so often.
-fn named_for_two_seconds(reports: Option<Duration>) -> Vec<Note> {
+fn named_for_two_seconds(reports: Option<Duration>) -> Vec<Transition> {
     let run = dead().run.to_string();
     // Room is 2 GB beside 8 layers, 2000 in tokens times layers.
     let view = |stamp: u64| Fleet {
         loads: Arc::new([(run.clone(), load(stamp, 1300.0, 0, Duration::ZERO))].into()),
         ..fleet(vec![dead()], 1)
     };
-    let mut steer = Steer::new(1, ALLOWANCE);
-    steer.follow(Duration::ZERO, view(0));
+    let mut selector = Selector::new(1, ALLOWANCE);
+    selector.update_fleet(Duration::ZERO, view(0));
     let mut notes = Vec::new();
     let mut reported = Duration::ZERO;
     for now in (0..2000).step_by(20).map(ms) {
         if reports.is_some_and(|every| now >= reported + every) {
             reported = now;
-            steer.follow(now, view(now.as_millis() as u64));
+            selector.update_fleet(now, view(now.as_millis() as u64));
         }
-        if let Ok(target) = steer.target(now, 0, &need(20), &[]) {
-            steer.end(now, target.hold, Outcome::Named, Some(dead().addr));
+        if let Ok(target) = selector.select(now, 0, &need(20), &[]) {
+            selector.end(now, target.reservation, Outcome::Missing, Some(dead().addr));
         }
-        notes.extend(steer.take_notes());
+        notes.extend(selector.take_transitions());
     }
     notes
 }
@@ -141,12 +144,15 @@
 // for the stage was told only once it had been given a second time, 0.3 s later.
 #[test]
 fn a_stage_that_a_head_names_is_told_at_once() {
-    let mut steer = steer(vec![endpoint(1, "a", "fast", 0, LAYERS)]);
+    let mut selector = selector(vec![endpoint(1, "a", "fast", 0, LAYERS)]);
     let row = endpoint(1, "a", "fast", 0, LAYERS);
-    steer.accuse(ms(0), row.addr);
-    steer.accuse(ms(10), row.addr);
-    assert_eq!(steer.take_notes(), [Note::Down(row.run.clone())]);
-    let target = steer.target(ms(400), 0, &need(100), &[]).unwrap();
-    steer.end(ms(500), target.hold, Outcome::Good, None);
-    assert_eq!(steer.take_notes(), [Note::Up(row.run)]);
+    selector.report_failed(ms(0), row.addr);
+    selector.report_failed(ms(10), row.addr);
+    assert_eq!(
+        selector.take_transitions(),
+        [Transition::Down(row.run.clone())]
+    );
+    let target = selector.select(ms(400), 0, &need(100), &[]).unwrap();
+    selector.end(ms(500), target.reservation, Outcome::Success, None);
+    assert_eq!(selector.take_transitions(), [Transition::Up(row.run)]);
 }
--- a/crates/steer/tests/herd.rs
+++ b/crates/steer/tests/herd.rs
@@ -17,7 +17,7 @@
 use steer::health::Outcome;
 use steer::load::Load;
 use steer::target::{Stage, Target};
-use steer::{Fleet, Steer};
+use steer::{Fleet, Selector};
 use support::{SIZE, catalog_of, endpoint, fleet, load, model, tokens};
 
 const NODES: usize = 84;
@@ -91,13 +91,13 @@
     }
 
     /// A step: answers grow, and those that are whole give their memory back.
-    fn step(&mut self, step: usize, nodes: &mut [Steer], now: Duration) {
+    fn step(&mut self, step: usize, nodes: &mut [Selector], now: Duration) {
         let mut running = std::mem::take(&mut self.running);
         while running.front().is_some_and(|r| r.end <= step) {
             let Some(ended) = running.pop_front() else {
                 break;
             };
-            nodes[ended.node].end(now, ended.target.hold, Outcome::Good, None);
+            nodes[ended.node].end(now, ended.target.reservation, Outcome::Success, None);
             self.add(&ended.target, -tokens());
         }
         let token = f64::from(SIZE.answer) / LASTS as f64;
@@ -131,7 +131,9 @@
         size: SIZE,
         urgent: false,
     };
-    let mut nodes: Vec<Steer> = (0..NODES).map(|n| Steer::new(seed(n), allowance)).collect();
+    let mut nodes: Vec<Selector> = (0..NODES)
+        .map(|n| Selector::new(seed(n), allowance))
+        .collect();
     let mut world = World {
         used: BTreeMap::new(),
         running: VecDeque::new(),
@@ -149,20 +151,22 @@
                 loads: Arc::clone(&reported),
                 ..base.clone()
             };
-            nodes.iter_mut().for_each(|n| n.follow(now, view.clone()));
+            nodes
+                .iter_mut()
+                .for_each(|n| n.update_fleet(now, view.clone()));
         }
         for start in 0..starts(step) {
             let number = (step * 31 + start * 17) % NODES;
             let node = &mut nodes[number];
-            node.first(now, "model");
-            let Ok(target) = node.target(now, 0, &need, &[]) else {
+            node.record_request(now, "model");
+            let Ok(target) = node.select(now, 0, &need, &[]) else {
                 outcomes.short += 1;
                 continue;
             };
             outcomes.sent += 1;
             if let Some(full) = world.full(&target) {
                 outcomes.refused += 1;
-                node.end(now, target.hold, Outcome::Named, Some(full));
+                node.end(now, target.reservation, Outcome::Missing, Some(full));
                 continue;
             }
             world.add(&target, f64::from(SIZE.prompt));
--- a/crates/steer/tests/shortlist.rs
+++ b/crates/steer/tests/shortlist.rs
@@ -11,9 +11,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
-use steer::Steer;
-use steer::shortlist::{self, HOLDERS, Holder};
-use support::{LAYERS, endpoint, ms, need, steer};
+use steer::Selector;
+use steer::shortlist::{self, HOLDERS_PER_LAYER, Holder};
+use support::{LAYERS, endpoint, ms, need, selector};
 
 /// Layers of the users' model.
 const MODEL: u32 = 80;
@@ -54,17 +54,20 @@
     let mut sizes = Vec::new();
     for count in [300, 1000, 3000, 4700] {
         let all = holders(count, &mut rng);
-        let few = shortlist::draw(&mut rng, MODEL, &all);
+        let few = shortlist::sample(&mut rng, MODEL, &all);
         assert!(few.is_sorted());
         let kept = held(few.iter().map(|&at| all[at]));
         for (place, &there) in &held(all.iter().copied()) {
             let kept = kept.get(place).copied().unwrap_or(0);
-            assert!(kept >= there.min(HOLDERS), "{place:?}: {kept} of {there}");
+            assert!(
+                kept >= there.min(HOLDERS_PER_LAYER),
+                "{place:?}: {kept} of {there}"
+            );
         }
         sizes.push(few.len());
     }
     // Each one drawn holds at least seven layers, one of which had too few holders before it.
-    let bound = ZONES * (MODEL * HOLDERS) as usize / 4;
+    let bound = ZONES * (MODEL * HOLDERS_PER_LAYER) as usize / 4;
     assert!(sizes.iter().all(|&n| n <= bound), "{sizes:?}");
 }
 
@@ -72,8 +75,8 @@
 #[test]
 fn a_small_fleet_is_looked_at_whole() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let all = holders(ZONES * HOLDERS as usize, &mut rng);
-    let few = shortlist::draw(&mut rng, MODEL, &all);
+    let all = holders(ZONES * HOLDERS_PER_LAYER as usize, &mut rng);
+    let few = shortlist::sample(&mut rng, MODEL, &all);
     assert_eq!(few.len(), all.len());
 }
 
@@ -86,7 +89,7 @@
         zone: 0,
     };
     let all = [holder(0, u32::MAX), holder(9, 3), holder(200, 300)];
-    assert_eq!(shortlist::draw(&mut rng, MODEL, &all), [0]);
+    assert_eq!(shortlist::sample(&mut rng, MODEL, &all), [0]);
 }
 
 /// Many endpoints of one zone, each with half of the layers.
@@ -106,8 +109,8 @@
 }
 
 /// Heads of so many chains, one chosen after the other.
-fn heads(steer: &mut Steer, chains: usize) -> BTreeSet<Run> {
-    let chosen = (0..chains).map(|_| steer.target(ms(0), 0, &need(100), &[]));
+fn heads(selector: &mut Selector, chains: usize) -> BTreeSet<Run> {
+    let chosen = (0..chains).map(|_| selector.select(ms(0), 0, &need(100), &[]));
     let chosen = chosen.map(|target| target.expect("there is room").stages[0].run.clone());
     chosen.collect()
 }
@@ -115,8 +118,8 @@
 // Guards against nodes that keep to the endpoints of one draw while hundreds of others idle.
 #[test]
 fn each_request_looks_at_others() {
-    let mut steer = steer(many(400));
-    let heads = heads(&mut steer, 100);
+    let mut selector = selector(many(400));
+    let heads = heads(&mut selector, 100);
     assert!(heads.len() >= 60, "{} heads of 200", heads.len());
 }
 
@@ -125,11 +128,11 @@
 #[test]
 fn all_endpoints_are_looked_at_before_a_refusal() {
     // Each holds four layers, with room for 1,500 tokens: one request of this size.
-    let mut steer = steer(many(120));
+    let mut selector = selector(many(120));
     for _ in 0..60 {
-        let found = steer.target(ms(0), 0, &need(1000), &[]);
+        let found = selector.select(ms(0), 0, &need(1000), &[]);
         assert!(found.is_ok(), "{found:?}");
     }
-    let full = steer.target(ms(0), 0, &need(1000), &[]);
+    let full = selector.select(ms(0), 0, &need(1000), &[]);
     assert!(full.is_err(), "{full:?}");
 }
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use steer::budget::Allowance;
 use steer::chain::Need;
 use steer::load::Load;
-use steer::{Fleet, Steer};
+use steer::{Fleet, Selector};
 
 /// Layers of the model.
 pub const LAYERS: Layer = 8;
@@ -180,16 +180,16 @@
         catalog: catalog(),
         endpoints: Arc::new(endpoints),
         nodes,
-        sharers: nodes,
+        budget_nodes: nodes,
         ..Fleet::default()
     }
 }
 
 /// A worker of one node that knows these endpoints.
-pub fn steer(endpoints: Vec<Endpoint>) -> Steer {
-    let mut steer = Steer::new(1, ALLOWANCE);
-    steer.follow(Duration::ZERO, fleet(endpoints, 1));
-    steer
+pub fn selector(endpoints: Vec<Endpoint>) -> Selector {
+    let mut selector = Selector::new(1, ALLOWANCE);
+    selector.update_fleet(Duration::ZERO, fleet(endpoints, 1));
+    selector
 }
 
 /// A request of this many tokens, half of them in its answer.
