--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -14,31 +14,31 @@
     /// Bytes of one layer's weights.
     pub layer_bytes: f64,
     /// Bytes that one token of a request takes in memory at one layer.
-    pub token_bytes: f64,
+    pub kv_bytes_per_token: f64,
     /// Bytes that one token hands on from a stage to the next.
     pub activation_bytes: f64,
     /// Time of one token step through all layers, at pace 1 and without requests.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Added to a step by each request that writes.
-    pub per_request: Duration,
+    pub step_time_per_request: Duration,
     /// Added to a step by 1,000 tokens of context of requests that write.
-    pub per_context: Duration,
+    pub step_time_per_1k_context: Duration,
     /// Prompt tokens read in a second through all layers, at read pace 1.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// Steps between two events.
-    pub stride: u32,
+    pub steps_per_event: u32,
     /// Time to load all layers.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Loads at once from which each takes longer.
-    pub loads: usize,
+    pub parallel_loads: usize,
     /// Requests at once that one endpoint takes as the first of a chain.
     pub slots: u32,
     /// Bits a second between two availability zones, shared by all.
-    pub pipe_bits: f64,
+    pub inter_zone_bps: f64,
     /// Kinds of accelerators.
-    pub kinds: Vec<Accelerator>,
+    pub accelerators: Vec<Accelerator>,
     /// Usual size of requests.
-    pub usual: Size,
+    pub typical_size: Size,
     /// Delays between availability zones; 0 where none is given.
     pub delays: Vec<Delay>,
 }
@@ -49,11 +49,11 @@
     /// Its name, by which endpoints tell theirs.
     pub name: String,
     /// Its memory.
-    pub bytes: f64,
+    pub memory_bytes: f64,
     /// Factor on the time of steps.
-    pub pace: f64,
+    pub step_factor: f64,
     /// Factor on the time to read prompts.
-    pub read: f64,
+    pub prefill_factor: f64,
 }
 
 /// Tokens of a request.
@@ -79,30 +79,31 @@
 impl Engine {
     /// The accelerator called `name`.
     pub fn accelerator(&self, name: &str) -> Option<&Accelerator> {
-        self.kinds.iter().find(|k| k.name == name)
+        self.accelerators.iter().find(|k| k.name == name)
     }
 
     /// Most layers that fit into `accelerator` with room for `tokens` tokens of requests through
     /// all of them.
-    pub fn fit(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
-        let each = self.layer_bytes + tokens.max(0.0) * self.token_bytes;
-        let most = (accelerator.bytes / each).floor();
+    pub fn max_layers(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
+        let each = self.layer_bytes + tokens.max(0.0) * self.kv_bytes_per_token;
+        let most = (accelerator.memory_bytes / each).floor();
         (most.max(0.0) as Layer).min(self.layers)
     }
 
     /// Room for requests, in tokens times layers, beside `held` layers.
-    pub fn room(&self, accelerator: &Accelerator, held: Layer) -> f64 {
-        let left = accelerator.bytes - f64::from(held) * self.layer_bytes;
-        (left / self.token_bytes).max(0.0)
+    pub fn kv_capacity(&self, accelerator: &Accelerator, held: Layer) -> f64 {
+        let left = accelerator.memory_bytes - f64::from(held) * self.layer_bytes;
+        (left / self.kv_bytes_per_token).max(0.0)
     }
 
     /// Time for which one request of this size keeps one layer busy. Steps are shared by the
     /// requests of a batch; those of [`BATCH`] requests are taken.
-    pub fn work(&self, accelerator: &Accelerator, size: Size) -> Duration {
+    pub fn layer_busy_time(&self, accelerator: &Accelerator, size: Size) -> Duration {
         let context = f64::from(size.prompt) / 1000.0;
-        let own = self.per_request.as_secs_f64() + self.per_context.as_secs_f64() * context;
-        let step = (self.step.as_secs_f64() / BATCH + own) * accelerator.pace;
-        let read = accelerator.read / self.read_rate.max(1.0);
+        let own = self.step_time_per_request.as_secs_f64()
+            + self.step_time_per_1k_context.as_secs_f64() * context;
+        let step = (self.step_time.as_secs_f64() / BATCH + own) * accelerator.step_factor;
+        let read = accelerator.prefill_factor / self.prefill_rate.max(1.0);
         let whole = step * f64::from(size.answer) + read * f64::from(size.prompt);
         let layer = whole / f64::from(self.layers.max(1));
         Duration::try_from_secs_f64(layer).unwrap_or_default()
@@ -110,19 +111,20 @@
 
     /// Time that a usual request spends in a chain that is neither idle nor full: all its steps at
     /// twice the pace of the fastest kind, since chains mix kinds.
-    pub fn stay(&self) -> Duration {
-        let paces = self.kinds.iter().map(|k| k.pace);
+    pub fn residence_time(&self) -> Duration {
+        let paces = self.accelerators.iter().map(|k| k.step_factor);
         let fastest = paces.fold(f64::INFINITY, f64::min);
         let pace = if fastest.is_finite() {
             2.0 * fastest
         } else {
             1.0
         };
-        self.step.mul_f64(f64::from(self.usual.answer) * pace)
+        self.step_time
+            .mul_f64(f64::from(self.typical_size.answer) * pace)
     }
 
     /// Part of the model that `layers` are.
-    pub fn part(&self, layers: Layer) -> f64 {
+    pub fn model_fraction(&self, layers: Layer) -> f64 {
         f64::from(layers) / f64::from(self.layers.max(1))
     }
 
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -77,7 +77,7 @@
 
     /// What it needs of a chain.
     pub fn need(&self) -> Need {
-        let usual = self.service().engine.as_ref().map(|e| e.usual);
+        let usual = self.service().engine.as_ref().map(|e| e.typical_size);
         let usual = usual.unwrap_or_default();
         let requested = self.info.size.unwrap_or(usual);
         let expected = self.info.expected_output.unwrap_or(usual.answer);
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -212,7 +212,10 @@
         let orders = plan::next_orders(engine, &holders).into_iter();
         let orders = orders.filter(|o| part.orders_to(&o.run, o.held));
         for order in orders {
-            let load = engine.load.mul_f64(engine.part(order.span.len())) * crowd;
+            let load = engine
+                .load_time
+                .mul_f64(engine.model_fraction(order.span.len()))
+                * crowd;
             self.plan(now, Planned { order, load });
         }
     }
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -141,7 +141,7 @@
     let key = |h: &Holder| {
         engine
             .accelerator(&h.kind)
-            .map_or((0.0, 0.0), |k| (k.pace, -k.bytes))
+            .map_or((0.0, 0.0), |k| (k.step_factor, -k.memory_bytes))
     };
     empty.sort_by(|a, b| {
         let (a, b) = ((key(a), &a.run), (key(b), &b.run));
--- a/crates/place/tests/plan.rs
+++ b/crates/place/tests/plan.rs
@@ -13,9 +13,9 @@
 fn kind(name: &str, gigabytes: f64, pace: f64, read: f64) -> Accelerator {
     Accelerator {
         name: name.to_owned(),
-        bytes: gigabytes * 1e9,
-        pace,
-        read,
+        memory_bytes: gigabytes * 1e9,
+        step_factor: pace,
+        prefill_factor: read,
     }
 }
 
@@ -24,23 +24,23 @@
     Engine {
         layers: 80,
         layer_bytes: 1.75e9,
-        token_bytes: 7375.0,
+        kv_bytes_per_token: 7375.0,
         activation_bytes: 29_500.0,
-        step: Duration::from_micros(1020),
-        per_request: Duration::from_nanos(4590),
-        per_context: Duration::from_nanos(6150),
-        read_rate: 164_000.0,
-        stride: 4,
-        load: Duration::from_secs(14),
-        loads: 6,
+        step_time: Duration::from_micros(1020),
+        step_time_per_request: Duration::from_nanos(4590),
+        step_time_per_1k_context: Duration::from_nanos(6150),
+        prefill_rate: 164_000.0,
+        steps_per_event: 4,
+        load_time: Duration::from_secs(14),
+        parallel_loads: 6,
         slots: 192,
-        pipe_bits: 13e9,
-        kinds: vec![
+        inter_zone_bps: 13e9,
+        accelerators: vec![
             kind("a100", 72.0, 2.4, 3.2),
             kind("v100", 14.4, 5.3, 7.9),
             kind("l4", 21.6, 16.0, 8.2),
         ],
-        usual: Size {
+        typical_size: Size {
             prompt: 775,
             answer: 216,
         },
@@ -101,7 +101,7 @@
         let kind = engine.accelerator(&holder.kind).unwrap();
         let bytes = f64::from(holder.span.len()) * engine.layer_bytes;
         assert!(
-            bytes <= kind.bytes && holder.span.to <= engine.layers,
+            bytes <= kind.memory_bytes && holder.span.to <= engine.layers,
             "{holder:?}"
         );
     }
@@ -159,19 +159,19 @@
 /// nothing is kept for requests.
 fn small_engine() -> Engine {
     Engine {
-        token_bytes: 5325.0,
-        step: Duration::from_micros(850),
-        per_request: Duration::from_nanos(2760),
-        per_context: Duration::from_nanos(3700),
-        read_rate: 272_000.0,
-        stride: 2,
-        pipe_bits: 6.5e9,
-        kinds: vec![
+        kv_bytes_per_token: 5325.0,
+        step_time: Duration::from_micros(850),
+        step_time_per_request: Duration::from_nanos(2760),
+        step_time_per_1k_context: Duration::from_nanos(3700),
+        prefill_rate: 272_000.0,
+        steps_per_event: 2,
+        inter_zone_bps: 6.5e9,
+        accelerators: vec![
             kind("a100s", 36.0, 3.1, 3.2),
             kind("l4", 21.6, 16.0, 8.2),
             kind("t4", 14.4, 15.0, 15.0),
         ],
-        usual: Size {
+        typical_size: Size {
             prompt: 775,
             answer: 150,
         },
@@ -223,10 +223,11 @@
     let mut placed = zone("a", 1, 16, 7);
     let orders = plan::next_orders(&engine, &placed);
     carry_out(&mut placed, &orders);
-    let usual = f64::from(engine.usual.prompt + engine.usual.answer);
+    let usual = f64::from(engine.typical_size.prompt + engine.typical_size.answer);
     for holder in &placed {
         let kind = engine.accelerator(&holder.kind).unwrap();
-        let places = engine.room(kind, holder.span.len()) / f64::from(holder.span.len()) / usual;
+        let places =
+            engine.kv_capacity(kind, holder.span.len()) / f64::from(holder.span.len()) / usual;
         assert!(places >= 150.0, "{}: room for {places:.0}", holder.run);
     }
     let twice = cover(&placed, None).iter().filter(|&&n| n >= 2).count();
@@ -360,7 +361,7 @@
         let own = holders.iter().filter(|h| h.span.holds(layer));
         own.map(|h| {
             let kind = engine.accelerator(&h.kind).unwrap();
-            engine.room(kind, h.span.len()) / f64::from(h.span.len())
+            engine.kv_capacity(kind, h.span.len()) / f64::from(h.span.len())
         })
         .sum()
     };
@@ -379,7 +380,7 @@
         let mut holders = fleet();
         for holder in &mut holders {
             let kind = engine.accelerator(&holder.kind).unwrap();
-            let fit = engine.fit(kind, 148_650.0);
+            let fit = engine.max_layers(kind, 148_650.0);
             let from = rng.random_range(0..=engine.layers - fit);
             holder.span = Span {
                 from,
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -291,7 +291,7 @@
             return Some(0.0);
         }
         let delay = self.engine.delay(&self.zones[from], &self.zones[to]);
-        let capacity = self.engine.pipe_bits.max(1.0);
+        let capacity = self.engine.inter_zone_bps.max(1.0);
         let transfer = bits(self.engine, need) / capacity;
         let used = self.pipes.rate(self.now, from, to) * self.nodes / capacity;
         if used > MAX_PIPE_UTILIZATION {
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -30,32 +30,32 @@
     Engine {
         layers: LAYERS,
         layer_bytes: 1e9,
-        token_bytes: 1e6,
+        kv_bytes_per_token: 1e6,
         activation_bytes: 1e4,
-        step: Duration::from_millis(1),
-        per_request: Duration::from_micros(5),
-        per_context: Duration::from_micros(5),
-        read_rate: 100_000.0,
-        stride: 1,
-        load: Duration::from_secs(10),
-        loads: 4,
+        step_time: Duration::from_millis(1),
+        step_time_per_request: Duration::from_micros(5),
+        step_time_per_1k_context: Duration::from_micros(5),
+        prefill_rate: 100_000.0,
+        steps_per_event: 1,
+        load_time: Duration::from_secs(10),
+        parallel_loads: 4,
         slots: 100,
-        pipe_bits: 1e9,
-        kinds: vec![
+        inter_zone_bps: 1e9,
+        accelerators: vec![
             Accelerator {
                 name: "fast".to_owned(),
-                bytes: 10e9,
-                pace: 1.0,
-                read: 1.0,
+                memory_bytes: 10e9,
+                step_factor: 1.0,
+                prefill_factor: 1.0,
             },
             Accelerator {
                 name: "slow".to_owned(),
-                bytes: 10e9,
-                pace: 4.0,
-                read: 4.0,
+                memory_bytes: 10e9,
+                step_factor: 4.0,
+                prefill_factor: 4.0,
             },
         ],
-        usual: Size {
+        typical_size: Size {
             prompt: 100,
             answer: 100,
         },
@@ -90,19 +90,19 @@
     let bytes = f64::from(held) * (layer + places as f64 * tokens() * token);
     let kind = |name: &str, pace| Accelerator {
         name: name.to_owned(),
-        bytes,
-        pace,
-        read: read(name),
+        memory_bytes: bytes,
+        step_factor: pace,
+        prefill_factor: read(name),
     };
     Engine {
         layer_bytes: layer,
-        token_bytes: token,
-        step: Duration::from_micros(1020),
-        per_request: Duration::from_nanos(3820),
-        per_context: Duration::from_nanos(5120),
-        read_rate: 196_000.0,
-        kinds: vec![kind("fast", 2.4), kind("slow", 5.3)],
-        usual: SIZE,
+        kv_bytes_per_token: token,
+        step_time: Duration::from_micros(1020),
+        step_time_per_request: Duration::from_nanos(3820),
+        step_time_per_1k_context: Duration::from_nanos(5120),
+        prefill_rate: 196_000.0,
+        accelerators: vec![kind("fast", 2.4), kind("slow", 5.3)],
+        typical_size: SIZE,
         ..engine()
     }
 }
