--- a/crates/catalog/src/checked.rs
+++ b/crates/catalog/src/checked.rs
@@ -26,7 +26,7 @@
     /// Teams.
     pub teams: Vec<Team>,
     /// Whether requests carry a key.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// Bounds of what callers send.
     pub limits: Limits,
     hosts: HashMap<String, Vec<RouteId>>,
@@ -92,7 +92,7 @@
             routes,
             services: tables.services,
             teams,
-            keyed: tables.teams.is_some(),
+            requires_key: tables.teams.is_some(),
             limits: tables.limits,
             keys,
         })
@@ -133,10 +133,10 @@
         prefix: raw.prefix,
         kind: raw.kind,
         timeout: raw.timeout,
-        target: raw.target,
+        latency_target: raw.latency_target,
         priority: raw.priority,
         split,
-        attempts: raw.attempts.max(1),
+        max_attempts: raw.max_attempts.max(1),
         public: raw.public,
     })
 }
--- a/crates/catalog/src/endpoint.rs
+++ b/crates/catalog/src/endpoint.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// Milliseconds of Unix time at which a run of an endpoint began.
-pub type Born = u64;
+pub type UnixMillis = u64;
 
 /// One run of an endpoint. An endpoint may start again under its old name and at its old address,
 /// and then holds nothing of before; so its name alone does not say which run a belief is about.
@@ -14,12 +14,12 @@
     /// Its name.
     pub id: String,
     /// When this run began; 0 if it does not say so.
-    pub born: Born,
+    pub started_at: UnixMillis,
 }
 
 impl fmt::Display for Run {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.id, self.born)
+        write!(f, "{}@{}", self.id, self.started_at)
     }
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// Whether `layer` is one of them.
-    pub fn holds(self, layer: Layer) -> bool {
+    pub fn contains(self, layer: Layer) -> bool {
         self.from <= layer && layer < self.to
     }
 }
@@ -80,7 +80,7 @@
     /// Whether it takes new work.
     pub state: State,
     /// Kind of its accelerator, if it runs a model.
-    pub kind: Option<String>,
+    pub accelerator: Option<String>,
     /// Layers that it holds.
     pub span: Span,
 }
--- a/crates/catalog/src/finding.rs
+++ b/crates/catalog/src/finding.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Table and row, such as `route menu`.
-    pub place: String,
+    pub location: String,
     /// What is wrong.
     pub message: String,
 }
@@ -15,7 +15,7 @@
     /// A finding about `place`.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            place: place.into(),
+            location: place.into(),
             message: message.into(),
         }
     }
@@ -23,6 +23,6 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.message)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -18,13 +18,13 @@
     /// Longest time that a request is kept waiting for its final answer.
     pub timeout: Duration,
     /// Time within which an answer, or its first event, is on time.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Rank, 0 first.
     pub priority: u8,
     /// Services that share the requests.
     pub split: Vec<S>,
     /// Endpoints that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether no key is asked for.
     pub public: bool,
 }
--- a/crates/catalog/src/service.rs
+++ b/crates/catalog/src/service.rs
@@ -8,7 +8,7 @@
     /// Its name, by which endpoints register.
     pub name: String,
     /// Connections that one endpoint accepts from all callers.
-    pub connections: usize,
+    pub max_connections: usize,
     /// What its model engine is like; nothing for a plain service.
     pub engine: Option<Engine>,
 }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -14,13 +14,13 @@
         prefix: prefix.to_owned(),
         kind: Kind::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
+        latency_target: Duration::from_millis(100),
         priority: 1,
         split: vec![Share {
             service: service.to_owned(),
             weight: 1,
         }],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -28,7 +28,7 @@
 fn service(name: &str) -> Service {
     Service {
         name: name.to_owned(),
-        connections: 10,
+        max_connections: 10,
         engine: None,
     }
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_key_stands_for_its_team_alone() {
     let catalog = Catalog::try_from(tables(Vec::new())).unwrap();
-    assert!(catalog.keyed);
+    assert!(catalog.requires_key);
     let name = |key| catalog.team(key).map(|t| t.name.as_str());
     assert_eq!(
         [name("k2"), name("k3"), name("k4")],
@@ -115,7 +115,7 @@
     ]);
     wrong.teams = Some(vec![team("north", &["k1"]), team("south", &["k1"])]);
     let findings = Catalog::try_from(wrong).unwrap_err();
-    let places: Vec<_> = findings.iter().map(|f| f.place.as_str()).collect();
+    let places: Vec<_> = findings.iter().map(|f| f.location.as_str()).collect();
     let expected = [
         "route slash",
         "route lost",
--- a/crates/gate/src/admit.rs
+++ b/crates/gate/src/admit.rs
@@ -46,7 +46,7 @@
         .ok_or(Refusal::new(Reason::NoRoute))?;
     let team = info.key.as_deref().and_then(|k| catalog.team(k)).cloned();
     let public = catalog.routes[route as usize].public;
-    if catalog.keyed && !public && team.is_none() {
+    if catalog.requires_key && !public && team.is_none() {
         return Err(Refusal::new(Reason::NoKey));
     }
     Ok(Admitted { info, route, team })
--- a/crates/gate/src/forward.rs
+++ b/crates/gate/src/forward.rs
@@ -246,7 +246,7 @@
     /// that reached an endpoint.
     pub(crate) fn again(&mut self, arrived: bool) -> bool {
         self.arrived |= arrived;
-        if self.ran >= self.job.route().attempts {
+        if self.ran >= self.job.route().max_attempts {
             return false;
         }
         if !self.arrived {
@@ -271,7 +271,7 @@
         patience: Option<Duration>,
     ) -> Result<steer::target::Target, Shortage> {
         let begun = tokio::time::Instant::now();
-        let usual = self.job.route().target.mul_f64(PATIENCE);
+        let usual = self.job.route().latency_target.mul_f64(PATIENCE);
         let patience = patience.unwrap_or(usual).min(self.job.time_left());
         let need = self.job.need();
         loop {
@@ -295,12 +295,12 @@
     /// Whether the request could go on elsewhere now. An answer that is only silent is not given up
     /// before that: the endpoint may still go on, and a caller whose answer is cut has nothing.
     pub(crate) fn could_move(&self) -> bool {
-        self.ran + 1 < self.job.route().attempts && self.could_move_on()
+        self.ran + 1 < self.job.route().max_attempts && self.could_move_on()
     }
 
     /// The same for an answer that has begun, whose run is counted already.
     pub(crate) fn could_move_on(&self) -> bool {
-        if !self.job.kind().repeatable() || self.ran >= self.job.route().attempts {
+        if !self.job.kind().repeatable() || self.ran >= self.job.route().max_attempts {
             return false;
         }
         let service = &self.job.service().name;
@@ -346,9 +346,9 @@
     /// Longest wait for an answer's head.
     fn head_limit(&self) -> Duration {
         let left = self.job.time_left();
-        let last = self.ran + 1 >= self.job.route().attempts;
+        let last = self.ran + 1 >= self.job.route().max_attempts;
         match self.job.kind() {
-            Kind::Idempotent if !last => left.min(self.job.route().target.mul_f64(SLOW)),
+            Kind::Idempotent if !last => left.min(self.job.route().latency_target.mul_f64(SLOW)),
             _ => left,
         }
     }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -77,13 +77,13 @@
         prefix: format!("/{name}/"),
         kind,
         timeout: Duration::from_secs(5),
-        target: Duration::from_millis(400),
+        latency_target: Duration::from_millis(400),
         priority: 1,
         split: vec![Share {
             service: service.to_owned(),
             weight: 1,
         }],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -103,12 +103,12 @@
         services: vec![
             Service {
                 name: "plain".to_owned(),
-                connections: 10,
+                max_connections: 10,
                 engine: None,
             },
             Service {
                 name: "model".to_owned(),
-                connections: 10,
+                max_connections: 10,
                 engine: Some(engine()),
             },
         ],
@@ -139,14 +139,14 @@
     Endpoint {
         run: Run {
             id: format!("i-{}", addr.port()),
-            born: 1,
+            started_at: 1,
         },
         service: "plain".to_owned(),
         addr,
         zone: "a".to_owned(),
         slots: 10,
         state: State::Ready,
-        kind: None,
+        accelerator: None,
         span: Span::default(),
     }
 }
@@ -155,7 +155,7 @@
 pub fn stage(addr: SocketAddr, from: Layer, to: Layer) -> Endpoint {
     Endpoint {
         service: "model".to_owned(),
-        kind: Some("card".to_owned()),
+        accelerator: Some("card".to_owned()),
         span: Span { from, to },
         ..plain(addr)
     }
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -208,7 +208,7 @@
         if fresh && now < self.arrived + self.gather {
             return;
         }
-        let crowd = holders.len().div_ceil(engine.loads.max(1)) as u32;
+        let crowd = holders.len().div_ceil(engine.parallel_loads.max(1)) as u32;
         let orders = plan::next_orders(engine, &holders).into_iter();
         let orders = orders.filter(|o| part.orders_to(&o.run, o.held));
         for order in orders {
--- a/crates/node/src/hosted/control/state/share.rs
+++ b/crates/node/src/hosted/control/state/share.rs
@@ -33,7 +33,7 @@
     /// How many engines there are in each zone.
     fn zones(&self) -> Engines<'_> {
         let mut zones = Engines::new();
-        let engines = self.tables.endpoints().filter(|e| e.kind.is_some());
+        let engines = self.tables.endpoints().filter(|e| e.accelerator.is_some());
         engines.for_each(|e| *zones.entry(&e.zone).or_default() += 1);
         zones
     }
@@ -138,7 +138,7 @@
             return;
         }
         let endpoints = self.tables.endpoints();
-        let own = endpoints.filter(|e| e.kind.is_some() && self.part.asks(&e.zone, &e.run));
+        let own = endpoints.filter(|e| e.accelerator.is_some() && self.part.asks(&e.zone, &e.run));
         let own: Vec<Endpoint> = own.cloned().collect();
         let addrs: BTreeSet<SocketAddr> = own.iter().map(|e| e.addr).collect();
         self.engines.retain(|addr, _| addrs.contains(addr));
--- a/crates/node/tests/loads.rs
+++ b/crates/node/tests/loads.rs
@@ -31,7 +31,7 @@
 fn run(zone: &str, number: usize) -> Run {
     Run {
         id: format!("{zone}-{number}"),
-        born: 1,
+        started_at: 1,
     }
 }
 
--- a/crates/node/tests/orders.rs
+++ b/crates/node/tests/orders.rs
@@ -28,7 +28,7 @@
     Endpoint {
         run: Run {
             id: format!("e{number}"),
-            born: 1,
+            started_at: 1,
         },
         addr,
         ..endpoint(0, "a", "fast", 0, 0)
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -20,7 +20,7 @@
 pub(super) fn run(number: usize) -> Run {
     Run {
         id: format!("i-{number:010}"),
-        born: 1,
+        started_at: 1,
     }
 }
 
--- a/crates/place/src/capacity.rs
+++ b/crates/place/src/capacity.rs
@@ -21,7 +21,7 @@
 
 /// Tokens of a usual request.
 fn tokens_per_request(engine: &Engine) -> f64 {
-    let tokens = f64::from(engine.usual.prompt) + f64::from(engine.usual.answer);
+    let tokens = f64::from(engine.typical_size.prompt) + f64::from(engine.typical_size.answer);
     tokens.max(1.0)
 }
 
--- a/crates/place/src/holder.rs
+++ b/crates/place/src/holder.rs
@@ -30,7 +30,7 @@
             run: endpoint.run.clone(),
             addr: endpoint.addr,
             zone: endpoint.zone.clone(),
-            kind: endpoint.kind.clone()?,
+            kind: endpoint.accelerator.clone()?,
             span: endpoint.span,
             loading: false,
             busy: false,
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -122,7 +122,7 @@
     let others = holders.iter().filter(|h| h.run != order.run);
     let others = others.filter(|h| h.zone == own.zone && !h.loading);
     let replicas = Replicas::count(engine, others);
-    let mut released = (order.held.from..order.held.to).filter(|&l| !order.span.holds(l));
+    let mut released = (order.held.from..order.held.to).filter(|&l| !order.span.contains(l));
     released.all(|l| replicas.fleet.get(l as usize).is_some_and(|&n| n > 0))
 }
 
@@ -226,7 +226,10 @@
     let min_tokens = min_tokens(engine);
     let own = holders.iter().filter(|h| h.zone == zone);
     let kinds = own.filter_map(|h| engine.accelerator(&h.kind));
-    kinds.map(|k| engine.fit(k, min_tokens)).sum::<Layer>() >= engine.layers
+    kinds
+        .map(|k| engine.max_layers(k, min_tokens))
+        .sum::<Layer>()
+        >= engine.layers
 }
 
 /// The stretch of at most `most` layers that is worth the most; cut to what is worth most if it
--- a/crates/place/src/quota.rs
+++ b/crates/place/src/quota.rs
@@ -37,8 +37,12 @@
     /// Most layers of an endpoint on `kind`.
     pub fn max_layers(&self, engine: &Engine, kind: &Accelerator) -> Layer {
         // What fits with no room at all is the bound that an engine crashes beyond.
-        let fit = engine.fit(kind, self.tokens).min(engine.fit(kind, 0.0));
-        let each = engine.work(kind, engine.usual).as_secs_f64();
+        let fit = engine
+            .max_layers(kind, self.tokens)
+            .min(engine.max_layers(kind, 0.0));
+        let each = engine
+            .layer_busy_time(kind, engine.typical_size)
+            .as_secs_f64();
         let timely = (self.work.as_secs_f64() / each.max(1e-12)).floor() as Layer;
         fit.min(timely.max(1))
     }
@@ -63,7 +67,9 @@
         let each = kinds.iter().map(|k| quota.max_layers(engine, k));
         each.sum()
     };
-    let max_work = kinds.iter().map(|k| engine.work(k, engine.usual));
+    let max_work = kinds
+        .iter()
+        .map(|k| engine.layer_busy_time(k, engine.typical_size));
     let max_work = max_work.max().unwrap_or_default() * engine.layers;
     let (min, max) = (min_tokens(engine), max_tokens(engine));
     let with_step = |step: u32| Quota {
--- a/crates/place/tests/plan.rs
+++ b/crates/place/tests/plan.rs
@@ -59,7 +59,7 @@
         .map(|(kind, number)| Holder {
             run: Run {
                 id: format!("{name}-{kind}-{number}"),
-                born: 1,
+                started_at: 1,
             },
             addr: ([127, 0, 0, 1], 1 + number).into(),
             zone: name.to_owned(),
@@ -254,7 +254,7 @@
     let mut holders = placed();
     let lost = holders[0].span;
     holders[0].span = Span::default();
-    holders[0].run.born = 2;
+    holders[0].run.started_at = 2;
     let orders = plan::next_orders(&engine(), &holders);
     assert!(orders.iter().any(|o| o.run == holders[0].run));
     carry_out(&mut holders, &orders);
@@ -307,7 +307,7 @@
                 1 => {
                     let at = rng.random_range(0..holders.len());
                     holders[at].span = Span::default();
-                    holders[at].run.born += 1;
+                    holders[at].run.started_at += 1;
                 }
                 2 => {
                     let mut new = zone("b", 0, 1, 0);
@@ -358,7 +358,7 @@
 /// Room of the scarcest layer, in tokens.
 fn bottleneck(engine: &Engine, holders: &[Holder]) -> f64 {
     let room = |layer: Layer| -> f64 {
-        let own = holders.iter().filter(|h| h.span.holds(layer));
+        let own = holders.iter().filter(|h| h.span.contains(layer));
         own.map(|h| {
             let kind = engine.accelerator(&h.kind).unwrap();
             engine.kv_capacity(kind, h.span.len()) / f64::from(h.span.len())
--- a/crates/steer/src/row.rs
+++ b/crates/steer/src/row.rs
@@ -74,15 +74,15 @@
 
     /// Takes its paces and room from the engine that the operator describes.
     pub fn apply_engine(&mut self, engine: &Engine) {
-        let kind = self.endpoint.kind.as_deref();
+        let kind = self.endpoint.accelerator.as_deref();
         let Some(kind) = kind.and_then(|k| engine.accelerator(k)) else {
             return;
         };
-        self.capacity = engine.room(kind, self.endpoint.span.len());
-        self.step_secs = engine.step.as_secs_f64() * kind.pace;
-        self.prefill_secs = kind.read / engine.read_rate.max(1.0);
-        let work = engine.work(kind, engine.usual) * self.endpoint.span.len();
-        self.saturation = engine.stay().as_secs_f64() / work.as_secs_f64().max(1e-9);
+        self.capacity = engine.kv_capacity(kind, self.endpoint.span.len());
+        self.step_secs = engine.step_time.as_secs_f64() * kind.step_factor;
+        self.prefill_secs = kind.prefill_factor / engine.prefill_rate.max(1.0);
+        let work = engine.layer_busy_time(kind, engine.typical_size) * self.endpoint.span.len();
+        self.saturation = engine.residence_time().as_secs_f64() / work.as_secs_f64().max(1e-9);
     }
 
     /// Takes its last report in.
--- a/crates/steer/src/scarcity.rs
+++ b/crates/steer/src/scarcity.rs
@@ -35,7 +35,7 @@
         let free =
             |row: &Row| (1.0 - row.used(now, nodes, residence) / row.capacity.max(1.0)).max(0.0);
         let max_free = |layer: Layer| {
-            let own = available.iter().filter(|r| r.endpoint.span.holds(layer));
+            let own = available.iter().filter(|r| r.endpoint.span.contains(layer));
             own.map(|r| free(r)).fold(0.0, f64::max)
         };
         let by_layer = (0..layers).map(|l| (max_free(l), l));
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -155,7 +155,7 @@
                     ..
                 } = candidate;
                 let span = row.endpoint.span;
-                if !span.holds(cuts[at]) {
+                if !span.contains(cuts[at]) {
                     continue;
                 }
                 let Some((start, previous)) = self.best_entry(&best, &hops, at, row, index) else {
@@ -209,13 +209,13 @@
 
     fn is_covered(&self, cuts: &[Layer]) -> bool {
         let mut cuts = cuts.iter().filter(|&&c| c < self.span.to);
-        cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.holds(c)))
+        cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.contains(c)))
     }
 
     /// Most tokens that any endpoint could hold of a request if it ran just this layer, empty.
     fn max_capacity(&self, layer: Layer) -> f64 {
         let rows = self.rows.iter().map(|c| c.row);
-        let rows = rows.filter(|r| r.endpoint.span.holds(layer));
+        let rows = rows.filter(|r| r.endpoint.span.contains(layer));
         rows.map(|r| r.capacity).fold(0.0, f64::max)
     }
 
@@ -308,14 +308,14 @@
     /// Time that a request spends at each layer of a stage, dearer the fuller its memory is.
     fn price_per_layer(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
         let &Candidate { row, used, .. } = candidate;
-        let layer_fraction = self.engine.part(1);
+        let layer_fraction = self.engine.model_fraction(1);
         // Requests under way there, by the room that one of this size would take.
         let per_request = f64::from(row.endpoint.span.len()) * need.tokens();
         let in_flight = used / per_request.max(1.0);
-        let request_time = self.engine.per_request.as_secs_f64()
-            + self.engine.per_context.as_secs_f64() * need.tokens() / 1000.0;
+        let request_time = self.engine.step_time_per_request.as_secs_f64()
+            + self.engine.step_time_per_1k_context.as_secs_f64() * need.tokens() / 1000.0;
         let batch_factor =
-            1.0 + in_flight * request_time / self.engine.step.as_secs_f64().max(1e-9);
+            1.0 + in_flight * request_time / self.engine.step_time.as_secs_f64().max(1e-9);
         let decode = row.step_secs * batch_factor * f64::from(need.size.answer);
         let prefill = row.prefill_secs * f64::from(need.size.prompt);
         let utilization = (used / row.capacity.max(1.0)).clamp(0.0, MAX_PRICED_UTILIZATION);
@@ -365,7 +365,7 @@
     for (candidate, segment) in candidates_on(rows, chain) {
         let row = candidate.row;
         candidate.backlog_secs +=
-            row.prefill_secs * row.slowdown * tokens * engine.part(segment.span.len());
+            row.prefill_secs * row.slowdown * tokens * engine.model_fraction(segment.span.len());
     }
 }
 
--- a/crates/steer/src/selector.rs
+++ b/crates/steer/src/selector.rs
@@ -367,7 +367,7 @@
     pub fn record_request(&mut self, now: Timestamp, service: &str) {
         if let Some(engine) = engine_of(&self.fleet, service) {
             let flow = self.flows.entry(service.to_owned());
-            flow.or_insert_with(|| Flow::new(engine.stay()))
+            flow.or_insert_with(|| Flow::new(engine.residence_time()))
                 .record_arrival(now);
         }
         let allowance = self.allowance;
@@ -407,7 +407,7 @@
         };
         let residence = self.flow(service, engine).residence();
         Scarcity {
-            pipe: self.pipes.max_rate(now) * nodes / engine.pipe_bits.max(1.0),
+            pipe: self.pipes.max_rate(now) * nodes / engine.inter_zone_bps.max(1.0),
             ..Scarcity::measure(now, nodes, residence, &rows, engine.layers)
         }
     }
--- a/crates/steer/src/selector/chain.rs
+++ b/crates/steer/src/selector/chain.rs
@@ -152,7 +152,7 @@
     /// How requests of a model service come and stay.
     pub(super) fn flow(&self, service: &Service, engine: &Engine) -> Flow {
         let flow = self.flows.get(&service.name);
-        flow.copied().unwrap_or(Flow::new(engine.stay()))
+        flow.copied().unwrap_or(Flow::new(engine.residence_time()))
     }
 
     /// Counts what goes over pipes when each of these zones hands on to the next.
--- a/crates/steer/tests/chain.rs
+++ b/crates/steer/tests/chain.rs
@@ -217,7 +217,7 @@
                 endpoint(number, zone, kind, from, to)
             })
             .collect();
-        let whole = (0..LAYERS).all(|l| rows.iter().any(|r| r.span.holds(l)));
+        let whole = (0..LAYERS).all(|l| rows.iter().any(|r| r.span.contains(l)));
         let mut selector = selector(rows);
         let mut held = Vec::new();
         for _ in 0..50 {
--- a/crates/steer/tests/depart.rs
+++ b/crates/steer/tests/depart.rs
@@ -48,7 +48,7 @@
         Some(1)
     );
     // It has started anew at its address, and holds nothing of before.
-    assert_eq!(departs(|rows| rows[2].run.born = 2), Some(2));
+    assert_eq!(departs(|rows| rows[2].run.started_at = 2), Some(2));
 }
 
 // More layers than before take nothing from an answer; and the head is where the request is, so
--- a/crates/steer/tests/detour.rs
+++ b/crates/steer/tests/detour.rs
@@ -90,14 +90,14 @@
             let Some(holder) = holders().into_iter().find(|e| e.run == stage.run) else {
                 continue;
             };
-            let read = read(holder.kind.as_deref().unwrap());
+            let read = read(holder.accelerator.as_deref().unwrap());
             let work = read * f64::from(stage.span.len()) / f64::from(LOST);
             *reads.entry(holder.run.id).or_default() += work;
         }
     }
     let rate: f64 = holders()
         .iter()
-        .map(|e| 1.0 / read(e.kind.as_deref().unwrap()))
+        .map(|e| 1.0 / read(e.accelerator.as_deref().unwrap()))
         .sum();
     let even = (NODES * EACH) as f64 / rate;
     let longest = reads.values().copied().fold(0.0, f64::max);
--- a/crates/steer/tests/shortlist.rs
+++ b/crates/steer/tests/shortlist.rs
@@ -99,7 +99,7 @@
         Endpoint {
             run: Run {
                 id: format!("e{n}"),
-                born: 1,
+                started_at: 1,
             },
             addr: ([10, 0, (n >> 8) as u8, n as u8], 80).into(),
             ..endpoint(0, "a", "fast", from, from + LAYERS / 2)
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -116,7 +116,7 @@
 pub fn catalog_of(engine: Engine) -> Arc<Catalog> {
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        connections: 10,
+        max_connections: 10,
         engine,
     };
     let route = Route {
@@ -128,13 +128,13 @@
             pause: None,
         }),
         timeout: Duration::from_secs(20),
-        target: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
         priority: 1,
         split: vec![Share {
             service: "model".to_owned(),
             weight: 1,
         }],
-        attempts: 2,
+        max_attempts: 2,
         public: true,
     };
     let tables = Tables {
@@ -152,14 +152,14 @@
     Endpoint {
         run: Run {
             id: format!("e{number}"),
-            born: 1,
+            started_at: 1,
         },
         service: "model".to_owned(),
         addr: ([10, 0, 0, number], 80).into(),
         zone: zone.to_owned(),
         slots: 100,
         state: State::Ready,
-        kind: Some(kind.to_owned()),
+        accelerator: Some(kind.to_owned()),
         span: Span { from, to },
     }
 }
@@ -168,7 +168,7 @@
 pub fn plain(number: u8) -> Endpoint {
     Endpoint {
         service: "plain".to_owned(),
-        kind: None,
+        accelerator: None,
         slots: 2,
         ..endpoint(number, "a", "fast", 0, 0)
     }
