--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -300,7 +300,10 @@
             *bytes as f64 * per
         )
     });
-    let stored = |i: usize| net.group(0).map_or(0, |g| g.store().of(net.id(i)).count());
+    let stored = |i: usize| {
+        net.group(0)
+            .map_or(0, |g| g.store().items(net.id(i)).count())
+    };
     let items: usize = (0..size.0).map(stored).sum();
     format!(
         "{row}{}\n    items stored at a node: {items}",
--- a/crates/member/src/check.rs
+++ b/crates/member/src/check.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     /// Which table and row.
-    pub place: String,
+    pub location: String,
     /// What is wrong there.
     pub fault: Fault,
 }
@@ -23,30 +23,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The node itself is not in its roster, or not up.
-    Self_,
+    LocalNodeNotUp,
     /// A row is in a wrong bucket or out of order.
-    Order,
+    RowOrder,
     /// A bucket's hash is not that of its rows.
-    Hash,
+    BucketHash,
     /// A row that was taken out is back with the same run.
-    Buried,
+    RemovedRun,
     /// Items of an origin that is not in the roster.
-    Orphan,
+    UnknownOrigin,
     /// An own item is newer than the node's own version.
-    Ahead,
+    VersionAhead,
     /// Something that only the exchange spreads came ahead of its turn.
-    Early,
+    NotUrgent,
     /// A peer was judged before it could refute.
-    Hasty,
+    JudgedEarly,
     /// Two pieces of news about one node.
-    Twice,
+    DuplicateUpdate,
     /// A table outgrew its bound.
-    Bound,
+    BoundExceeded,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {:?}", self.place, self.fault)
+        write!(f, "{}: {:?}", self.location, self.fault)
     }
 }
 
@@ -73,10 +73,10 @@
             let ordered = rows.windows(2).all(|w| w[0].id < w[1].id);
             let placed = rows.iter().all(|p| roster::bucket(p.id) == index);
             if !ordered || !placed {
-                errors.push(error("bucket", index, Fault::Order));
+                errors.push(error("bucket", index, Fault::RowOrder));
             }
-            if self.roster.hash(index as Bucket) != Some(self.roster.expected(index)) {
-                errors.push(error("bucket", index, Fault::Hash));
+            if self.roster.hash(index as Bucket) != Some(self.roster.computed_hash(index)) {
+                errors.push(error("bucket", index, Fault::BucketHash));
             }
         }
         if self
@@ -84,7 +84,7 @@
             .get(self.me)
             .is_none_or(|p| p.state != State::Up)
         {
-            errors.push(error("peer", self.me, Fault::Self_));
+            errors.push(error("peer", self.me, Fault::LocalNodeNotUp));
         }
     }
 
@@ -92,11 +92,11 @@
         for peer in self.roster.iter() {
             let buried = self.graves.get(&peer.id);
             if buried.is_some_and(|g| g.incarnation >= peer.identity.incarnation) {
-                errors.push(error("peer", peer.id, Fault::Buried));
+                errors.push(error("peer", peer.id, Fault::RemovedRun));
             }
             let waited = peer.state_since.saturating_sub(peer.lost_at);
-            if peer.state > State::Suspect && waited < self.settings.suspicion {
-                errors.push(error("peer", peer.id, Fault::Hasty));
+            if peer.state > State::Suspect && waited < self.settings.suspicion_timeout {
+                errors.push(error("peer", peer.id, Fault::JudgedEarly));
             }
         }
     }
@@ -104,15 +104,15 @@
     fn verify_items(&self, errors: &mut Vec<Error>) {
         for origin in self.store.origins() {
             let Some(peer) = self.roster.get(origin) else {
-                errors.push(error("store", origin, Fault::Orphan));
+                errors.push(error("store", origin, Fault::UnknownOrigin));
                 continue;
             };
-            for (_, slot) in self.store.of(origin) {
+            for (_, slot) in self.store.items(origin) {
                 let ahead = slot.version > peer.version;
                 if ahead && origin == self.me {
-                    errors.push(error("store", origin, Fault::Ahead));
+                    errors.push(error("store", origin, Fault::VersionAhead));
                 } else if ahead && !slot.body.urgent() {
-                    errors.push(error("store", origin, Fault::Early));
+                    errors.push(error("store", origin, Fault::NotUrgent));
                 }
             }
         }
@@ -121,18 +121,18 @@
     fn verify_bounds(&self, errors: &mut Vec<Error>) {
         let subjects: BTreeSet<Id> = self.news.iter().map(|p| p.about).collect();
         if subjects.len() != self.news.len() {
-            errors.push(error("news", self.news.len(), Fault::Twice));
+            errors.push(error("news", self.news.len(), Fault::DuplicateUpdate));
         }
-        if self.roster.len() > self.settings.peers {
-            errors.push(error("roster", self.roster.len(), Fault::Bound));
+        if self.roster.len() > self.settings.max_peers {
+            errors.push(error("roster", self.roster.len(), Fault::BoundExceeded));
         }
-        let round = self.settings.round / 2;
-        let rounds = self.settings.probe.div_duration_f64(round).ceil() as usize;
+        let round = self.settings.probe_interval / 2;
+        let rounds = self.settings.probe_timeout.div_duration_f64(round).ceil() as usize;
         for (cause, each) in [(Cause::Turn, 1), (Cause::Watch, WATCHED)] {
             let open = self.probes.open.iter();
             let probes = open.filter(|p| p.cause == cause).count();
             if probes > (rounds * 2 + 1) * each {
-                errors.push(error("probes", probes, Fault::Bound));
+                errors.push(error("probes", probes, Fault::BoundExceeded));
             }
         }
     }
@@ -140,7 +140,7 @@
 
 fn error(table: &str, row: impl fmt::Display, fault: Fault) -> Error {
     Error {
-        place: format!("{table} {row}"),
+        location: format!("{table} {row}"),
         fault,
     }
 }
--- a/crates/member/src/demand.rs
+++ b/crates/member/src/demand.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// Steps of 19% by which a demand must differ before it is announced again.
-const SLACK: u8 = 2;
+const MIN_LEVEL_CHANGE: u8 = 2;
 /// Steps that are remembered: as long as a parted group may take to notice.
-const LONG: usize = 30;
+const MAX_HISTORY_STEPS: usize = 30;
 
 /// Requests of one team at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -34,27 +34,27 @@
 /// What was announced of one team, and the least of it within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Announced {
-    last: (Level, Level),
-    past: VecDeque<(Level, Level)>,
+    latest: (Level, Level),
+    history: VecDeque<(Level, Level)>,
 }
 
 impl Announced {
     /// Notes what holds from now on; `window` steps are kept.
-    fn note(&mut self, levels: (Level, Level), window: usize) {
-        self.last = levels;
-        self.past.push_back(levels);
-        while self.past.len() > window.max(LONG) {
-            self.past.pop_front();
+    fn record(&mut self, levels: (Level, Level), window: usize) {
+        self.latest = levels;
+        self.history.push_back(levels);
+        while self.history.len() > window.max(MAX_HISTORY_STEPS) {
+            self.history.pop_front();
         }
     }
 
     /// The least demand announced within the last `window` steps; zero until there were so many.
-    pub fn least(&self, window: usize) -> Demand {
-        let window = window.min(LONG);
-        if self.past.len() < window {
+    pub fn min_over(&self, window: usize) -> Demand {
+        let window = window.min(MAX_HISTORY_STEPS);
+        if self.history.len() < window {
             return Demand::default();
         }
-        let recent = || self.past.iter().rev().take(window);
+        let recent = || self.history.iter().rev().take(window);
         let rate = recent().map(|l| l.0).min().unwrap_or_default();
         let in_flight = recent().map(|l| l.1).min().unwrap_or_default();
         Demand {
@@ -64,21 +64,21 @@
     }
 
     /// The least demand announced as far as is remembered.
-    pub fn lowest(&self) -> Demand {
-        self.least(LONG.min(self.past.len()))
+    pub fn min_remembered(&self) -> Demand {
+        self.min_over(MAX_HISTORY_STEPS.min(self.history.len()))
     }
 
     /// What was announced last.
-    pub fn last(&self) -> Demand {
+    pub fn latest(&self) -> Demand {
         Demand {
-            rate: self.last.0.amount(),
-            in_flight: self.last.1.amount(),
+            rate: self.latest.0.amount(),
+            in_flight: self.latest.1.amount(),
         }
     }
 
     /// Forgets the past, so that nothing counts until the window is full again.
     fn clear(&mut self) {
-        self.past.clear();
+        self.history.clear();
     }
 }
 
@@ -87,7 +87,7 @@
 pub struct Announcer {
     rows: Vec<Announced>,
     credit: f64,
-    stepped: Option<Now>,
+    last_step: Option<Now>,
 }
 
 /// A change worth announcing.
@@ -127,19 +127,19 @@
         demands: &[Demand],
     ) -> Vec<Observation> {
         let gap = self
-            .stepped
+            .last_step
             .map_or(Duration::from_secs(1), |s| now.saturating_sub(s));
-        self.stepped = Some(now);
-        let most = (budget.rate * 4.0).max(1.0);
-        self.credit = (self.credit + budget.rate * gap.as_secs_f64()).min(most);
+        self.last_step = Some(now);
+        let most = (budget.items_per_second * 4.0).max(1.0);
+        self.credit = (self.credit + budget.items_per_second * gap.as_secs_f64()).min(most);
         let mut changes = self.changes(budget.nodes, limits, demands);
         changes.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.row.cmp(&b.row)));
         changes.truncate(self.credit as usize);
         self.credit -= changes.len() as f64;
-        let mut levels: Vec<(Level, Level)> = self.rows.iter().map(|r| r.last).collect();
+        let mut levels: Vec<(Level, Level)> = self.rows.iter().map(|r| r.latest).collect();
         changes.iter().for_each(|c| levels[c.row] = c.levels);
         for (row, levels) in self.rows.iter_mut().zip(levels) {
-            row.note(levels, budget.window);
+            row.record(levels, budget.window_steps);
         }
         let body = |c: Change| {
             let (rate, in_flight) = c.levels;
@@ -155,10 +155,10 @@
     fn changes(&self, nodes: usize, limits: &[Limit], demands: &[Demand]) -> Vec<Change> {
         let rows = self.rows.iter().zip(limits.iter().zip(demands)).enumerate();
         let change = |(row, (old, (limit, demand))): (usize, (&Announced, (&Limit, &Demand)))| {
-            let rate = level(demand.rate, limit.rate, nodes);
-            let in_flight = level(demand.in_flight, limit.in_flight, nodes);
-            let weight = weight(old.last.0, rate, limit.rate).max(weight(
-                old.last.1,
+            let rate = announced_level(demand.rate, limit.rate, nodes);
+            let in_flight = announced_level(demand.in_flight, limit.in_flight, nodes);
+            let weight = change_weight(old.latest.0, rate, limit.rate).max(change_weight(
+                old.latest.1,
                 in_flight,
                 limit.in_flight,
             ));
@@ -176,14 +176,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Budget {
     /// Items per second.
-    pub(crate) rate: f64,
+    pub(crate) items_per_second: f64,
     /// Steps of the window.
-    pub(crate) window: usize,
+    pub(crate) window_steps: usize,
     /// Nodes that exist.
     pub(crate) nodes: usize,
 }
 
-fn level(demand: f64, limit: f64, nodes: usize) -> Level {
+fn announced_level(demand: f64, limit: f64, nodes: usize) -> Level {
     // Demand beyond the limit cannot be met anywhere and would only crowd out the others.
     let demand = demand.min(limit);
     match demand <= crate::share::floor(limit, nodes) {
@@ -193,9 +193,9 @@
 }
 
 /// How much a change matters: its part of the limit; zero if it is too small.
-fn weight(old: Level, new: Level, limit: f64) -> f64 {
+fn change_weight(old: Level, new: Level, limit: f64) -> f64 {
     let zero = (old.0 == 0) != (new.0 == 0);
-    if limit <= 0.0 || (!zero && old.distance(new) < SLACK) {
+    if limit <= 0.0 || (!zero && old.distance(new) < MIN_LEVEL_CHANGE) {
         return 0.0;
     }
     (old.amount() - new.amount()).abs() / limit
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -14,7 +14,7 @@
     self, Batch, Body, Bucket, Delta, KnownVersion, Publication, Request, Row, RowIndex, Summary,
 };
 use crate::peer::Peer;
-use crate::roster::{BUCKETS, row};
+use crate::roster::{BUCKETS, to_row};
 use rand::RngExt;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
             return;
         }
         let first = self.rng.random_range(0..BUCKETS);
-        let mut room = self.settings.delta;
+        let mut room = self.settings.max_delta_bytes;
         let mut delta = Delta::default();
         for step in 0..BUCKETS {
             let index = (first + step) % BUCKETS;
@@ -93,8 +93,8 @@
         let rows = self.roster.bucket(bucket);
         let hash = self.roster.hash(bucket).unwrap_or_default();
         if hash != theirs.hash || rows.len() != theirs.versions.len() {
-            if delta.rows.len() + rows.len() <= self.settings.rows {
-                delta.rows.extend(rows.iter().map(row));
+            if delta.rows.len() + rows.len() <= self.settings.max_delta_rows {
+                delta.rows.extend(rows.iter().map(to_row));
                 delta.complete.push(bucket);
             }
             return;
@@ -155,9 +155,12 @@
     /// is left out, or the receiver would take the versions between for known.
     fn batch(&self, now: Now, peer: &Peer, gap: KnownVersion, room: &mut usize) -> Option<Batch> {
         let mut prints: BTreeMap<Version, Vec<item::Observation>> = BTreeMap::new();
-        for (_, slot) in self.store.of(peer.id) {
+        for (_, slot) in self.store.items(peer.id) {
             if slot.version > gap.version && slot.version <= peer.version {
-                prints.entry(slot.version).or_default().push(slot.rest(now));
+                prints
+                    .entry(slot.version)
+                    .or_default()
+                    .push(slot.with_remaining_ttl(now));
             }
         }
         let mut batch = Batch {
@@ -202,7 +205,7 @@
             .for_each(|g| self.take_group(now, g, out));
         self.take_rows(now, peer, to, rows, &whole, out);
         let mut answer = Delta::default();
-        let mut room = self.settings.delta;
+        let mut room = self.settings.max_delta_bytes;
         for want in wants {
             if self.roster.hash(want.bucket) == Some(want.hash) {
                 self.fill(
@@ -287,7 +290,10 @@
             .iter()
             .flat_map(|b| self.roster.bucket(*b))
             .filter(lacks);
-        let missing: Vec<Row> = missing.map(row).take(self.settings.rows).collect();
+        let missing: Vec<Row> = missing
+            .map(to_row)
+            .take(self.settings.max_delta_rows)
+            .collect();
         if !missing.is_empty() {
             self.send(peer, to, Body::Rows(missing), out);
         }
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -109,7 +109,7 @@
         let gap = self.ticked.map_or(Now::ZERO, |t| roster::age(now, t));
         self.ticked = Some(now);
         self.began.get_or_insert(now);
-        if gap > self.settings.pause {
+        if gap > self.settings.pause_threshold {
             self.resume(now);
         }
         self.check_probes(now, out);
@@ -233,7 +233,7 @@
         let run = row.identity.incarnation;
         let clash = self
             .roster
-            .clash(&row.identity)
+            .address_conflict(&row.identity)
             .map(|p| (p.id, p.identity.incarnation));
         match clash {
             Some((old, other)) if old == self.me || other >= run => return,
@@ -241,7 +241,7 @@
             Some((old, _)) => self.remove(now, old, true, out),
             None => {}
         }
-        if self.roster.len() >= self.settings.peers {
+        if self.roster.len() >= self.settings.max_peers {
             self.counters.dropped += 1;
             return;
         }
@@ -377,12 +377,16 @@
         let Some(began) = self.began else {
             return false;
         };
-        let Settings { young, settle, .. } = self.settings;
-        if roster::age(now, began) >= young {
+        let Settings {
+            startup_period,
+            settle_time,
+            ..
+        } = self.settings;
+        if roster::age(now, began) >= startup_period {
             return true;
         }
         let alone = self.roster.len() == 1 && self.listed().next().is_some();
-        !alone && roster::age(now, began.max(self.grown)) >= settle
+        !alone && roster::age(now, began.max(self.grown)) >= settle_time
     }
 
     /// Nodes that count as existing: heard of, or listed as live.
@@ -419,7 +423,7 @@
         for peer in self.roster.iter() {
             let mark = if peer.id == self.me { "me" } else { "peer" };
             writeln!(f, "{mark} {peer}")?;
-            let rows = self.store.of(peer.id);
+            let rows = self.store.items(peer.id);
             rows.map(|(_, s)| &s.body)
                 .try_for_each(|b| writeln!(f, "  {b}"))?;
         }
--- a/crates/member/src/judge.rs
+++ b/crates/member/src/judge.rs
@@ -129,7 +129,7 @@
 
     /// Judges suspects whose time is over.
     pub(crate) fn judge(&mut self, now: Now, out: &mut Vec<Action>) {
-        let wait = self.settings.suspicion(self.roster.len());
+        let wait = self.settings.suspicion_timeout(self.roster.len());
         let suspects = self.roster.iter().filter(|p| p.state == State::Suspect);
         let suspects: Vec<(Id, Now)> = suspects.map(|p| (p.id, p.state_since)).collect();
         for (id, since) in suspects {
@@ -160,7 +160,9 @@
 
     /// Whether this node's own probe failed that began when the zone was known to answer.
     pub(crate) fn tried(&self, peer: &Peer) -> bool {
-        let begun = peer.zone_alive_since.map(|z| z + self.settings.probe);
+        let begun = peer
+            .zone_alive_since
+            .map(|z| z + self.settings.probe_timeout);
         begun.is_some_and(|b| peer.probe_failed_at.is_some_and(|f| f >= b))
     }
 
@@ -250,12 +252,12 @@
     /// Removes peers that nobody lists and nobody reaches. The list alone removes nobody: it
     /// lags, and a node that is up may not be in it yet.
     pub(crate) fn bury(&mut self, now: Now, out: &mut Vec<Action>) {
-        let bury = self.settings.bury;
+        let bury = self.settings.tombstone_retention;
         self.graves.retain(|_, g| age(now, g.since) < bury);
         if self.listed.is_none() {
             return;
         }
-        let keep = self.settings.keep;
+        let keep = self.settings.unlisted_retention;
         let gone = |p: &&Peer| {
             p.id != self.me
                 && p.state > State::Suspect
--- a/crates/member/src/level.rs
+++ b/crates/member/src/level.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 /// Levels per doubling. Four make one step 19%.
-const STEPS: f64 = 4.0;
+const STEPS_PER_DOUBLING: f64 = 4.0;
 /// Amount of the lowest level above zero.
-const LOWEST: f64 = 0.01;
+const LOWEST_AMOUNT: f64 = 0.01;
 
 /// An amount, rounded up to a step of 19%; from 0.01 to 1e17, and zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,7 +17,7 @@
         if amount <= 0.0 || amount.is_nan() {
             return Self(0);
         }
-        let step = ((amount / LOWEST).log2() * STEPS - 1e-9).ceil();
+        let step = ((amount / LOWEST_AMOUNT).log2() * STEPS_PER_DOUBLING - 1e-9).ceil();
         Self(step.clamp(0.0, 254.0) as u8 + 1)
     }
 
@@ -25,7 +25,7 @@
     pub fn amount(self) -> f64 {
         match self.0 {
             0 => 0.0,
-            step => LOWEST * (f64::from(step - 1) / STEPS).exp2(),
+            step => LOWEST_AMOUNT * (f64::from(step - 1) / STEPS_PER_DOUBLING).exp2(),
         }
     }
 
--- a/crates/member/src/probe.rs
+++ b/crates/member/src/probe.rs
@@ -101,12 +101,12 @@
         let jitter = self.rng.random_range(0.9..1.1);
         let alive = self.began.map_or(Now::ZERO, |began| age(now, began));
         let peers = self.roster.len();
-        let next = self.settings.exchange(peers, alive);
+        let next = self.settings.exchange_interval(peers, alive);
         self.probes.next = now + next.mul_f64(jitter);
         self.contact(out);
         let Some(target) = self.target() else { return };
         if now >= self.probes.round {
-            self.probes.round = now + self.settings.round(peers).mul_f64(jitter);
+            self.probes.round = now + self.settings.probe_interval(peers).mul_f64(jitter);
             self.probe(now, target, Cause::Turn, out);
         }
         let up = self
@@ -189,7 +189,10 @@
     }
 
     pub(crate) fn check_probes(&mut self, now: Now, out: &mut Vec<Action>) {
-        let (direct, most) = (self.settings.direct, self.settings.probe);
+        let (direct, most) = (
+            self.settings.direct_probe_timeout,
+            self.settings.probe_timeout,
+        );
         let late = |p: &Probe| p.failed || age(now, p.sent) >= direct;
         let mut asked = Vec::new();
         for probe in self.probes.open.iter_mut().filter(|p| !p.relayed) {
@@ -219,7 +222,7 @@
         };
         let addr = peer.identity.addr;
         let zone = self.roster.get(self.me).map(|p| p.identity.zone.clone());
-        let most = self.settings.helpers;
+        let most = self.settings.indirect_probers;
         let mut helpers = self.random(most * 4, Some(to));
         let same = |id: &Id| self.roster.get(*id).map(|p| &p.identity.zone) == zone.as_ref();
         helpers.sort_by_key(same);
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -102,13 +102,13 @@
     }
 
     /// Row of another node that says it listens on the address of `identity`.
-    pub(crate) fn clash(&self, identity: &Identity) -> Option<&Peer> {
+    pub(crate) fn address_conflict(&self, identity: &Identity) -> Option<&Peer> {
         self.iter()
             .find(|p| p.identity.addr == identity.addr && p.identity.name != identity.name)
     }
 
     /// The hash that `index` should have.
-    pub(crate) fn expected(&self, index: usize) -> u32 {
+    pub(crate) fn computed_hash(&self, index: usize) -> u32 {
         let mut hash = Xxh3::new();
         for peer in &self.rows[index] {
             hash.update(&peer.id.to_le_bytes());
@@ -118,12 +118,12 @@
     }
 
     fn rehash(&mut self, index: usize) {
-        self.hashes[index] = self.expected(index);
+        self.hashes[index] = self.computed_hash(index);
     }
 }
 
 /// The row as it is sent.
-pub(crate) fn row(peer: &Peer) -> Row {
+pub(crate) fn to_row(peer: &Peer) -> Row {
     Row {
         identity: peer.identity.clone(),
         refutations: peer.refutations,
--- a/crates/member/src/share.rs
+++ b/crates/member/src/share.rs
@@ -7,9 +7,9 @@
 //! what this node counts for itself.
 
 /// Part of a limit that is split equally, whatever the demand.
-pub const FLOOR: f64 = 0.1;
+pub const FLOOR_FRACTION: f64 = 0.1;
 /// Weight of idle nodes in all, as a part of the limit: what makes an idle team's shares equal.
-pub const BASE: f64 = 0.05;
+pub const IDLE_WEIGHT_FRACTION: f64 = 0.05;
 
 /// What a node knows when it computes its share of one limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,46 +19,46 @@
     /// Nodes that exist.
     pub nodes: usize,
     /// Nodes on this side of a parted group, this one among them.
-    pub near: usize,
+    pub near_nodes: usize,
     /// Part of the pool that belongs to this side; 1 if nobody is parted.
-    pub side: f64,
+    pub side_fraction: f64,
     /// The least demand that this node announced within the window.
-    pub own: f64,
+    pub own_demand: f64,
     /// Demand that the other nodes of this side announced.
-    pub others: f64,
+    pub others_demand: f64,
 }
 
 /// The weight of an idle node.
-pub fn base(limit: f64, nodes: usize) -> f64 {
-    BASE * limit / nodes.max(1) as f64
+pub fn idle_weight(limit: f64, nodes: usize) -> f64 {
+    IDLE_WEIGHT_FRACTION * limit / nodes.max(1) as f64
 }
 
 /// The part that each node has in any case.
 pub fn floor(limit: f64, nodes: usize) -> f64 {
-    FLOOR * limit / nodes.max(1) as f64
+    FLOOR_FRACTION * limit / nodes.max(1) as f64
 }
 
 /// This node's share.
-pub fn split(input: &Input) -> f64 {
+pub fn node_share(input: &Input) -> f64 {
     let Input {
         limit,
         nodes,
-        near,
-        side,
-        own,
-        others,
+        near_nodes: near,
+        side_fraction: side,
+        own_demand: own,
+        others_demand: others,
     } = *input;
-    let base = base(limit, nodes);
+    let base = idle_weight(limit, nodes);
     let all = own + others + base * near.max(1) as f64;
     if all <= 0.0 {
         return 0.0;
     }
-    let pool = (1.0 - FLOOR) * limit * side;
+    let pool = (1.0 - FLOOR_FRACTION) * limit * side;
     floor(limit, nodes) + pool * (own + base) / all
 }
 
 /// The part of the pool that is left to a side of weight `near` when `gone` parts from it.
-pub fn part(side: f64, near: f64, gone: f64) -> f64 {
+pub fn side_after_split(side: f64, near: f64, gone: f64) -> f64 {
     match near + gone > 0.0 {
         true => side * near / (near + gone),
         false => side,
@@ -66,7 +66,7 @@
 }
 
 /// The part of the pool after `back` of the `far` weight came back.
-pub fn rejoin(side: f64, far: f64, back: f64) -> f64 {
+pub fn side_after_rejoin(side: f64, far: f64, back: f64) -> f64 {
     match far > 0.0 {
         true => (side + (1.0 - side) * back / far).min(1.0),
         false => 1.0,
--- a/crates/member/src/side.rs
+++ b/crates/member/src/side.rs
@@ -11,7 +11,7 @@
 use crate::level::Level;
 use crate::peer::{Peer, State};
 use crate::share;
-use crate::store::LOW;
+use crate::store::MIN_DEMAND_RETENTION;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     /// Time in which a report reaches every node.
     pub(crate) window: Duration,
     /// How long a dead peer's demand still counts.
-    pub(crate) hold: Duration,
+    pub(crate) dead_demand_retention: Duration,
 }
 
 /// Demand announced by peers of one team.
@@ -36,53 +36,56 @@
     pub(crate) near: Demand,
     far: Demand,
     /// The least that the near ones announced of late.
-    low: Demand,
+    near_min: Demand,
 }
 
 /// Part of a team's pools that belongs to this side.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Side {
+pub(crate) struct PoolFraction {
     pub(crate) rate: f64,
     pub(crate) in_flight: f64,
 }
 
-const WHOLE: Side = Side {
+const WHOLE_POOL: PoolFraction = PoolFraction {
     rate: 1.0,
     in_flight: 1.0,
 };
 
 /// The sides, by team.
 #[derive(Clone, Debug)]
-pub(crate) struct Sides {
+pub(crate) struct Partition {
     /// Windows that a peer which came back still counts as far.
-    linger: u32,
+    linger_windows: u32,
     /// Peers that count as far, and when they were last parted.
     far: BTreeMap<Id, Now>,
-    rows: Vec<Side>,
+    pools: Vec<PoolFraction>,
 }
 
-impl Sides {
+impl Partition {
     pub(crate) fn new(linger: u32) -> Self {
         Self {
-            linger,
+            linger_windows: linger,
             far: BTreeMap::new(),
-            rows: Vec::new(),
+            pools: Vec::new(),
         }
     }
 
     /// Fits the table to the teams of a new bundle; `old` is the former index of each.
     pub(crate) fn remap(&mut self, old: &[Option<usize>]) {
-        let side = |o: &Option<usize>| o.and_then(|i| self.rows.get(i).copied()).unwrap_or(WHOLE);
-        self.rows = old.iter().map(side).collect();
+        let side = |o: &Option<usize>| {
+            o.and_then(|i| self.pools.get(i).copied())
+                .unwrap_or(WHOLE_POOL)
+        };
+        self.pools = old.iter().map(side).collect();
     }
 
     /// The side's part of the pools of a team.
-    pub(crate) fn row(&self, row: usize) -> Side {
-        self.rows.get(row).copied().unwrap_or(WHOLE)
+    pub(crate) fn pool(&self, row: usize) -> PoolFraction {
+        self.pools.get(row).copied().unwrap_or(WHOLE_POOL)
     }
 
     /// Whether nobody is parted.
-    pub(crate) fn whole(&self) -> bool {
+    pub(crate) fn is_joined(&self) -> bool {
         self.far.is_empty()
     }
 
@@ -92,14 +95,14 @@
     }
 
     /// Nodes on this side, this one among them.
-    pub(crate) fn near(&self, cx: &Context) -> usize {
+    pub(crate) fn near_nodes(&self, cx: &Context) -> usize {
         match self.far.is_empty() {
             true => cx.nodes,
-            false => self.rest(cx.group).max(1),
+            false => self.count_near(cx.group).max(1),
         }
     }
 
-    fn rest(&self, group: &Group) -> usize {
+    fn count_near(&self, group: &Group) -> usize {
         group
             .roster()
             .iter()
@@ -108,17 +111,17 @@
     }
 
     /// Follows the group as it parts and joins again.
-    pub(crate) fn follow(&mut self, cx: &Context) {
-        let gone: Vec<Id> = parted(cx.group)
+    pub(crate) fn update(&mut self, cx: &Context) {
+        let gone: Vec<Id> = parted_peers(cx.group)
             .filter(|id| !self.far.contains_key(id))
             .collect();
         if !gone.is_empty() {
-            self.depart(cx, &gone);
+            self.split_off(cx, &gone);
         }
-        for id in parted(cx.group) {
+        for id in parted_peers(cx.group) {
             self.far.insert(id, cx.now);
         }
-        let linger = cx.window * self.linger;
+        let linger = cx.window * self.linger_windows;
         let over = |id: &Id, last: &Now| {
             cx.now.saturating_sub(*last) > linger || cx.group.roster().get(*id).is_none()
         };
@@ -132,66 +135,69 @@
             self.rejoin(cx, &back);
         }
         if self.far.is_empty() {
-            self.rows.iter_mut().for_each(|s| *s = WHOLE);
+            self.pools.iter_mut().for_each(|s| *s = WHOLE_POOL);
         }
     }
 
     /// The other side goes by what it knew of this one before they parted. Demand that grew here
     /// about then may not have got across, so this side counts only the least of it of late: the
     /// parts of both sides then add up to no more than the whole.
-    fn depart(&mut self, cx: &Context, gone: &[Id]) {
-        let before = self.sums(cx);
-        let left = self.rest(cx.group).saturating_sub(gone.len()) as f64;
+    fn split_off(&mut self, cx: &Context, gone: &[Id]) {
+        let before = self.demand_sums(cx);
+        let left = self.count_near(cx.group).saturating_sub(gone.len()) as f64;
         gone.iter().for_each(|id| _ = self.far.insert(*id, cx.now));
-        let after = self.sums(cx);
+        let after = self.demand_sums(cx);
         let gone = gone.len() as f64;
         for (row, limit) in cx.limits.iter().enumerate() {
             let own = cx
                 .announcer
                 .row(row)
-                .map(|r| r.lowest())
+                .map(|r| r.min_remembered())
                 .unwrap_or_default();
             let (before, after) = (&before[row], &after[row]);
-            let side = &mut self.rows[row];
-            let base = share::base(limit.rate, cx.nodes);
-            let stay = own.rate + after.low.rate + base * left;
+            let side = &mut self.pools[row];
+            let base = share::idle_weight(limit.rate, cx.nodes);
+            let stay = own.rate + after.near_min.rate + base * left;
             let go = before.near.rate - after.near.rate + base * gone;
-            side.rate = share::part(side.rate, stay, go);
-            let base = share::base(limit.in_flight, cx.nodes);
-            let stay = own.in_flight + after.low.in_flight + base * left;
+            side.rate = share::side_after_split(side.rate, stay, go);
+            let base = share::idle_weight(limit.in_flight, cx.nodes);
+            let stay = own.in_flight + after.near_min.in_flight + base * left;
             let go = before.near.in_flight - after.near.in_flight + base * gone;
-            side.in_flight = share::part(side.in_flight, stay, go);
+            side.in_flight = share::side_after_split(side.in_flight, stay, go);
         }
     }
 
     fn rejoin(&mut self, cx: &Context, back: &[Id]) {
-        let before = self.sums(cx);
+        let before = self.demand_sums(cx);
         let far = self.far.len() as f64;
         back.iter().for_each(|id| _ = self.far.remove(id));
-        let after = self.sums(cx);
+        let after = self.demand_sums(cx);
         let back = back.len() as f64;
         for (row, limit) in cx.limits.iter().enumerate() {
             let (before, after) = (&before[row].far, &after[row].far);
-            let side = &mut self.rows[row];
-            let base = share::base(limit.rate, cx.nodes);
+            let side = &mut self.pools[row];
+            let base = share::idle_weight(limit.rate, cx.nodes);
             let some = before.rate - after.rate + base * back;
-            side.rate = share::rejoin(side.rate, before.rate + base * far, some);
-            let base = share::base(limit.in_flight, cx.nodes);
+            side.rate = share::side_after_rejoin(side.rate, before.rate + base * far, some);
+            let base = share::idle_weight(limit.in_flight, cx.nodes);
             let some = before.in_flight - after.in_flight + base * back;
-            side.in_flight = share::rejoin(side.in_flight, before.in_flight + base * far, some);
+            side.in_flight =
+                share::side_after_rejoin(side.in_flight, before.in_flight + base * far, some);
         }
     }
 
     /// Adds up what peers announced. A dead peer counts for a while: it may only be cut off, and
     /// its requests in flight may still run.
-    pub(crate) fn sums(&self, cx: &Context) -> Vec<Sum> {
+    pub(crate) fn demand_sums(&self, cx: &Context) -> Vec<Sum> {
         let mut sums = vec![Sum::default(); cx.limits.len()];
-        let over =
-            |p: &Peer| p.state == State::Dead && cx.now.saturating_sub(p.state_since) >= cx.hold;
+        let over = |p: &Peer| {
+            p.state == State::Dead
+                && cx.now.saturating_sub(p.state_since) >= cx.dead_demand_retention
+        };
         let peers = cx.group.roster().iter();
         for peer in peers.filter(|p| p.id != cx.group.me() && !over(p)) {
             let far = self.far.contains_key(&peer.id);
-            for (_, slot) in cx.group.store().of(peer.id) {
+            for (_, slot) in cx.group.store().items(peer.id) {
                 let Observation::Demand {
                     team,
                     rate,
@@ -205,24 +211,24 @@
                 };
                 let sum = &mut sums[*row];
                 if far {
-                    add(&mut sum.far, *rate, *in_flight);
+                    add_levels(&mut sum.far, *rate, *in_flight);
                     continue;
                 }
-                add(&mut sum.near, *rate, *in_flight);
-                let (rate, in_flight) = slot.least(cx.now, LOW);
-                add(&mut sum.low, rate, in_flight);
+                add_levels(&mut sum.near, *rate, *in_flight);
+                let (rate, in_flight) = slot.min_demand(cx.now, MIN_DEMAND_RETENTION);
+                add_levels(&mut sum.near_min, rate, in_flight);
             }
         }
         sums
     }
 }
 
-fn add(sum: &mut Demand, rate: Level, in_flight: Level) {
+fn add_levels(sum: &mut Demand, rate: Level, in_flight: Level) {
     sum.rate += rate.amount();
     sum.in_flight += in_flight.amount();
 }
 
-fn parted(group: &Group) -> impl Iterator<Item = Id> {
+fn parted_peers(group: &Group) -> impl Iterator<Item = Id> {
     group
         .roster()
         .iter()
--- a/crates/member/src/spread.rs
+++ b/crates/member/src/spread.rs
@@ -9,7 +9,7 @@
 use crate::message::{Body, Row, Run, Update};
 use crate::peer::{Peer, State};
 use crate::roster;
-use crate::store::Put;
+use crate::store::PutOutcome;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -77,7 +77,7 @@
 
     /// A row is long, and the exchange of rosters brings it anyway.
     fn repeats(&self, news: &Update) -> u32 {
-        let most = self.settings.repeats(self.roster.len());
+        let most = self.settings.update_transmissions(self.roster.len());
         match news {
             Update::Join(_) => most / 3,
             _ => most,
@@ -105,7 +105,7 @@
     /// The least told news, and what the receiver needs to know of itself.
     pub(crate) fn pick_news(&mut self, peer: Id) -> Vec<Update> {
         self.news.sort_by_key(|p| std::cmp::Reverse(p.left));
-        let most = self.settings.news;
+        let most = self.settings.max_updates;
         let charge = self.charge(peer);
         let mut picked: Vec<Update> = charge.into_iter().collect();
         for piece in self.news.iter_mut().take(most) {
@@ -165,7 +165,7 @@
             }
             return;
         }
-        let probe = self.settings.probe;
+        let probe = self.settings.probe_timeout;
         if peer.heard_at.is_none_or(|h| roster::age(now, h) >= probe) {
             self.suspect(now, run.id, out);
         }
@@ -318,7 +318,11 @@
                     },
                 );
             }
-            if self.store.put(me, version, body, now, self.settings.items) == Put::Full {
+            if self
+                .store
+                .put(me, version, body, now, self.settings.max_items_per_origin)
+                == PutOutcome::Full
+            {
                 self.counters.dropped += 1;
             }
         }
@@ -332,7 +336,7 @@
         let others = self.store.origins().filter(|o| *o != self.me);
         let mut same = others.filter_map(|o| self.store.get(o, &key));
         let lasts = |u: Now| u.saturating_sub(now) >= ttl / 2;
-        same.any(|s| s.until.is_some_and(lasts) && s.body.clone().with_ttl(ttl) == *body)
+        same.any(|s| s.expires_at.is_some_and(lasts) && s.body.clone().with_ttl(ttl) == *body)
     }
 
     /// Takes an urgent item and sends it on when it is new. Its origin's version stays as it is:
@@ -355,17 +359,17 @@
 
     /// Stores an item; whether it is new.
     pub(crate) fn learn(&mut self, now: Now, item: Item, out: &mut Vec<Action>) -> bool {
-        let most = self.settings.items;
+        let most = self.settings.max_items_per_origin;
         let put = self
             .store
             .put(item.origin, item.version, item.body.clone(), now, most);
         match put {
-            Put::Known => return false,
-            Put::Full => {
+            PutOutcome::Known => return false,
+            PutOutcome::Full => {
                 self.counters.dropped += 1;
                 return false;
             }
-            Put::New => {}
+            PutOutcome::New => {}
         }
         self.counters.learned += 1;
         self.mark(item.origin, &item.body);
@@ -391,7 +395,7 @@
         let Some(own) = self.roster.get(self.me) else {
             return;
         };
-        let row = roster::row(own);
+        let row = roster::to_row(own);
         self.send(to, addr, Body::Rows(vec![row]), out);
     }
 }
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -13,62 +13,63 @@
     /// Its publication.
     pub version: Version,
     /// When it stops to count.
-    pub until: Option<Now>,
+    pub expires_at: Option<Now>,
     /// The observation.
     pub body: Observation,
     /// What a demand was before, if that was less, and when it last changed.
-    pub low: Option<Low>,
+    pub previous_min: Option<PreviousMin>,
 }
 
 /// The least of a demand before its last change.
 #[derive(Clone, Copy, Debug)]
-pub struct Low {
+pub struct PreviousMin {
     rate: Level,
     in_flight: Level,
-    changed: Now,
+    changed_at: Now,
 }
 
 impl Slot {
     /// The least that this demand was within `time`, or less: changes that follow each other
     /// within that time are taken as one.
-    pub fn least(&self, now: Now, time: Duration) -> (Level, Level) {
+    pub fn min_demand(&self, now: Now, time: Duration) -> (Level, Level) {
         let Observation::Demand {
             rate, in_flight, ..
         } = &self.body
         else {
             return Default::default();
         };
-        match self.low {
-            Some(low) if now.saturating_sub(low.changed) < time => {
+        match self.previous_min {
+            Some(low) if now.saturating_sub(low.changed_at) < time => {
                 (low.rate.min(*rate), low.in_flight.min(*in_flight))
             }
             _ => (*rate, *in_flight),
         }
     }
 
-    fn begin(&mut self, now: Now) {
+    fn init_previous_min(&mut self, now: Now) {
         let none = Level::default();
-        self.low = matches!(self.body, Observation::Demand { .. }).then_some(Low {
-            rate: none,
-            in_flight: none,
-            changed: now,
-        });
+        self.previous_min =
+            matches!(self.body, Observation::Demand { .. }).then_some(PreviousMin {
+                rate: none,
+                in_flight: none,
+                changed_at: now,
+            });
     }
 
-    fn follow(&mut self, old: &Slot, now: Now) {
+    fn update_previous_min(&mut self, old: &Slot, now: Now) {
         if matches!(old.body, Observation::Demand { .. }) {
-            let (rate, in_flight) = old.least(now, LOW);
-            self.low = Some(Low {
+            let (rate, in_flight) = old.min_demand(now, MIN_DEMAND_RETENTION);
+            self.previous_min = Some(PreviousMin {
                 rate,
                 in_flight,
-                changed: now,
+                changed_at: now,
             });
         }
     }
 
     /// The observation with the time that it still counts.
-    pub fn rest(&self, now: Now) -> Observation {
-        let left = self.until.map(|u| u.saturating_sub(now));
+    pub fn with_remaining_ttl(&self, now: Now) -> Observation {
+        let left = self.expires_at.map(|u| u.saturating_sub(now));
         match left {
             Some(left) => self.body.clone().with_ttl(left),
             None => self.body.clone(),
@@ -83,7 +84,7 @@
 }
 
 /// How long the least of a demand is remembered.
-pub const LOW: Duration = Duration::from_secs(30);
+pub const MIN_DEMAND_RETENTION: Duration = Duration::from_secs(30);
 /// The longest an item may count; a peer's larger value is cut.
 pub const MAX_TTL: Duration = Duration::from_secs(24 * 3600);
 
@@ -96,31 +97,31 @@
         body: Observation,
         now: Now,
         most: usize,
-    ) -> Put {
+    ) -> PutOutcome {
         let slots = self.origins.entry(origin).or_default();
         let key = body.key();
         let until = body.ttl().map(|ttl| now + ttl.min(MAX_TTL));
         let mut slot = Slot {
             version,
-            until,
+            expires_at: until,
             body,
-            low: None,
+            previous_min: None,
         };
         let full = slots.len() >= most;
         match slots.get_mut(&key) {
-            Some(old) if old.version >= version => return Put::Known,
+            Some(old) if old.version >= version => return PutOutcome::Known,
             Some(old) => {
-                slot.follow(old, now);
+                slot.update_previous_min(old, now);
                 *old = slot;
             }
-            None if full => return Put::Full,
+            None if full => return PutOutcome::Full,
             None => {
                 // Nothing announced counts as none.
-                slot.begin(now);
+                slot.init_previous_min(now);
                 slots.insert(key, slot);
             }
         }
-        Put::New
+        PutOutcome::New
     }
 
     /// Drops all items of an origin.
@@ -131,12 +132,12 @@
     /// Drops what no longer counts.
     pub(crate) fn expire(&mut self, now: Now) {
         for slots in self.origins.values_mut() {
-            slots.retain(|_, slot| slot.until.is_none_or(|u| u > now));
+            slots.retain(|_, slot| slot.expires_at.is_none_or(|u| u > now));
         }
     }
 
     /// Items of one origin, by key.
-    pub fn of(&self, origin: Id) -> impl Iterator<Item = (&Key, &Slot)> {
+    pub fn items(&self, origin: Id) -> impl Iterator<Item = (&Key, &Slot)> {
         self.origins.get(&origin).into_iter().flatten()
     }
 
@@ -153,7 +154,7 @@
 
 /// What became of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum PutOutcome {
     /// It is stored.
     New,
     /// It, or a later one, was known.
--- a/crates/member/src/team.rs
+++ b/crates/member/src/team.rs
@@ -5,9 +5,9 @@
 use crate::group::Group;
 use crate::item::{Observation, Team};
 use crate::peer::{Peer, State};
-use crate::settings::SMALL;
+use crate::settings::SMALL_GROUP_NODES;
 use crate::share::{self, Input};
-use crate::side::{Context, Sides, Sum};
+use crate::side::{Context, Partition, Sum};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
@@ -16,42 +16,42 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Shares are computed and demand is announced once per step.
-    pub step: Duration,
+    pub step_interval: Duration,
     /// Steps of the window of a small group.
-    pub small: usize,
+    pub small_group_window_steps: usize,
     /// Steps of the window in which a report must reach every node and be counted there, without
     /// those that grow with the group.
-    pub window: usize,
+    pub base_window_steps: usize,
     /// Steps of the window per factor of ten in the number of nodes.
-    pub grow: f64,
+    pub window_steps_per_decade: f64,
     /// Demand items per second that all nodes together may publish.
-    pub items: f64,
+    pub max_group_items_per_second: f64,
     /// Demand items per second that one node may publish.
-    pub own: f64,
+    pub max_node_items_per_second: f64,
     /// How long a dead peer's demand still counts.
-    pub hold: Duration,
+    pub dead_demand_retention: Duration,
     /// Steps after a start or a pause in which a node takes only its floor, until it has
     /// caught up with what the others announced.
-    pub settle: usize,
+    pub settle_steps: usize,
     /// A gap between steps above this is a pause.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// Nodes that exist at least, until the instance list was read.
-    pub expected: usize,
+    pub expected_nodes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            step: Duration::from_secs(1),
-            small: 5,
-            window: 4,
-            grow: 3.0,
-            items: 400.0,
-            own: 50.0,
-            hold: Duration::from_secs(10),
-            settle: 3,
-            pause: Duration::from_secs(2),
-            expected: 8,
+            step_interval: Duration::from_secs(1),
+            small_group_window_steps: 5,
+            base_window_steps: 4,
+            window_steps_per_decade: 3.0,
+            max_group_items_per_second: 400.0,
+            max_node_items_per_second: 50.0,
+            dead_demand_retention: Duration::from_secs(10),
+            settle_steps: 3,
+            pause_threshold: Duration::from_secs(2),
+            expected_nodes: 8,
         }
     }
 }
@@ -59,12 +59,12 @@
 impl Settings {
     /// Steps of the window among `nodes`: exchanges spread in a time that grows with the
     /// logarithm of the group.
-    pub fn window(&self, nodes: usize) -> usize {
-        if nodes <= SMALL {
-            return self.small;
+    pub fn window_steps(&self, nodes: usize) -> usize {
+        if nodes <= SMALL_GROUP_NODES {
+            return self.small_group_window_steps;
         }
         let scale = (nodes as f64).log10();
-        self.window + (self.grow * scale).ceil() as usize
+        self.base_window_steps + (self.window_steps_per_decade * scale).ceil() as usize
     }
 }
 
@@ -90,7 +90,7 @@
 /// the peers' reports are on their way. For one more the smaller of both shares is taken, since
 /// the nodes do not change over all at once: a node that already counts with the others must not
 /// meet one that still has its side's old part.
-const LINGER: [u32; 2] = [1, 2];
+const LINGER_WINDOWS: [u32; 2] = [1, 2];
 
 /// The state of a node's shares.
 #[derive(Clone, Debug)]
@@ -99,9 +99,9 @@
     teams: Vec<Team>,
     index: HashMap<Team, usize>,
     announcer: Announcer,
-    sides: [Sides; 2],
-    stepped: Option<Now>,
-    steps: usize,
+    partitions: [Partition; 2],
+    last_step: Option<Now>,
+    steps_since_start: usize,
     shares: Vec<Share>,
 }
 
@@ -113,9 +113,9 @@
             teams: Vec::new(),
             index: HashMap::new(),
             announcer: Announcer::default(),
-            sides: LINGER.map(Sides::new),
-            stepped: None,
-            steps: 0,
+            partitions: LINGER_WINDOWS.map(Partition::new),
+            last_step: None,
+            steps_since_start: 0,
             shares: Vec::new(),
         }
     }
@@ -127,28 +127,28 @@
     /// are more than [`Settings::pause`] late, since peers may have grown meanwhile.
     pub fn step(&mut self, now: Now, group: &Group, limits: &[Limit], demands: &[Demand]) -> Step {
         assert_eq!(limits.len(), demands.len(), "one demand per limit");
-        let gap = self.stepped.map(|s| now.saturating_sub(s));
+        let gap = self.last_step.map(|s| now.saturating_sub(s));
         let fresh = self.remap(limits);
-        if !fresh && gap.is_some_and(|g| g < self.settings.step) {
+        if !fresh && gap.is_some_and(|g| g < self.settings.step_interval) {
             return Step {
                 publish: Vec::new(),
                 shares: self.shares.clone(),
             };
         }
-        if gap.is_some_and(|g| g > self.settings.pause) {
+        if gap.is_some_and(|g| g > self.settings.pause_threshold) {
             // What peers announced meanwhile was not read, so others may have grown at this
             // node's expense: it starts again from the floor.
-            self.steps = 0;
+            self.steps_since_start = 0;
             self.announcer.clear();
         }
-        self.stepped = Some(now);
-        self.steps += 1;
-        let nodes = self.nodes(group);
+        self.last_step = Some(now);
+        self.steps_since_start += 1;
+        let nodes = self.existing_nodes(group);
         let publish = self
             .announcer
             .step(now, self.budget(nodes), limits, demands);
-        self.shares = self.share(now, group, limits, nodes);
-        self.check(limits);
+        self.shares = self.compute_shares(now, group, limits, nodes);
+        self.assert_within_limits(limits);
         Step {
             publish,
             shares: self.shares.clone(),
@@ -160,17 +160,22 @@
         &self.shares
     }
 
-    fn nodes(&self, group: &Group) -> usize {
+    fn existing_nodes(&self, group: &Group) -> usize {
         let unread = group.listed().next().is_none();
-        let least = if unread { self.settings.expected } else { 1 };
+        let least = if unread {
+            self.settings.expected_nodes
+        } else {
+            1
+        };
         group.node_count().max(least)
     }
 
     fn budget(&self, nodes: usize) -> Budget {
-        let rate = (self.settings.items / nodes as f64).min(self.settings.own);
+        let rate = (self.settings.max_group_items_per_second / nodes as f64)
+            .min(self.settings.max_node_items_per_second);
         Budget {
-            rate,
-            window: self.settings.window(nodes),
+            items_per_second: rate,
+            window_steps: self.settings.window_steps(nodes),
             nodes,
         }
     }
@@ -185,7 +190,7 @@
             .map(|l| self.index.get(&l.team).copied())
             .collect();
         self.announcer.remap(&old);
-        self.sides.iter_mut().for_each(|s| s.remap(&old));
+        self.partitions.iter_mut().for_each(|s| s.remap(&old));
         self.teams = limits.iter().map(|l| l.team).collect();
         self.index = self
             .teams
@@ -196,11 +201,17 @@
         true
     }
 
-    fn share(&mut self, now: Now, group: &Group, limits: &[Limit], nodes: usize) -> Vec<Share> {
-        if self.steps <= self.settings.settle {
-            return limits.iter().map(|l| floor(l, nodes)).collect();
+    fn compute_shares(
+        &mut self,
+        now: Now,
+        group: &Group,
+        limits: &[Limit],
+        nodes: usize,
+    ) -> Vec<Share> {
+        if self.steps_since_start <= self.settings.settle_steps {
+            return limits.iter().map(|l| floor_share(l, nodes)).collect();
         }
-        let window = self.settings.step * self.settings.window(nodes) as u32;
+        let window = self.settings.step_interval * self.settings.window_steps(nodes) as u32;
         let cx = Context {
             now,
             group,
@@ -209,16 +220,16 @@
             announcer: &self.announcer,
             nodes,
             window,
-            hold: self.settings.hold,
+            dead_demand_retention: self.settings.dead_demand_retention,
         };
-        self.sides.iter_mut().for_each(|s| s.follow(&cx));
-        let steps = self.settings.window(nodes) + self.doubt(now, group);
-        let [early, late] = &self.sides;
-        let shares = compute(&cx, early, steps);
-        if late.whole() {
+        self.partitions.iter_mut().for_each(|s| s.update(&cx));
+        let steps = self.settings.window_steps(nodes) + self.suspicion_steps(now, group);
+        let [early, late] = &self.partitions;
+        let shares = shares_for(&cx, early, steps);
+        if late.is_joined() {
             return shares;
         }
-        let others = compute(&cx, late, steps);
+        let others = shares_for(&cx, late, steps);
         shares
             .into_iter()
             .zip(others)
@@ -228,18 +239,18 @@
 
     /// Steps since a suspect was lost whose zone was not heard since. Until it is known whether the
     /// zone parted, the own demand of before then counts: what grew since may not have reached the other side.
-    fn doubt(&self, now: Now, group: &Group) -> usize {
+    fn suspicion_steps(&self, now: Now, group: &Group) -> usize {
         let parting = |p: &&Peer| p.state == State::Suspect && p.zone_alive_since.is_none();
         let suspects = group.roster().iter().filter(parting);
         let age = suspects
             .map(|p| now.saturating_sub(p.lost_at))
             .max()
             .unwrap_or_default();
-        age.div_duration_f64(self.settings.step).ceil() as usize
+        age.div_duration_f64(self.settings.step_interval).ceil() as usize
     }
 
     /// A share is never negative and never above the limit.
-    fn check(&self, limits: &[Limit]) {
+    fn assert_within_limits(&self, limits: &[Limit]) {
         for (share, limit) in self.shares.iter().zip(limits) {
             let fits = |s: f64, l: f64| s >= 0.0 && s <= l * (1.0 + 1e-9);
             let whole = fits(share.rate, limit.rate) && fits(share.in_flight, limit.in_flight);
@@ -248,7 +259,7 @@
     }
 }
 
-fn floor(limit: &Limit, nodes: usize) -> Share {
+fn floor_share(limit: &Limit, nodes: usize) -> Share {
     let rate = share::floor(limit.rate, nodes);
     Share {
         rate,
@@ -256,17 +267,17 @@
     }
 }
 
-fn compute(cx: &Context, sides: &Sides, steps: usize) -> Vec<Share> {
-    let sums = sides.sums(cx);
-    let near = sides.near(cx);
+fn shares_for(cx: &Context, sides: &Partition, steps: usize) -> Vec<Share> {
+    let sums = sides.demand_sums(cx);
+    let near = sides.near_nodes(cx);
     let rows = cx.limits.iter().enumerate();
-    rows.map(|(row, limit)| one(cx, sides, near, steps, (row, limit, &sums[row])))
+    rows.map(|(row, limit)| team_share(cx, sides, near, steps, (row, limit, &sums[row])))
         .collect()
 }
 
-fn one(
+fn team_share(
     cx: &Context,
-    sides: &Sides,
+    sides: &Partition,
     near: usize,
     steps: usize,
     team: (usize, &Limit, &Sum),
@@ -275,16 +286,16 @@
     let own = cx
         .announcer
         .row(row)
-        .map(|r| r.least(steps))
+        .map(|r| r.min_over(steps))
         .unwrap_or_default();
-    let (side, others) = (sides.row(row), sum.near);
+    let (side, others) = (sides.pool(row), sum.near);
     let input = |limit, side, own, others| Input {
         limit,
         nodes: cx.nodes,
-        near,
-        side,
-        own,
-        others,
+        near_nodes: near,
+        side_fraction: side,
+        own_demand: own,
+        others_demand: others,
     };
     let rate = input(limit.rate, side.rate, own.rate, others.rate);
     let slots = input(
@@ -294,8 +305,8 @@
         others.in_flight,
     );
     Share {
-        rate: share::split(&rate),
-        in_flight: share::split(&slots),
+        rate: share::node_share(&rate),
+        in_flight: share::node_share(&slots),
     }
 }
 
@@ -311,7 +322,12 @@
 
 impl fmt::Display for Teams {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "steps {} parted {}", self.steps, self.sides[0].len())?;
+        writeln!(
+            f,
+            "steps {} parted {}",
+            self.steps_since_start,
+            self.partitions[0].len()
+        )?;
         for (team, share) in self.teams.iter().zip(&self.shares) {
             writeln!(
                 f,
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -91,10 +91,10 @@
 
     /// All observations but demand, which comes last in the order of keys and is by far the most.
     fn observed(&self, now: Now) -> impl Iterator<Item = &Observation> {
-        let counts = move |slot: &Slot| slot.until.is_none_or(|u| u > now);
+        let counts = move |slot: &Slot| slot.expires_at.is_none_or(|u| u > now);
         let origins = self.store().origins().flat_map(|o| {
             self.store()
-                .of(o)
+                .items(o)
                 .take_while(|(key, _)| **key < Key::Demand(0))
                 .map(|(_, slot)| slot)
         });
--- a/crates/member/src/watch.rs
+++ b/crates/member/src/watch.rs
@@ -19,7 +19,7 @@
         if now < self.probes.watch {
             return;
         }
-        self.probes.watch = now + self.settings.round(self.roster.len());
+        self.probes.watch = now + self.settings.probe_interval(self.roster.len());
         for peer in self.watched() {
             if !self.probes.is_open(peer) {
                 self.probe(now, peer, Cause::Watch, out);
--- a/crates/member/tests/failure.rs
+++ b/crates/member/tests/failure.rs
@@ -54,7 +54,7 @@
 /// Aim: of the nodes that have settled, only the first takes itself for the first.
 #[test]
 fn nodes_that_start_together_settle_on_one_first_node() {
-    let young = Settings::default().young;
+    let young = Settings::default().startup_period;
     for (nodes, seed) in [(8, 40), (67, 41), (195, 42), (300, 43)] {
         let mut net = Net::new(3, 5, seed, Settings::default());
         for i in 3..nodes {
--- a/crates/member/tests/random.rs
+++ b/crates/member/tests/random.rs
@@ -131,7 +131,10 @@
     fn stores_agree(&self) {
         let items = |by: usize| {
             let group = self.net.group(by).expect("runs");
-            let rows = group.roster().iter().flat_map(|p| group.store().of(p.id));
+            let rows = group
+                .roster()
+                .iter()
+                .flat_map(|p| group.store().items(p.id));
             rows.map(|(key, slot)| (key.clone(), slot.version))
                 .collect::<Vec<_>>()
         };
@@ -230,7 +233,7 @@
 #[test]
 fn shares_without_a_window_are_caught() {
     let broken = team::Settings {
-        small: 1,
+        small_group_window_steps: 1,
         ..team::Settings::default()
     };
     assert!(worst_share(broken, 1) > 1.05);
@@ -265,7 +268,7 @@
     assert_eq!(accused(Settings::default()), 0);
     assert!(
         accused(Settings {
-            pause: SECOND * 3600,
+            pause_threshold: SECOND * 3600,
             ..Settings::default()
         }) > 0
     );
@@ -288,9 +291,9 @@
     assert_eq!(hasty(Settings::default()), 0);
     let short = ms(100);
     let broken = Settings {
-        direct: short,
-        probe: short * 2,
-        suspicion: short,
+        direct_probe_timeout: short,
+        probe_timeout: short * 2,
+        suspicion_timeout: short,
         ..Settings::default()
     };
     assert!(hasty(broken) > 0);
@@ -336,7 +339,7 @@
 fn forgotten_graves_are_caught() {
     assert!(!revenant(Settings::default()));
     assert!(revenant(Settings {
-        bury: ms(0),
+        tombstone_retention: ms(0),
         ..Settings::default()
     }));
 }
--- a/crates/member/tests/share.rs
+++ b/crates/member/tests/share.rs
@@ -47,13 +47,13 @@
         let all: f64 = demands.iter().sum();
         let split = |own: f64, late: f64| {
             let others = all - own + late;
-            share::split(&Input {
+            share::node_share(&Input {
                 limit,
                 nodes,
-                near: nodes,
-                side: 1.0,
-                own,
-                others,
+                near_nodes: nodes,
+                side_fraction: 1.0,
+                own_demand: own,
+                others_demand: others,
             })
         };
         let sum: f64 = demands.iter().map(|d| split(*d, 0.0)).sum();
@@ -67,11 +67,11 @@
 #[test]
 fn parts_add_up_to_the_whole() {
     let (near, far) = (30.0, 10.0);
-    let a = share::part(1.0, near, far);
-    let b = share::part(1.0, far, near);
+    let a = share::side_after_split(1.0, near, far);
+    let b = share::side_after_split(1.0, far, near);
     assert!((a + b - 1.0).abs() < 1e-9);
-    assert!((share::rejoin(a, far, far) - 1.0).abs() < 1e-9);
-    assert_eq!(share::part(1.0, 0.0, 0.0), 1.0);
+    assert!((share::side_after_rejoin(a, far, far) - 1.0).abs() < 1e-9);
+    assert_eq!(share::side_after_split(1.0, 0.0, 0.0), 1.0);
 }
 
 /// A limit of 50 requests in flight on 370 nodes: whole slots, about 50 in all.
@@ -103,7 +103,7 @@
 #[test]
 fn large_changes_are_announced_first() {
     let settings = team::Settings {
-        own: 2.0,
+        max_node_items_per_second: 2.0,
         ..team::Settings::default()
     };
     let mut teams = Teams::new(settings);
--- a/crates/member/tests/support/fleet.rs
+++ b/crates/member/tests/support/fleet.rs
@@ -167,7 +167,7 @@
         let row = |(row, limit): (usize, &Limit)| {
             let others = group.roster().iter().filter(|p| p.id != group.me());
             let items = others
-                .flat_map(|p| group.store().of(p.id))
+                .flat_map(|p| group.store().items(p.id))
                 .map(|(_, s)| &s.body);
             let rate = |b: &Observation| match b {
                 Observation::Demand { team, rate, .. } if *team == limit.team => rate.amount(),
@@ -178,12 +178,12 @@
             let input = Input {
                 limit: limit.rate,
                 nodes,
-                near: nodes,
-                side: 1.0,
-                own,
-                others,
+                near_nodes: nodes,
+                side_fraction: 1.0,
+                own_demand: own,
+                others_demand: others,
             };
-            let rate = share::split(&input);
+            let rate = share::node_share(&input);
             Share {
                 rate,
                 in_flight: rate * 2.0,
--- a/crates/node/src/control/observed.rs
+++ b/crates/node/src/control/observed.rs
@@ -28,7 +28,7 @@
     let store = group.store();
     for origin in store.origins() {
         let others = origin != group.me();
-        for (_, slot) in store.of(origin) {
+        for (_, slot) in store.items(origin) {
             match &slot.body {
                 Observation::Endpoint {
                     name,
--- a/crates/slopes/src/membership.rs
+++ b/crates/slopes/src/membership.rs
@@ -184,7 +184,7 @@
 /// Items that a group's store holds.
 pub fn stored(group: &Group) -> usize {
     let origins = group.store().origins();
-    origins.map(|o| group.store().of(o).count()).sum()
+    origins.map(|o| group.store().items(o).count()).sum()
 }
 
 /// Shares by teams and by items; memory by items.
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -79,7 +79,7 @@
             state: ListedState::Live,
         };
         let settings = Settings {
-            round: Duration::from_millis(200),
+            probe_interval: Duration::from_millis(200),
             ..Settings::default()
         };
         let group = Group::new(identity, 7, settings);
