--- a/crates/gate/src/admit.rs
+++ b/crates/gate/src/admit.rs
@@ -47,7 +47,7 @@
     let team = info.key.as_deref().and_then(|k| catalog.team(k)).cloned();
     let public = catalog.routes[route as usize].public;
     if catalog.requires_key && !public && team.is_none() {
-        return Err(Refusal::new(Reason::NoKey));
+        return Err(Refusal::new(Reason::UnknownKey));
     }
     Ok(Admitted { info, route, team })
 }
@@ -56,7 +56,7 @@
 pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::Large)),
+        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::BodyTooLarge)),
         Err(_) => Err(Refusal::new(Reason::Malformed)),
     }
 }
@@ -68,7 +68,7 @@
     admitted: Admitted,
     parts: Parts,
     body: Bytes,
-    came: Instant,
+    received_at: Instant,
     random: u64,
 ) -> Result<Job, Refusal> {
     let route = &catalog.routes[admitted.route as usize];
@@ -76,7 +76,7 @@
         .service(random)
         .ok_or(Refusal::new(Reason::Unavailable))?;
     let timeout = admitted.info.timeout.unwrap_or(route.timeout);
-    let deadline = came + timeout.min(route.timeout).min(MAX_TIMEOUT);
+    let deadline = received_at + timeout.min(route.timeout).min(MAX_TIMEOUT);
     let priority = admitted.team.as_ref().and_then(|t| t.priority);
     Ok(Job {
         info: admitted.info,
@@ -89,7 +89,7 @@
         uri: parts.uri,
         headers: forwarded(dialect, &parts.headers),
         body,
-        came,
+        received_at,
         deadline,
     })
 }
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event that is waited for.
-const LONGEST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A whole event, with the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,53 +19,53 @@
 
 /// Bytes that are not a whole event yet.
 #[derive(Debug, Default)]
-pub struct Cutter {
-    rest: BytesMut,
+pub struct Splitter {
+    buffer: BytesMut,
     /// Bytes of `rest` in which no end was found.
-    seen: usize,
+    scanned: usize,
 }
 
-impl Cutter {
+impl Splitter {
     /// Adds bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether the stream stops in the middle of an event.
-    pub fn torn(&self) -> bool {
-        !self.rest.is_empty()
+    pub fn has_partial(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
     /// Whether an event is longer than any that is sent.
-    pub fn overlong(&self) -> bool {
-        self.rest.len() > LONGEST
+    pub fn is_oversized(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
     /// Drops what is left of an endpoint's stream.
     pub fn clear(&mut self) {
-        self.rest.clear();
-        self.seen = 0;
+        self.buffer.clear();
+        self.scanned = 0;
     }
 }
 
-impl Iterator for Cutter {
+impl Iterator for Splitter {
     type Item = Event;
 
     /// The next whole event.
     fn next(&mut self) -> Option<Event> {
-        let Some(end) = end(&self.rest, self.seen) else {
-            self.seen = self.rest.len().saturating_sub(3);
+        let Some(end) = event_end(&self.buffer, self.scanned) else {
+            self.scanned = self.buffer.len().saturating_sub(3);
             return None;
         };
-        self.seen = 0;
-        let bytes = self.rest.split_to(end).freeze();
-        let id = id(&bytes);
+        self.scanned = 0;
+        let bytes = self.buffer.split_to(end).freeze();
+        let id = event_id(&bytes);
         Some(Event { id, bytes })
     }
 }
 
 /// Where the first event ends: behind an empty line.
-fn end(bytes: &[u8], from: usize) -> Option<usize> {
+fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.min(bytes.len());
     let ends = (from..bytes.len()).filter(|&i| bytes[i] == b'\n');
     ends.into_iter().find_map(|i| match &bytes[i + 1..] {
@@ -75,7 +75,7 @@
     })
 }
 
-fn id(bytes: &[u8]) -> Option<u64> {
+fn event_id(bytes: &[u8]) -> Option<u64> {
     let mut lines = bytes.split(|&b| b == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
--- a/crates/gate/src/forward/attempt.rs
+++ b/crates/gate/src/forward/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt up to the head of its answer.
 
-use super::Run;
-use super::look::{self, Look};
+use super::Forwarder;
+use super::stall::{self, Verdict};
 use crate::dialect::{Dialect, ForwardInfo, ResponseInfo};
 use crate::pool::{self, Conn};
 use crate::worker::Worker;
@@ -17,13 +17,13 @@
 use tokio::time::{Instant, timeout};
 
 /// What an attempt holds at endpoints, given back when it ends or is dropped.
-pub(crate) struct Held<D: Dialect> {
+pub(crate) struct Reservation<D: Dialect> {
     worker: Rc<Worker<D>>,
     pub(crate) target: Target,
     ended: bool,
 }
 
-impl<D: Dialect> Held<D> {
+impl<D: Dialect> Reservation<D> {
     pub(crate) fn new(worker: Rc<Worker<D>>, target: Target) -> Self {
         Self {
             worker,
@@ -33,30 +33,31 @@
     }
 
     /// Ends it; see [`steer::Selector::end`].
-    pub(crate) fn end(mut self, outcome: Outcome, blame: Option<SocketAddr>) {
+    pub(crate) fn end(mut self, outcome: Outcome, faulty_stage: Option<SocketAddr>) {
         self.ended = true;
-        self.worker.end(self.target.reservation, outcome, blame);
+        self.worker
+            .release(self.target.reservation, outcome, faulty_stage);
     }
 }
 
-impl<D: Dialect> Drop for Held<D> {
+impl<D: Dialect> Drop for Reservation<D> {
     fn drop(&mut self) {
         if !self.ended {
             self.worker
-                .end(self.target.reservation, Outcome::Unknown, None);
+                .release(self.target.reservation, Outcome::Unknown, None);
         }
     }
 }
 
 /// An attempt whose answer's head came.
-pub(crate) struct Sent<D: Dialect> {
+pub(crate) struct Exchange<D: Dialect> {
     pub(crate) conn: Conn,
     pub(crate) response: Response<Incoming>,
     pub(crate) info: ResponseInfo,
-    pub(crate) held: Held<D>,
+    pub(crate) reservation: Reservation<D>,
 }
 
-impl<D: Dialect> Sent<D> {
+impl<D: Dialect> Exchange<D> {
     /// Whether the endpoint says that it did not run the request.
     pub(crate) fn not_run(&self) -> bool {
         self.info.not_run || self.response.status() == StatusCode::MISDIRECTED_REQUEST
@@ -71,23 +72,23 @@
     /// The connection broke.
     Broken,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
     /// What came is the answer to another request, or none that the endpoint vouches for.
-    Foreign,
+    Unverified,
 }
 
 impl Failure {
     /// Whether the request may have reached the endpoint, and have run.
-    pub(crate) fn ran(self) -> bool {
+    pub(crate) fn may_have_run(self) -> bool {
         self != Self::Unsent
     }
 
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Unsent => "no connection",
             Self::Broken => "the connection broke",
-            Self::Silent => "no answer in time",
-            Self::Foreign => "another request's answer, or one without a seal",
+            Self::TimedOut => "no answer in time",
+            Self::Unverified => "another request's answer, or one without a seal",
         }
     }
 }
@@ -101,63 +102,70 @@
     }
 }
 
-impl<D: Dialect> Run<D> {
+impl<D: Dialect> Forwarder<D> {
     /// Sends the request to the head of a target and waits up to `limit` for the answer's head.
     /// `after` is the event after which the answer goes on.
     pub(crate) async fn send(
         &mut self,
-        mut held: Held<D>,
+        mut reservation: Reservation<D>,
         last_event_id: Option<u64>,
         limit: Duration,
-    ) -> Result<Sent<D>, Failure> {
-        let addr = held.target.head().addr;
+    ) -> Result<Exchange<D>, Failure> {
+        let addr = reservation.target.head().addr;
         self.tried
-            .extend(held.target.stages.iter().map(|s| s.run.clone()));
-        let crossings = self.crossings(&held.target.stages);
-        self.story.sent(&held.target, crossings);
-        let exchanged = self.exchange(&mut held, last_event_id, limit).await;
+            .extend(reservation.target.stages.iter().map(|s| s.run.clone()));
+        let crossings = self.crossings(&reservation.target.stages);
+        self.log.record_sent(&reservation.target, crossings);
+        let exchanged = self.exchange(&mut reservation, last_event_id, limit).await;
         let failure = match exchanged {
             Ok((conn, response)) => {
                 let info = self.worker.dialect.response_info(response.headers());
-                if self.genuine(&response, &info) {
-                    return Ok(Sent {
+                if self.is_genuine(&response, &info) {
+                    return Ok(Exchange {
                         conn,
                         response,
                         info,
-                        held,
+                        reservation,
                     });
                 }
-                Failure::Foreign
+                Failure::Unverified
             }
             Err(failure) => failure,
         };
-        self.story.failed(failure.word(), failure.ran());
-        self.worker.pool.forget(addr);
-        held.end(Outcome::Failed, None);
+        self.log
+            .record_failure(failure.as_str(), failure.may_have_run());
+        self.worker.pool.close_idle(addr);
+        reservation.end(Outcome::Failed, None);
         Err(failure)
     }
 
     /// Hops of a chain between availability zones, for the log.
     pub(crate) fn crossings(&self, stages: &[Stage]) -> u32 {
-        self.worker.steer(|steer, _| steer.crossings(stages))
+        self.worker
+            .with_selector(|selector, _| selector.crossings(stages))
     }
 
     async fn exchange(
         &self,
-        held: &mut Held<D>,
+        reservation: &mut Reservation<D>,
         last_event_id: Option<u64>,
         limit: Duration,
     ) -> Result<(Conn, Response<Incoming>), Failure> {
-        let addr = held.target.head().addr;
-        let mut conn = self.worker.pool.conn(addr).await?;
-        let request = self.request(&held.target, last_event_id);
-        match self.answer(&mut conn, request, held, limit).await {
+        let addr = reservation.target.head().addr;
+        let mut conn = self.worker.pool.get(addr).await?;
+        let request = self.request(&reservation.target, last_event_id);
+        match self
+            .await_head(&mut conn, request, reservation, limit)
+            .await
+        {
             // A kept connection that was closed before the request left: a new one is made.
             Err(Failure::Unsent) => {
-                self.worker.pool.forget(addr);
-                let mut conn = self.worker.pool.conn(addr).await?;
-                let request = self.request(&held.target, last_event_id);
-                let response = self.answer(&mut conn, request, held, limit).await?;
+                self.worker.pool.close_idle(addr);
+                let mut conn = self.worker.pool.get(addr).await?;
+                let request = self.request(&reservation.target, last_event_id);
+                let response = self
+                    .await_head(&mut conn, request, reservation, limit)
+                    .await?;
                 Ok((conn, response))
             }
             response => Ok((conn, response?)),
@@ -166,44 +174,44 @@
 
     /// Waits for the head of an answer. A chain's head is asked what it waits for when it stays
     /// silent; see [`super::look`].
-    async fn answer(
+    async fn await_head(
         &self,
         conn: &mut Conn,
         request: Request<Full<bytes::Bytes>>,
-        held: &mut Held<D>,
+        reservation: &mut Reservation<D>,
         limit: Duration,
     ) -> Result<Response<Incoming>, Failure> {
-        let begun = Instant::now();
-        let last = self.job.time_left();
+        let started = Instant::now();
+        let time_left = self.job.time_left();
         let mut response = pin!(conn.send(request));
-        let mut next = look::FIRST.min(limit);
+        let mut next_probe = stall::FIRST_EVENT_PROBE_DELAY.min(limit);
         loop {
-            let wait = next.min(last).saturating_sub(begun.elapsed());
+            let wait = next_probe.min(time_left).saturating_sub(started.elapsed());
             if let Ok(response) = timeout(wait, response.as_mut()).await {
                 return Ok(response?);
             }
-            if begun.elapsed() >= last {
-                return Err(Failure::Silent);
+            if started.elapsed() >= time_left {
+                return Err(Failure::TimedOut);
             }
-            let account = tokio::select! {
+            let report = tokio::select! {
                 biased;
                 response = response.as_mut() => return Ok(response?),
-                account = self.ask(&held.target) => account,
+                report = self.query_head(&reservation.target) => report,
             };
-            let silent = begun.elapsed();
-            let why = match self.look(held, account, silent).await {
-                Look::Lost(why) => Some(why),
-                Look::Wait => (silent >= limit).then_some("slow"),
+            let idle = started.elapsed();
+            let reason = match self.assess(reservation, report, idle).await {
+                Verdict::Abandon(reason) => Some(reason),
+                Verdict::Wait => (idle >= limit).then_some("slow"),
             };
-            if let Some(why) = why
-                && self.could_move()
+            if let Some(reason) = reason
+                && self.can_fail_over()
             {
-                self.story.failed(why, true);
-                return Err(Failure::Silent);
+                self.log.record_failure(reason, true);
+                return Err(Failure::TimedOut);
             }
-            next = match silent < limit {
-                true => limit.min(begun.elapsed() + look::AGAIN),
-                false => begun.elapsed() + look::AGAIN,
+            next_probe = match idle < limit {
+                true => limit.min(started.elapsed() + stall::PROBE_INTERVAL),
+                false => started.elapsed() + stall::PROBE_INTERVAL,
             };
         }
     }
@@ -229,13 +237,13 @@
 
     /// Whether an answer is this request's and the endpoint vouches for it. An endpoint may send
     /// a second answer late, at the place of the next one; a success without a seal is nobody's.
-    fn genuine(&self, response: &Response<Incoming>, info: &ResponseInfo) -> bool {
-        let own = info.request_id.is_none() || info.request_id == self.job.info.id;
+    fn is_genuine(&self, response: &Response<Incoming>, info: &ResponseInfo) -> bool {
+        let own_id = info.request_id.is_none() || info.request_id == self.job.info.id;
         let success = response.status().is_success();
         let encoded = response
             .headers()
             .contains_key(http::header::CONTENT_ENCODING);
         let informational = response.status() == StatusCode::SWITCHING_PROTOCOLS;
-        own && !informational && !encoded && (!success || info.sealed)
+        own_id && !informational && !encoded && (!success || info.sealed)
     }
 }
--- a/crates/gate/src/forward/depart.rs
+++ b/crates/gate/src/forward/migration.rs
@@ -16,11 +16,11 @@
 
 /// Time over which the answers of one stage are moved. Endpoints serve for two seconds after they
 /// said that they leave, and nodes learn it up to a second later.
-const SPREAD: Duration = Duration::from_millis(900);
+const MIGRATION_WINDOW: Duration = Duration::from_millis(900);
 
 /// A move that is to come.
 #[derive(Clone, Copy, Debug)]
-struct Move {
+struct PlannedMove {
     /// The stage that is replaced.
     stage: SocketAddr,
     at: Instant,
@@ -28,13 +28,13 @@
 
 /// What one answer knows of its departing stages.
 #[derive(Debug, Default)]
-pub(crate) struct Departure {
+pub(crate) struct Migration {
     /// Number of the view that was looked at.
-    seen: u64,
-    next: Option<Move>,
+    view_number: u64,
+    planned: Option<PlannedMove>,
 }
 
-impl Departure {
+impl Migration {
     /// The stage of `target` that is to be replaced now, if any. After that it draws another moment,
     /// so that a move which fails is tried again later.
     pub(crate) fn due<D: Dialect>(
@@ -42,29 +42,29 @@
         worker: &Worker<D>,
         target: &Target,
     ) -> Option<SocketAddr> {
-        let view = worker.views();
-        if view != self.seen {
-            self.seen = view;
-            self.look(worker, target);
+        let view_number = worker.view_number();
+        if view_number != self.view_number {
+            self.view_number = view_number;
+            self.refresh(worker, target);
         }
-        let due = self.next.filter(|n| n.at <= Instant::now())?;
-        self.next = Some(plan(due.stage));
+        let due = self.planned.filter(|n| n.at <= Instant::now())?;
+        self.planned = Some(schedule(due.stage));
         Some(due.stage)
     }
 
     /// Finds the departing stage anew; one that is planned keeps its moment.
-    fn look<D: Dialect>(&mut self, worker: &Worker<D>, target: &Target) {
-        let found = worker.steer(|steer, _| steer.departing(target));
-        let planned = self.next.map(|n| n.stage);
-        if planned != found {
-            self.next = found.map(plan);
+    fn refresh<D: Dialect>(&mut self, worker: &Worker<D>, target: &Target) {
+        let found = worker.with_selector(|selector, _| selector.departing(target));
+        let planned_stage = self.planned.map(|n| n.stage);
+        if planned_stage != found {
+            self.planned = found.map(schedule);
         }
     }
 }
 
 /// Replaces a stage at a moment within [`SPREAD`].
-fn plan(stage: SocketAddr) -> Move {
-    let wait = SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
-    let at = Instant::now() + wait;
-    Move { stage, at }
+fn schedule(stage: SocketAddr) -> PlannedMove {
+    let delay = MIGRATION_WINDOW.mul_f64(rand::rng().random_range(0.0..1.0));
+    let at = Instant::now() + delay;
+    PlannedMove { stage, at }
 }
--- a/crates/gate/src/forward/story.rs
+++ b/crates/gate/src/forward/request_log.rs
@@ -12,73 +12,73 @@
 use tokio::time::Instant;
 
 /// Tells of one request. Dropped before its end, it tells that the caller left.
-pub(crate) struct Story {
+pub(crate) struct RequestLog {
     journal: Journal,
     metrics: Metrics,
     id: String,
     route: String,
-    catalog: u64,
-    came: Instant,
-    head: Option<Instant>,
+    catalog_version: u64,
+    received_at: Instant,
+    first_event: Option<Instant>,
     attempts: u32,
-    note: &'static str,
-    pause: std::time::Duration,
+    reason: &'static str,
+    max_pause: std::time::Duration,
     /// When the caller was last given an event.
-    given: Option<Instant>,
+    last_event: Option<Instant>,
     ended: bool,
 }
 
-impl Story {
+impl RequestLog {
     pub(crate) fn new(journal: Journal, metrics: Metrics, job: &Job) -> Self {
         Self {
             journal,
             metrics,
             id: job.id().to_owned(),
             route: job.route().name.clone(),
-            catalog: job.catalog.version,
-            came: job.came,
-            head: None,
+            catalog_version: job.catalog.version,
+            received_at: job.received_at,
+            first_event: None,
             attempts: 0,
-            note: "",
-            pause: std::time::Duration::ZERO,
-            given: None,
+            reason: "",
+            max_pause: std::time::Duration::ZERO,
+            last_event: None,
             ended: false,
         }
     }
 
     /// Keeps a reason for the end.
-    pub(crate) fn note(&mut self, note: &'static str) {
-        self.note = note;
+    pub(crate) fn set_reason(&mut self, reason: &'static str) {
+        self.reason = reason;
     }
 
     /// An attempt was sent.
-    pub(crate) fn sent(&mut self, target: &Target, crossings: u32) {
+    pub(crate) fn record_sent(&mut self, target: &Target, crossings: u32) {
         self.attempts += 1;
-        self.metrics.attempt("sent");
+        self.metrics.record_attempt("sent");
         self.journal.record(Event::Sent {
             id: self.id.clone(),
             attempt: self.attempts,
-            stages: text(&target.stages),
+            stages: stage_list(&target.stages),
             crossings,
-            catalog: self.catalog,
+            catalog: self.catalog_version,
         });
     }
 
     /// A stage of an attempt was replaced.
-    pub(crate) fn detour(&self, culprit: SocketAddr, stages: &[Stage], crossings: u32) {
-        self.metrics.attempt("stage replaced");
+    pub(crate) fn record_reroute(&self, replaced: SocketAddr, stages: &[Stage], crossings: u32) {
+        self.metrics.record_attempt("stage replaced");
         self.journal.record(Event::Detour {
             id: self.id.clone(),
             attempt: self.attempts,
-            culprit: culprit.to_string(),
-            stages: text(stages),
+            culprit: replaced.to_string(),
+            stages: stage_list(stages),
             crossings,
-            after_ms: self.came.elapsed().as_millis() as u64,
+            after_ms: self.received_at.elapsed().as_millis() as u64,
         });
     }
 
     /// No endpoint could take the request.
-    pub(crate) fn short(&self, shortage: Shortage, scarcity: &Scarcity) {
+    pub(crate) fn record_shortage(&self, shortage: Shortage, scarcity: &Scarcity) {
         let percent = |part: f64| (part * 100.0).round() as u64;
         self.journal.record(Event::Short {
             id: self.id.clone(),
@@ -89,62 +89,64 @@
             free_percent: percent(scarcity.free),
             pipe_percent: percent(scarcity.pipe),
             age_ms: scarcity.age.as_millis() as u64,
-            catalog: self.catalog,
+            catalog: self.catalog_version,
         });
     }
 
     /// An attempt failed.
-    pub(crate) fn failed(&self, why: &str, ran: bool) {
-        self.metrics.attempt(if ran { "failed" } else { "not run" });
+    pub(crate) fn record_failure(&self, why: &str, ran: bool) {
+        self.metrics
+            .record_attempt(if ran { "failed" } else { "not run" });
         self.journal.record(Event::Failed {
             id: self.id.clone(),
             attempt: self.attempts,
             why: why.to_owned(),
             ran,
-            after_ms: self.came.elapsed().as_millis() as u64,
+            after_ms: self.received_at.elapsed().as_millis() as u64,
         });
     }
 
     /// The answer's head went to the caller.
-    pub(crate) fn begun(&mut self) {
-        self.head = Some(Instant::now());
-        self.given = self.head;
-        self.metrics.first(self.came.elapsed());
+    pub(crate) fn record_first_event(&mut self) {
+        self.first_event = Some(Instant::now());
+        self.last_event = self.first_event;
+        self.metrics.record_first_event(self.received_at.elapsed());
     }
 
     /// A further event went to the caller. The pause before it is the caller's, whether or not the answer
     /// went on from another endpoint meanwhile.
-    pub(crate) fn went_on(&mut self) {
-        let pause = self.given.unwrap_or(self.came).elapsed();
-        self.pause = self.pause.max(pause);
-        self.given = Some(Instant::now());
-        self.metrics.pause(pause);
+    pub(crate) fn record_event(&mut self) {
+        let pause = self.last_event.unwrap_or(self.received_at).elapsed();
+        self.max_pause = self.max_pause.max(pause);
+        self.last_event = Some(Instant::now());
+        self.metrics.record_pause(pause);
     }
 
     /// The node answered by itself.
-    pub(crate) fn refused(&mut self, refusal: Refusal) {
-        let why = match self.note {
+    pub(crate) fn end_refused(&mut self, refusal: Refusal) {
+        let why = match self.reason {
             "" => refusal.reason.message().to_owned(),
-            note => format!("{}: {note}", refusal.reason.message()),
+            detail => format!("{}: {detail}", refusal.reason.message()),
         };
         self.end(refusal.reason.status().as_u16(), "refused", why);
     }
 
     /// An endpoint's answer went to the caller as a whole.
-    pub(crate) fn answered(&mut self, status: u16) {
+    pub(crate) fn end_answered(&mut self, status: u16) {
         self.end(status, "answered", String::new());
     }
 
     /// An answer that had begun was broken off.
-    pub(crate) fn broken(&mut self) {
-        let why = self.note.to_owned();
+    pub(crate) fn end_truncated(&mut self) {
+        let why = self.reason.to_owned();
         self.end(200, "broken off", why);
     }
 
     fn end(&mut self, status: u16, outcome: &'static str, why: String) {
         self.ended = true;
-        let head = self.head.unwrap_or_else(Instant::now);
-        self.metrics.ended(outcome, status, self.came.elapsed());
+        let head = self.first_event.unwrap_or_else(Instant::now);
+        self.metrics
+            .record_request(outcome, status, self.received_at.elapsed());
         self.journal.record(Event::Ended {
             id: std::mem::take(&mut self.id),
             route: std::mem::take(&mut self.route),
@@ -152,15 +154,19 @@
             outcome,
             why,
             attempts: self.attempts,
-            head_ms: (head - self.came).as_millis() as u64,
-            all_ms: self.came.elapsed().as_millis() as u64,
-            pause_ms: self.pause.as_millis() as u64,
-            quiet_ms: self.given.unwrap_or(self.came).elapsed().as_millis() as u64,
+            head_ms: (head - self.received_at).as_millis() as u64,
+            all_ms: self.received_at.elapsed().as_millis() as u64,
+            pause_ms: self.max_pause.as_millis() as u64,
+            quiet_ms: self
+                .last_event
+                .unwrap_or(self.received_at)
+                .elapsed()
+                .as_millis() as u64,
         });
     }
 }
 
-impl Drop for Story {
+impl Drop for RequestLog {
     fn drop(&mut self) {
         if !self.ended {
             self.end(0, "left", "the caller left".to_owned());
@@ -168,7 +174,7 @@
     }
 }
 
-fn text(stages: &[Stage]) -> String {
+fn stage_list(stages: &[Stage]) -> String {
     let stages = stages.iter();
     let stages: Vec<_> = stages.map(|s| format!("{}={}", s.run, s.span)).collect();
     stages.join(",")
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -44,7 +44,7 @@
     /// Its body.
     pub body: Bytes,
     /// When it came.
-    pub came: Instant,
+    pub received_at: Instant,
     /// When its time is over: the caller's, or the route's if that is shorter.
     pub deadline: Instant,
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -12,9 +12,9 @@
 //! the node).
 
 pub mod admit;
-pub mod answer;
+pub mod body;
 pub mod dialect;
-pub mod directory;
+pub mod discovery;
 pub mod events;
 pub mod forward;
 pub mod job;
--- a/crates/gate/src/listener.rs
+++ b/crates/gate/src/listener.rs
@@ -1,8 +1,8 @@
 //! The listeners of a worker: callers, the question for addresses, and the question for readiness.
 
-use crate::answer::Answer;
+use crate::body::Body;
 use crate::dialect::Dialect;
-use crate::directory;
+use crate::discovery;
 use crate::splice::Chunk;
 use crate::worker::Worker;
 use futures::Stream;
@@ -23,15 +23,15 @@
 use tokio_util::task::TaskTracker;
 
 /// Path of the metrics.
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 /// Path of the dump.
-const DUMP: &str = "/dump";
+const DUMP_PATH: &str = "/dump";
 /// Pause after a failed accept, so that a lack of descriptors does not spin the thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time after which the kernel gives up a caller that does not confirm what was sent.
-const UNCONFIRMED: Duration = Duration::from_secs(10);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Least buffer of a connection's head that the HTTP library takes.
-const LEAST_HEAD: usize = 8192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,22 +60,22 @@
     worker: Rc<Worker<D>>,
     listener: TcpListener,
     port: Port,
-    connections: usize,
+    max_connections: usize,
     stop: Stop,
 ) {
     let tracker = TaskTracker::new();
-    let room = std::sync::Arc::new(Semaphore::new(connections));
+    let permits = std::sync::Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
             () = stop.kill.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         // Over the bound a connection is closed at once: its caller goes to another node.
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
         let worker = worker.clone();
@@ -83,17 +83,22 @@
         tracker.spawn_local(async move {
             tokio::select! {
                 () = stop.kill.cancelled() => {}
-                () = connection(worker, stream, port, &stop) => {}
+                () = serve_connection(worker, stream, port, &stop) => {}
             }
             drop(permit);
         });
     }
 }
 
-async fn connection<D: Dialect>(worker: Rc<Worker<D>>, stream: TcpStream, port: Port, stop: &Stop) {
+async fn serve_connection<D: Dialect>(
+    worker: Rc<Worker<D>>,
+    stream: TcpStream,
+    port: Port,
+    stop: &Stop,
+) {
     // Without these options answers are slower or a lost caller is noticed later.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNCONFIRMED));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let limits = worker.view().map(|v| v.fleet.catalog.limits);
     let limits = limits.unwrap_or_default();
     let mut builder = http1::Builder::new();
@@ -101,8 +106,8 @@
         .timer(TokioTimer::new())
         // The library's one bound on the time for a head runs while a connection is idle too.
         .header_read_timeout(limits.idle_time.max(limits.head_time))
-        .max_buf_size(limits.head_bytes.max(LEAST_HEAD) * 2);
-    let service = service_fn(move |request| answer(worker.clone(), request, port));
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES) * 2);
+    let service = service_fn(move |request| respond(worker.clone(), request, port));
     let mut conn = pin!(builder.serve_connection(TokioIo::new(stream), service));
     // An error ends one caller's connection only; its request tells its own story.
     tokio::select! {
@@ -112,22 +117,24 @@
     let _ = conn.await;
 }
 
-async fn answer<D: Dialect>(
+async fn respond<D: Dialect>(
     worker: Rc<Worker<D>>,
     request: Request<Incoming>,
     port: Port,
-) -> Result<Response<Answer<impl Stream<Item = Chunk>>>, Infallible> {
+) -> Result<Response<Body<impl Stream<Item = Chunk>>>, Infallible> {
     let leaving = worker.leaving();
     let path = request.uri().path();
     let mut response = match port {
-        Port::Addresses if path == worker.dialect.addresses_path() => {
-            directory::answer(&worker.dialect, worker.view().as_deref(), worker.turn())
-        }
+        Port::Addresses if path == worker.dialect.addresses_path() => discovery::addresses(
+            &worker.dialect,
+            worker.view().as_deref(),
+            worker.next_rotation(),
+        ),
         Port::Ready if path == worker.dialect.ready_path() => {
-            directory::ready(worker.view().as_deref())
+            discovery::readiness(worker.view().as_deref())
         }
-        Port::Metrics if path == METRICS => metrics(&worker),
-        Port::Metrics if path == DUMP => Response::new(crate::answer::whole(worker.dump().await)),
+        Port::Metrics if path == METRICS_PATH => metrics(&worker),
+        Port::Metrics if path == DUMP_PATH => Response::new(crate::body::full(worker.dump().await)),
         Port::Callers => worker.serve(request).await,
         _ => not_found(),
     };
@@ -138,19 +145,19 @@
     Ok(response)
 }
 
-fn metrics<D: Dialect, S>(worker: &Worker<D>) -> Response<Answer<S>> {
-    match worker.metrics.text() {
-        Ok(text) => Response::new(crate::answer::whole(text)),
+fn metrics<D: Dialect, S>(worker: &Worker<D>) -> Response<Body<S>> {
+    match worker.metrics.encode() {
+        Ok(text) => Response::new(crate::body::full(text)),
         Err(error) => {
-            let mut response = Response::new(crate::answer::whole(error.to_string()));
+            let mut response = Response::new(crate::body::full(error.to_string()));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             response
         }
     }
 }
 
-fn not_found<S>() -> Response<Answer<S>> {
-    let mut response = Response::new(crate::answer::whole(""));
+fn not_found<S>() -> Response<Body<S>> {
+    let mut response = Response::new(crate::body::full(""));
     *response.status_mut() = StatusCode::NOT_FOUND;
     response
 }
--- a/crates/gate/src/metrics.rs
+++ b/crates/gate/src/metrics.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Bounds of the histograms, in seconds: from a hop within a zone to a caller's longest wait.
-const BOUNDS: [f64; 13] = [
+const BUCKET_BOUNDS: [f64; 13] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
@@ -31,50 +31,53 @@
     registry: Registry,
     requests: Counter<u64>,
     attempts: Counter<u64>,
-    reads: Counter<u64>,
-    first: Histogram<f64>,
+    store_reads: Counter<u64>,
+    first_event: Histogram<f64>,
     pause: Histogram<f64>,
-    whole: Histogram<f64>,
-    queue: Histogram<f64>,
-    read: Histogram<f64>,
-    copies: Counter<u64>,
-    copy: Histogram<f64>,
-    version: Gauge<u64>,
+    total: Histogram<f64>,
+    queue_time: Histogram<f64>,
+    store_read: Histogram<f64>,
+    peer_requests: Counter<u64>,
+    peer_response: Histogram<f64>,
+    catalog_version: Gauge<u64>,
     endpoints: Gauge<u64>,
-    age: Gauge<f64>,
+    view_age: Gauge<f64>,
 }
 
 impl Metrics {
     /// Instruments of `meter`, whose values `registry` gathers.
     pub fn new(meter: &Meter, registry: Registry) -> Self {
-        let seconds = |name: &'static str, about: &'static str| {
+        let seconds = |name: &'static str, description: &'static str| {
             let histogram = meter.f64_histogram(name).with_unit("s");
-            let histogram = histogram.with_boundaries(BOUNDS.to_vec());
-            histogram.with_description(about).build()
+            let histogram = histogram.with_boundaries(BUCKET_BOUNDS.to_vec());
+            histogram.with_description(description).build()
         };
-        let count = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        let count = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
         Self {
             requests: count("wigeonshelf_requests", "Requests by outcome and status"),
             attempts: count("wigeonshelf_attempts", "Attempts by how they ended"),
-            reads: count(
+            store_reads: count(
                 "wigeonshelf_store_reads",
                 "Reads of the store by table and outcome",
             ),
-            first: seconds("wigeonshelf_first_event", "Time to an answer's first event"),
+            first_event: seconds("wigeonshelf_first_event", "Time to an answer's first event"),
             pause: seconds("wigeonshelf_pause", "Time between two events"),
-            whole: seconds("wigeonshelf_answer", "Time to the end of an answer"),
-            queue: seconds("wigeonshelf_queue", "Wait for an endpoint with room"),
-            read: seconds("wigeonshelf_store_read", "Time of a read of the store"),
-            copies: count(
+            total: seconds("wigeonshelf_answer", "Time to the end of an answer"),
+            queue_time: seconds("wigeonshelf_queue", "Wait for an endpoint with room"),
+            store_read: seconds("wigeonshelf_store_read", "Time of a read of the store"),
+            peer_requests: count(
                 "wigeonshelf_copies",
                 "Asks of peers for copies and loads by what and outcome",
             ),
-            copy: seconds("wigeonshelf_copy", "Time of a peer's answer to such an ask"),
-            version: meter.u64_gauge("wigeonshelf_catalog_version").build(),
+            peer_response: seconds("wigeonshelf_copy", "Time of a peer's answer to such an ask"),
+            catalog_version: meter.u64_gauge("wigeonshelf_catalog_version").build(),
             endpoints: meter.u64_gauge("wigeonshelf_endpoints").build(),
-            age: meter
+            view_age: meter
                 .f64_gauge("wigeonshelf_belief_age")
                 .with_unit("s")
                 .build(),
@@ -83,60 +86,62 @@
     }
 
     /// A request ended.
-    pub fn ended(&self, outcome: &'static str, status: u16, whole: Duration) {
+    pub fn record_request(&self, outcome: &'static str, status: u16, time: Duration) {
         let status = KeyValue::new("status", i64::from(status));
         self.requests
             .add(1, &[KeyValue::new("outcome", outcome), status]);
-        self.whole
-            .record(whole.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+        self.total
+            .record(time.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
     /// An attempt began, failed, or was moved.
-    pub fn attempt(&self, what: &'static str) {
+    pub fn record_attempt(&self, what: &'static str) {
         self.attempts.add(1, &[KeyValue::new("what", what)]);
     }
 
     /// The first event of an answer came.
-    pub fn first(&self, time: Duration) {
-        self.first.record(time.as_secs_f64(), &[]);
+    pub fn record_first_event(&self, time: Duration) {
+        self.first_event.record(time.as_secs_f64(), &[]);
     }
 
     /// A pause between two events.
-    pub fn pause(&self, time: Duration) {
+    pub fn record_pause(&self, time: Duration) {
         self.pause.record(time.as_secs_f64(), &[]);
     }
 
     /// A request waited for room.
-    pub fn queue(&self, time: Duration) {
-        self.queue.record(time.as_secs_f64(), &[]);
+    pub fn record_queue_time(&self, time: Duration) {
+        self.queue_time.record(time.as_secs_f64(), &[]);
     }
 
     /// The store was read, or could not be.
-    pub fn read(&self, table: &'static str, good: bool, time: Duration) {
-        let outcome = KeyValue::new("outcome", if good { "read" } else { "failed" });
-        self.reads.add(1, &[KeyValue::new("table", table), outcome]);
-        self.read
+    pub fn record_store_read(&self, table: &'static str, ok: bool, time: Duration) {
+        let outcome = KeyValue::new("outcome", if ok { "read" } else { "failed" });
+        self.store_reads
+            .add(1, &[KeyValue::new("table", table), outcome]);
+        self.store_read
             .record(time.as_secs_f64(), &[KeyValue::new("table", table)]);
     }
 
     /// A peer gave what it was asked for, or did not.
-    pub fn copy(&self, what: &'static str, good: bool, time: Duration) {
-        let outcome = KeyValue::new("outcome", if good { "given" } else { "failed" });
-        self.copies.add(1, &[KeyValue::new("what", what), outcome]);
-        self.copy
+    pub fn record_peer_request(&self, what: &'static str, ok: bool, time: Duration) {
+        let outcome = KeyValue::new("outcome", if ok { "given" } else { "failed" });
+        self.peer_requests
+            .add(1, &[KeyValue::new("what", what), outcome]);
+        self.peer_response
             .record(time.as_secs_f64(), &[KeyValue::new("what", what)]);
     }
 
     /// What is believed now, and how old that is.
-    pub fn belief(&self, version: u64, endpoints: u64, table: &'static str, age: Duration) {
-        self.version.record(version, &[]);
+    pub fn record_view(&self, version: u64, endpoints: u64, table: &'static str, age: Duration) {
+        self.catalog_version.record(version, &[]);
         self.endpoints.record(endpoints, &[]);
-        self.age
+        self.view_age
             .record(age.as_secs_f64(), &[KeyValue::new("table", table)]);
     }
 
     /// The text that a collector reads.
-    pub fn text(&self) -> Result<Vec<u8>> {
+    pub fn encode(&self) -> Result<Vec<u8>> {
         let mut text = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         encoded.map_err(|e| Error(e.to_string()))?;
--- a/crates/gate/src/pool.rs
+++ b/crates/gate/src/pool.rs
@@ -17,17 +17,17 @@
 use tokio::time::{Instant, timeout};
 
 /// Longest time to make a connection: a few round trips, and one lost packet at the most.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time after which the kernel gives a connection up whose data is not confirmed. Without it a
 /// connection to an instance that lost power would hang for minutes.
-const UNCONFIRMED: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long an idle connection is used again if the endpoint does not say how long it keeps it.
-const IDLE: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Part of the endpoint's idle time after which a connection is not used again: what is sent
 /// while the endpoint closes is lost, and may or may not have run.
-const IDLE_PART: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Idle connections kept to one endpoint.
-const KEPT: usize = 64;
+const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 /// Why a request got no answer's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,19 +49,19 @@
     sender: SendRequest<Full<Bytes>>,
     addr: SocketAddr,
     /// How long it may stay idle and still be used.
-    idle: Duration,
+    idle_timeout: Duration,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConn {
     conn: Conn,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// The connections of one worker.
 #[derive(Debug)]
 pub struct Pool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConn>>>,
     stats: Rc<Stats>,
 }
 
@@ -75,20 +75,20 @@
     }
 
     /// A connection to `addr`: a kept one that is still open, or a new one.
-    pub async fn conn(&self, addr: SocketAddr) -> Result<Conn> {
-        if let Some(conn) = self.kept(addr) {
+    pub async fn get(&self, addr: SocketAddr) -> Result<Conn> {
+        if let Some(conn) = self.take_idle(addr) {
             return Ok(conn);
         }
-        stats::add(&self.stats.dialed);
-        let made = timeout(CONNECT, dial(addr)).await;
-        made.unwrap_or(Err(Error::Connect))
+        stats::increment(&self.stats.connects);
+        let connected = timeout(CONNECT_TIMEOUT, connect(addr)).await;
+        connected.unwrap_or(Err(Error::Connect))
     }
 
-    fn kept(&self, addr: SocketAddr) -> Option<Conn> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
-        while let Some(Idle { conn, since }) = list.pop() {
-            if conn.sender.is_ready() && since.elapsed() < conn.idle {
+        while let Some(IdleConn { conn, idle_since }) = list.pop() {
+            if conn.sender.is_ready() && idle_since.elapsed() < conn.idle_timeout {
                 return Some(conn);
             }
         }
@@ -96,27 +96,30 @@
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, mut conn: Conn, idle: Option<Duration>) {
-        conn.idle = idle.map_or(IDLE, |i| i.mul_f64(IDLE_PART));
-        let since = Instant::now();
-        let mut kept = self.idle.borrow_mut();
-        let list = kept.entry(conn.addr).or_default();
-        if list.len() < KEPT {
-            list.push(Idle { conn, since });
+    pub fn put(&self, mut conn: Conn, idle_timeout: Option<Duration>) {
+        conn.idle_timeout =
+            idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |i| i.mul_f64(IDLE_TIMEOUT_FRACTION));
+        let idle_since = Instant::now();
+        let mut idle = self.idle.borrow_mut();
+        let list = idle.entry(conn.addr).or_default();
+        if list.len() < MAX_IDLE_PER_ENDPOINT {
+            list.push(IdleConn { conn, idle_since });
         }
     }
 
     /// Closes connections that were idle for too long, and all to endpoints not in `addrs`.
-    pub fn tidy(&self, known: impl Fn(SocketAddr) -> bool) {
+    pub fn prune(&self, known: impl Fn(SocketAddr) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|addr, list| {
-            list.retain(|i| i.since.elapsed() < i.conn.idle && !i.conn.sender.is_closed());
+            list.retain(|i| {
+                i.idle_since.elapsed() < i.conn.idle_timeout && !i.conn.sender.is_closed()
+            });
             !list.is_empty() && known(*addr)
         });
     }
 
     /// Closes the idle connections to an endpoint that failed.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 }
@@ -134,11 +137,11 @@
     }
 }
 
-async fn dial(addr: SocketAddr) -> Result<Conn> {
+async fn connect(addr: SocketAddr) -> Result<Conn> {
     let stream = TcpStream::connect(addr).await.map_err(|_| Error::Connect)?;
     // Without these options requests are slower or silence is noticed later; they still work.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNCONFIRMED));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, conn) = handshake.map_err(|_| Error::Connect)?;
     // The connection's own error is told to the request that it carries.
@@ -148,6 +151,6 @@
     Ok(Conn {
         sender,
         addr,
-        idle: IDLE,
+        idle_timeout: DEFAULT_IDLE_TIMEOUT,
     })
 }
--- a/crates/gate/src/refusal.rs
+++ b/crates/gate/src/refusal.rs
@@ -1,6 +1,6 @@
 //! Answers that the node gives by itself.
 
-use crate::answer::{self, Answer};
+use crate::body::{self, Body};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 use std::time::Duration;
@@ -13,9 +13,9 @@
     /// No route has the host and path.
     NoRoute,
     /// No team has the key.
-    NoKey,
+    UnknownKey,
     /// The body is over its bound.
-    Large,
+    BodyTooLarge,
     /// The request can't be read.
     Malformed,
     /// This node is about to end.
@@ -23,26 +23,26 @@
     /// No endpoint can take the request now, and it has not run.
     Unavailable,
     /// The request was lost on its way, and may have run.
-    Lost,
+    OutcomeUnknown,
     /// The time is over, and the request may have run.
-    Late,
+    TimedOut,
     /// The time is over, and the request has not run.
-    Expired,
+    ExpiredNotRun,
 }
 
 impl Reason {
     /// Its status. 503 says that the request has not run and will not.
     pub fn status(self) -> StatusCode {
         match self {
-            Self::NoCatalog | Self::Leaving | Self::Unavailable | Self::Expired => {
+            Self::NoCatalog | Self::Leaving | Self::Unavailable | Self::ExpiredNotRun => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoKey => StatusCode::UNAUTHORIZED,
-            Self::Large => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::UnknownKey => StatusCode::UNAUTHORIZED,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Malformed => StatusCode::BAD_REQUEST,
-            Self::Lost => StatusCode::BAD_GATEWAY,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
+            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
@@ -51,14 +51,16 @@
         match self {
             Self::NoCatalog => "no catalog is known yet",
             Self::NoRoute => "no route has this host and path",
-            Self::NoKey => "the key is unknown",
-            Self::Large => "the body is too large",
+            Self::UnknownKey => "the key is unknown",
+            Self::BodyTooLarge => "the body is too large",
             Self::Malformed => "the request can't be read",
             Self::Leaving => "this node is about to end",
             Self::Unavailable => "no endpoint can take the request now",
-            Self::Lost => "the connection to the endpoint broke; the request may have run",
-            Self::Late => "the time is over; the request may have run",
-            Self::Expired => "the time is over; the request has not run",
+            Self::OutcomeUnknown => {
+                "the connection to the endpoint broke; the request may have run"
+            }
+            Self::TimedOut => "the time is over; the request may have run",
+            Self::ExpiredNotRun => "the time is over; the request has not run",
         }
     }
 }
@@ -69,7 +71,7 @@
     /// Why.
     pub reason: Reason,
     /// When to come back.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -77,28 +79,28 @@
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
-            after: None,
+            retry_after: None,
         }
     }
 
     /// A refusal with a time to come back.
-    pub fn after(reason: Reason, after: Duration) -> Self {
+    pub fn with_retry_after(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
-            after: Some(after),
+            retry_after: Some(retry_after),
         }
     }
 
     /// The answer.
-    pub fn response<S>(self) -> Response<Answer<S>> {
+    pub fn response<S>(self) -> Response<Body<S>> {
         let body = serde_json::json!({ "error": self.reason.message() }).to_string();
-        let mut response = Response::new(answer::whole(body));
+        let mut response = Response::new(body::full(body));
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let after = self.after.map(|a| format!("{:.3}", a.as_secs_f64()));
-        if let Some(after) = after.and_then(|a| HeaderValue::try_from(a).ok()) {
-            headers.insert(RETRY_AFTER, after);
+        let seconds = self.retry_after.map(|a| format!("{:.3}", a.as_secs_f64()));
+        if let Some(value) = seconds.and_then(|a| HeaderValue::try_from(a).ok()) {
+            headers.insert(RETRY_AFTER, value);
         }
         response
     }
--- a/crates/gate/src/splice.rs
+++ b/crates/gate/src/splice.rs
@@ -7,11 +7,11 @@
 
 use crate::admit;
 use crate::dialect::Dialect;
-use crate::events::{Cutter, Event};
-use crate::forward::attempt::{Held, Sent};
-use crate::forward::depart::Departure;
-use crate::forward::look::{self, Look};
-use crate::forward::{Run, closes};
+use crate::events::{Event, Splitter};
+use crate::forward::attempt::{Exchange, Reservation};
+use crate::forward::migration::Migration;
+use crate::forward::stall::{self, Verdict};
+use crate::forward::{Forwarder, closes_connection};
 use bytes::Bytes;
 use futures::Stream;
 use http::{HeaderMap, StatusCode};
@@ -23,26 +23,26 @@
 use tokio::time::{Instant, timeout};
 
 /// Time after the last event in which another endpoint is looked for.
-const PATIENCE: Duration = Duration::from_millis(600);
+const MAX_RESUME_WAIT: Duration = Duration::from_millis(600);
 
 /// What a caller's body is made of.
-pub type Chunk = std::result::Result<Frame<Bytes>, Broken>;
+pub type Chunk = std::result::Result<Frame<Bytes>, Incomplete>;
 
 /// The answer can't be ended as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct Incomplete;
 
-impl fmt::Display for Broken {
+impl fmt::Display for Incomplete {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Incomplete {}
 
 /// An endpoint's answer while it comes.
-pub(crate) struct Live<D: Dialect> {
-    sent: Sent<D>,
+pub(crate) struct EventSource<D: Dialect> {
+    exchange: Exchange<D>,
 }
 
 /// The head that a caller gets.
@@ -51,13 +51,13 @@
     pub(crate) headers: HeaderMap,
 }
 
-impl<D: Dialect> Live<D> {
-    pub(crate) fn new(sent: Sent<D>) -> Self {
-        Self { sent }
+impl<D: Dialect> EventSource<D> {
+    pub(crate) fn new(exchange: Exchange<D>) -> Self {
+        Self { exchange }
     }
 
     pub(crate) fn head(&self) -> Head {
-        let response = &self.sent.response;
+        let response = &self.exchange.response;
         Head {
             status: response.status(),
             headers: admit::returned(response.headers()),
@@ -68,77 +68,80 @@
 /// How an endpoint's stream went on.
 enum Step {
     /// Bytes were added to the cutter.
-    Fed,
+    Data,
     /// The endpoint ended the answer.
     End,
     /// It broke off, fell silent, or skipped an event.
-    Lost(&'static str),
+    Failed(&'static str),
 }
 
 struct Splice<D: Dialect> {
-    run: Run<D>,
-    live: Option<Live<D>>,
-    cutter: Cutter,
+    forwarder: Forwarder<D>,
+    source: Option<EventSource<D>>,
+    splitter: Splitter,
     /// Id of the last event that was passed on.
-    last: Option<u64>,
+    last_event_id: Option<u64>,
     /// When an event or the request last came, or the answer went on from another endpoint.
-    moved: Instant,
+    last_progress: Instant,
     /// Whether an event was passed on.
-    begun: bool,
+    has_started: bool,
     /// The stage that is about to go, if any.
-    departure: Departure,
+    migration: Migration,
     done: bool,
 }
 
 /// The body of an answer that begins with `live`.
-pub(crate) fn stream<D: Dialect>(run: Run<D>, live: Live<D>) -> impl Stream<Item = Chunk> {
+pub(crate) fn stream<D: Dialect>(
+    forwarder: Forwarder<D>,
+    source: EventSource<D>,
+) -> impl Stream<Item = Chunk> {
     let splice = Splice {
-        last: run.job.info.last_event_id,
-        moved: run.job.came,
-        run,
-        live: Some(live),
-        cutter: Cutter::default(),
-        begun: false,
-        departure: Departure::default(),
+        last_event_id: forwarder.job.info.last_event_id,
+        last_progress: forwarder.job.received_at,
+        forwarder,
+        source: Some(source),
+        splitter: Splitter::default(),
+        has_started: false,
+        migration: Migration::default(),
         done: false,
     };
     futures::stream::unfold(splice, |mut splice| async move {
-        let chunk = splice.chunk().await?;
+        let chunk = splice.next_chunk().await?;
         Some((chunk, splice))
     })
 }
 
 impl<D: Dialect> Splice<D> {
     /// The next part of the body; nothing at its end.
-    async fn chunk(&mut self) -> Option<Chunk> {
+    async fn next_chunk(&mut self) -> Option<Chunk> {
         if self.done {
             return None;
         }
         loop {
-            match self.ready() {
+            match self.take_events() {
                 Ok(Some(bytes)) => return Some(Ok(Frame::data(bytes))),
                 Ok(None) => {}
-                Err(why) => {
-                    if !self.resume(why).await {
-                        return Some(Err(self.broken()));
+                Err(reason) => {
+                    if !self.resume(reason).await {
+                        return Some(Err(self.truncate()));
                     }
                     continue;
                 }
             }
             match self.step().await {
-                Step::Fed => {}
-                Step::End if !self.cutter.torn() => {
+                Step::Data => {}
+                Step::End if !self.splitter.has_partial() => {
                     self.finish();
                     return None;
                 }
                 Step::End => {
                     if !self.resume("ended in the middle of an event").await {
-                        return Some(Err(self.broken()));
+                        return Some(Err(self.truncate()));
                     }
                 }
-                Step::Lost(why) => {
-                    if !self.resume(why).await {
-                        return Some(Err(self.broken()));
+                Step::Failed(reason) => {
+                    if !self.resume(reason).await {
+                        return Some(Err(self.truncate()));
                     }
                 }
             }
@@ -146,61 +149,73 @@
     }
 
     /// Whole events that are there, without those that the caller has.
-    fn ready(&mut self) -> Result<Option<Bytes>, &'static str> {
+    fn take_events(&mut self) -> Result<Option<Bytes>, &'static str> {
         let mut out: Option<Bytes> = None;
-        if self.cutter.overlong() {
+        if self.splitter.is_oversized() {
             return Err("sent an event without end");
         }
-        while let Some(event) = self.cutter.next() {
-            if !self.fits(&event)? {
+        while let Some(event) = self.splitter.next() {
+            if !self.is_next(&event)? {
                 continue;
             }
-            self.passed();
-            self.last = event.id.or(self.last);
+            self.record_progress();
+            self.last_event_id = event.id.or(self.last_event_id);
             out = Some(match out {
                 None => event.bytes,
-                Some(before) => [before, event.bytes].concat().into(),
+                Some(earlier) => [earlier, event.bytes].concat().into(),
             });
         }
         Ok(out)
     }
 
     /// Whether an event is the next one; one that the caller has is left out.
-    fn fits(&self, event: &Event) -> Result<bool, &'static str> {
-        match (self.last, event.id) {
+    fn is_next(&self, event: &Event) -> Result<bool, &'static str> {
+        match (self.last_event_id, event.id) {
             (Some(last), Some(id)) if id <= last => Ok(false),
             (Some(last), Some(id)) if id > last + 1 => Err("skipped an event"),
             _ => Ok(true),
         }
     }
 
-    fn passed(&mut self) {
-        if self.begun {
-            self.run.story.went_on();
+    fn record_progress(&mut self) {
+        if self.has_started {
+            self.forwarder.log.record_event();
         } else {
-            self.run.story.begun();
+            self.forwarder.log.record_first_event();
         }
-        self.begun = true;
-        self.moved = Instant::now();
+        self.has_started = true;
+        self.last_progress = Instant::now();
     }
 
     async fn step(&mut self) -> Step {
-        let Some(live) = &mut self.live else {
-            return Step::Lost("no endpoint");
+        let Some(source) = &mut self.source else {
+            return Step::Failed("no endpoint");
         };
-        let usual = if self.begun { look::NEXT } else { look::FIRST };
-        let mut next = usual;
+        let delay = if self.has_started {
+            stall::NEXT_EVENT_PROBE_DELAY
+        } else {
+            stall::FIRST_EVENT_PROBE_DELAY
+        };
+        let mut next_probe = delay;
         loop {
-            let left = self.run.job.time_left();
+            let left = self.forwarder.job.time_left();
             if left.is_zero() {
-                return Step::Lost("the time is over");
+                return Step::Failed("the time is over");
             }
-            let wait = next.saturating_sub(self.moved.elapsed()).min(left);
-            let Sent { response, held, .. } = &mut live.sent;
-            if self.begun
-                && let Some(stage) = self.departure.due(&self.run.worker, &held.target)
+            let wait = next_probe
+                .saturating_sub(self.last_progress.elapsed())
+                .min(left);
+            let Exchange {
+                response,
+                reservation,
+                ..
+            } = &mut source.exchange;
+            if self.has_started
+                && let Some(stage) = self
+                    .migration
+                    .due(&self.forwarder.worker, &reservation.target)
             {
-                self.run.evacuate(held, stage).await;
+                self.forwarder.migrate(reservation, stage).await;
             }
             let mut frame = response.body_mut().frame();
             let frame = match timeout(wait, &mut frame).await {
@@ -208,63 +223,70 @@
                 Err(_) => tokio::select! {
                     biased;
                     frame = frame => frame,
-                    account = self.run.ask(&held.target) => {
-                        let silent = self.moved.elapsed();
-                        if let Look::Lost(why) = self.run.look(held, account, silent).await
-                            && self.run.could_move_on()
+                    report = self.forwarder.query_head(&reservation.target) => {
+                        let idle = self.last_progress.elapsed();
+                        if let Verdict::Abandon(reason) = self.forwarder.assess(reservation, report, idle).await
+                            && self.forwarder.can_resume()
                         {
-                            return Step::Lost(why);
+                            return Step::Failed(reason);
                         }
-                        next = self.moved.elapsed() + look::AGAIN;
+                        next_probe = self.last_progress.elapsed() + stall::PROBE_INTERVAL;
                         continue;
                     }
                 },
             };
             return match frame {
                 None => Step::End,
-                Some(Err(_)) => Step::Lost("broke off"),
+                Some(Err(_)) => Step::Failed("broke off"),
                 Some(Ok(frame)) => {
                     if let Some(data) = frame.data_ref() {
-                        self.cutter.feed(data);
+                        self.splitter.feed(data);
                     }
-                    Step::Fed
+                    Step::Data
                 }
             };
         }
     }
 
     /// Goes on from another endpoint; whether there is one.
-    async fn resume(&mut self, why: &'static str) -> bool {
-        self.run.story.failed(why, true);
-        self.run.story.note(why);
-        self.cutter.clear();
-        if let Some(live) = self.live.take() {
-            self.run
+    async fn resume(&mut self, reason: &'static str) -> bool {
+        self.forwarder.log.record_failure(reason, true);
+        self.forwarder.log.set_reason(reason);
+        self.splitter.clear();
+        if let Some(source) = self.source.take() {
+            self.forwarder
                 .worker
                 .pool
-                .forget(live.sent.held.target.head().addr);
-            live.sent.held.end(Outcome::Failed, None);
+                .close_idle(source.exchange.reservation.target.head().addr);
+            source.exchange.reservation.end(Outcome::Failed, None);
         }
-        let kind = self.run.job.kind();
-        while kind.repeatable() && !self.run.job.time_left().is_zero() && self.run.again(true) {
-            let Ok(target) = self.run.target(Some(PATIENCE)).await else {
-                self.run.story.note("no endpoint to go on from");
+        let kind = self.forwarder.job.kind();
+        while kind.repeatable()
+            && !self.forwarder.job.time_left().is_zero()
+            && self.forwarder.try_retry(true)
+        {
+            let Ok(target) = self.forwarder.acquire_target(Some(MAX_RESUME_WAIT)).await else {
+                self.forwarder.log.set_reason("no endpoint to go on from");
                 return false;
             };
-            let held = Held::new(self.run.worker.clone(), target);
-            let limit = self.run.job.time_left();
-            match self.run.send(held, self.last, limit).await {
-                Ok(sent) if sent.response.status() == StatusCode::OK => {
-                    self.run.ran += 1;
-                    self.live = Some(Live::new(sent));
-                    self.moved = Instant::now();
+            let reservation = Reservation::new(self.forwarder.worker.clone(), target);
+            let limit = self.forwarder.job.time_left();
+            match self
+                .forwarder
+                .send(reservation, self.last_event_id, limit)
+                .await
+            {
+                Ok(exchange) if exchange.response.status() == StatusCode::OK => {
+                    self.forwarder.possible_runs += 1;
+                    self.source = Some(EventSource::new(exchange));
+                    self.last_progress = Instant::now();
                     return true;
                 }
-                Ok(sent) => {
-                    self.run.ran += u32::from(!sent.not_run());
-                    self.run.decline(sent).await;
+                Ok(exchange) => {
+                    self.forwarder.possible_runs += u32::from(!exchange.not_run());
+                    self.forwarder.end_refused(exchange).await;
                 }
-                Err(failure) => self.run.ran += u32::from(failure.ran()),
+                Err(failure) => self.forwarder.possible_runs += u32::from(failure.may_have_run()),
             }
         }
         false
@@ -272,19 +294,22 @@
 
     fn finish(&mut self) {
         self.done = true;
-        if let Some(Live { sent }) = self.live.take() {
-            let closes = closes(sent.response.headers());
-            sent.held.end(Outcome::Success, None);
-            if !closes {
-                self.run.worker.pool.keep(sent.conn, sent.info.idle_timeout);
+        if let Some(EventSource { exchange }) = self.source.take() {
+            let closes_connection = closes_connection(exchange.response.headers());
+            exchange.reservation.end(Outcome::Success, None);
+            if !closes_connection {
+                self.forwarder
+                    .worker
+                    .pool
+                    .put(exchange.conn, exchange.info.idle_timeout);
             }
         }
-        self.run.story.answered(StatusCode::OK.as_u16());
+        self.forwarder.log.end_answered(StatusCode::OK.as_u16());
     }
 
-    fn broken(&mut self) -> Broken {
+    fn truncate(&mut self) -> Incomplete {
         self.done = true;
-        self.run.story.broken();
-        Broken
+        self.forwarder.log.end_truncated();
+        Incomplete
     }
 }
--- a/crates/gate/src/stats.rs
+++ b/crates/gate/src/stats.rs
@@ -7,32 +7,32 @@
 #[derive(Debug, Default)]
 pub struct Stats {
     /// Attempts beyond the first.
-    pub again: Cell<u64>,
+    pub retries: Cell<u64>,
     /// Connections made to endpoints.
-    pub dialed: Cell<u64>,
+    pub connects: Cell<u64>,
     /// Findings about endpoints that control was too busy to take.
-    pub untold: Cell<u64>,
+    pub dropped_transitions: Cell<u64>,
     /// Requests in flight.
-    pub flying: Cell<u64>,
+    pub in_flight: Cell<u64>,
 }
 
 /// Adds one.
-pub fn add(counter: &Cell<u64>) {
+pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 /// Takes one away.
-pub fn sub(counter: &Cell<u64>) {
+pub fn decrement(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_sub(1));
 }
 
 impl fmt::Display for Stats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let rows = [
-            ("again", &self.again),
-            ("dialed", &self.dialed),
-            ("untold", &self.untold),
-            ("flying", &self.flying),
+            ("again", &self.retries),
+            ("dialed", &self.connects),
+            ("untold", &self.dropped_transitions),
+            ("flying", &self.in_flight),
         ];
         rows.iter()
             .try_for_each(|(name, cell)| writeln!(f, "{name} {}", cell.get()))
--- a/crates/gate/src/view.rs
+++ b/crates/gate/src/view.rs
@@ -17,4 +17,4 @@
 }
 
 /// Where control puts the newest view; empty until a catalog is in force.
-pub type Board = Arc<ArcSwapOption<View>>;
+pub type SharedView = Arc<ArcSwapOption<View>>;
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -1,17 +1,17 @@
 //! One request worker: its state, and the way of a request through it.
 
 use crate::admit;
-use crate::answer::Answer;
+use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::forward;
-use crate::forward::look::Known;
+use crate::forward::stall::CachedReport;
 use crate::job::Job;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::refusal::{Reason, Refusal};
 use crate::splice::Chunk;
 use crate::stats::{self, Stats};
-use crate::view::{Board, View};
+use crate::view::{SharedView, View};
 use futures::Stream;
 use http::{Request, Response};
 use hyper::body::Incoming;
@@ -34,20 +34,20 @@
 
 /// Time to come back for a caller whose node is about to end: another node takes the request at
 /// once.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Time to come back for a caller whose node knows no catalog yet. A node that starts beside others
 /// has theirs before callers are sent to it, so the others know none either: all have started anew
 /// while the store is out, which lasts for seconds, and most callers come back only once.
-const BLIND: Duration = Duration::from_millis(1500);
+const NO_CATALOG_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
 /// Time from the start in which requests wait for the first catalog. Nodes that start together read it
 /// from the store at the same time.
-const FIRST: Duration = Duration::from_millis(2000);
+const STARTUP_WAIT_WINDOW: Duration = Duration::from_millis(2000);
 /// Part of a request's time that it waits for the first catalog at the most. Callers give up what was
 /// not read within a third of it, or within a second.
-const FIRST_PART: f64 = 0.25;
+const MAX_CATALOG_WAIT_FRACTION: f64 = 0.25;
 /// Longest wait for the first catalog.
-const FIRST_WAIT: Duration = Duration::from_millis(900);
+const MAX_CATALOG_WAIT: Duration = Duration::from_millis(900);
 
 /// What a worker is made of.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     /// The installation's dialect.
     pub dialect: D,
     /// Where control publishes.
-    pub board: Board,
+    pub shared_view: SharedView,
     /// Decisions are told here.
     pub journal: Journal,
     /// Counters and histograms.
@@ -67,7 +67,7 @@
     /// Seed of its draws.
     pub seed: u64,
     /// What control is told of endpoints.
-    pub notes: mpsc::Sender<Transition>,
+    pub transitions: mpsc::Sender<Transition>,
 }
 
 /// The state of one worker. Only its own thread touches it.
@@ -78,19 +78,19 @@
     pub(crate) pool: Pool,
     dumps: mpsc::Sender<oneshot::Sender<String>>,
     pub(crate) stats: Rc<Stats>,
-    board: Board,
-    notes: mpsc::Sender<Transition>,
-    steer: RefCell<Selector>,
+    shared_view: SharedView,
+    transitions: mpsc::Sender<Transition>,
+    selector: RefCell<Selector>,
     /// The view that `steer` follows.
     view: RefCell<Option<Arc<View>>>,
     /// How many views it has followed.
-    views: Cell<u64>,
+    view_number: Cell<u64>,
     /// Set off when room may have come free.
-    freed: Notify,
+    capacity_freed: Notify,
     start: Instant,
-    turn: Cell<usize>,
+    rotation: Cell<usize>,
     /// What heads of chains last said of their requests.
-    pub(crate) accounts: RefCell<HashMap<SocketAddr, Known>>,
+    pub(crate) status_reports: RefCell<HashMap<SocketAddr, CachedReport>>,
     /// Whether new requests are refused, since the process is about to end.
     closing: Cell<bool>,
 }
@@ -106,22 +106,22 @@
             dumps: parts.dumps,
             pool: Pool::new(stats.clone()),
             stats,
-            board: parts.board,
-            notes: parts.notes,
-            steer: RefCell::new(Selector::new(parts.seed, parts.allowance)),
+            shared_view: parts.shared_view,
+            transitions: parts.transitions,
+            selector: RefCell::new(Selector::new(parts.seed, parts.allowance)),
             view: RefCell::new(None),
-            views: Cell::new(0),
-            freed: Notify::new(),
+            view_number: Cell::new(0),
+            capacity_freed: Notify::new(),
             start: Instant::now(),
-            turn: Cell::new(0),
-            accounts: RefCell::default(),
+            rotation: Cell::new(0),
+            status_reports: RefCell::default(),
             closing: Cell::new(false),
         })
     }
 
     /// Requests in flight.
-    pub fn flying(&self) -> u64 {
-        self.stats.flying.get()
+    pub fn in_flight(&self) -> u64 {
+        self.stats.in_flight.get()
     }
 
     /// Refuses new requests from now on.
@@ -136,9 +136,9 @@
 
     /// The newest view. What was learned from it is kept until another one is published.
     pub fn view(&self) -> Option<Arc<View>> {
-        let newest = self.board.load_full();
-        let mut known = self.view.borrow_mut();
-        let same = match (&*known, &newest) {
+        let newest = self.shared_view.load_full();
+        let mut current = self.view.borrow_mut();
+        let same = match (&*current, &newest) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
@@ -146,41 +146,47 @@
         if !same {
             if let Some(view) = &newest {
                 let now = self.now();
-                self.steer
+                self.selector
                     .borrow_mut()
                     .update_fleet(now, view.fleet.clone());
-                self.views.set(self.views.get() + 1);
-                self.freed.notify_waiters();
+                self.view_number.set(self.view_number.get() + 1);
+                self.capacity_freed.notify_waiters();
             }
-            *known = newest.clone();
+            *current = newest.clone();
         }
         newest
     }
 
     /// The newest view. In a process that has just started, a request of so much time that came at `came`
     /// waits for the first one.
-    async fn first_view(&self, time: Option<Duration>, came: Instant) -> Option<Arc<View>> {
-        let part = time.map_or(FIRST_WAIT, |t| t.mul_f64(FIRST_PART).min(FIRST_WAIT));
-        let until = (self.start + FIRST).min(came + part);
+    async fn wait_for_view(
+        &self,
+        timeout: Option<Duration>,
+        received_at: Instant,
+    ) -> Option<Arc<View>> {
+        let max_wait = timeout.map_or(MAX_CATALOG_WAIT, |t| {
+            t.mul_f64(MAX_CATALOG_WAIT_FRACTION).min(MAX_CATALOG_WAIT)
+        });
+        let until = (self.start + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
         loop {
             let view = self.view();
             if view.is_some() || self.closing.get() || Instant::now() >= until {
                 return view;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Number of the newest view; another one tells that something may have changed.
-    pub(crate) fn views(&self) -> u64 {
+    pub(crate) fn view_number(&self) -> u64 {
         self.view();
-        self.views.get()
+        self.view_number.get()
     }
 
     /// Number of the next answer about addresses.
-    pub fn turn(&self) -> usize {
-        self.turn.set(self.turn.get().wrapping_add(1));
-        self.turn.get()
+    pub fn next_rotation(&self) -> usize {
+        self.rotation.set(self.rotation.get().wrapping_add(1));
+        self.rotation.get()
     }
 
     pub(crate) fn now(&self) -> Duration {
@@ -188,68 +194,78 @@
     }
 
     /// Asks the table something.
-    pub(crate) fn steer<T>(&self, ask: impl FnOnce(&mut Selector, Duration) -> T) -> T {
+    pub(crate) fn with_selector<T>(
+        &self,
+        operation: impl FnOnce(&mut Selector, Duration) -> T,
+    ) -> T {
         // The newest view first, so that no endpoint is chosen that is known to leave.
         self.view();
         let now = self.now();
-        let mut steer = self.steer.borrow_mut();
-        let answer = ask(&mut steer, now);
-        for note in steer.take_transitions() {
+        let mut selector = self.selector.borrow_mut();
+        let answer = operation(&mut selector, now);
+        for transition in selector.take_transitions() {
             // Control is behind: a further failure tells it again.
-            if self.notes.try_send(note).is_err() {
-                stats::add(&self.stats.untold);
+            if self.transitions.try_send(transition).is_err() {
+                stats::increment(&self.stats.dropped_transitions);
             }
         }
         answer
     }
 
     /// Waits until room may have come free, or for `most`.
-    pub(crate) async fn freed(&self, most: Duration) {
+    pub(crate) async fn wait_for_capacity(&self, max_wait: Duration) {
         // Endpoints come back into use by time alone, which nothing tells.
-        let most = most.min(LOOK);
-        let _ = tokio::time::timeout(most, self.freed.notified()).await;
+        let max_wait = max_wait.min(POLL_INTERVAL);
+        let _ = tokio::time::timeout(max_wait, self.capacity_freed.notified()).await;
     }
 
     /// Gives back what an attempt holds.
-    pub(crate) fn end(&self, hold: ReservationId, outcome: Outcome, blame: Option<SocketAddr>) {
-        self.steer(|steer, now| steer.end(now, hold, outcome, blame));
-        self.freed.notify_one();
+    pub(crate) fn release(
+        &self,
+        reservation: ReservationId,
+        outcome: Outcome,
+        faulty_stage: Option<SocketAddr>,
+    ) {
+        self.with_selector(|selector, now| selector.end(now, reservation, outcome, faulty_stage));
+        self.capacity_freed.notify_one();
     }
 
     /// Closes idle connections that are old, or whose endpoint is gone.
-    pub fn tidy(&self) {
+    pub fn prune(&self) {
         let Some(view) = self.view() else {
             return;
         };
         let endpoints = &view.fleet.endpoints;
         let known = |addr| endpoints.iter().any(|e| e.addr == addr);
-        self.pool.tidy(known);
-        self.accounts.borrow_mut().retain(|addr, _| known(*addr));
+        self.pool.prune(known);
+        self.status_reports
+            .borrow_mut()
+            .retain(|addr, _| known(*addr));
     }
 
     /// The text for the dump, with control's part if it answers in time.
     pub async fn dump(&self) -> String {
         let (reply, answer) = oneshot::channel();
         let control = match self.dumps.try_send(reply) {
-            Ok(()) => tokio::time::timeout(DUMP, answer).await.ok(),
+            Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, answer).await.ok(),
             Err(_) => None,
         };
         let control = control.and_then(|c| c.ok());
         let control = control.unwrap_or_else(|| "control does not answer\n".to_owned());
-        format!("{}{}{control}", self.stats, self.steer.borrow())
+        format!("{}{}{control}", self.stats, self.selector.borrow())
     }
 
     /// Serves one request of a caller.
     pub async fn serve(
         self: Rc<Self>,
         request: Request<Incoming>,
-    ) -> Response<Answer<impl Stream<Item = Chunk>>> {
-        let came = Instant::now();
-        let flight = Flight::new(self.stats.clone());
-        match self.admit(request, came).await {
-            Ok(job) => forward::run(self, job, flight).await,
+    ) -> Response<Body<impl Stream<Item = Chunk>>> {
+        let received_at = Instant::now();
+        let guard = InFlightGuard::new(self.stats.clone());
+        match self.admit(request, received_at).await {
+            Ok(job) => forward::run(self, job, guard).await,
             Err((refusal, id)) => {
-                self.tell_refusal(&id, refusal, came);
+                self.record_refusal(&id, refusal, received_at);
                 refusal.response()
             }
         }
@@ -258,31 +274,46 @@
     async fn admit(
         &self,
         request: Request<Incoming>,
-        came: Instant,
+        received_at: Instant,
     ) -> Result<Job, (Refusal, String)> {
         let (parts, incoming) = request.into_parts();
         let info = self.dialect.request_info(&parts.headers);
         let id = info.id.clone().unwrap_or_default();
-        let checked = async {
-            let Some(view) = self.first_view(info.timeout, came).await else {
-                return Err(Refusal::after(Reason::NoCatalog, forward::spread(BLIND)));
+        let result = async {
+            let Some(view) = self.wait_for_view(info.timeout, received_at).await else {
+                return Err(Refusal::with_retry_after(
+                    Reason::NoCatalog,
+                    forward::jitter(NO_CATALOG_RETRY_AFTER),
+                ));
             };
             if self.closing.get() {
-                return Err(Refusal::after(Reason::Leaving, ELSEWHERE));
+                return Err(Refusal::with_retry_after(
+                    Reason::Leaving,
+                    LEAVING_RETRY_AFTER,
+                ));
             }
             let catalog = &view.fleet.catalog;
             let admitted = admit::head(catalog, &parts, info)?;
             let body = admit::body(incoming, catalog.limits.body_bytes).await?;
-            let draw = rand::rng().random();
-            admit::job(&self.dialect, catalog, admitted, parts, body, came, draw)
+            let random = rand::rng().random();
+            admit::job(
+                &self.dialect,
+                catalog,
+                admitted,
+                parts,
+                body,
+                received_at,
+                random,
+            )
         };
-        checked.await.map_err(|refusal| (refusal, id))
+        result.await.map_err(|refusal| (refusal, id))
     }
 
-    fn tell_refusal(&self, id: &str, refusal: Refusal, came: Instant) {
-        let all_ms = came.elapsed().as_millis() as u64;
+    fn record_refusal(&self, id: &str, refusal: Refusal, received_at: Instant) {
+        let all_ms = received_at.elapsed().as_millis() as u64;
         let status = refusal.reason.status().as_u16();
-        self.metrics.ended("refused", status, came.elapsed());
+        self.metrics
+            .record_request("refused", status, received_at.elapsed());
         self.journal.record(Event::Ended {
             id: id.to_owned(),
             route: String::new(),
@@ -299,23 +330,23 @@
 }
 
 /// Longest wait for control's part of a dump.
-const DUMP: Duration = Duration::from_millis(300);
+const DUMP_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often a request that waits looks again, at the least.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flight(Rc<Stats>);
+pub struct InFlightGuard(Rc<Stats>);
 
-impl Flight {
+impl InFlightGuard {
     fn new(stats: Rc<Stats>) -> Self {
-        stats::add(&stats.flying);
+        stats::increment(&stats.in_flight);
         Self(stats)
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        stats::sub(&self.0.flying);
+        stats::decrement(&self.0.in_flight);
     }
 }
--- a/crates/gate/tests/events.rs
+++ b/crates/gate/tests/events.rs
@@ -1,11 +1,11 @@
 //! Cutting a stream into whole events.
 
-use gate::events::Cutter;
+use gate::events::Splitter;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn cut(cutter: &mut Cutter) -> Vec<(Option<u64>, String)> {
-    let events = cutter.by_ref();
+fn cut(splitter: &mut Splitter) -> Vec<(Option<u64>, String)> {
+    let events = splitter.by_ref();
     events
         .map(|e| (e.id, String::from_utf8(e.bytes.to_vec()).unwrap()))
         .collect()
@@ -13,21 +13,21 @@
 
 #[test]
 fn only_whole_events_come_out() {
-    let mut cutter = Cutter::default();
-    cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda");
+    let mut splitter = Splitter::default();
+    splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(
-        cut(&mut cutter),
+        cut(&mut splitter),
         [(Some(1), "id: 1\ndata: a\n\n".to_owned())]
     );
-    assert!(cutter.torn());
-    cutter.feed(b"ta: b\r\n\r\nversion: 3\ndata: c\n");
+    assert!(splitter.has_partial());
+    splitter.feed(b"ta: b\r\n\r\nversion: 3\ndata: c\n");
     assert_eq!(
-        cut(&mut cutter),
+        cut(&mut splitter),
         [(Some(2), "id: 2\ndata: b\r\n\r\n".to_owned())]
     );
-    cutter.feed(b"\n");
-    assert_eq!(cut(&mut cutter)[0].0, None);
-    assert!(!cutter.torn());
+    splitter.feed(b"\n");
+    assert_eq!(cut(&mut splitter)[0].0, None);
+    assert!(!splitter.has_partial());
 }
 
 // Bytes arrive in pieces of any size. Whatever the cuts, the same events come out, byte by byte.
@@ -38,20 +38,20 @@
         .collect();
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut cutter = Cutter::default();
+        let mut splitter = Splitter::default();
         let mut out = String::new();
         let mut rest = text.as_bytes();
         let mut next = 0;
         while !rest.is_empty() {
             let (piece, after) = rest.split_at(rng.random_range(1..=rest.len().min(40)));
             rest = after;
-            cutter.feed(piece);
-            for (id, event) in cut(&mut cutter) {
+            splitter.feed(piece);
+            for (id, event) in cut(&mut splitter) {
                 assert_eq!(id, Some(next));
                 next += 1;
                 out.push_str(&event);
             }
         }
-        assert!(out == text && !cutter.torn(), "seed {seed}");
+        assert!(out == text && !splitter.has_partial(), "seed {seed}");
     }
 }
--- a/crates/gate/tests/plain.rs
+++ b/crates/gate/tests/plain.rs
@@ -141,7 +141,7 @@
         let learns = async {
             tokio::time::sleep(Duration::from_millis(300)).await;
             let known = view(vec![plain(server.addr)]);
-            node.board.store(Some(Arc::new(known)));
+            node.shared_view.store(Some(Arc::new(known)));
         };
         let (got, ()) = tokio::join!(send(node.addr, request("/safe/x")), learns);
         assert_eq!(got.status, StatusCode::OK);
@@ -188,7 +188,7 @@
         }
         assert!(others.iter().any(|o| *o != others[0]), "{others:?}");
         let server = Server::start(vec![Act::Answer(200, "a")]).await;
-        node.board
+        node.shared_view
             .store(Some(Arc::new(view(vec![plain(server.addr)]))));
         assert_eq!(
             send(node.addr, request("/safe/x")).await.status.as_u16(),
@@ -230,7 +230,7 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!((server.left(), node.worker.flying()), (1, 0));
+        assert_eq!((server.left(), node.worker.in_flight()), (1, 0));
     });
 }
 
--- a/crates/gate/tests/stream.rs
+++ b/crates/gate/tests/stream.rs
@@ -21,13 +21,13 @@
     let node = node(vec![stage(a.addr, 0, LAYERS)]).await;
     let both = view(vec![stage(a.addr, 0, LAYERS), stage(b.addr, 0, LAYERS)]);
     let asked = send(node.addr, request("/chat/x"));
-    let board = node.board.clone();
+    let shared_view = node.shared_view.clone();
     // The second endpoint registers once the first has the request.
     let registered = async {
         while a.heads().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        board.store(Some(Arc::new(both)));
+        shared_view.store(Some(Arc::new(both)));
     };
     let (got, ()) = tokio::join!(asked, registered);
     (got, b.heads())
@@ -106,7 +106,7 @@
         let b = Server::start(vec![Act::Events(3, 4)]).await;
         let node = start(none).await;
         let both = view(vec![stage(a.addr, 0, LAYERS), stage(b.addr, 0, LAYERS)]);
-        node.board.store(Some(Arc::new(both)));
+        node.shared_view.store(Some(Arc::new(both)));
         // One of the two is asked first; if it is the one that answers whole, ask again.
         let asked = send(node.addr, request("/chat/x"));
         let ended = tokio::time::timeout(Duration::from_millis(2500), asked).await;
@@ -169,7 +169,7 @@
                 stage(second.addr, 2, LAYERS),
                 stage(spare.addr, 2, LAYERS),
             ];
-            node.board.store(Some(Arc::new(change(view(rows)))));
+            node.shared_view.store(Some(Arc::new(change(view(rows)))));
             if stalls {
                 head.report(format!("r1 {}", second.addr));
             }
@@ -232,7 +232,7 @@
                 head.report(format!("r1 {}", lost[0].addr));
             }
             known.extend(rows(&spare));
-            node.board.store(Some(Arc::new(change(view(known)))));
+            node.shared_view.store(Some(Arc::new(change(view(known)))));
             while head.orders().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -255,14 +255,14 @@
         let (journal, lines) = Journal::new(64);
         let node = start_with(ALLOWANCE, journal).await;
         let first = view(vec![stage(silent.addr, 0, LAYERS)]);
-        node.board.store(Some(Arc::new(first)));
+        node.shared_view.store(Some(Arc::new(first)));
         let asked = send(node.addr, request("/chat/x"));
         let learns = async {
             while silent.heads().is_empty() {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let both = [silent.addr, other.addr].map(|addr| stage(addr, 0, LAYERS));
-            node.board.store(Some(Arc::new(view(both.to_vec()))));
+            node.shared_view.store(Some(Arc::new(view(both.to_vec()))));
         };
         let begun = Instant::now();
         let (got, ()) = tokio::join!(asked, learns);
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -16,7 +16,7 @@
 use dialect::Plain;
 use gate::listener::{self, Port, Stop};
 use gate::metrics::Metrics;
-use gate::view::{Board, View};
+use gate::view::{SharedView, View};
 use gate::worker::{Parts, Worker};
 use journal::Journal;
 use prometheus::Registry;
@@ -34,7 +34,7 @@
     /// Where callers reach it.
     pub addr: SocketAddr,
     pub worker: Rc<Worker<Plain>>,
-    pub board: Board,
+    pub shared_view: SharedView,
     pub stop: Stop,
 }
 
@@ -183,19 +183,19 @@
 
 /// The same with a journal.
 pub async fn start_with(allowance: Allowance, journal: Journal) -> Node {
-    let board: Board = Arc::new(ArcSwapOption::empty());
-    let (notes, mut noted) = mpsc::channel(64);
-    tokio::task::spawn_local(async move { while noted.recv().await.is_some() {} });
+    let shared_view: SharedView = Arc::new(ArcSwapOption::empty());
+    let (transitions, mut received) = mpsc::channel(64);
+    tokio::task::spawn_local(async move { while received.recv().await.is_some() {} });
     let (dumps, _) = mpsc::channel(1);
     let worker = Worker::new(Parts {
         metrics: Metrics::new(&opentelemetry::global::meter("test"), Registry::new()),
         dumps,
         dialect: Plain,
-        board: board.clone(),
+        shared_view: shared_view.clone(),
         journal,
         allowance,
         seed: 1,
-        notes,
+        transitions,
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -205,7 +205,7 @@
     Node {
         addr,
         worker,
-        board,
+        shared_view,
         stop,
     }
 }
@@ -213,7 +213,7 @@
 /// A node that knows these endpoints.
 pub async fn node(endpoints: Vec<Endpoint>) -> Node {
     let node = start(ALLOWANCE).await;
-    node.board.store(Some(Arc::new(view(endpoints))));
+    node.shared_view.store(Some(Arc::new(view(endpoints))));
     node
 }
 
--- a/crates/node/src/hosted/control.rs
+++ b/crates/node/src/hosted/control.rs
@@ -20,7 +20,7 @@
 use adapter::store::Table;
 use eyre::{Result, WrapErr};
 use gate::metrics::Metrics;
-use gate::view::Board;
+use gate::view::SharedView;
 use input::{INPUTS, Input, Inputs};
 use journal::Journal;
 use state::State;
@@ -50,7 +50,7 @@
     /// Seed of its draws.
     pub seed: u64,
     /// Where it publishes.
-    pub board: Board,
+    pub board: SharedView,
     /// Decisions are told here.
     pub journal: Journal,
     /// Counters and histograms.
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -37,7 +37,7 @@
         }
         let begun = Instant::now();
         let result = read(&platform, table, from).await;
-        metrics.read(name(table), result.is_ok(), begun.elapsed());
+        metrics.record_store_read(name(table), result.is_ok(), begun.elapsed());
         let (input, pause) = match result {
             Ok(Some(page)) => {
                 from = Some(page.next);
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -20,7 +20,7 @@
 use catalog::Endpoint;
 use catalog::source::Page;
 use gate::metrics::Metrics;
-use gate::view::{Board, View};
+use gate::view::{SharedView, View};
 use journal::Journal;
 use journal::event::Event as Told;
 use member::action::Action;
@@ -78,7 +78,7 @@
     settings: Settings,
     incarnation: u64,
     platform: Arc<Platform>,
-    board: Board,
+    board: SharedView,
     journal: Journal,
     link: Link,
     inputs: Inputs,
@@ -306,7 +306,7 @@
             let known = self.reading(table).known;
             let age = known.map_or(self.start.elapsed(), |at| now - at);
             self.metrics
-                .belief(version, endpoints, reader::name(table), age);
+                .record_view(version, endpoints, reader::name(table), age);
         }
     }
 
--- a/crates/node/src/hosted/control/state/share.rs
+++ b/crates/node/src/hosted/control/state/share.rs
@@ -115,7 +115,7 @@
         tokio::spawn(async move {
             let begun = Instant::now();
             let answer = link.copy(peer, CopyAsk { table, from }).await;
-            metrics.copy(ask.word(), matches!(answer, Ok(Some(_))), begun.elapsed());
+            metrics.record_peer_request(ask.word(), matches!(answer, Ok(Some(_))), begun.elapsed());
             let input = match answer {
                 Ok(Some(bytes)) => Input::Answered(ask, peer, bytes),
                 Ok(None) => Input::Unanswered(ask, peer, "the peer has none".to_owned()),
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -12,7 +12,7 @@
 use eyre::{Result, WrapErr};
 use gate::listener::{self, Port, Stop};
 use gate::metrics::Metrics;
-use gate::view::Board;
+use gate::view::SharedView;
 use gate::worker::{Parts, Worker};
 use journal::Journal;
 use journal::event::Event;
@@ -70,7 +70,7 @@
         callers: settings.callers.to_string(),
     });
     let ends = Ends::default();
-    let board = Board::default();
+    let board = SharedView::default();
     let incarnation = incarnation();
     let seed = seed(&settings.name, incarnation);
     let (notes, noted) = mpsc::channel(NOTES);
@@ -83,11 +83,11 @@
         metrics: metrics.clone(),
         dumps,
         dialect: Headers::default(),
-        board: board.clone(),
+        shared_view: board.clone(),
         journal: journal.clone(),
         allowance: settings.allowance,
         seed,
-        notes,
+        transitions: notes,
     };
     let worker = start_worker(&settings, parts, &ends)?;
     let control = Control {
@@ -156,12 +156,12 @@
         tokio::select! {
             () = ends.serving.kill.cancelled() => return Ok(()),
             () = ends.close.cancelled() => break,
-            _ = tidy.tick() => worker.tidy(),
+            _ = tidy.tick() => worker.prune(),
         }
     }
     worker.close();
     loop {
-        ends.flying.store(worker.flying(), Ordering::Relaxed);
+        ends.flying.store(worker.in_flight(), Ordering::Relaxed);
         tokio::select! {
             () = ends.serving.kill.cancelled() => return Ok(()),
             () = tokio::time::sleep(LOOK) => {}
