--- a/crates/gate/src/forward/request_log.rs
+++ b/crates/gate/src/forward/request_log.rs
@@ -87,7 +87,7 @@
             open: scarcity.available,
             layer: scarcity.layer,
             free_percent: percent(scarcity.free),
-            pipe_percent: percent(scarcity.pipe),
+            pipe_percent: percent(scarcity.link),
             age_ms: scarcity.age.as_millis() as u64,
             catalog: self.catalog_version,
         });
--- a/crates/node/src/hosted/control/loads.rs
+++ b/crates/node/src/hosted/control/loads.rs
@@ -260,7 +260,7 @@
         let load = |row: &Row| Load {
             stamp: (row.at - start).as_micros() as u64,
             used: row.figures.used.into(),
-            pace: row.figures.pace.into(),
+            slowdown: row.figures.pace.into(),
             queued: row.figures.queued,
             age: now - row.at,
         };
--- a/crates/steer/src/pipe.rs
+++ b/crates/steer/src/link.rs
@@ -15,35 +15,35 @@
 type Pair = (usize, usize);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Pipe {
+struct Link {
     bits: f64,
     updated_at: Timestamp,
 }
 
 /// The pipes.
 #[derive(Clone, Debug, Default)]
-pub struct Pipes {
-    pipes: BTreeMap<Pair, Pipe>,
+pub struct Links {
+    links: BTreeMap<Pair, Link>,
 }
 
-impl Pipes {
+impl Links {
     /// A request takes a hop from zone `a` to zone `b` that carries `bits` in all.
     pub fn record(&mut self, now: Timestamp, a: usize, b: usize, bits: f64) {
-        let pipe = self.pipes.entry(pair(a, b)).or_default();
-        pipe.bits = decayed_bits(pipe, now) + bits;
-        pipe.updated_at = now;
+        let link = self.links.entry(pair(a, b)).or_default();
+        link.bits = decayed_bits(link, now) + bits;
+        link.updated_at = now;
     }
 
     /// Bits a second that this worker sends over its fullest pipe.
     pub fn max_rate(&self, now: Timestamp) -> f64 {
-        let rates = self.pipes.keys().map(|&(a, b)| self.rate(now, a, b));
+        let rates = self.links.keys().map(|&(a, b)| self.rate(now, a, b));
         rates.fold(0.0, f64::max)
     }
 
     /// Bits a second that this worker sends between two zones.
     pub fn rate(&self, now: Timestamp, a: usize, b: usize) -> f64 {
-        let pipe = self.pipes.get(&pair(a, b));
-        pipe.map_or(0.0, |p| decayed_bits(p, now) / DECAY_TIME.as_secs_f64())
+        let link = self.links.get(&pair(a, b));
+        link.map_or(0.0, |l| decayed_bits(l, now) / DECAY_TIME.as_secs_f64())
     }
 }
 
@@ -51,7 +51,7 @@
     (a.min(b), a.max(b))
 }
 
-fn decayed_bits(pipe: &Pipe, now: Timestamp) -> f64 {
-    let age = now.saturating_sub(pipe.updated_at).as_secs_f64();
-    pipe.bits * (-age / DECAY_TIME.as_secs_f64()).exp()
+fn decayed_bits(link: &Link, now: Timestamp) -> f64 {
+    let age = now.saturating_sub(link.updated_at).as_secs_f64();
+    link.bits * (-age / DECAY_TIME.as_secs_f64()).exp()
 }
--- a/crates/steer/src/load.rs
+++ b/crates/steer/src/load.rs
@@ -14,7 +14,7 @@
     /// Room in use, in tokens times layers.
     pub used: f64,
     /// How many times slower than its kind it runs.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Requests that wait there to begin as the first endpoint of their chain.
     pub queued: u32,
     /// How old it was when it was published.
--- a/crates/steer/src/row.rs
+++ b/crates/steer/src/row.rs
@@ -92,7 +92,7 @@
             // A report from before it was named says nothing of what is wrong since.
             let reported_at = now.saturating_sub(load.age);
             self.suspected_since = self.suspected_since.filter(|&since| reported_at < since);
-            self.slowdown = load.pace.max(1.0);
+            self.slowdown = load.slowdown.max(1.0);
         }
     }
 
--- a/crates/steer/src/scarcity.rs
+++ b/crates/steer/src/scarcity.rs
@@ -17,7 +17,7 @@
     /// Part of that endpoint's memory that is free; 0 if no endpoint in use holds the layer.
     pub free: f64,
     /// Part of the fullest pipe between zones that is used.
-    pub pipe: f64,
+    pub link: f64,
     /// Age of the oldest report of load among those in use.
     pub age: Duration,
 }
@@ -46,7 +46,7 @@
             available: available.len(),
             layer: scarcest.map(|(_, layer)| layer),
             free: scarcest.map_or(0.0, |(free, _)| free),
-            pipe: 0.0,
+            link: 0.0,
             age: ages.max().unwrap_or_default(),
         }
     }
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -8,7 +8,7 @@
 
 use crate::Timestamp;
 use crate::chain::{MAX_FILL, MAX_FILL_URGENT, Need};
-use crate::pipe::Pipes;
+use crate::link::Links;
 use crate::row::Row;
 use crate::shortage::Shortage;
 use catalog::Layer;
@@ -22,7 +22,7 @@
 /// stalls the request.
 const STAGE_COST_SECS: f64 = 0.004;
 /// How often a request's own transfer counts between availability zones: all requests share a pipe.
-const PIPE_COST_FACTOR: f64 = 60.0;
+const LINK_COST_FACTOR: f64 = 60.0;
 /// By how much the price of an endpoint grows until its memory is full, as a multiple of its price
 /// when empty. Even, since nodes see uses that are up to a second old: where the price grows
 /// steeply, all leave an endpoint at once and come back at once.
@@ -35,7 +35,7 @@
 /// Part of an endpoint's memory past which its price does not grow.
 const MAX_PRICED_UTILIZATION: f64 = 0.95;
 /// Part of a pipe that is used at the most. Past it every request on the pipe is late.
-const MAX_PIPE_UTILIZATION: f64 = 0.75;
+const MAX_LINK_UTILIZATION: f64 = 0.75;
 
 /// A stage: an index into the rows, and its layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
     /// Nodes that send requests as this one does.
     pub(crate) nodes: f64,
     /// What this node sends between zones.
-    pub(crate) pipes: &'a Pipes,
+    pub(crate) links: &'a Links,
     /// How long requests stay on their chains.
     pub(crate) residence: Duration,
     pub(crate) now: Timestamp,
@@ -293,15 +293,15 @@
         let delay = self.engine.delay(&self.zones[from], &self.zones[to]);
         let capacity = self.engine.inter_zone_bps.max(1.0);
         let transfer = bits(self.engine, need) / capacity;
-        let used = self.pipes.rate(self.now, from, to) * self.nodes / capacity;
-        if used > MAX_PIPE_UTILIZATION {
+        let used = self.links.rate(self.now, from, to) * self.nodes / capacity;
+        if used > MAX_LINK_UTILIZATION {
             return None;
         }
         // A token waits for the one before it, so each token pays the delay. The pipe is shared
         // by all requests, so a request's part of it counts several times its own transfer.
         Some(
             delay.as_secs_f64() * f64::from(need.size.answer)
-                + PIPE_COST_FACTOR * transfer / (1.0 - used),
+                + LINK_COST_FACTOR * transfer / (1.0 - used),
         )
     }
 
--- a/crates/steer/src/selector.rs
+++ b/crates/steer/src/selector.rs
@@ -8,7 +8,7 @@
 use crate::chain::Need;
 use crate::fleet::Fleet;
 use crate::health::Outcome;
-use crate::pipe::Pipes;
+use crate::link::Links;
 use crate::row::Row;
 use crate::scarcity::Scarcity;
 use crate::search::{self, Segment};
@@ -55,7 +55,7 @@
     zones: Vec<String>,
     reservations: BTreeMap<ReservationId, Reservation>,
     budgets: BTreeMap<String, Budget>,
-    pipes: Pipes,
+    links: Links,
     /// By the name of a model service.
     flows: BTreeMap<String, Flow>,
     transitions: Vec<Transition>,
@@ -74,7 +74,7 @@
             zones: Vec::new(),
             reservations: BTreeMap::new(),
             budgets: BTreeMap::new(),
-            pipes: Pipes::default(),
+            links: Links::default(),
             flows: BTreeMap::new(),
             transitions: Vec::new(),
             next_reservation: 1,
@@ -407,7 +407,7 @@
         };
         let residence = self.flow(service, engine).residence();
         Scarcity {
-            pipe: self.pipes.max_rate(now) * nodes / engine.inter_zone_bps.max(1.0),
+            link: self.links.max_rate(now) * nodes / engine.inter_zone_bps.max(1.0),
             ..Scarcity::measure(now, nodes, residence, &rows, engine.layers)
         }
     }
--- a/crates/steer/src/selector/chain.rs
+++ b/crates/steer/src/selector/chain.rs
@@ -143,7 +143,7 @@
             rows,
             zones: &self.zones,
             nodes: self.nodes(),
-            pipes: &self.pipes,
+            links: &self.links,
             residence,
             now,
         }
@@ -158,7 +158,7 @@
     /// Counts what goes over pipes when each of these zones hands on to the next.
     pub(super) fn record_hops(&mut self, now: Timestamp, zones: &[usize], bits: f64) {
         let hops = zones.windows(2).filter(|hop| hop[0] != hop[1]);
-        hops.for_each(|hop| self.pipes.record(now, hop[0], hop[1], bits));
+        hops.for_each(|hop| self.links.record(now, hop[0], hop[1], bits));
     }
 
     /// Hops of a chain between availability zones, as far as its endpoints are known.
--- a/crates/steer/src/selector/reroute.rs
+++ b/crates/steer/src/selector/reroute.rs
@@ -54,7 +54,7 @@
 }
 
 impl Selector {
-    /// Replaces the stage at `culprit` of a chain that is under way. Its head stays, since the
+    /// Replaces the stage at `faulty_stage` of a chain that is under way. Its head stays, since the
     /// request is there. The stages of the new chain; the attempt holds them from now on.
     pub fn reroute(
         &mut self,
@@ -62,12 +62,12 @@
         target: &Target,
         service: ServiceId,
         need: &Need,
-        culprit: SocketAddr,
+        faulty_stage: SocketAddr,
     ) -> Result<Vec<Stage>> {
         let catalog = self.fleet.catalog.clone();
         let service = catalog.service(service).ok_or(Shortage::Endpoints)?;
         let engine = service.engine.as_ref().ok_or(Shortage::Endpoints)?;
-        let gap = self.gap(target, culprit)?;
+        let gap = self.gap(target, faulty_stage)?;
         let increments = self.rng.random_range(0..INCREMENTS);
         let segments = self.replacement(now, service, engine, need, &gap, increments)?;
         let new = segments.iter().map(|s| self.rows[s.row].zone);
@@ -80,7 +80,7 @@
         let zones: Vec<usize> = zones.collect();
         self.record_hops(now, &zones, search::bits(engine, need));
         let (shares, stages) = self.reserve_segments(&segments, need.tokens());
-        self.replace_share(target.reservation, culprit, shares);
+        self.replace_share(target.reservation, faulty_stage, shares);
         Ok(gap.with_replacement(stages))
     }
 
@@ -103,9 +103,9 @@
         self.reservations.insert(target.reservation, reservation);
     }
 
-    /// The stage at `culprit`, unless it is the head.
-    fn gap<'a>(&self, target: &'a Target, culprit: SocketAddr) -> Result<Gap<'a>> {
-        let index = target.stages.iter().position(|s| s.addr == culprit);
+    /// The stage at `faulty_stage`, unless it is the head.
+    fn gap<'a>(&self, target: &'a Target, faulty_stage: SocketAddr) -> Result<Gap<'a>> {
+        let index = target.stages.iter().position(|s| s.addr == faulty_stage);
         let index = index.filter(|&p| p > 0).ok_or(Shortage::Endpoints)?;
         let after = target.stages.get(index + 1);
         let neighbors = Neighbors {
@@ -164,12 +164,15 @@
         (used - row.reserved).max(0.0) / layers
     }
 
-    /// What an attempt holds at `culprit` gives way to these shares.
-    fn replace_share(&mut self, id: ReservationId, culprit: SocketAddr, shares: Vec<Share>) {
+    /// What an attempt holds at `faulty_stage` gives way to these shares.
+    fn replace_share(&mut self, id: ReservationId, faulty_stage: SocketAddr, shares: Vec<Share>) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return shares.iter().for_each(|share| self.release(share));
         };
-        let removed = reservation.shares.iter().position(|s| s.addr == culprit);
+        let removed = reservation
+            .shares
+            .iter()
+            .position(|s| s.addr == faulty_stage);
         let removed = removed.map(|at| reservation.shares.remove(at));
         reservation.shares.extend(shares);
         removed.iter().for_each(|share| self.release(share));
--- a/crates/steer/tests/detour.rs
+++ b/crates/steer/tests/detour.rs
@@ -162,9 +162,9 @@
     };
     let before = held(&selector);
     for _ in 0..10 {
-        let culprit = target.stages[1].addr;
+        let faulty_stage = target.stages[1].addr;
         selector
-            .reroute(Duration::ZERO, &target, 0, &need, culprit)
+            .reroute(Duration::ZERO, &target, 0, &need, faulty_stage)
             .unwrap();
         assert_ne!(held(&selector), before);
         selector.revert_reroute(&target, &need);
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -208,7 +208,7 @@
     Load {
         stamp,
         used,
-        pace: 1.0,
+        slowdown: 1.0,
         queued,
         age,
     }
