--- a/crates/catalog/src/source.rs
+++ b/crates/catalog/src/source.rs
@@ -23,7 +23,7 @@
 
 impl Record {
     /// About how many bytes it takes between nodes.
-    fn bytes(&self) -> usize {
+    fn size(&self) -> usize {
         size_of::<Offset>() + self.key.len() + self.value.as_ref().map_or(0, |v| v.len())
     }
 }
@@ -34,9 +34,9 @@
     /// The changes in order.
     pub records: Vec<Record>,
     /// Offset of the next change that is not in here.
-    pub next: Offset,
+    pub next_offset: Offset,
     /// Whether these are all keys that there are, and not only changes.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A chunk of what a table has for a peer.
@@ -55,20 +55,22 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Record>,
-    next: Offset,
-    kept: Offset,
+    next_offset: Offset,
+    history_start: Offset,
 }
 
 impl Table {
     /// Takes changes in; returns the keys that are different now. A page that is older than the
     /// table changes nothing.
-    pub fn take(&mut self, page: Page) -> Vec<String> {
-        if page.next < self.next || (page.next == self.next && !page.whole) {
+    pub fn apply(&mut self, page: Page) -> Vec<String> {
+        if page.next_offset < self.next_offset
+            || (page.next_offset == self.next_offset && !page.complete)
+        {
             return Vec::new();
         }
         let mut changed = Vec::new();
-        if page.whole {
-            self.kept = page.next;
+        if page.complete {
+            self.history_start = page.next_offset;
             let named: BTreeSet<&str> = page.records.iter().map(|r| r.key.as_str()).collect();
             let lost = self.rows.values().filter(|r| r.value.is_some());
             let lost = lost.filter(|r| !named.contains(r.key.as_str()));
@@ -77,7 +79,7 @@
                 let gone = Record {
                     key: key.clone(),
                     value: None,
-                    offset: page.next.saturating_sub(1),
+                    offset: page.next_offset.saturating_sub(1),
                 };
                 self.rows.insert(key.clone(), gone);
                 changed.push(key);
@@ -92,7 +94,7 @@
             changed.push(record.key.clone());
             self.rows.insert(record.key.clone(), record);
         }
-        self.next = page.next;
+        self.next_offset = page.next_offset;
         changed
     }
 
@@ -108,8 +110,8 @@
     }
 
     /// Offset of the next change that is not known.
-    pub fn next(&self) -> Offset {
-        self.next
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
     /// All that [`Table::changes`] gives, in one page.
@@ -121,19 +123,19 @@
     /// bytes; the first chunk of all keys if not all of these changes are kept. Given as changes,
     /// they would leave the peer with endpoints that are gone.
     pub fn changes(&self, from: Offset, most: usize) -> Chunk {
-        if from < self.kept {
+        if from < self.history_start {
             return self.keys(0, most);
         }
         let wanted = self.rows.values().filter(|r| r.offset >= from);
         let (records, more) = oldest(wanted.collect(), most);
         let next = match records.last() {
             Some(last) if more => last.offset + 1,
-            _ => self.next,
+            _ => self.next_offset,
         };
         let page = Page {
             records,
-            next,
-            whole: false,
+            next_offset: next,
+            complete: false,
         };
         Chunk { page, more }
     }
@@ -147,8 +149,8 @@
         let (records, more) = oldest(wanted.collect(), most);
         let page = Page {
             records,
-            next: self.next,
-            whole: true,
+            next_offset: self.next_offset,
+            complete: true,
         };
         Chunk { page, more }
     }
@@ -165,7 +167,7 @@
         if bytes >= most && !again {
             break;
         }
-        bytes += records[end].bytes();
+        bytes += records[end].size();
         end += 1;
     }
     let more = end < records.len();
--- a/crates/catalog/tests/table.rs
+++ b/crates/catalog/tests/table.rs
@@ -13,8 +13,8 @@
 fn page(records: Vec<Record>, next: u64, whole: bool) -> Page {
     Page {
         records,
-        next,
-        whole,
+        next_offset: next,
+        complete: whole,
     }
 }
 
@@ -26,9 +26,9 @@
 fn the_newest_value_of_a_key_counts() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    assert_eq!(table.take(page(records, 2, true)), ["a", "b"]);
+    assert_eq!(table.apply(page(records, 2, true)), ["a", "b"]);
     let records = vec![record("a", Some("2"), 2), record("b", None, 3)];
-    assert_eq!(table.take(page(records, 4, false)), ["a", "b"]);
+    assert_eq!(table.apply(page(records, 4, false)), ["a", "b"]);
     assert_eq!(keys(&table), ["a"]);
     assert_eq!(table.get("a").map(|v| v.to_vec()), Some(b"2".to_vec()));
 }
@@ -38,17 +38,17 @@
 #[test]
 fn an_older_copy_changes_nothing() {
     let mut table = Table::default();
-    table.take(page(vec![record("a", None, 7)], 8, false));
+    table.apply(page(vec![record("a", None, 7)], 8, false));
     let old = page(vec![record("a", Some("1"), 3)], 5, false);
-    assert_eq!(table.take(old), Vec::<String>::new());
-    assert_eq!(table.next(), 8);
+    assert_eq!(table.apply(old), Vec::<String>::new());
+    assert_eq!(table.next_offset(), 8);
     // The same row inside a newer copy is older than what is known, too.
     let newer = page(
         vec![record("a", Some("1"), 3), record("c", Some("1"), 8)],
         9,
         false,
     );
-    assert_eq!(table.take(newer), ["c"]);
+    assert_eq!(table.apply(newer), ["c"]);
     assert_eq!(keys(&table), ["c"]);
 }
 
@@ -58,8 +58,8 @@
 fn a_whole_table_removes_what_it_does_not_name() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
-    let changed = table.take(page(vec![record("b", Some("1"), 1)], 9, true));
+    table.apply(page(records, 2, true));
+    let changed = table.apply(page(vec![record("b", Some("1"), 1)], 9, true));
     assert_eq!(changed, ["a"]);
     assert_eq!(keys(&table), ["b"]);
 }
@@ -68,12 +68,12 @@
 fn a_peer_is_given_what_it_lacks_with_removals() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
-    table.take(page(vec![record("a", None, 2)], 3, false));
+    table.apply(page(records, 2, true));
+    table.apply(page(vec![record("a", None, 2)], 3, false));
     let mut peer = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    peer.take(page(records, 2, true));
-    assert_eq!(peer.take(table.since(peer.next())), ["a"]);
+    peer.apply(page(records, 2, true));
+    assert_eq!(peer.apply(table.since(peer.next_offset())), ["a"]);
     assert_eq!(keys(&peer), ["b"]);
 }
 
@@ -84,16 +84,16 @@
 fn a_peer_that_started_later_tells_what_was_removed_before() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
+    table.apply(page(records, 2, true));
     let mut started = Table::default();
     // "a" was removed at 2, and nothing names it any more.
-    started.take(page(vec![record("b", Some("1"), 1)], 3, true));
-    assert_eq!(table.take(started.since(table.next())), ["a"]);
+    started.apply(page(vec![record("b", Some("1"), 1)], 3, true));
+    assert_eq!(table.apply(started.since(table.next_offset())), ["a"]);
     assert_eq!(keys(&table), ["b"]);
     // From here on changes are enough again.
-    started.take(page(vec![record("c", Some("1"), 3)], 4, false));
-    let changes = started.since(table.next());
-    assert_eq!((changes.whole, changes.records.len()), (false, 1));
-    assert_eq!(table.take(changes), ["c"]);
+    started.apply(page(vec![record("c", Some("1"), 3)], 4, false));
+    let changes = started.since(table.next_offset());
+    assert_eq!((changes.complete, changes.records.len()), (false, 1));
+    assert_eq!(table.apply(changes), ["c"]);
     assert_eq!(keys(&table), ["b", "c"]);
 }
--- a/crates/node/src/hosted/control/copy.rs
+++ b/crates/node/src/hosted/control/copy.rs
@@ -50,8 +50,8 @@
         });
         Self {
             records: rows.collect(),
-            next: copy.page.next,
-            whole: copy.page.whole,
+            next: copy.page.next_offset,
+            whole: copy.page.complete,
             fresh: copy.fresh,
             more: copy.more,
         }
@@ -68,8 +68,8 @@
         Self {
             page: Page {
                 records: records.collect(),
-                next: raw.next,
-                whole: raw.whole,
+                next_offset: raw.next,
+                complete: raw.whole,
             },
             fresh: raw.fresh,
             more: raw.more,
--- a/crates/node/src/hosted/control/loads.rs
+++ b/crates/node/src/hosted/control/loads.rs
@@ -49,9 +49,9 @@
 impl From<&Report> for Figures {
     fn from(report: &Report) -> Self {
         Self {
-            used: report.used as f32,
-            room: report.room as f32,
-            pace: report.pace as f32,
+            used: report.kv_used as f32,
+            room: report.kv_capacity as f32,
+            pace: report.slowdown as f32,
             queued: report.queued,
             from: report.span.from,
             to: report.span.to,
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -238,7 +238,7 @@
             run: order.run.to_string(),
             held: order.held.to_string(),
             layers: order.span.to_string(),
-            after: report.map(|r| r.orders),
+            after: report.map(|r| r.accepted_orders),
             outcome: format!("{:?}", ordered.given),
         });
         let under = match (ordered.given, report) {
@@ -275,14 +275,15 @@
 /// first, and the order carries the count from its report.
 async fn give(order: &Order) -> Ordered {
     let control = Control::new(order.addr);
-    let Ok(report) = control.report().await else {
+    let Ok(report) = control.fetch_report().await else {
         let (report, given) = (None, Outcome::Refused);
         return Ordered { report, given };
     };
-    let given = match report.of_another(&order.run) || report.busy || report.span != order.held {
-        true => Outcome::Refused,
-        false => control.place(order, report.orders).await,
-    };
+    let given =
+        match report.is_from_another_run(&order.run) || report.busy || report.span != order.held {
+            true => Outcome::Refused,
+            false => control.place(order, report.accepted_orders).await,
+        };
     let report = Some(report);
     Ordered { report, given }
 }
--- a/crates/node/src/hosted/control/pulls.rs
+++ b/crates/node/src/hosted/control/pulls.rs
@@ -152,7 +152,7 @@
             .map(|g| (g.peer, g.table))
             .position(|at| at == (peer, table));
         let before = before.map(|place| self.gathered.swap_remove(place).page);
-        if !copy.page.whole {
+        if !copy.page.complete {
             return match copy.more {
                 true => Next::TakeAndAsk(copy.page),
                 false => Next::Take(copy.page),
@@ -176,7 +176,7 @@
 /// Two chunks of all keys. The whole is known only as far as the chunk that is known least far: the
 /// peer may have started anew between them.
 fn joined(mut page: Page, chunk: Page) -> Page {
-    page.next = page.next.min(chunk.next);
+    page.next_offset = page.next_offset.min(chunk.next_offset);
     page.records.extend(chunk.records);
     page
 }
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -40,7 +40,7 @@
         metrics.record_store_read(name(table), result.is_ok(), begun.elapsed());
         let (input, pause) = match result {
             Ok(Some(page)) => {
-                from = Some(page.next);
+                from = Some(page.next_offset);
                 (Some(Input::Page(table, page)), pause(table))
             }
             Ok(None) => {
@@ -62,15 +62,15 @@
 async fn read(platform: &Platform, table: Table, from: Option<Offset>) -> Result<Option<Page>> {
     let store = platform.store();
     let Some(from) = from else {
-        return store.newest(table).await.map(Some);
+        return store.read_all(table).await.map(Some);
     };
     let wait = match table {
         Table::Operator => WAIT,
         Table::Endpoints => Duration::ZERO,
     };
-    Ok(match store.changes(table, from, wait).await? {
+    Ok(match store.read_changes(table, from, wait).await? {
         Changes::Page(page) => Some(page),
-        Changes::Lost => None,
+        Changes::Compacted => None,
     })
 }
 
--- a/crates/node/src/hosted/control/state/share.rs
+++ b/crates/node/src/hosted/control/state/share.rs
@@ -151,7 +151,7 @@
             let (engine, inputs) = (engine.clone(), self.inputs.clone());
             tokio::spawn(async move {
                 // Silence is told by the missing report.
-                let report = engine.report().await.ok();
+                let report = engine.fetch_report().await.ok();
                 // Control has ended if nobody takes it.
                 let _ = inputs.send(Input::Report(endpoint.run, report)).await;
             });
@@ -163,7 +163,7 @@
             return self.loads.missed(now, &run.to_string());
         };
         // Another run has the address by now; its own row will tell of it.
-        if report.of_another(&run) {
+        if report.is_from_another_run(&run) {
             return;
         }
         self.loads.reported(now, &run.to_string(), &report);
--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -74,7 +74,7 @@
 
     /// Offset of the next change of a table.
     pub fn next(&self, table: Table) -> Offset {
-        self.copy(table).next()
+        self.copy(table).next_offset()
     }
 
     /// The endpoints' table could not be read.
@@ -100,12 +100,12 @@
     ) -> bool {
         match table {
             Table::Operator => {
-                let changed = self.operator.take(page);
+                let changed = self.operator.apply(page);
                 changed.iter().any(|k| k == adapter::CATALOG_KEY) && self.adopt(platform, source)
             }
             Table::Endpoints => {
-                let next = page.next;
-                let changed = self.endpoints.take(page);
+                let next = page.next_offset;
+                let changed = self.endpoints.apply(page);
                 let mut any = false;
                 for key in changed {
                     any |= self.update(platform, &key, next);
@@ -121,7 +121,7 @@
             return false;
         };
         let before = self.catalog.as_ref().map_or(0, |c| c.version);
-        let (version, outcome, adopted) = match platform.catalog(value) {
+        let (version, outcome, adopted) = match platform.decode_catalog(value) {
             // A catalog never gives way to an older one, wherever that came from.
             Ok(catalog) if catalog.version <= before => {
                 (catalog.version, "older".to_owned(), false)
@@ -150,7 +150,7 @@
         let Some(value) = self.endpoints.get(key) else {
             return self.gone(key, offset);
         };
-        let decoded = platform.endpoint(key, value);
+        let decoded = platform.decode_endpoint(key, value);
         let state = match &decoded {
             Ok(e) => format!("{:?} at {} layers {}", e.state, e.addr, e.span),
             Err(why) => format!("unusable row: {why}"),
@@ -216,7 +216,7 @@
             self.tell(
                 key,
                 "gone: its row was not written again".to_owned(),
-                self.endpoints.next(),
+                self.endpoints.next_offset(),
             );
         }
         !gone.is_empty()
--- a/crates/node/tests/copy.rs
+++ b/crates/node/tests/copy.rs
@@ -25,8 +25,8 @@
         let copy = Copy {
             page: Page {
                 records,
-                next: 5,
-                whole,
+                next_offset: 5,
+                complete: whole,
             },
             fresh: true,
             more: !whole,
@@ -44,8 +44,8 @@
     let key = format!("key-{}", random.random_range(0..40));
     Page {
         records: vec![Record { key, value, offset }],
-        next: offset + 1,
-        whole: false,
+        next_offset: offset + 1,
+        complete: false,
     }
 }
 
@@ -55,12 +55,12 @@
     let records = store.iter().map(|(key, value)| Record {
         key: key.to_owned(),
         value: Some(value.clone()),
-        offset: store.next() - 1,
+        offset: store.next_offset() - 1,
     });
-    table.take(Page {
+    table.apply(Page {
         records: records.collect(),
-        next: store.next(),
-        whole: true,
+        next_offset: store.next_offset(),
+        complete: true,
     });
     table
 }
@@ -83,13 +83,13 @@
         for step in 0..300 {
             if step < 200 {
                 for _ in 0..random.random_range(0..4) {
-                    store.take(change(&mut random, store.next()));
+                    store.apply(change(&mut random, store.next_offset()));
                 }
             }
             if step < 200 && random.random_bool(0.03) {
                 giver = anew(&store);
             }
-            giver.take(store.since(giver.next()));
+            giver.apply(store.since(giver.next_offset()));
             let part = match ask.0 {
                 Ask::Keys(_) => giver.keys(ask.1, CHUNK),
                 _ => giver.changes(ask.1, CHUNK),
@@ -102,8 +102,8 @@
             let next = pulls.gather(giver_addr, Kind::Endpoints, copy);
             ask = match next {
                 Next::Take(page) | Next::TakeAndAsk(page) => {
-                    taker.take(page);
-                    (Ask::Changes(Kind::Endpoints), taker.next())
+                    taker.apply(page);
+                    (Ask::Changes(Kind::Endpoints), taker.next_offset())
                 }
                 Next::Gather(from) => (Ask::Keys(Kind::Endpoints), from),
             };
--- a/crates/node/tests/support/spread.rs
+++ b/crates/node/tests/support/spread.rs
@@ -206,9 +206,9 @@
 
     /// The operator writes a new catalog.
     pub fn publish(&mut self) {
-        let offset = self.operator.next();
+        let offset = self.operator.next_offset();
         self.operator
-            .take(record("catalog".to_owned(), CATALOG, offset));
+            .apply(record("catalog".to_owned(), CATALOG, offset));
         self.published = self.now;
         self.reached.clear();
         let readers = (0..self.nodes.len()).filter(|&n| self.nodes[n].part.reads);
@@ -265,7 +265,9 @@
                 if !self.nodes[number].runs || !self.nodes[number].part.reads {
                     return;
                 }
-                let page = self.endpoints.since(self.nodes[number].endpoints.next());
+                let page = self
+                    .endpoints
+                    .since(self.nodes[number].endpoints.next_offset());
                 self.take(number, Kind::Endpoints, page);
                 self.later(READ, Due::Read(number));
             }
@@ -280,12 +282,14 @@
             }
             Due::Told(number) if self.nodes[number].stuck => {}
             Due::Told(number) => {
-                let page = self.operator.since(self.nodes[number].operator.next());
+                let page = self
+                    .operator
+                    .since(self.nodes[number].operator.next_offset());
                 self.take(number, Kind::Operator, page);
             }
             Due::Row(number) => {
-                let offset = self.endpoints.next();
-                self.endpoints.take(record(run(number).id, ROW, offset));
+                let offset = self.endpoints.next_offset();
+                self.endpoints.apply(record(run(number).id, ROW, offset));
             }
             Due::Ask {
                 to,
@@ -361,8 +365,10 @@
         let node = &mut self.nodes[by];
         node.calls.insert(call, (ask, peer));
         let from = from.unwrap_or_else(|| match ask {
-            Ask::Changes(Kind::Operator) | Ask::Keys(Kind::Operator) => node.operator.next(),
-            Ask::Changes(Kind::Endpoints) | Ask::Keys(Kind::Endpoints) => node.endpoints.next(),
+            Ask::Changes(Kind::Operator) | Ask::Keys(Kind::Operator) => node.operator.next_offset(),
+            Ask::Changes(Kind::Endpoints) | Ask::Keys(Kind::Endpoints) => {
+                node.endpoints.next_offset()
+            }
             Ask::Loads(scope) => node.loads.heard(peer, scope),
         });
         let ask = ask.into();
@@ -433,15 +439,15 @@
         let node = &mut self.nodes[number];
         match kind {
             Kind::Endpoints => {
-                node.endpoints.take(page);
-                let next = node.endpoints.next();
+                node.endpoints.apply(page);
+                let next = node.endpoints.next_offset();
                 for leaving in self.leaving.iter_mut().filter(|l| l.offset < next) {
                     leaving.known.entry(number).or_insert(self.now);
                 }
             }
             Kind::Operator => {
-                node.operator.take(page);
-                if node.operator.next() == self.operator.next() {
+                node.operator.apply(page);
+                if node.operator.next_offset() == self.operator.next_offset() {
                     self.reached.entry(number).or_insert(self.now);
                 }
             }
--- a/crates/node/tests/support/spread/faults.rs
+++ b/crates/node/tests/support/spread/faults.rs
@@ -42,17 +42,17 @@
             let node = &mut self.nodes[number];
             node.forget();
             if node.part.reads {
-                node.operator.take(whole(&self.operator));
-                node.endpoints.take(whole(&self.endpoints));
+                node.operator.apply(whole(&self.operator));
+                node.endpoints.apply(whole(&self.endpoints));
             }
         }
     }
 
     /// An endpoint says that it leaves.
     pub fn leave(&mut self) {
-        let offset = self.endpoints.next();
+        let offset = self.endpoints.next_offset();
         let endpoint = self.random.random_range(0..self.engines);
-        self.endpoints.take(record(run(endpoint).id, ROW, offset));
+        self.endpoints.apply(record(run(endpoint).id, ROW, offset));
         self.leaving.push(Leaving {
             offset,
             since: self.now,
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -47,14 +47,14 @@
     let value = Some(vec![7; bytes].into());
     Page {
         records: vec![Record { key, value, offset }],
-        next: offset + 1,
-        whole: false,
+        next_offset: offset + 1,
+        complete: false,
     }
 }
 
 pub(super) fn whole(table: &Table) -> Page {
     Page {
-        whole: true,
+        complete: true,
         ..table.since(0)
     }
 }
