--- a/crates/member/src/spread.rs
+++ b/crates/member/src/dissemination.rs
@@ -14,39 +14,39 @@
 use std::time::Duration;
 
 /// How long a peer that was named for a newer head gets before another one is named.
-const FETCH: Duration = Duration::from_millis(400);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Update kept at most; the most often told go first.
-const NEWS: usize = 512;
+const MAX_QUEUED_UPDATES: usize = 512;
 /// Shortest time between two flushes, so that a storm of observations costs a bounded rate.
-const FLUSH: Duration = Duration::from_millis(250);
+const MIN_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between the two times that a node sends an urgent item on. Once to a few leaves out one
 /// node in fifty; those of the second time are others.
-const AGAIN: Duration = Duration::from_secs(1);
+const URGENT_RESEND_DELAY: Duration = Duration::from_secs(1);
 /// Times that a node sends an urgent item on.
-const TIMES: u8 = 2;
+const URGENT_SENDS: u8 = 2;
 /// Urgent items of one flush at most.
-const BATCH: usize = 16;
+const MAX_URGENT_PER_FLUSH: usize = 16;
 /// Urgent items that wait at most; one more is left to the exchange of digests.
-const QUEUE: usize = 256;
+const MAX_QUEUED_URGENT: usize = 256;
 
 /// An urgent item that is still to be sent on.
 #[derive(Clone, Debug)]
-pub(crate) struct Urgent {
+pub(crate) struct UrgentItem {
     pub(crate) item: Item,
-    due: Now,
-    left: u8,
+    due_at: Now,
+    sends_left: u8,
 }
 
 /// A piece of news and how often it is still to be told.
 #[derive(Clone, Debug)]
-pub(crate) struct Piece {
-    pub(crate) about: Id,
-    pub(crate) news: Update,
-    pub(crate) left: u32,
+pub(crate) struct QueuedUpdate {
+    pub(crate) subject: Id,
+    pub(crate) update: Update,
+    pub(crate) sends_left: u32,
 }
 
 /// The run of a row.
-pub(crate) fn run(peer: &Peer) -> Run {
+pub(crate) fn to_run(peer: &Peer) -> Run {
     Run {
         id: peer.id,
         incarnation: peer.identity.incarnation,
@@ -64,19 +64,23 @@
 
 impl Group {
     /// Takes a piece of news to tell; one about the same node gives way.
-    pub(crate) fn tell(&mut self, news: Update) {
+    pub(crate) fn queue_update(&mut self, news: Update) {
         let about = subject(&news);
-        self.news.retain(|p| p.about != about);
-        let left = self.repeats(&news);
-        self.news.push(Piece { about, news, left });
-        if self.news.len() > NEWS {
-            self.news.sort_by_key(|p| p.left);
-            self.news.remove(0);
+        self.updates.retain(|p| p.subject != about);
+        let left = self.transmissions(&news);
+        self.updates.push(QueuedUpdate {
+            subject: about,
+            update: news,
+            sends_left: left,
+        });
+        if self.updates.len() > MAX_QUEUED_UPDATES {
+            self.updates.sort_by_key(|p| p.sends_left);
+            self.updates.remove(0);
         }
     }
 
     /// A row is long, and the exchange of rosters brings it anyway.
-    fn repeats(&self, news: &Update) -> u32 {
+    fn transmissions(&self, news: &Update) -> u32 {
         let most = self.settings.update_transmissions(self.roster.len());
         match news {
             Update::Join(_) => most / 3,
@@ -84,45 +88,46 @@
         }
     }
 
-    pub(crate) fn tell_join(&mut self, row: Row) {
-        self.tell(Update::Join(row));
+    pub(crate) fn queue_join(&mut self, row: Row) {
+        self.queue_update(Update::Join(row));
     }
 
     /// Those of `rows` that are not up here.
-    pub(crate) fn away(&self, rows: &[Row]) -> Vec<Row> {
+    pub(crate) fn rows_not_up(&self, rows: &[Row]) -> Vec<Row> {
         let peer = |row: &&Row| self.roster.get(row.identity.id());
         let away = |row: &&Row| peer(row).is_some_and(|p| p.state != State::Up);
         rows.iter().filter(away).cloned().collect()
     }
 
     /// What this node thinks of `rows`, whose runs are not up here.
-    pub(crate) fn doubts(&self, rows: &[Row]) -> Vec<Update> {
+    pub(crate) fn suspicions_of(&self, rows: &[Row]) -> Vec<Update> {
         let peers = rows.iter().map(|row| row.identity.id());
         let peers = peers.filter_map(|id| self.roster.get(id));
-        peers.map(|p| Update::Suspect(run(p))).collect()
+        peers.map(|p| Update::Suspect(to_run(p))).collect()
     }
 
     /// The least told news, and what the receiver needs to know of itself.
-    pub(crate) fn pick_news(&mut self, peer: Id) -> Vec<Update> {
-        self.news.sort_by_key(|p| std::cmp::Reverse(p.left));
+    pub(crate) fn select_updates(&mut self, peer: Id) -> Vec<Update> {
+        self.updates
+            .sort_by_key(|p| std::cmp::Reverse(p.sends_left));
         let most = self.settings.max_updates;
-        let charge = self.charge(peer);
+        let charge = self.suspicion_of_receiver(peer);
         let mut picked: Vec<Update> = charge.into_iter().collect();
-        for piece in self.news.iter_mut().take(most) {
-            piece.left -= 1;
-            picked.push(piece.news.clone());
+        for piece in self.updates.iter_mut().take(most) {
+            piece.sends_left -= 1;
+            picked.push(piece.update.clone());
         }
-        self.news.retain(|p| p.left > 0);
+        self.updates.retain(|p| p.sends_left > 0);
         picked
     }
 
-    pub(crate) fn hear_news(&mut self, now: Now, news: Update, out: &mut Vec<Action>) {
+    pub(crate) fn handle_update(&mut self, now: Now, news: Update, out: &mut Vec<Action>) {
         match news {
-            Update::Join(row) => self.merge(now, row, out),
+            Update::Join(row) => self.merge_row(now, row, out),
             Update::Suspect(run) if run.id == self.me => self.refute(run),
-            Update::Suspect(run) => self.hear_suspect(now, run, out),
-            Update::Alive(run) => self.hear_alive(now, run, out),
-            Update::Left(run) => self.hear_left(now, run, out),
+            Update::Suspect(run) => self.handle_suspect(now, run, out),
+            Update::Alive(run) => self.handle_alive(now, run, out),
+            Update::Left(run) => self.handle_left(now, run, out),
         }
     }
 
@@ -136,21 +141,21 @@
         }
         own.refutations = run.refutations;
         self.counters.refuted += 1;
-        self.refute_ahead();
+        self.increment_refutations();
     }
 
     /// Raises the own turn.
-    pub(crate) fn refute_ahead(&mut self) {
+    pub(crate) fn increment_refutations(&mut self) {
         let Some(own) = self.roster.get_mut(self.me) else {
             return;
         };
         own.refutations += 1;
-        let run = run(own);
-        self.tell(Update::Alive(run));
-        self.hot = true;
+        let run = to_run(own);
+        self.queue_update(Update::Alive(run));
+        self.flush_pending = true;
     }
 
-    fn hear_suspect(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
+    fn handle_suspect(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(run.id) else {
             return;
         };
@@ -159,9 +164,9 @@
         }
         if peer.refutations > run.refutations {
             // The sender missed the refutation; others may have too.
-            let alive = Update::Alive(crate::spread::run(peer));
-            if !self.news.iter().any(|p| p.news == alive) {
-                self.tell(alive);
+            let alive = Update::Alive(crate::dissemination::to_run(peer));
+            if !self.updates.iter().any(|p| p.update == alive) {
+                self.queue_update(alive);
             }
             return;
         }
@@ -171,7 +176,7 @@
         }
     }
 
-    fn hear_alive(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
+    fn handle_alive(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(run.id) else {
             return;
         };
@@ -181,12 +186,12 @@
             return;
         }
         let away = peer.state != State::Up;
-        self.raise(now, run.id, run.refutations, out);
-        self.tell(Update::Alive(run));
-        self.hot |= away;
+        self.apply_refutation(now, run.id, run.refutations, out);
+        self.queue_update(Update::Alive(run));
+        self.flush_pending |= away;
     }
 
-    fn hear_left(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
+    fn handle_left(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(run.id) else {
             return;
         };
@@ -194,21 +199,23 @@
             return;
         }
         self.remove(now, run.id, true, out);
-        self.tell(Update::Left(run));
-        self.hot = true;
+        self.queue_update(Update::Left(run));
+        self.flush_pending = true;
     }
 
     /// Sends what should not wait for the next round to some peers.
     pub(crate) fn flush(&mut self, now: Now, out: &mut Vec<Action>) {
-        let due = self.urgent.iter().any(|u| u.due <= now);
-        let early = self.flushed.is_some_and(|f| roster::age(now, f) < FLUSH);
-        if early || !(self.hot || due) {
+        let due = self.urgent.iter().any(|u| u.due_at <= now);
+        let early = self
+            .last_flush
+            .is_some_and(|f| roster::age(now, f) < MIN_FLUSH_INTERVAL);
+        if early || !(self.flush_pending || due) {
             return;
         }
-        self.flushed = Some(now);
-        self.hot = false;
+        self.last_flush = Some(now);
+        self.flush_pending = false;
         let items = self.take_urgent(now);
-        for peer in self.receivers() {
+        for peer in self.flush_targets() {
             let Some(to) = self.addr(peer) else { continue };
             let body = match items.is_empty() {
                 true => Body::Empty,
@@ -220,34 +227,39 @@
 
     /// Whom something urgent is sent to: the watched peers, so that each node has senders of its own, and
     /// some drawn at random, so that it spreads fast.
-    fn receivers(&mut self) -> Vec<Id> {
+    fn flush_targets(&mut self) -> Vec<Id> {
         let fanout = self.settings.fanout;
-        let watched = self.watched();
-        let mut drawn = self.random(fanout, None);
+        let watched = self.ring_neighbours();
+        let mut drawn = self.sample_up(fanout, None);
         drawn.retain(|id| !watched.contains(id));
         watched.into_iter().chain(drawn).take(fanout).collect()
     }
 
     fn take_urgent(&mut self, now: Now) -> Vec<Item> {
         let mut items = Vec::new();
-        for urgent in self.urgent.iter_mut().filter(|u| u.due <= now).take(BATCH) {
-            urgent.due = now + AGAIN;
-            urgent.left -= 1;
+        for urgent in self
+            .urgent
+            .iter_mut()
+            .filter(|u| u.due_at <= now)
+            .take(MAX_URGENT_PER_FLUSH)
+        {
+            urgent.due_at = now + URGENT_RESEND_DELAY;
+            urgent.sends_left -= 1;
             items.push(urgent.item.clone());
         }
-        self.urgent.retain(|u| u.left > 0);
+        self.urgent.retain(|u| u.sends_left > 0);
         items
     }
 
-    fn hurry(&mut self, now: Now, item: Item) {
-        if self.urgent.len() >= QUEUE {
+    fn queue_urgent(&mut self, now: Now, item: Item) {
+        if self.urgent.len() >= MAX_QUEUED_URGENT {
             self.counters.dropped += 1;
             return;
         }
-        self.urgent.push_back(Urgent {
+        self.urgent.push_back(UrgentItem {
             item,
-            due: now,
-            left: TIMES,
+            due_at: now,
+            sends_left: URGENT_SENDS,
         });
     }
 
@@ -255,23 +267,23 @@
         let Some(own) = self.roster.get(self.me) else {
             return;
         };
-        let run = run(own);
-        self.tell(Update::Left(run));
-        self.hot = true;
-        self.flushed = None;
+        let run = to_run(own);
+        self.queue_update(Update::Left(run));
+        self.flush_pending = true;
+        self.last_flush = None;
     }
 
     /// This node has a head in force; it never goes back.
-    pub(crate) fn adopt(&mut self, head: Head) {
+    pub(crate) fn set_head(&mut self, head: Head) {
         if self.head.is_some_and(|h| h.number >= head.number) {
             return;
         }
         self.head = Some(head);
-        self.hot = true;
+        self.flush_pending = true;
     }
 
     /// Names a peer with a newer head, and another one after a while if nothing came of it.
-    pub(crate) fn compare(
+    pub(crate) fn compare_head(
         &mut self,
         now: Now,
         head: Head,
@@ -283,19 +295,20 @@
         if head.number <= own {
             return;
         }
-        let waits =
-            |(number, since): (u64, Now)| number >= head.number && roster::age(now, since) < FETCH;
-        if self.asked.is_some_and(waits) {
+        let waits = |(number, since): (u64, Now)| {
+            number >= head.number && roster::age(now, since) < FETCH_TIMEOUT
+        };
+        if self.head_requested.is_some_and(waits) {
             return;
         }
-        self.asked = Some((head.number, now));
+        self.head_requested = Some((head.number, now));
         out.push(Action::FetchHead { head, peer, addr });
     }
 
     /// Takes this node's own observations. One that a peer published already is left out: when
     /// an endpoint dies, every node sees it, and one item tells it as well as hundreds.
     pub(crate) fn publish(&mut self, now: Now, mut bodies: Vec<item::Observation>) {
-        bodies.retain(|b| !self.told(now, b));
+        bodies.retain(|b| !self.is_published_elsewhere(now, b));
         if bodies.is_empty() {
             return;
         }
@@ -306,9 +319,9 @@
             own.version = version;
         }
         for body in bodies {
-            self.mark(me, &body);
+            self.mark_leaving(me, &body);
             if body.urgent() {
-                self.hurry(
+                self.queue_urgent(
                     now,
                     Item {
                         origin: me,
@@ -329,7 +342,7 @@
     }
 
     /// Whether another node's item says the same and counts for at least half as long.
-    fn told(&self, now: Now, body: &item::Observation) -> bool {
+    fn is_published_elsewhere(&self, now: Now, body: &item::Observation) -> bool {
         let (Some(ttl), key) = (body.ttl(), body.key()) else {
             return false;
         };
@@ -341,7 +354,7 @@
 
     /// Takes an urgent item and sends it on when it is new. Its origin's version stays as it is:
     /// earlier publications may still be missing, and the exchange must ask for them.
-    pub(crate) fn hear_item(&mut self, now: Now, item: Item, out: &mut Vec<Action>) {
+    pub(crate) fn handle_item(&mut self, now: Now, item: Item, out: &mut Vec<Action>) {
         let known = self.roster.get(item.origin).map(|p| p.identity.incarnation);
         if known != Some(item.incarnation) || item.origin == self.me {
             self.counters.stale += 1;
@@ -351,9 +364,9 @@
             self.counters.stale += 1;
             return;
         }
-        let told = self.told(now, &item.body);
+        let told = self.is_published_elsewhere(now, &item.body);
         if self.learn(now, item.clone(), out) && !told {
-            self.hurry(now, item);
+            self.queue_urgent(now, item);
         }
     }
 
@@ -372,12 +385,12 @@
             PutOutcome::New => {}
         }
         self.counters.learned += 1;
-        self.mark(item.origin, &item.body);
+        self.mark_leaving(item.origin, &item.body);
         out.push(Action::Learned(item));
         true
     }
 
-    fn mark(&mut self, origin: Id, body: &item::Observation) {
+    fn mark_leaving(&mut self, origin: Id, body: &item::Observation) {
         if *body != item::Observation::Leaving {
             return;
         }
@@ -391,7 +404,7 @@
     }
 
     /// Tells `to` who is here.
-    pub(crate) fn introduce(&mut self, to: Id, addr: SocketAddr, out: &mut Vec<Action>) {
+    pub(crate) fn send_identity(&mut self, to: Id, addr: SocketAddr, out: &mut Vec<Action>) {
         let Some(own) = self.roster.get(self.me) else {
             return;
         };
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -20,18 +20,20 @@
 use std::net::SocketAddr;
 
 /// Bytes of a batch without its items, as an estimate.
-const BATCH: usize = 8;
+const BATCH_OVERHEAD_BYTES: usize = 8;
 /// Bytes of a small item, as an estimate.
-const SMALL: usize = 7;
+const SMALL_ITEM_BYTES: usize = 7;
 
 /// Bytes of an item in a frame, as an estimate.
-fn weight(body: &item::Observation) -> usize {
+fn estimated_bytes(body: &item::Observation) -> usize {
     match body {
         item::Observation::Endpoint { name, .. } | item::Observation::Releasing { name, .. } => {
-            SMALL + 8 + name.len()
+            SMALL_ITEM_BYTES + 8 + name.len()
         }
-        item::Observation::Suspect { .. } | item::Observation::Condemned { .. } => SMALL + 8,
-        _ => SMALL,
+        item::Observation::Suspect { .. } | item::Observation::Condemned { .. } => {
+            SMALL_ITEM_BYTES + 8
+        }
+        _ => SMALL_ITEM_BYTES,
     }
 }
 
@@ -49,7 +51,7 @@
         (0..BUCKETS).map(summary).collect()
     }
 
-    pub(crate) fn offer(&mut self, partner: Id, out: &mut Vec<Action>) {
+    pub(crate) fn send_digest(&mut self, partner: Id, out: &mut Vec<Action>) {
         let Some(to) = self.addr(partner) else { return };
         let digest = self.summaries();
         self.send(partner, to, Body::Digest(digest), out);
@@ -57,7 +59,7 @@
 
     /// Answers a digest. Starts at a random bucket, so that a full answer does not always leave
     /// out the same ones.
-    pub(crate) fn digest(
+    pub(crate) fn handle_digest(
         &mut self,
         now: Now,
         peer: Id,
@@ -136,7 +138,7 @@
             let Some(peer) = rows.get(usize::from(gap.row)) else {
                 continue;
             };
-            if peer.version > gap.version && *room > BATCH {
+            if peer.version > gap.version && *room > BATCH_OVERHEAD_BYTES {
                 batches.extend(self.batch(now, peer, gap, room));
             }
         }
@@ -169,9 +171,9 @@
             publications: Vec::new(),
         };
         let mut upto = gap.version;
-        *room = room.saturating_sub(BATCH);
+        *room = room.saturating_sub(BATCH_OVERHEAD_BYTES);
         for (version, bodies) in prints {
-            let size: usize = 2 + bodies.iter().map(weight).sum::<usize>();
+            let size: usize = 2 + bodies.iter().map(estimated_bytes).sum::<usize>();
             if size > *room {
                 batch.up_to = upto;
                 break;
@@ -186,7 +188,7 @@
         (batch.up_to > gap.version).then_some(batch)
     }
 
-    pub(crate) fn delta(
+    pub(crate) fn handle_delta(
         &mut self,
         now: Now,
         peer: Id,
@@ -202,8 +204,8 @@
         } = delta;
         groups
             .into_iter()
-            .for_each(|g| self.take_group(now, g, out));
-        self.take_rows(now, peer, to, rows, &whole, out);
+            .for_each(|g| self.apply_bucket(now, g, out));
+        self.apply_rows(now, peer, to, rows, &whole, out);
         let mut answer = Delta::default();
         let mut room = self.settings.max_delta_bytes;
         for want in wants {
@@ -222,7 +224,7 @@
         }
     }
 
-    fn take_group(&mut self, now: Now, group: message::BucketItems, out: &mut Vec<Action>) {
+    fn apply_bucket(&mut self, now: Now, group: message::BucketItems, out: &mut Vec<Action>) {
         for batch in group.batches {
             // A row that came or went since the digest was sent moves the places of the others.
             if self.roster.hash(group.bucket) != Some(group.hash) {
@@ -234,12 +236,12 @@
             };
             let (origin, incarnation) = (row.id, row.identity.incarnation);
             if origin != self.me {
-                self.take_batch(now, origin, incarnation, batch, out);
+                self.apply_batch(now, origin, incarnation, batch, out);
             }
         }
     }
 
-    fn take_batch(
+    fn apply_batch(
         &mut self,
         now: Now,
         origin: Id,
@@ -267,7 +269,7 @@
         }
     }
 
-    fn take_rows(
+    fn apply_rows(
         &mut self,
         now: Now,
         peer: Id,
@@ -280,7 +282,7 @@
             .iter()
             .map(|r| (id(&r.identity.name), r.identity.incarnation))
             .collect();
-        rows.into_iter().for_each(|r| self.merge(now, r, out));
+        rows.into_iter().for_each(|r| self.merge_row(now, r, out));
         let lacks = |p: &&Peer| {
             theirs
                 .get(&p.id)
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -3,6 +3,7 @@
 use crate::Now;
 use crate::action::Action;
 use crate::counters::Counters;
+use crate::dissemination::{QueuedUpdate, UrgentItem};
 use crate::event::Event;
 use crate::head::Head;
 use crate::identity::{Id, Identity, Incarnation};
@@ -12,7 +13,6 @@
 use crate::probe::Probes;
 use crate::roster::{self, Roster};
 use crate::settings::Settings;
-use crate::spread::{Piece, Urgent};
 use crate::store::Store;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -21,13 +21,13 @@
 use std::net::SocketAddr;
 
 /// Rows of one message whose runs are said to be gone at most.
-const DOUBTS: usize = 32;
+const MAX_SUSPICIONS_PER_MESSAGE: usize = 32;
 
 /// A run that was taken out of the roster.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Grave {
+pub(crate) struct Tombstone {
     pub(crate) incarnation: Incarnation,
-    pub(crate) since: Now,
+    pub(crate) removed_at: Now,
     /// Whether it left by itself; a run that was only out of reach may come back.
     pub(crate) left: bool,
 }
@@ -42,21 +42,21 @@
     pub(crate) store: Store,
     pub(crate) listed: Option<BTreeMap<Id, Entry>>,
     pub(crate) head: Option<Head>,
-    pub(crate) asked: Option<(u64, Now)>,
+    pub(crate) head_requested: Option<(u64, Now)>,
     pub(crate) version: Version,
-    pub(crate) news: Vec<Piece>,
+    pub(crate) updates: Vec<QueuedUpdate>,
     /// Urgent items to send on.
-    pub(crate) urgent: VecDeque<Urgent>,
+    pub(crate) urgent: VecDeque<UrgentItem>,
     /// Whether there is news that should not wait for the next round.
-    pub(crate) hot: bool,
-    pub(crate) flushed: Option<Now>,
+    pub(crate) flush_pending: bool,
+    pub(crate) last_flush: Option<Now>,
     pub(crate) probes: Probes,
-    pub(crate) graves: BTreeMap<Id, Grave>,
-    pub(crate) ticked: Option<Now>,
+    pub(crate) tombstones: BTreeMap<Id, Tombstone>,
+    pub(crate) last_tick: Option<Now>,
     /// When the first tick came.
-    pub(crate) began: Option<Now>,
+    pub(crate) first_tick: Option<Now>,
     /// When a peer was last entered into the roster.
-    pub(crate) grown: Now,
+    pub(crate) last_join: Now,
     pub(crate) counters: Counters,
 }
 
@@ -74,17 +74,17 @@
             store: Store::default(),
             listed: None,
             head: None,
-            asked: None,
+            head_requested: None,
             version: 0,
-            news: Vec::new(),
+            updates: Vec::new(),
             urgent: VecDeque::new(),
-            hot: false,
-            flushed: None,
+            flush_pending: false,
+            last_flush: None,
             probes: Probes::default(),
-            graves: BTreeMap::new(),
-            ticked: None,
-            began: None,
-            grown: Now::ZERO,
+            tombstones: BTreeMap::new(),
+            last_tick: None,
+            first_tick: None,
+            last_join: Now::ZERO,
             counters: Counters::default(),
         }
     }
@@ -93,11 +93,11 @@
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Received { from, message } => self.frame(now, from, message, out),
-            Event::Listed(entries) => self.list(entries),
-            Event::Head(head) => self.adopt(head),
+            Event::Received { from, message } => self.handle_message(now, from, message, out),
+            Event::Listed(entries) => self.set_listed(entries),
+            Event::Head(head) => self.set_head(head),
             Event::Publish(bodies) => self.publish(now, bodies),
-            Event::ConnectFailed(peer) => self.unreached(peer, out),
+            Event::ConnectFailed(peer) => self.connect_failed(peer, out),
             Event::Quit => self.quit(),
         }
         self.flush(now, out);
@@ -106,26 +106,26 @@
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
-        let gap = self.ticked.map_or(Now::ZERO, |t| roster::age(now, t));
-        self.ticked = Some(now);
-        self.began.get_or_insert(now);
+        let gap = self.last_tick.map_or(Now::ZERO, |t| roster::age(now, t));
+        self.last_tick = Some(now);
+        self.first_tick.get_or_insert(now);
         if gap > self.settings.pause_threshold {
-            self.resume(now);
+            self.handle_pause(now);
         }
         self.check_probes(now, out);
-        self.watch(now, out);
-        if self.due(now) {
-            self.judge(now, out);
-            self.judge_again(now, out);
+        self.probe_ring(now, out);
+        if self.exchange_due(now) {
+            self.judge_suspects(now, out);
+            self.rejudge_lost(now, out);
             self.store.expire(now);
-            self.bury(now, out);
-            self.round(now, out);
+            self.remove_lost(now, out);
+            self.run_round(now, out);
         }
     }
 
     /// After a pause of this process answers may wait unread while all timers have run out: the
     /// peers are not to blame, so every probe and every suspicion starts anew.
-    fn resume(&mut self, now: Now) {
+    fn handle_pause(&mut self, now: Now) {
         self.counters.pauses += 1;
         self.probes.reset(now);
         for peer in self.roster.iter_mut() {
@@ -134,10 +134,16 @@
             }
         }
         // Peers that suspected this node meanwhile may already wait to judge it.
-        self.refute_ahead();
+        self.increment_refutations();
     }
 
-    fn frame(&mut self, now: Now, from: SocketAddr, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Now,
+        from: SocketAddr,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         let Message {
             from: id,
             incarnation,
@@ -149,46 +155,60 @@
             self.counters.stale += 1;
             return;
         }
-        if !self.hear(now, id, incarnation, from, out) {
+        if !self.accept_sender(now, id, incarnation, from, out) {
             self.counters.stale += 1;
             return;
         }
         if let Some(head) = head {
-            self.compare(now, head, id, from, out);
+            self.compare_head(now, head, id, from, out);
         }
-        let (doubts, news) = split_doubts(news, body.rows());
-        news.into_iter().for_each(|n| self.hear_news(now, n, out));
-        self.take(now, id, from, body, out);
+        let (doubts, news) = split_row_suspicions(news, body.rows());
+        news.into_iter()
+            .for_each(|n| self.handle_update(now, n, out));
+        self.handle_body(now, id, from, body, out);
         // A node that was not known has now told who it is.
-        if self.runs(id, incarnation) {
-            self.up(now, id, out);
+        if self.is_current_run(id, incarnation) {
+            self.mark_alive(now, id, out);
         }
-        doubts.into_iter().for_each(|run| self.doubt(now, run, out));
+        doubts
+            .into_iter()
+            .for_each(|run| self.adopt_suspicion(now, run, out));
     }
 
     /// Whether this run of a node is in the roster.
-    fn runs(&self, id: Id, run: Incarnation) -> bool {
+    fn is_current_run(&self, id: Id, run: Incarnation) -> bool {
         self.roster
             .get(id)
             .is_some_and(|p| p.identity.incarnation == run)
     }
 
-    fn take(&mut self, now: Now, id: Id, from: SocketAddr, body: Body, out: &mut Vec<Action>) {
+    fn handle_body(
+        &mut self,
+        now: Now,
+        id: Id,
+        from: SocketAddr,
+        body: Body,
+        out: &mut Vec<Action>,
+    ) {
         match body {
-            Body::Ping { seq, to } => self.answer(id, from, seq, to, out),
-            Body::Ack { seq, of } => self.acked(now, seq, of, out),
-            Body::IndirectPing { seq, to, addr } => self.relay(now, (id, from, seq), to, addr, out),
-            Body::Identify => self.introduce(id, from, out),
-            Body::Rows(rows) => rows.into_iter().for_each(|r| self.merge(now, r, out)),
+            Body::Ping { seq, to } => self.handle_ping(id, from, seq, to, out),
+            Body::Ack { seq, of } => self.handle_ack(now, seq, of, out),
+            Body::IndirectPing { seq, to, addr } => {
+                self.handle_indirect_ping(now, (id, from, seq), to, addr, out)
+            }
+            Body::Identify => self.send_identity(id, from, out),
+            Body::Rows(rows) => rows.into_iter().for_each(|r| self.merge_row(now, r, out)),
             Body::Empty => {}
-            Body::Items(items) => items.into_iter().for_each(|i| self.hear_item(now, i, out)),
-            Body::Digest(summaries) => self.digest(now, id, from, &summaries, out),
-            Body::Delta(delta) => self.delta(now, id, from, delta, out),
+            Body::Items(items) => items
+                .into_iter()
+                .for_each(|i| self.handle_item(now, i, out)),
+            Body::Digest(summaries) => self.handle_digest(now, id, from, &summaries, out),
+            Body::Delta(delta) => self.handle_delta(now, id, from, delta, out),
         }
     }
 
     /// Notes that a run of `id` sent something. Returns whether the message counts.
-    fn hear(
+    fn accept_sender(
         &mut self,
         now: Now,
         id: Id,
@@ -196,7 +216,7 @@
         from: SocketAddr,
         out: &mut Vec<Action>,
     ) -> bool {
-        if let Some(grave) = self.graves.get(&id) {
+        if let Some(grave) = self.tombstones.get(&id) {
             let gone = grave.incarnation > run || (grave.left && grave.incarnation == run);
             if gone {
                 return false;
@@ -204,9 +224,9 @@
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
             Some(known) if known > run => return false,
-            Some(known) if known == run => self.up(now, id, out),
+            Some(known) if known == run => self.mark_alive(now, id, out),
             _ => {
-                self.graves.remove(&id);
+                self.tombstones.remove(&id);
                 self.send(id, from, Body::Identify, out);
             }
         }
@@ -214,22 +234,25 @@
     }
 
     /// Takes over a row that a peer sent.
-    pub(crate) fn merge(&mut self, now: Now, row: Row, out: &mut Vec<Action>) {
+    pub(crate) fn merge_row(&mut self, now: Now, row: Row, out: &mut Vec<Action>) {
         let id = row.identity.id();
         let run = row.identity.incarnation;
-        let buried = self.graves.get(&id).is_some_and(|g| g.incarnation >= run);
+        let buried = self
+            .tombstones
+            .get(&id)
+            .is_some_and(|g| g.incarnation >= run);
         if buried {
             return;
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
             Some(known) if known > run => {}
-            Some(known) if known == run => self.raise(now, id, row.refutations, out),
+            Some(known) if known == run => self.apply_refutation(now, id, row.refutations, out),
             Some(_) if id == self.me => {}
-            known => self.enter(now, row, known.is_some(), out),
+            known => self.insert_peer(now, row, known.is_some(), out),
         }
     }
 
-    fn enter(&mut self, now: Now, row: Row, restarted: bool, out: &mut Vec<Action>) {
+    fn insert_peer(&mut self, now: Now, row: Row, restarted: bool, out: &mut Vec<Action>) {
         let run = row.identity.incarnation;
         let clash = self
             .roster
@@ -247,15 +270,15 @@
         }
         let mut peer = Peer::new(row.identity.clone(), now);
         peer.refutations = row.refutations;
-        peer.listed = self.standing(peer.id);
+        peer.listed = self.listed_state(peer.id);
         let id = peer.id;
         if !self.roster.insert(peer) {
             self.counters.dropped += 1;
             return;
         }
-        self.grown = now;
+        self.last_join = now;
         self.store.forget(id);
-        self.tell_join(row);
+        self.queue_join(row);
         out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
@@ -269,12 +292,12 @@
             return;
         };
         self.store.forget(id);
-        let grave = Grave {
+        let grave = Tombstone {
             incarnation: peer.identity.incarnation,
-            since: now,
+            removed_at: now,
             left,
         };
-        self.graves.insert(id, grave);
+        self.tombstones.insert(id, grave);
         self.probes.forget(id);
         out.push(Action::StateChanged {
             peer: id,
@@ -283,7 +306,7 @@
         });
     }
 
-    fn list(&mut self, entries: Vec<Entry>) {
+    fn set_listed(&mut self, entries: Vec<Entry>) {
         let table: BTreeMap<Id, Entry> = entries
             .into_iter()
             .map(|e| (crate::identity::id(&e.name), e))
@@ -294,26 +317,26 @@
         self.listed = Some(table);
     }
 
-    fn standing(&self, id: Id) -> Option<ListedState> {
+    fn listed_state(&self, id: Id) -> Option<ListedState> {
         self.listed.as_ref()?.get(&id).map(|e| e.state)
     }
 
     /// Sends a message with the head and some news. What this node thinks of the rows in it goes along.
     pub(crate) fn send(&mut self, peer: Id, to: SocketAddr, body: Body, out: &mut Vec<Action>) {
-        let mut news = self.pick_news(peer);
-        let away = self.away(body.rows());
-        let (first, more) = away.split_at(DOUBTS.min(away.len()));
-        news.extend(self.doubts(first));
+        let mut news = self.select_updates(peer);
+        let away = self.rows_not_up(body.rows());
+        let (first, more) = away.split_at(MAX_SUSPICIONS_PER_MESSAGE.min(away.len()));
+        news.extend(self.suspicions_of(first));
         let message = self.message(news, body);
         out.push(Action::Send { peer, to, message });
-        for rows in more.chunks(DOUBTS) {
-            let message = self.message(self.doubts(rows), Body::Rows(rows.to_vec()));
+        for rows in more.chunks(MAX_SUSPICIONS_PER_MESSAGE) {
+            let message = self.message(self.suspicions_of(rows), Body::Rows(rows.to_vec()));
             out.push(Action::Send { peer, to, message });
         }
     }
 
     /// Sends nothing but `news`.
-    pub(crate) fn send_with(
+    pub(crate) fn send_updates(
         &mut self,
         peer: Id,
         to: SocketAddr,
@@ -374,7 +397,7 @@
     /// Whether the nodes known at `now` are likely all that there are. Nodes that start together know
     /// few of the others at first: each of them would take the duties of the first node for its own.
     pub fn is_settled(&self, now: Now) -> bool {
-        let Some(began) = self.began else {
+        let Some(began) = self.first_tick else {
             return false;
         };
         let Settings {
@@ -386,7 +409,7 @@
             return true;
         }
         let alone = self.roster.len() == 1 && self.listed().next().is_some();
-        !alone && roster::age(now, began.max(self.grown)) >= settle_time
+        !alone && roster::age(now, began.max(self.last_join)) >= settle_time
     }
 
     /// Nodes that count as existing: heard of, or listed as live.
@@ -399,7 +422,7 @@
 }
 
 /// What the sender of `rows` thinks of them, and the news.
-fn split_doubts(news: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
+fn split_row_suspicions(news: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
     let sent: BTreeSet<Id> = rows.iter().map(|row| row.identity.id()).collect();
     let mut doubts = Vec::new();
     let news = news.into_iter().filter(|piece| match piece {
--- a/crates/member/src/check.rs
+++ b/crates/member/src/invariants.rs
@@ -5,8 +5,8 @@
 use crate::message::Bucket;
 use crate::peer::State;
 use crate::probe::Cause;
+use crate::ring::RING_NEIGHBOURS;
 use crate::roster::{self, BUCKETS};
-use crate::watch::WATCHED;
 use std::collections::BTreeSet;
 use std::fmt;
 
@@ -90,7 +90,7 @@
 
     fn verify_states(&self, errors: &mut Vec<Error>) {
         for peer in self.roster.iter() {
-            let buried = self.graves.get(&peer.id);
+            let buried = self.tombstones.get(&peer.id);
             if buried.is_some_and(|g| g.incarnation >= peer.identity.incarnation) {
                 errors.push(error("peer", peer.id, Fault::RemovedRun));
             }
@@ -119,16 +119,16 @@
     }
 
     fn verify_bounds(&self, errors: &mut Vec<Error>) {
-        let subjects: BTreeSet<Id> = self.news.iter().map(|p| p.about).collect();
-        if subjects.len() != self.news.len() {
-            errors.push(error("news", self.news.len(), Fault::DuplicateUpdate));
+        let subjects: BTreeSet<Id> = self.updates.iter().map(|p| p.subject).collect();
+        if subjects.len() != self.updates.len() {
+            errors.push(error("news", self.updates.len(), Fault::DuplicateUpdate));
         }
         if self.roster.len() > self.settings.max_peers {
             errors.push(error("roster", self.roster.len(), Fault::BoundExceeded));
         }
         let round = self.settings.probe_interval / 2;
         let rounds = self.settings.probe_timeout.div_duration_f64(round).ceil() as usize;
-        for (cause, each) in [(Cause::Turn, 1), (Cause::Watch, WATCHED)] {
+        for (cause, each) in [(Cause::Schedule, 1), (Cause::Ring, RING_NEIGHBOURS)] {
             let open = self.probes.open.iter();
             let probes = open.filter(|p| p.cause == cause).count();
             if probes > (rounds * 2 + 1) * each {
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -14,29 +14,29 @@
 //! shares at admission (`route`).
 
 pub mod action;
-pub mod check;
 pub mod counters;
 pub mod demand;
+mod dissemination;
 pub mod event;
 mod exchange;
 pub mod group;
 pub mod head;
 pub mod identity;
+pub mod invariants;
 pub mod item;
-mod judge;
 pub mod level;
 pub mod message;
+mod partition;
 pub mod peer;
 mod probe;
+mod ring;
 pub mod roster;
 pub mod settings;
 pub mod share;
-mod side;
-mod spread;
 pub mod store;
+mod suspicion;
 pub mod team;
 mod view;
-mod watch;
 
 pub use crate::message::Message;
 
--- a/crates/member/src/watch.rs
+++ b/crates/member/src/ring.rs
@@ -11,31 +11,31 @@
 use crate::probe::Cause;
 
 /// Peers that a node watches, and nodes that watch it.
-pub(crate) const WATCHED: usize = 2;
+pub(crate) const RING_NEIGHBOURS: usize = 2;
 
 impl Group {
     /// Probes the watched peers, unless a probe of them is open.
-    pub(crate) fn watch(&mut self, now: Now, out: &mut Vec<Action>) {
-        if now < self.probes.watch {
+    pub(crate) fn probe_ring(&mut self, now: Now, out: &mut Vec<Action>) {
+        if now < self.probes.next_ring_probe {
             return;
         }
-        self.probes.watch = now + self.settings.probe_interval(self.roster.len());
-        for peer in self.watched() {
+        self.probes.next_ring_probe = now + self.settings.probe_interval(self.roster.len());
+        for peer in self.ring_neighbours() {
             if !self.probes.is_open(peer) {
-                self.probe(now, peer, Cause::Watch, out);
+                self.probe(now, peer, Cause::Ring, out);
             }
         }
     }
 
     /// The next peers in the ring of ids that are up.
-    pub(crate) fn watched(&self) -> Vec<Id> {
+    pub(crate) fn ring_neighbours(&self) -> Vec<Id> {
         let others = self.roster.iter().filter(|p| p.id != self.me);
         let mut up: Vec<Id> = others
             .filter(|p| p.state == State::Up)
             .map(|p| p.id)
             .collect();
         up.sort_by_key(|id| id.wrapping_sub(self.me));
-        up.truncate(WATCHED);
+        up.truncate(RING_NEIGHBOURS);
         up
     }
 }
--- a/crates/member/src/judge.rs
+++ b/crates/member/src/suspicion.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 /// Peers that went silent within this time of each other are taken to have one cause.
-const TOGETHER: Duration = Duration::from_secs(20);
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(20);
 /// How long a parted peer may stay away after most of its availability zone came back, before
 /// it is suspected by itself: news of many returns at once take their time.
-const REJOIN: Duration = Duration::from_secs(30);
+const PARTED_RECHECK_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Group {
     /// Proof that the known run of a peer lives.
-    pub(crate) fn up(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
+    pub(crate) fn mark_alive(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
@@ -28,27 +28,33 @@
         let back = peer.state > State::Suspect;
         peer.state = State::Up;
         peer.state_since = now;
-        let run = crate::spread::run(peer);
+        let run = crate::dissemination::to_run(peer);
         self.counters.returned += u64::from(back);
         out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
             restarted: false,
         });
-        self.warn(id, run, out);
+        self.notify_suspect(id, run, out);
     }
 
     /// Tells a peer that it was suspected. It is up here, but the suspicion may still be on its
     /// way to others, who would judge it dead unless it refutes.
-    fn warn(&mut self, id: Id, run: Run, out: &mut Vec<Action>) {
+    fn notify_suspect(&mut self, id: Id, run: Run, out: &mut Vec<Action>) {
         let Some(to) = self.addr(id) else { return };
-        self.news
-            .retain(|p| p.news != crate::message::Update::Suspect(run));
-        self.send_with(id, to, vec![crate::message::Update::Suspect(run)], out);
+        self.updates
+            .retain(|p| p.update != crate::message::Update::Suspect(run));
+        self.send_updates(id, to, vec![crate::message::Update::Suspect(run)], out);
     }
 
     /// A refutation, or a row that holds one.
-    pub(crate) fn raise(&mut self, now: Now, id: Id, turn: Refutations, out: &mut Vec<Action>) {
+    pub(crate) fn apply_refutation(
+        &mut self,
+        now: Now,
+        id: Id,
+        turn: Refutations,
+        out: &mut Vec<Action>,
+    ) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
@@ -71,7 +77,7 @@
     }
 
     /// This node's own probe of a peer had no answer, direct or by others.
-    pub(crate) fn accuse(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
+    pub(crate) fn probe_failed(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
@@ -82,7 +88,7 @@
         self.counters.suspected += 1;
         self.suspect(now, id, out);
         // Its neighbours in the ring may be gone as well.
-        self.probes.watch = now;
+        self.probes.next_ring_probe = now;
     }
 
     /// Starts the time in which a peer may refute, and tells the others.
@@ -90,13 +96,13 @@
         let Some(run) = self.begin_suspicion(now, id, out) else {
             return;
         };
-        self.tell(crate::message::Update::Suspect(run));
-        self.hot = true;
+        self.queue_update(crate::message::Update::Suspect(run));
+        self.flush_pending = true;
     }
 
     /// Takes over what a peer thinks of a run whose row came with it. This node has heard nothing of
     /// that run itself, so it is suspected here until it answers; the others know better than this node.
-    pub(crate) fn doubt(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
+    pub(crate) fn adopt_suspicion(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let unheard = |p: &Peer| {
             p.heard_at.is_none()
                 && p.identity.incarnation == run.incarnation
@@ -117,8 +123,8 @@
         peer.state_since = now;
         peer.lost_at = now;
         peer.zone_alive_since = None;
-        let run = crate::spread::run(peer);
-        self.focus(id);
+        let run = crate::dissemination::to_run(peer);
+        self.prioritize(id);
         out.push(Action::StateChanged {
             peer: id,
             state: State::Suspect,
@@ -128,28 +134,28 @@
     }
 
     /// Judges suspects whose time is over.
-    pub(crate) fn judge(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(crate) fn judge_suspects(&mut self, now: Now, out: &mut Vec<Action>) {
         let wait = self.settings.suspicion_timeout(self.roster.len());
         let suspects = self.roster.iter().filter(|p| p.state == State::Suspect);
         let suspects: Vec<(Id, Now)> = suspects.map(|p| (p.id, p.state_since)).collect();
         for (id, since) in suspects {
-            self.look(now, id);
+            self.check_zone(now, id);
             if age(now, since) < wait {
                 continue;
             }
             match self.verdict(id) {
-                Some(state) => self.set(now, id, state, out),
-                None => self.focus(id),
+                Some(state) => self.set_state(now, id, state, out),
+                None => self.prioritize(id),
             }
         }
     }
 
     /// Notes when a suspect's availability zone was first known to answer.
-    fn look(&mut self, now: Now, id: Id) {
+    fn check_zone(&mut self, now: Now, id: Id) {
         let Some(peer) = self.roster.get(id) else {
             return;
         };
-        let alive = self.tally(peer, |p| together(p, peer)).alive();
+        let alive = self.tally(peer, |p| same_zone(p, peer)).zone_alive();
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
@@ -159,7 +165,7 @@
     }
 
     /// Whether this node's own probe failed that began when the zone was known to answer.
-    pub(crate) fn tried(&self, peer: &Peer) -> bool {
+    pub(crate) fn probed_since_zone_alive(&self, peer: &Peer) -> bool {
         let begun = peer
             .zone_alive_since
             .map(|z| z + self.settings.probe_timeout);
@@ -168,7 +174,7 @@
 
     /// Judges dead and parted peers anew: what happened to their availability zone may show
     /// only later.
-    pub(crate) fn judge_again(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(crate) fn rejudge_lost(&mut self, now: Now, out: &mut Vec<Action>) {
         let gone = |p: &&Peer| p.state > State::Suspect;
         let gone: Vec<(Id, State, Now)> = self
             .roster
@@ -178,11 +184,11 @@
             .collect();
         for (id, state, since) in gone {
             match (state, self.verdict(id)) {
-                (State::Dead, Some(State::Parted)) => self.set(now, id, State::Parted, out),
-                (State::Parted, Some(State::Parted)) => self.renew(now, id),
-                (State::Parted, _) if age(now, since) >= REJOIN => {
-                    self.look_anew(id);
-                    self.set(now, id, State::Suspect, out);
+                (State::Dead, Some(State::Parted)) => self.set_state(now, id, State::Parted, out),
+                (State::Parted, Some(State::Parted)) => self.renew_state(now, id),
+                (State::Parted, _) if age(now, since) >= PARTED_RECHECK_TIMEOUT => {
+                    self.reset_zone(id);
+                    self.set_state(now, id, State::Suspect, out);
                 }
                 (State::Parted, _) => self.probe_next(id),
                 _ => {}
@@ -191,19 +197,19 @@
     }
 
     /// What was known of its zone before it parted says nothing now.
-    fn look_anew(&mut self, id: Id) {
+    fn reset_zone(&mut self, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
             peer.zone_alive_since = None;
         }
     }
 
-    fn renew(&mut self, now: Now, id: Id) {
+    fn renew_state(&mut self, now: Now, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
             peer.state_since = now;
         }
     }
 
-    fn set(&mut self, now: Now, id: Id, state: State, out: &mut Vec<Action>) {
+    fn set_state(&mut self, now: Now, id: Id, state: State, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
@@ -227,9 +233,12 @@
     /// a probe from before a parted zone came back. Else not yet known.
     fn verdict(&self, id: Id) -> Option<State> {
         let peer = self.roster.get(id)?;
-        let near = self.tally(peer, |p| together(p, peer));
+        let near = self.tally(peer, |p| same_zone(p, peer));
         let all = self.tally(peer, |_| true);
-        match (near.most() || all.most(), self.tried(peer)) {
+        match (
+            near.majority_away() || all.majority_away(),
+            self.probed_since_zone_alive(peer),
+        ) {
             (true, _) => Some(State::Parted),
             (false, true) => Some(State::Dead),
             (false, false) => None,
@@ -239,10 +248,10 @@
     /// Counts peers; those that died at another time than `peer` are left out.
     fn tally(&self, peer: &Peer, like: impl Fn(&Peer) -> bool) -> Tally {
         let others = self.roster.iter().filter(|p| p.id != self.me && like(p));
-        let apart = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > TOGETHER;
+        let apart = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > COMMON_CAUSE_WINDOW;
         let mut tally = Tally::default();
         for other in others.filter(|p| p.state != State::Dead || !apart(p)) {
-            tally.all += 1;
+            tally.total += 1;
             tally.away += usize::from(other.state != State::Up);
             tally.heard += usize::from(other.heard_at.is_some_and(|h| h > peer.lost_at));
         }
@@ -251,9 +260,9 @@
 
     /// Removes peers that nobody lists and nobody reaches. The list alone removes nobody: it
     /// lags, and a node that is up may not be in it yet.
-    pub(crate) fn bury(&mut self, now: Now, out: &mut Vec<Action>) {
+    pub(crate) fn remove_lost(&mut self, now: Now, out: &mut Vec<Action>) {
         let bury = self.settings.tombstone_retention;
-        self.graves.retain(|_, g| age(now, g.since) < bury);
+        self.tombstones.retain(|_, g| age(now, g.removed_at) < bury);
         if self.listed.is_none() {
             return;
         }
@@ -271,14 +280,14 @@
 }
 
 /// Whether two peers are in one availability zone.
-fn together(a: &Peer, b: &Peer) -> bool {
+fn same_zone(a: &Peer, b: &Peer) -> bool {
     a.identity.zone == b.identity.zone && a.identity.region == b.identity.region
 }
 
 /// Peers of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    all: usize,
+    total: usize,
     away: usize,
     /// Those that were heard since the peer in question was lost.
     heard: usize,
@@ -286,12 +295,12 @@
 
 impl Tally {
     /// Whether more than half of two or more are away.
-    fn most(self) -> bool {
-        self.all >= 2 && self.away * 2 > self.all
+    fn majority_away(self) -> bool {
+        self.total >= 2 && self.away * 2 > self.total
     }
 
     /// Whether one is known to live, or the peer in question is the only one.
-    fn alive(self) -> bool {
-        self.all <= 1 || self.heard > 0
+    fn zone_alive(self) -> bool {
+        self.total <= 1 || self.heard > 0
     }
 }
