--- a/crates/node/tests/hosted.rs
+++ b/crates/node/tests/hosted.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use process::Process;
 use standin::address;
-use standin::caller::{self, Ask};
+use standin::caller::{self, Call};
 use standin::engine::Engine;
 use standin::manifest;
 use standin::store::Store;
@@ -43,7 +43,7 @@
 }
 
 fn start(name: &str, store: SocketAddr, seeds: &str) -> Node {
-    let ports = std::array::from_fn(|_| address::fresh());
+    let ports = std::array::from_fn(|_| address::unused());
     let [callers, addresses, ready, peers, metrics] = ports;
     let file = process::settings(callers, &settings(name, ports, store, seeds));
     Node {
@@ -63,15 +63,15 @@
     path: &str,
     key: &str,
 ) -> Option<(StatusCode, String)> {
-    let ask = Ask {
+    let ask = Call {
         method,
         path,
         id: "r1",
         key,
         deadline: "4000",
     };
-    let got = caller::ask(addr, &ask).await?;
-    got.whole.then_some((got.status, got.body))
+    let got = caller::send(addr, &ask).await?;
+    got.complete.then_some((got.status, got.body))
 }
 
 /// Asks until `done` likes the answer, and fails if it never does.
@@ -101,7 +101,7 @@
     for number in 0..4 {
         engines.push(Engine::start(&format!("e{number}"), store).await);
     }
-    (engines, Engine::plain("app", store).await)
+    (engines, Engine::start_plain("app", store).await)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -117,7 +117,7 @@
     )
     .await;
     assert_eq!(not_ready.0, StatusCode::SERVICE_UNAVAILABLE);
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     until("ready", node.ready, Headers::default().ready_path(), ok).await;
     let (_, body) = until("a chain", node.callers, "/chat/x", ok).await;
     assert_eq!(body.matches("id: ").count(), 3);
@@ -153,8 +153,8 @@
 async fn a_node_that_the_store_turns_away_learns_versions_from_its_peer() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
-    let (door, shut) = store.door().await;
+    store.put_manifest(&manifest(1, "/safe/"));
+    let (door, shut) = store.second_address().await;
     let first = start("first", store.addr, "");
     let second = start("second", door, &first.peers.to_string());
     for node in [&first, &second] {
@@ -169,7 +169,7 @@
     )
     .await;
     *shut.lock().unwrap() = true;
-    store.operator(&manifest(2, "/other/"));
+    store.put_manifest(&manifest(2, "/other/"));
     until("version 2", second.callers, "/other/x", ok).await;
     let old = ask(second.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(old.0, StatusCode::NOT_FOUND);
@@ -180,18 +180,18 @@
 async fn requests_are_served_while_the_store_is_out() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(3, "/safe/"));
+    store.put_manifest(&manifest(3, "/safe/"));
     let node = start("out", store.addr, "");
     until("a chain", node.callers, "/chat/x", ok).await;
-    store.down(true);
+    store.set_down(true);
     for _ in 0..20 {
         let answer = ask(node.callers, "GET", "/chat/x", "k1").await.unwrap();
         assert_eq!(answer.0, StatusCode::OK, "{}", answer.1);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     // An older version that comes with the store's return is not taken.
-    store.operator(&manifest(2, "/other/"));
-    store.down(false);
+    store.put_manifest(&manifest(2, "/other/"));
+    store.set_down(false);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(answer.0, StatusCode::OK);
@@ -205,23 +205,23 @@
 async fn nodes_that_were_killed_together_serve_again() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let first = start("killed-1", store.addr, "");
     let second = start("killed-2", store.addr, &first.peers.to_string());
     let mut nodes = [first, second];
     for node in &nodes {
         until("a chain", node.callers, "/chat/x", ok).await;
     }
-    store.operator(&manifest(2, "/other/"));
+    store.put_manifest(&manifest(2, "/other/"));
     nodes.iter_mut().for_each(|n| n.process.kill());
     assert_eq!(ask(nodes[0].callers, "GET", "/chat/x", "k1").await, None);
-    store.down(true);
+    store.set_down(true);
     nodes.iter_mut().for_each(|n| n.process.revive());
     let away = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
     for node in &nodes {
         until("no catalog", node.callers, "/chat/x", away).await;
     }
-    store.down(false);
+    store.set_down(false);
     for node in &nodes {
         for path in ["/chat/x", "/other/x", "/once/x"] {
             until(path, node.callers, path, ok).await;
@@ -237,8 +237,8 @@
 async fn a_leaving_endpoint_gets_nothing_also_behind_a_compacted_log() {
     let store = Store::start().await;
     let (_engines, app) = fleet(&store).await;
-    let other = Engine::plain("other", &store).await;
-    store.operator(&manifest(1, "/safe/"));
+    let other = Engine::start_plain("other", &store).await;
+    store.put_manifest(&manifest(1, "/safe/"));
     let node = start("leaving", store.addr, "");
     until("the other", node.callers, "/safe/x", |a| {
         a.1.starts_with("other")
@@ -270,7 +270,7 @@
 async fn signals_reload_and_end_a_node() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let mut node = start("signals", store.addr, "");
     until("ready", node.ready, Headers::default().ready_path(), ok).await;
     // A file that can't be read any more is told and changes nothing.
@@ -303,7 +303,7 @@
 // that talks to another test's node, and fails once in many runs.
 #[test]
 fn no_two_nodes_are_given_one_address() {
-    let mut given: Vec<_> = (0..2000).map(|_| address::fresh()).collect();
+    let mut given: Vec<_> = (0..2000).map(|_| address::unused()).collect();
     given.sort();
     given.dedup();
     assert_eq!(given.len(), 2000);
@@ -315,7 +315,7 @@
 async fn operators_read_counters_and_state_on_an_address_of_its_own() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let node = start("metrics", store.addr, "");
     until("version 1", node.callers, "/safe/x", ok).await;
     let (status, text) = ask(node.metrics, "GET", "/metrics", "").await.unwrap();
@@ -340,7 +340,7 @@
 fn every_finding_in_settings_is_told() {
     let content = "[node]\nname = a b\nzone = a\n[callers]\nlisten = here\n[peers]\nkey = 1\n\
                    [store]\naddress = 127.0.0.1:1\nheartbeat = 0s\n[retries]\nratio = -1\n[stray]\n";
-    let file = process::settings(address::fresh(), content);
+    let file = process::settings(address::unused(), content);
     let output = process::check(&file);
     let _ = std::fs::remove_file(&file);
     assert_eq!(output.status.code(), Some(2));
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -26,7 +26,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use standin::address;
-use standin::caller::{self, Ask, Got};
+use standin::caller::{self, Answer, Call};
 use standin::engine::{EVENTS, Engine};
 use standin::manifest;
 use standin::store::Store;
@@ -95,15 +95,15 @@
     wrong: Vec<String>,
 }
 
-async fn ask(addr: SocketAddr, path: &str, id: &str) -> Option<Got> {
-    let ask = Ask {
+async fn ask(addr: SocketAddr, path: &str, id: &str) -> Option<Answer> {
+    let ask = Call {
         method: "POST",
         path,
         id,
         key: "k1",
         deadline: "3000",
     };
-    caller::ask(addr, &ask).await
+    caller::send(addr, &ask).await
 }
 
 /// One caller: requests of each kind until it is told to end.
@@ -130,7 +130,7 @@
         match path {
             "/once/x" => {
                 seen.once.insert(id.clone(), got.status);
-                if got.status == StatusCode::OK && got.whole && !got.body.ends_with(&id) {
+                if got.status == StatusCode::OK && got.complete && !got.body.ends_with(&id) {
                     seen.wrong.push(format!("{id} got {:.60?}", got.body));
                 }
             }
@@ -138,9 +138,9 @@
                 let lines = got.body.lines().filter_map(|l| l.strip_prefix("id: "));
                 let ids: Vec<u64> = lines.filter_map(|n| n.parse().ok()).collect();
                 let expected: Vec<u64> = (1..=EVENTS).collect();
-                if !expected.starts_with(&ids) || (got.whole && ids != expected) {
+                if !expected.starts_with(&ids) || (got.complete && ids != expected) {
                     seen.wrong
-                        .push(format!("{id} got events {ids:?}, whole {}", got.whole));
+                        .push(format!("{id} got events {ids:?}, whole {}", got.complete));
                 }
             }
             _ => {}
@@ -225,7 +225,7 @@
             9 => self.nodes.iter().for_each(|n| n.signal("-CONT")),
             10 => {
                 let down = self.rng.random();
-                self.store.down(down);
+                self.store.set_down(down);
                 self.store.compact();
             }
             _ => self.version(),
@@ -248,13 +248,14 @@
     fn version(&mut self) {
         let mut newest = self.newest.lock().unwrap();
         let next = *newest + 1;
-        self.store.operator(&manifest(next, &format!("/v{next}/")));
+        self.store
+            .put_manifest(&manifest(next, &format!("/v{next}/")));
         *newest = next;
     }
 
     /// Ends all faults.
     fn heal(&mut self) {
-        self.store.down(false);
+        self.store.set_down(false);
         self.doors
             .iter()
             .chain(&self.ways)
@@ -269,13 +270,13 @@
 
 async fn soak(seed: u64) {
     let store = Store::start().await;
-    store.operator(&manifest(1, "/v1/"));
+    store.put_manifest(&manifest(1, "/v1/"));
     let mut engines = Vec::new();
     for number in 0..4 {
         engines.push(Engine::start(&format!("e{number}"), &store).await);
     }
     for number in 0..2 {
-        engines.push(Engine::plain(&format!("p{number}"), &store).await);
+        engines.push(Engine::start_plain(&format!("p{number}"), &store).await);
     }
     let mut ways = Vec::new();
     for engine in &engines {
@@ -283,7 +284,7 @@
         engine.register_as(way.addr);
         ways.push(way);
     }
-    let ports: Vec<_> = (0..2 * NODES).map(|_| address::fresh()).collect();
+    let ports: Vec<_> = (0..2 * NODES).map(|_| address::unused()).collect();
     let (mut doors, mut nodes) = (Vec::new(), Vec::new());
     for number in 0..NODES {
         let door = Proxy::start(store.addr).await;
