--- a/crates/place/src/holder.rs
+++ b/crates/place/src/holder.rs
@@ -1,30 +1,31 @@
-//! The endpoints of one model service as a plan sees them.
+//! Endpoints of one model service as inputs to a placement plan.
 
 use crate::order::Order;
 use catalog::endpoint::{Endpoint, Run, Span};
 use std::net::SocketAddr;
 
-/// An endpoint.
+/// An endpoint that holds, or can hold, layers of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
-    /// Its run.
+    /// Run of the endpoint.
     pub run: Run,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: String,
-    /// Kind of its accelerator.
+    /// Name of its kind of accelerator.
     pub kind: String,
-    /// Layers that it holds, or will hold once an order under way is done.
+    /// Layers that the endpoint holds, or will hold once the order in flight has been carried out.
     pub span: Span,
-    /// Whether `span` is still to be loaded: nothing may rely on it yet.
+    /// Whether `span` has yet to be loaded; until then, no other endpoint may release these layers.
     pub loading: bool,
-    /// Whether nothing is known of an order that was given; it gets no other until then.
+    /// Whether the outcome of the last order is unsettled. The endpoint gets no other order until
+    /// then.
     pub busy: bool,
 }
 
 impl Holder {
-    /// The holder that an endpoint is; nothing for one without an accelerator.
+    /// Creates a holder from an endpoint; returns `None` if the endpoint has no accelerator.
     pub fn from_endpoint(endpoint: &Endpoint) -> Option<Self> {
         Some(Self {
             run: endpoint.run.clone(),
@@ -37,7 +38,7 @@
         })
     }
 
-    /// The order to hold `span`.
+    /// Creates the order for this endpoint to hold `span`.
     pub fn order(&self, span: Span) -> Order {
         Order {
             run: self.run.clone(),
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which layers every endpoint of a model service is to hold; without I/O.
+//! Placement of model layers on the endpoints of a service, without I/O.
 //!
-//! [`plan::next_orders`] looks at what the endpoints hold now and gives the orders that bring the fleet
-//! closer to a full and roomy cover of the layers. It keeps no state: a successor that sees the
-//! same endpoints goes on with the same plan.
+//! [`plan::next_orders`] compares what the endpoints hold and returns the orders that bring the
+//! fleet closer to complete replica sets with enough free capacity. It keeps no state, so that a
+//! successor that sees the same endpoints continues the same plan.
 //!
-//! Left to others: who gives the orders and how (`node`), which chain a request takes (`steer`).
+//! Sending orders to endpoints is the job of `node`; selecting the chain for a request is the job
+//! of `steer`.
 
 pub mod capacity;
 pub mod holder;
--- a/crates/place/src/order.rs
+++ b/crates/place/src/order.rs
@@ -1,28 +1,28 @@
-//! Orders and what comes of them.
+//! Orders to endpoints, and their outcomes.
 
 use catalog::endpoint::{Run, Span};
 use std::net::SocketAddr;
 
-/// An order to hold some layers.
+/// An order to an endpoint to hold a span of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The endpoint.
+    /// Run of the endpoint that the order is for.
     pub run: Run,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// The layers that it held when the order was planned.
+    /// Layers that the endpoint held when the order was planned.
     pub held: Span,
-    /// The layers that it is to hold.
+    /// Layers that the endpoint is to hold.
     pub span: Span,
 }
 
-/// What came of an order.
+/// Outcome of sending an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint has begun, or holds the layers already.
+    /// The endpoint accepted the order, or already holds the layers.
     Taken,
-    /// The endpoint's state is another than the order expected.
+    /// The endpoint refused the order, or its state differs from what the order expected.
     Refused,
-    /// No answer: it may be carried out, also later.
+    /// No response was received; the endpoint may still carry out the order, even later.
     Unknown,
 }
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,10 +1,10 @@
-//! The next orders.
+//! Planning of the next orders to endpoints.
 //!
-//! Each availability zone gets a cover of its own, since activations between zones go over a pipe
-//! that all share. Within a zone, endpoints of the fastest kinds hold as many layers as leave the
-//! zone's cover the most room that still lets all layers fit; slower ones fill what is missing and
-//! then hold second copies of the layers that the whole fleet holds least often. An endpoint that
-//! holds layers keeps them: an order costs seconds of loading and the requests that wait for it.
+//! Each availability zone gets a replica set of its own, because activations between zones share
+//! one network link. Within a zone, endpoints with the fastest accelerators hold as many layers as
+//! the zone's [`quota`] allows. Slower endpoints hold the layers that are still missing, and then
+//! second copies of the layers with the fewest copies. An endpoint that holds layers keeps them
+//! where possible: an order costs seconds of loading and delays the requests that wait for it.
 
 use crate::capacity::min_tokens;
 use crate::holder::Holder;
@@ -15,20 +15,22 @@
 use catalog::engine::Engine;
 use std::collections::BTreeMap;
 
-/// Worth of a layer's next copy, by what is there already.
+/// Value of one more copy of a layer, by the copies that exist.
 mod value {
-    /// No endpoint of the fleet holds it: nothing is served without it.
+    /// No endpoint of the fleet holds the layer, so no request can be served.
     pub const UNHELD_IN_FLEET: f64 = 1000.0;
-    /// No endpoint of the zone holds it.
+    /// No endpoint of the zone holds the layer.
     pub const UNHELD_IN_ZONE: f64 = 30.0;
-    /// It is there: a copy more is worth this, over the number of copies in the zone, squared. A
-    /// zone's requests stay in it, so what its scarcest layer can do is what the zone can do.
+    /// The zone holds the layer: the value is divided by the square of the number of copies in the
+    /// zone. Requests stay in their zone, so the layer with the fewest copies bounds what the zone
+    /// can serve.
     pub const REPLICA_IN_ZONE: f64 = 3.0;
-    /// The same for the copies in the fleet, between layers that the zone holds equally often.
+    /// Same for the copies in the fleet; decides between layers with equally many copies in the
+    /// zone.
     pub const REPLICA_IN_FLEET: f64 = 0.3;
 }
 
-/// How often each layer is held.
+/// Number of copies of each layer, in the fleet and in each availability zone.
 struct Replicas {
     fleet: Vec<u32>,
     zones: BTreeMap<String, Vec<u32>>,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// The first stretch of layers that no endpoint of a zone holds.
+    /// Returns the first run of adjacent layers that no endpoint of a zone holds.
     fn gap(&self, zone: &str) -> Option<Span> {
         let own = self.zones.get(zone)?;
         let from = own.iter().position(|&n| n == 0)?;
@@ -78,7 +80,7 @@
         })
     }
 
-    /// Whether all layers of a span are held twice or more in a zone.
+    /// Returns whether a zone holds at least two copies of each layer of a span.
     fn is_redundant(&self, zone: &str, span: Span) -> bool {
         let Some(own) = self.zones.get(zone) else {
             return false;
@@ -86,7 +88,7 @@
         (span.from as usize..span.to as usize).all(|l| own.get(l).is_some_and(|&n| n >= 2))
     }
 
-    /// Worth of one more copy of each layer, held in `zone`.
+    /// Returns the value of one more copy of each layer in `zone`.
     fn values(&self, zone: &str) -> Vec<f64> {
         let none = vec![0; self.fleet.len()];
         let own = self.zones.get(zone).unwrap_or(&none);
@@ -104,8 +106,8 @@
     }
 }
 
-/// The orders that can be given now: to each endpoint that holds nothing, and where a zone's cover
-/// has a hole, to those of its endpoints that hold nothing but second copies.
+/// Returns the orders that can be sent now: one to each endpoint that holds nothing and, where a
+/// zone lacks layers, to endpoints of that zone whose layers all have a second copy there.
 pub fn next_orders(engine: &Engine, holders: &[Holder]) -> Vec<Order> {
     let mut replicas = Replicas::count(engine, holders);
     let quotas = quota::per_zone(engine, holders);
@@ -114,7 +116,8 @@
     orders
 }
 
-/// Whether the layers that an order's endpoint gives up are all held by others of its zone, loaded.
+/// Returns whether every layer that an order makes its endpoint release is held, and loaded, by
+/// another endpoint of the zone.
 pub fn preserves_coverage(engine: &Engine, holders: &[Holder], order: &Order) -> bool {
     let Some(own) = holders.iter().find(|h| h.run == order.run) else {
         return false;
@@ -126,7 +129,7 @@
     released.all(|l| replicas.fleet.get(l as usize).is_some_and(|&n| n > 0))
 }
 
-/// Orders to the endpoints that hold nothing.
+/// Plans orders for the endpoints that hold nothing.
 fn fill(
     engine: &Engine,
     holders: &[Holder],
@@ -137,7 +140,8 @@
         .iter()
         .filter(|h| h.span.is_empty() && !h.busy)
         .collect();
-    // Larger and faster endpoints first: they hold the long spans, and the small ones fill gaps.
+    // Faster endpoints come first, and of equally fast ones those with more memory: they take the
+    // long spans, and small endpoints fill the gaps.
     let key = |h: &Holder| {
         engine
             .accelerator(&h.kind)
@@ -167,11 +171,11 @@
     orders
 }
 
-/// Orders that close holes in the covers of zones.
+/// Plans orders that close the gaps in the layers that zones hold.
 ///
-/// Without a repair a zone that lost an endpoint for good sends every request through another zone
-/// and back; with two zones short, the pipes between them are full. Only endpoints all of whose
-/// layers another one of the zone holds are moved, so no layer is lost by it.
+/// If an endpoint of a zone is lost and the gap stays, every request of the zone passes through
+/// another zone and back; with gaps in two zones, the links between them are saturated. Only
+/// endpoints whose layers all have a second copy in the zone are moved, so no layer is lost.
 fn repair(
     engine: &Engine,
     holders: &[Holder],
@@ -180,8 +184,8 @@
 ) -> Vec<Order> {
     let mut orders = Vec::new();
     let mut moved: Vec<&Holder> = Vec::new();
-    // A copy that is still to be loaded does not make another one spare: moved meanwhile, that one
-    // would leave its layers without any.
+    // A copy that is still loading does not make another copy redundant: if the loaded one were
+    // moved meanwhile, the zone would have no usable copy.
     let finished = holders.iter().filter(|h| !h.loading);
     let mut loaded = Replicas::count(engine, finished);
     for (zone, quota) in quotas {
@@ -198,8 +202,8 @@
                     .accelerator(&h.kind)
                     .map_or(0, |k| quota.max_layers(engine, k))
             };
-            // The smallest that closes the hole, or else the largest: what is moved serves nobody
-            // while it loads, and a large endpoint loads for seconds.
+            // Prefer the smallest endpoint that closes the gap, or else the largest one: an
+            // endpoint serves no requests while it loads, and a large one loads for seconds.
             let key = |h: &Holder| match max_layers(h) {
                 fit if fit >= gap.len() => (0, fit),
                 fit => (1, Layer::MAX - fit),
@@ -221,7 +225,8 @@
     orders
 }
 
-/// Whether the endpoints of a zone can hold all layers with the least room for requests.
+/// Returns whether the endpoints of a zone can together hold all layers with the minimum capacity
+/// for requests.
 fn can_hold_all(engine: &Engine, holders: &[Holder], zone: &str) -> bool {
     let min_tokens = min_tokens(engine);
     let own = holders.iter().filter(|h| h.zone == zone);
@@ -232,8 +237,8 @@
         >= engine.layers
 }
 
-/// The stretch of at most `most` layers that is worth the most; cut to what is worth most if it
-/// only completes a gap.
+/// Returns the span of `max_layers` adjacent layers with the highest total value, or `None` if
+/// `max_layers` is 0.
 fn window(values: &[f64], max_layers: Layer) -> Option<Span> {
     let max_layers = (max_layers as usize).min(values.len());
     if max_layers == 0 {
@@ -245,7 +250,7 @@
         if from > 0 {
             sum += values[from + max_layers - 1] - values[from - 1];
         }
-        // The first of equal stretches wins, so that spans stand in a row without gaps.
+        // The first of equally valuable spans wins, so that consecutive spans adjoin without gaps.
         if best.is_none_or(|(best, _)| sum > best + 1e-6) {
             best = Some((sum, from));
         }
--- a/crates/place/src/quota.rs
+++ b/crates/place/src/quota.rs
@@ -1,10 +1,11 @@
-//! How many layers an endpoint of a zone is to hold.
+//! Maximum number of layers for each endpoint of a zone.
 //!
-//! Two bounds are searched for each availability zone. The first is memory: the most room for
-//! requests with which the zone's endpoints still hold all layers and second copies of half of them. The second is work: with that
-//! room there may be layers for more than the covers that the zone gets, and then the endpoints
-//! that would be busiest hold less. A chain is as fast as its busiest stage, and a large endpoint
-//! that holds as many layers as fit is busy while small ones idle.
+//! Two bounds are searched for each availability zone. The memory bound is the largest capacity for
+//! requests with which the zone's endpoints still hold all layers and second copies of half of
+//! them. The work bound applies if, with that capacity, the endpoints could hold more layers than
+//! the complete and spare replica sets of the zone need: the endpoints that would be busiest then
+//! hold fewer. A chain is as fast as its busiest stage, and a large endpoint that holds as many
+//! layers as fit is saturated while small ones idle.
 
 use crate::capacity::{max_tokens, min_tokens, sufficient_tokens};
 use crate::holder::Holder;
@@ -13,30 +14,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Steps in which a bound is searched.
+/// Number of steps in which each bound is searched.
 const SEARCH_STEPS: u32 = 40;
-/// Covers beside the whole ones that a zone should hold layers for, at the least. They replace an
-/// endpoint that dies until others have loaded its layers. With a quarter, a zone of small
-/// accelerators had spare copies of 5 layers, less than any endpoint holds, and could close no hole:
-/// for the rest of the day its requests went to another zone and back. Measured together with the
-/// room of a cover, see `capacity`.
+/// Minimum number of spare replica sets, beyond the complete ones, that a zone holds layers for.
+/// Spare copies serve in place of an endpoint that dies until others have loaded its layers. With
+/// 0.25, a zone of small accelerators has spare copies of 5 layers, fewer than any endpoint holds,
+/// and cannot close a gap, so its requests keep passing through another zone and back. The value
+/// depends on the capacity of a replica set; see [`crate::capacity`].
 const MIN_SPARE_SETS: f64 = 0.5;
-/// The same as a part of the whole covers, for zones with many of them.
+/// Same as a fraction of the complete replica sets, for zones that hold several of them.
 const SPARE_FRACTION: f64 = 0.25;
 
-/// What endpoints of one zone hold at the most.
+/// Upper bounds on what the endpoints of one zone hold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Room for requests that is left, in tokens through all layers held.
+    /// Capacity for requests that must remain free, in tokens through all layers held.
     pub tokens: f64,
-    /// Time for which one usual request keeps an endpoint busy.
+    /// Maximum time for which one request of typical size may keep an endpoint busy.
     pub work: Duration,
 }
 
 impl Quota {
-    /// Most layers of an endpoint on `kind`.
+    /// Returns the maximum number of layers for an endpoint with accelerator `kind`.
     pub fn max_layers(&self, engine: &Engine, kind: &Accelerator) -> Layer {
-        // What fits with no room at all is the bound that an engine crashes beyond.
+        // An engine crashes if it is ordered to hold more layers than fit without any requests.
         let fit = engine
             .max_layers(kind, self.tokens)
             .min(engine.max_layers(kind, 0.0));
@@ -48,7 +49,7 @@
     }
 }
 
-/// The quota of each zone.
+/// Returns the quota of each availability zone.
 pub fn per_zone(engine: &Engine, holders: &[Holder]) -> BTreeMap<String, Quota> {
     let mut zones: BTreeMap<&str, Vec<&Accelerator>> = BTreeMap::new();
     for holder in holders {
@@ -82,9 +83,9 @@
             steps.filter(|q| f64::from(layers(q)) >= sets * f64::from(engine.layers));
         sufficient.find(|q| q.tokens <= limit)
     };
-    // The most room that leaves second copies; where that would be too little, the room that
-    // suffices, with what copies it leaves. A zone that can't cover all layers by itself still
-    // holds a part of them.
+    // Take the largest capacity that leaves second copies. If that is less than the sufficient
+    // capacity, take the largest one up to the sufficient one that leaves one copy of each layer. A
+    // zone that cannot hold all layers takes the minimum capacity and holds some of them.
     let sufficient = sufficient_tokens(engine);
     let spared = largest(1.0 + MIN_SPARE_SETS, max).filter(|q| q.tokens >= sufficient);
     let base = spared.or_else(|| largest(1.0, sufficient));
@@ -99,6 +100,6 @@
     candidates.into_iter().find(holds_wanted).unwrap_or(base)
 }
 
-/// Part of the longest work up to which the second bound is searched: past it no endpoint is
-/// bound by work.
+/// Divisor of the longest work time that gives the upper end of the search for the work bound.
+/// Above it, work bounds no endpoint.
 const WORK_DIVISOR: u32 = 4;
--- a/crates/steer/src/budget.rs
+++ b/crates/steer/src/budget.rs
@@ -1,36 +1,36 @@
-//! Attempts beyond the first, bounded by a part of the first ones over all nodes.
+//! Retry budget: limits retries to a fraction of the requests, over all nodes.
 //!
-//! Without a bound a lost zone makes every node send each request several times into what is
-//! left. The bound holds over all nodes: each takes its even share of the fixed part, and the
-//! part that grows with the requests grows with this node's own.
+//! Without a limit, after the loss of a zone every node would send each request several times to
+//! the remaining endpoints. The limit holds over all nodes: each node takes an even share of the
+//! fixed part, and the part proportional to the requests counts this node's own requests.
 
 use crate::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots into which the window is cut; requests are counted by slot.
+/// Number of slots in the window; requests and retries are counted per slot.
 const WINDOW_SLOTS: u32 = 10;
 
-/// What the operator allows.
+/// Retries that the operator allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Further attempts for each first one.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Further attempts in a window beside these, over all nodes.
+    /// Allowed retries per window in addition to `ratio`, over all nodes.
     pub slack: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// Part of the allowance that is used. The rest covers nodes that start anew and do not know what they
-/// used before, and the edges of the window. With 0.6, 67 nodes refused 900 of 8,000 requests on a
-/// day with crashes while two fifths of what is allowed were kept back.
+/// Usable fraction of the allowance. The rest covers nodes that restart without knowing what they
+/// used before, and the granularity of the slots. With 0.6, 67 nodes refuse 900 of 8,000 requests
+/// while endpoints crash, although two fifths of the allowance remain unused.
 const USABLE_FRACTION: f64 = 0.8;
 
-/// Further attempts of the fixed part that a node takes in its first window at the most. It knows
-/// few of the others then: after a loss of many nodes at once each took the whole fixed part for
-/// its own, and 84 of them went over what is allowed together. With 2, all of 67 nodes that used up
-/// their parts and started anew stay within it (worked out, and a test).
+/// Maximum number of retries from the fixed part in a node's first window. A recently started node
+/// knows few of the others: after the loss of many nodes at once, each would take the whole fixed
+/// part, and 84 nodes would together exceed the allowance. With 2, 67 nodes that used up their
+/// shares and restarted stay within it.
 const MAX_STARTUP_RETRIES: f64 = 2.0;
 
 /// Counts of one slot.
@@ -41,19 +41,19 @@
     retries: u64,
 }
 
-/// The budget of one service at one worker.
+/// Retry budget of one service at one worker.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     counts: VecDeque<Count>,
 }
 
 impl Budget {
-    /// A first attempt was made.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self, now: Timestamp, allowance: &Allowance) {
         self.current_slot(now, allowance).requests += 1;
     }
 
-    /// Takes one further attempt, if the window has one left for this node.
+    /// Takes one retry from the budget; returns whether one was left for this node.
     pub fn try_retry(&mut self, now: Timestamp, allowance: &Allowance, nodes: usize) -> bool {
         let granted = self.can_retry(now, allowance, nodes);
         if granted {
@@ -62,7 +62,7 @@
         granted
     }
 
-    /// Whether the window has a further attempt left for this node.
+    /// Returns whether the budget has a retry left for this node.
     pub fn can_retry(&mut self, now: Timestamp, allowance: &Allowance, nodes: usize) -> bool {
         self.current_slot(now, allowance);
         let requests: u64 = self.counts.iter().map(|c| c.requests).sum();
--- a/crates/steer/src/fleet.rs
+++ b/crates/steer/src/fleet.rs
@@ -1,30 +1,30 @@
-//! What a worker is told of the outside.
+//! State of the fleet as a worker receives it.
 
 use crate::load::Load;
 use catalog::{Catalog, Endpoint};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The catalog in force, the endpoints that may be used, and the nodes that share them.
+/// Catalog in force, usable endpoints, and the nodes that share them.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// The catalog.
+    /// Catalog in force.
     pub catalog: Arc<Catalog>,
-    /// The endpoints.
+    /// Endpoints that may be used.
     pub endpoints: Arc<Vec<Endpoint>>,
-    /// Loads that endpoints reported, by the text form of their run.
+    /// Load reports of endpoints, by the text form of their run.
     pub loads: Arc<BTreeMap<String, Load>>,
-    /// Runs of endpoints that several nodes found to fail, in their text form.
+    /// Runs of endpoints that several nodes reported as failing, in text form.
     pub reported_failed: Arc<BTreeSet<String>>,
-    /// Runs of endpoints that are about to give up their layers for others, in their text form.
+    /// Runs of endpoints that are about to release their layers to load others, in text form.
     pub releasing: Arc<BTreeSet<String>>,
-    /// Nodes that send requests, this one included. Callers spread evenly over them, so what this
-    /// node has under way, times this number, is what an endpoint has under way.
+    /// Number of nodes that send requests, this one included. Callers are spread evenly over them,
+    /// so an endpoint has in flight what this node has in flight there times this number.
     pub nodes: usize,
-    /// Nodes that may choose by the same reports as this one; more than `nodes` where this one has just
-    /// started and knows few of the others yet.
+    /// Number of nodes that may select by the same reports as this one. It exceeds `nodes` if this
+    /// node started recently and knows few of the others yet.
     pub selecting_nodes: usize,
-    /// Nodes that may send further attempts, those included that are out of reach now: the
-    /// budget is shared with them, since they may only be cut off from this one.
+    /// Number of nodes that share the retry budget. It includes unreachable nodes, since they may
+    /// only be partitioned from this one.
     pub budget_nodes: usize,
 }
--- a/crates/steer/src/health.rs
+++ b/crates/steer/src/health.rs
@@ -1,60 +1,63 @@
-//! Whether an endpoint is used, by how its attempts ended.
+//! Outlier ejection: decides from the outcomes of its attempts whether an endpoint is used.
 //!
-//! An endpoint that failed is left out for a time that doubles with each further failure, and is
-//! then tried again by ordinary requests. Without the doubling a dead endpoint would cost each
-//! worker an attempt every time; without the bound one that came back would stay unused.
+//! A failing endpoint is ejected for a time that doubles with each further failure, and is then
+//! tried again by ordinary requests. Without the doubling, a dead endpoint would cost each worker
+//! an attempt every time; without an upper bound, a recovered endpoint would stay unused.
 
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Time out of use after the first failure: longer than a report of load is old (200 ms), so that
-/// what is known of it is new by then.
+/// Ejection time after the first failure. It exceeds the age of load reports (200 ms), so that a
+/// newer report is known when it ends.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(300);
-/// Longest time out of use: about what an endpoint takes to come back after a crash.
+/// Maximum ejection time: about the time that an endpoint takes to restart after a crash.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
-/// Time that an endpoint which was full is passed over: a few of its answers.
+/// Time for which an endpoint that was full is passed over; several of its answers end in this
+/// time.
 const FULL_BACKOFF: Duration = Duration::from_millis(120);
 
-/// How an attempt ended, as far as one endpoint is to blame or to thank for it.
+/// Outcome of an attempt with regard to one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered, or a part of the answer came through it.
+    /// The endpoint answered, or a part of the answer passed through it.
     Success,
-    /// It said that it is full.
+    /// The endpoint reported that it is full.
     Full,
-    /// The head of a chain named it: it is dead, about to leave, or short of memory, and the head
-    /// can't tell which.
+    /// The head of the chain reported the endpoint as missing: it is dead, about to leave, or short
+    /// of memory, and the head cannot tell which.
     Missing,
-    /// It is not what was expected at its address, or does not hold its layers.
+    /// Another process runs at the address of the endpoint, or the endpoint does not hold the
+    /// expected layers.
     Misdirected,
-    /// No connection, a broken one, bytes that are no answer, or silence.
+    /// No connection, a broken connection, an invalid answer, or no answer in time.
     Failed,
-    /// Nothing is known: the caller left, or another endpoint is to blame.
+    /// Nothing is known about the endpoint: the caller left, or another endpoint is at fault.
     Unknown,
 }
 
-/// The state of one endpoint.
+/// Health of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Failures since it last did well.
+    /// Failures since the last success.
     failures: u32,
-    /// Until when it is not used.
+    /// End of the ejection.
     ejected_until: Option<Timestamp>,
 }
 
 impl Health {
-    /// Whether requests may be sent to it.
+    /// Returns whether requests may be sent to the endpoint.
     pub fn is_usable(&self, now: Timestamp) -> bool {
         self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Failures since it last did well.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Takes in how an attempt that began at `began` ended. One that began before the endpoint
-    /// was taken out tells nothing new, so that many broken off at once count as one failure.
+    /// Records the outcome of an attempt that began at `began`. A failed attempt that began before
+    /// the end of the latest ejection does not count, so that many attempts that break off
+    /// together count as one failure.
     pub fn record(&mut self, now: Timestamp, began: Timestamp, outcome: Outcome) {
         match outcome {
             Outcome::Success => *self = Self::default(),
--- a/crates/steer/src/jitter.rs
+++ b/crates/steer/src/jitter.rs
@@ -1,24 +1,26 @@
-//! Chance in the price of endpoints.
+//! Random factors on the prices of endpoints.
 //!
-//! Nodes choose by reports that are up to a second old. Were all of them to take the cheapest
-//! chain by the same report, it would get all requests of that second, and refuse most of them.
-//! The more nodes choose, the less each knows of what the others have just sent, and the more its
-//! prices are shaken.
+//! Nodes select by load reports that are up to a second old. If all of them took the cheapest chain
+//! by the same report, that chain would receive all requests of that second and refuse most of
+//! them. The more nodes select, the less each of them knows of the requests that the others have
+//! just sent, and the larger the factors are.
 
 use rand::{Rng, RngExt};
 
-/// Part by which a price changes at the most, among [`BASE_NODES`] nodes.
+/// Maximum relative change of a price among [`BASE_NODES`] nodes.
 const BASE_AMPLITUDE: f64 = 0.15;
-/// Nodes for which that holds; it grows with the root of their number.
+/// Number of nodes that [`BASE_AMPLITUDE`] applies to; the amplitude grows with the square root of
+/// the number of nodes.
 const BASE_NODES: f64 = 8.0;
-/// Most that it grows to. Among 84 nodes without it, a quarter of all arrivals were refused as
-/// full while most endpoints had room.
+/// Maximum amplitude. Without the growth up to it, 84 nodes have a quarter of all attempts refused
+/// by full endpoints while most endpoints have free capacity.
 const MAX_AMPLITUDE: f64 = 0.6;
 
-/// Power of the factor of a zone: its chain has many stages, whose own factors even out.
+/// Exponent of the factor of a zone: the factors of the many stages of a chain in that zone average
+/// out.
 const ZONE_EXPONENT: i32 = 2;
 
-/// Factors on prices for one request.
+/// Random factors on the prices for one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Jitter {
     amplitude: f64,
@@ -35,7 +37,7 @@
         Self { amplitude, zones }
     }
 
-    /// The factor of one endpoint.
+    /// Draws the factor of one endpoint in `zone`.
     pub(crate) fn factor(&self, rng: &mut impl Rng, zone: usize) -> f64 {
         draw(rng, self.amplitude) * self.zones.get(zone).copied().unwrap_or(1.0)
     }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which endpoint, or which chain of endpoints, runs a request; without I/O.
+//! Selection of the endpoint, or the chain of endpoints, that runs a request, without I/O.
 //!
-//! [`Selector`] is the state of one request worker: the endpoints that registered, what this worker
-//! has under way at each, and how each did of late. It is asked for a [`target::Target`] and is
-//! told how the attempt ended. Time is passed in and chance is seeded, so the same calls give the
-//! same choices.
+//! [`Selector`] is the state of one request worker: the registered endpoints, the requests that
+//! this worker has in flight at each, and the recent health of each. It selects a
+//! [`target::Target`] for each attempt and records how the attempt ended. Time is an argument and
+//! random draws are seeded, so the same calls make the same selections.
 //!
-//! Left to others: sockets and HTTP (`gate`), which layers an endpoint holds (`place`), what the
-//! operator and the endpoints say (`catalog`).
+//! Sockets and HTTP are the job of `gate`, the layers that each endpoint holds that of `place`, and
+//! the configuration and the registered endpoints that of `catalog`.
 
 use std::time::Duration;
 
@@ -32,5 +32,5 @@
 
 /// Time since the process started, on the monotonic clock.
 pub type Timestamp = Duration;
-/// Result of asking for a target.
+/// Result of selecting a target.
 pub type Result<T> = std::result::Result<T, shortage::Shortage>;
--- a/crates/steer/src/link.rs
+++ b/crates/steer/src/link.rs
@@ -1,17 +1,18 @@
-//! What this worker sends over the pipes between availability zones.
+//! Traffic of this worker over the links between availability zones.
 //!
-//! All requests share a pipe, and each token of a request crosses it one after the other. A pipe
-//! that is asked for more than it carries delays every request on it without bound, so its use is
-//! counted and its price grows with it.
+//! All requests share a link, and the tokens of a request cross it one after the other. A link with
+//! more traffic than it can carry delays every request on it without bound, so its traffic is
+//! recorded and its price grows with its utilization.
 
 use crate::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time in which what was sent counts less by a factor of e: about the time of a request.
+/// Time in which the weight of recorded traffic decays by a factor of e: about the duration of a
+/// request.
 const DECAY_TIME: Duration = Duration::from_secs(2);
 
-/// Two zones, the smaller number first.
+/// Indexes of two zones, the smaller one first.
 type Pair = (usize, usize);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,27 +21,27 @@
     updated_at: Timestamp,
 }
 
-/// The pipes.
+/// Links between all pairs of zones.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     links: BTreeMap<Pair, Link>,
 }
 
 impl Links {
-    /// A request takes a hop from zone `a` to zone `b` that carries `bits` in all.
+    /// Records a request with a hop from zone `a` to zone `b` that carries `bits` in total.
     pub fn record(&mut self, now: Timestamp, a: usize, b: usize, bits: f64) {
         let link = self.links.entry(pair(a, b)).or_default();
         link.bits = decayed_bits(link, now) + bits;
         link.updated_at = now;
     }
 
-    /// Bits a second that this worker sends over its fullest pipe.
+    /// Returns the rate of this worker over its busiest link, in bits per second.
     pub fn max_rate(&self, now: Timestamp) -> f64 {
         let rates = self.links.keys().map(|&(a, b)| self.rate(now, a, b));
         rates.fold(0.0, f64::max)
     }
 
-    /// Bits a second that this worker sends between two zones.
+    /// Returns the rate of this worker between two zones, in bits per second.
     pub fn rate(&self, now: Timestamp, a: usize, b: usize) -> f64 {
         let link = self.links.get(&pair(a, b));
         link.map_or(0.0, |l| decayed_bits(l, now) / DECAY_TIME.as_secs_f64())
--- a/crates/steer/src/load.rs
+++ b/crates/steer/src/load.rs
@@ -1,27 +1,29 @@
-//! What an endpoint reported of its load.
+//! Load reports of endpoints.
 
 use crate::Timestamp;
 use std::time::Duration;
 
-/// Age from which a report says nothing any more: most requests of then have ended.
+/// Age from which a report is ignored: most of the requests that it counted have ended.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(4);
 
-/// A report of an endpoint's load.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Tells reports of one endpoint apart; a later one has a higher number.
+    /// Number that identifies the report among those of the endpoint; later reports have higher
+    /// numbers.
     pub stamp: u64,
-    /// Room in use, in tokens times layers.
+    /// Capacity in use, in token-layers.
     pub used: f64,
-    /// How many times slower than its kind it runs.
+    /// How many times slower the endpoint runs than its kind of accelerator.
     pub slowdown: f64,
-    /// Requests that wait there to begin as the first endpoint of their chain.
+    /// Number of requests that wait to begin with this endpoint as the head of their chain.
     pub queued: u32,
-    /// How old it was when it was published.
+    /// Age of the report when it was published.
     pub age: Duration,
 }
 
-/// The last report, and what this worker held at the endpoint when it came.
+/// Last load report of an endpoint, with the capacity that this worker had reserved there when it
+/// arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Snapshot {
     load: Load,
@@ -30,7 +32,8 @@
 }
 
 impl Snapshot {
-    /// A report that came at `now`, when this worker reserved `held` there.
+    /// Creates a snapshot from a report that arrived at `now`, when this worker had `reserved`
+    /// token-layers reserved.
     pub fn new(load: Load, now: Timestamp, reserved: f64) -> Self {
         Self {
             load,
@@ -39,15 +42,16 @@
         }
     }
 
-    /// The endpoint has just refused a request as full. This is newer than its report, and what
-    /// fills it ends by and by, until it reports again.
+    /// Records that the endpoint has just refused a request as full. This is newer than its report;
+    /// until it reports again, the requests that fill it are assumed to end over time.
     pub fn mark_full(&mut self, now: Timestamp, capacity: f64, reserved: f64) {
         self.taken_at = now;
         self.load.used = capacity;
         self.reserved = reserved;
     }
 
-    /// Requests that wait there to begin, if the report still says anything.
+    /// Returns the number of requests that wait to begin at the endpoint; 0 if the report is too
+    /// old.
     pub fn queued(&self, now: Timestamp) -> u32 {
         match self.age(now) < MAX_REPORT_AGE {
             true => self.load.queued,
@@ -55,18 +59,19 @@
         }
     }
 
-    /// How old the report is.
+    /// Returns the age of the report.
     pub fn age(&self, now: Timestamp) -> Duration {
         now.saturating_sub(self.taken_at)
     }
 
-    /// Whether `load` is another report than this.
+    /// Returns whether `load` is a different report.
     pub fn differs(&self, load: &Load) -> bool {
         self.load.stamp != load.stamp
     }
 
-    /// Room in use now: by this worker, and by the requests of others that the report counted and
-    /// that have not ended since, if a request stays for `stay` on average.
+    /// Returns the capacity in use now, in token-layers: what this worker has reserved, and what
+    /// the report counted for other nodes, less the requests that have ended since at a mean
+    /// residence time of `residence`. Returns `None` if the report is too old.
     pub fn used(&self, now: Timestamp, reserved: f64, residence: Duration) -> Option<f64> {
         let age = self.age(now);
         let others = (self.load.used - self.reserved).max(0.0);
--- a/crates/steer/src/row.rs
+++ b/crates/steer/src/row.rs
@@ -1,4 +1,4 @@
-//! One endpoint as a worker sees it.
+//! State of one endpoint at a worker.
 
 use crate::Timestamp;
 use crate::health::{Health, Outcome};
@@ -7,51 +7,51 @@
 use catalog::engine::Engine;
 use std::time::Duration;
 
-/// Part of its memory in use from which an endpoint that is named as the one at fault is taken to
-/// be full.
+/// Utilization from which an endpoint that a head reported as missing is considered full.
 const FULL_UTILIZATION: f64 = 0.5;
 
-/// Time without a report after which an endpoint that is named as the one at fault is taken to be dead,
-/// however full it was.
+/// Time without a load report after which an endpoint that a head reported as missing is considered
+/// dead, whatever its utilization.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An endpoint and what this worker has under way there.
+/// An endpoint, and the requests that this worker has in flight there.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What it told of itself.
+    /// Registration of the endpoint.
     pub endpoint: Endpoint,
-    /// How it did of late.
+    /// Health, by the outcomes of recent attempts.
     pub health: Health,
-    /// Requests of this worker.
+    /// Number of requests of this worker.
     pub in_flight: u32,
-    /// Room that these take, in tokens times layers.
+    /// Capacity that these requests reserve, in token-layers.
     pub reserved: f64,
-    /// Room that it has, in tokens times layers; 0 for a plain service.
+    /// Total capacity, in token-layers; 0 for a plain service.
     pub capacity: f64,
-    /// Time of a step through all layers at its pace, in seconds; 0 for a plain service.
+    /// Time of a decode step through all layers on its accelerator, in seconds; 0 for a plain
+    /// service.
     pub step_secs: f64,
-    /// Time to read a prompt token through all layers at its pace, in seconds.
+    /// Time to prefill one prompt token through all layers on its accelerator, in seconds.
     pub prefill_secs: f64,
-    /// How many times slower than its kind it runs, by its last report.
+    /// How many times slower the endpoint runs than its kind of accelerator, by its last report.
     pub slowdown: f64,
-    /// Its last report.
+    /// Last load report.
     pub load: Option<Snapshot>,
-    /// When it was first named as the one at fault since it last reported or did well.
+    /// When a head first reported the endpoint as missing since its last load report or success.
     pub suspected_since: Option<Timestamp>,
-    /// Requests under way at once from which on it has more work than time; 0 if unknown.
+    /// Number of concurrent requests at which the endpoint is saturated; 0 if unknown.
     pub saturation: f64,
-    /// Whether the other nodes were told that it fails here.
+    /// Whether this worker notified the other nodes that the endpoint fails.
     pub failure_published: bool,
-    /// Whether several nodes found it to fail.
+    /// Whether several nodes reported the endpoint as failing.
     pub reported_failed: bool,
-    /// Whether it is about to give up its layers for others.
+    /// Whether the endpoint is about to release its layers to load others.
     pub releasing: bool,
-    /// Number of its availability zone in the table.
+    /// Index of the availability zone in the selector's table.
     pub zone: usize,
 }
 
 impl Row {
-    /// A row for an endpoint that nothing is known of yet.
+    /// Creates a row for an endpoint without any history.
     pub fn new(endpoint: Endpoint, zone: usize) -> Self {
         Self {
             endpoint,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes its paces and room from the engine that the operator describes.
+    /// Sets speed and capacity by the operator's description of the engine.
     pub fn apply_engine(&mut self, engine: &Engine) {
         let kind = self.endpoint.accelerator.as_deref();
         let Some(kind) = kind.and_then(|k| engine.accelerator(k)) else {
@@ -85,19 +85,21 @@
         self.saturation = engine.residence_time().as_secs_f64() / work.as_secs_f64().max(1e-9);
     }
 
-    /// Takes its last report in.
+    /// Records a load report.
     pub fn update_load(&mut self, now: Timestamp, load: Load) {
         if self.load.is_none_or(|l| l.differs(&load)) {
             self.load = Some(Snapshot::new(load, now, self.reserved));
-            // A report from before it was named says nothing of what is wrong since.
+            // A report from before the head reported the endpoint as missing says nothing about a
+            // fault since then.
             let reported_at = now.saturating_sub(load.age);
             self.suspected_since = self.suspected_since.filter(|&since| reported_at < since);
             self.slowdown = load.slowdown.max(1.0);
         }
     }
 
-    /// Room in use by all nodes, in tokens times layers, when requests stay for `stay`. Without a
-    /// report, all of `nodes` are taken to hold as much there as this one.
+    /// Returns the capacity in use by all nodes, in token-layers, at a mean residence time of
+    /// `residence`. Without a report, each of `nodes` nodes is assumed to have reserved as much as
+    /// this one.
     pub fn used(&self, now: Timestamp, nodes: f64, residence: Duration) -> f64 {
         let reported = self
             .load
@@ -105,9 +107,10 @@
         reported.unwrap_or(self.reserved * nodes)
     }
 
-    /// What a refusal says that names this endpoint: it is full if much of it was in use when it
-    /// reported, and it has reported since it was first named. What has ended since may have been
-    /// replaced by others' requests.
+    /// Interprets that a head reported this endpoint as missing. The endpoint is full if its last
+    /// report showed high utilization and it still reports; otherwise it has failed. Requests that
+    /// have ended since the report are ignored, because requests of other nodes may have taken
+    /// their place.
     pub fn judge_missing(&mut self, now: Timestamp, nodes: f64) -> Outcome {
         let since = *self.suspected_since.get_or_insert(now);
         let used = self.used(now, nodes, Duration::MAX);
@@ -120,7 +123,7 @@
         Outcome::Full
     }
 
-    /// Whether new work may be sent to it.
+    /// Returns whether new requests may be sent to the endpoint.
     pub fn is_available(&self, now: Timestamp) -> bool {
         let serving = self.endpoint.state == State::Ready && !self.releasing;
         serving && !self.reported_failed && self.health.is_usable(now)
--- a/crates/steer/src/scarcity.rs
+++ b/crates/steer/src/scarcity.rs
@@ -1,29 +1,30 @@
-//! What is scarce when a request finds no target, for the line that explains its refusal.
+//! Scarce resources of a service when a request finds no target, for the log line of its refusal.
 
 use crate::Timestamp;
 use crate::row::Row;
 use catalog::Layer;
 use std::time::Duration;
 
-/// What a worker believed of a service when it had no target.
+/// Known state of a service when no target was found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scarcity {
-    /// Endpoints of the service.
+    /// Number of endpoints of the service.
     pub known: usize,
-    /// Those in use.
+    /// Number of available endpoints.
     pub available: usize,
-    /// The layer whose roomiest endpoint in use has the least room; nothing for a plain service.
+    /// Layer with the least free capacity, by the available endpoint with the most of it; `None`
+    /// for a plain service.
     pub layer: Option<Layer>,
-    /// Part of that endpoint's memory that is free; 0 if no endpoint in use holds the layer.
+    /// Free fraction of that endpoint's capacity; 0 if no available endpoint holds the layer.
     pub free: f64,
-    /// Part of the fullest pipe between zones that is used.
+    /// Utilization of the busiest link between zones.
     pub link: f64,
-    /// Age of the oldest report of load among those in use.
+    /// Age of the oldest load report of the available endpoints.
     pub age: Duration,
 }
 
 impl Scarcity {
-    /// What is scarce among these rows of a service, whose model has so many layers.
+    /// Measures the scarcity over the rows of a service whose model has `layers` layers.
     pub(crate) fn measure(
         now: Timestamp,
         nodes: f64,
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -1,10 +1,11 @@
-//! The cheapest chain of endpoints over all layers.
+//! Search for the cheapest chain of endpoints over all layers.
 //!
-//! A shortest path over a layered graph: from layer 0 on, a stage runs from where the last one
-//! ended up to some cut (a layer at which any endpoint begins or ends). The cost of a stage is
-//! its time for the request, dearer the more of its memory or time is used; a hop to another availability zone
-//! costs its delay and its part of the shared pipe. An endpoint runs at most one stage of a chain,
-//! since engines refuse a chain that names one twice.
+//! This is a shortest path over a layered graph. Starting at layer 0, a stage runs from the end of
+//! the previous one to a cut, a layer at which some endpoint's span begins or ends. A stage costs
+//! its time for the request, scaled up with the utilization of the endpoint's memory and compute
+//! time. A hop to another availability zone costs its delay and its share of the inter-zone link.
+//! An endpoint runs at most one stage of a chain, since engines refuse a chain that contains an
+//! endpoint twice.
 
 use crate::Timestamp;
 use crate::chain::{MAX_FILL, MAX_FILL_URGENT, Need};
@@ -16,65 +17,66 @@
 use catalog::engine::Engine;
 use std::time::Duration;
 
-/// Most stages of a chain that an engine takes.
+/// Maximum number of stages of a chain that engines accept.
 const MAX_STAGES: usize = 32;
-/// Cost of a stage by itself, in seconds of a request: each stage is one more endpoint whose loss
-/// stalls the request.
+/// Fixed cost of a stage, in seconds per request: each stage adds an endpoint whose loss stalls the
+/// request.
 const STAGE_COST_SECS: f64 = 0.004;
-/// How often a request's own transfer counts between availability zones: all requests share a pipe.
+/// Factor on a request's own transfer time between availability zones, since all requests share the
+/// link.
 const LINK_COST_FACTOR: f64 = 60.0;
-/// By how much the price of an endpoint grows until its memory is full, as a multiple of its price
-/// when empty. Even, since nodes see uses that are up to a second old: where the price grows
-/// steeply, all leave an endpoint at once and come back at once.
+/// Growth of the price of an endpoint from empty to full, as a multiple of its price when empty.
+/// The growth is linear, since the known utilization is up to a second old: with a steep increase,
+/// all nodes would leave an endpoint and return to it at the same time.
 const UTILIZATION_COST_SLOPE: f64 = 5.0;
-/// How often the wait for a place at the first endpoint counts. The queue is that of half a second
-/// ago and all nodes see it, so it is dear while it is short.
+/// Factor on the wait for a slot at the head of a chain. The known queue is half a second old and
+/// all nodes see the same one, so even a short queue must cost much.
 const QUEUE_COST_FACTOR: f64 = 10.0;
-/// How busy an endpoint counts at the most, as a multiple of what it can do.
+/// Maximum work of an endpoint that is priced, as a multiple of the work at which it is saturated.
 const MAX_LOAD_FACTOR: f64 = 3.0;
-/// Part of an endpoint's memory past which its price does not grow.
+/// Memory utilization above which an endpoint's price does not increase further.
 const MAX_PRICED_UTILIZATION: f64 = 0.95;
-/// Part of a pipe that is used at the most. Past it every request on the pipe is late.
+/// Maximum utilization of an inter-zone link; above it, every request on the link is delayed.
 const MAX_LINK_UTILIZATION: f64 = 0.75;
 
-/// A stage: an index into the rows, and its layers.
+/// Stage of a chain: the index of a row and the layers that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Segment {
     pub(crate) row: usize,
     pub(crate) span: Span,
 }
 
-/// An endpoint that a stage may run on.
+/// Endpoint that a stage may run on.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate<'a> {
-    /// Its index in the table.
+    /// Index in the selector's table.
     pub(crate) index: usize,
     pub(crate) row: &'a Row,
-    /// Its room in use by all nodes.
+    /// Capacity in use by all nodes, in token-layers.
     pub(crate) used: f64,
-    /// Factor on its price.
+    /// Random factor on the price.
     pub(crate) price_factor: f64,
-    /// Seconds of reading that stand before this request, as far as they are placed in thought.
+    /// Seconds of simulated prefill that precede this request.
     pub(crate) backlog_secs: f64,
 }
 
-/// Zones of the stages that stay on both sides of a stage which is replaced; none where the chain
-/// begins or neighbors. A replaced stage in another zone costs two hops, over which all tokens so far go
-/// at once.
+/// Zones of the stages before and after a stage that is replaced; `None` where the chain begins or
+/// ends. A replacement in another zone costs two hops, and all tokens so far cross each of them at
+/// once.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Neighbors {
     pub(crate) before: Option<usize>,
     pub(crate) after: Option<usize>,
 }
 
-/// Costs of hops by the numbers of both zones; nothing where the pipe can't take one more.
+/// Costs of hops by the indexes of both zones; `None` where the link has no capacity left.
 struct Hops {
     zones: usize,
     costs: Vec<Option<f64>>,
 }
 
 impl Hops {
-    /// Where a chain begins or ends there is no hop.
+    /// Returns the cost of a hop; it is 0 at the beginning and the end of a chain.
     fn cost(&self, from: Option<usize>, to: Option<usize>) -> Option<f64> {
         let (Some(from), Some(to)) = (from, to) else {
             return Some(0.0);
@@ -83,40 +85,47 @@
     }
 }
 
-/// What a search looks at.
+/// Inputs of a search.
 pub(crate) struct Search<'a> {
     pub(crate) engine: &'a Engine,
-    /// The layers to run; all of them, or those of a stage that is replaced.
+    /// Layers to run: all layers, or those of a replaced stage.
     pub(crate) span: Span,
-    /// Candidates: indexes into the table, open and not tried; with the factor on their price.
+    /// Available endpoints that the request was not sent to yet.
     pub(crate) rows: &'a [Candidate<'a>],
-    /// Availability zones by number.
+    /// Names of the availability zones, by index.
     pub(crate) zones: &'a [String],
-    /// What stays of the chain around the layers.
+    /// Stages around the replaced stage, if any.
     pub(crate) neighbors: Neighbors,
-    /// Nodes that send requests as this one does.
+    /// Number of nodes that send requests as this one does.
     pub(crate) nodes: f64,
-    /// What this node sends between zones.
+    /// Traffic of this node between zones.
     pub(crate) links: &'a Links,
-    /// How long requests stay on their chains.
+    /// Mean residence time of requests.
     pub(crate) residence: Duration,
     pub(crate) now: Timestamp,
 }
 
-/// A cut and an availability zone, by number: where a way through the layers stands.
+/// Vertex of the graph: the indexes of a cut and of the availability zone of the stage that ends
+/// there.
 type Vertex = (usize, usize);
 
-/// The cheapest way to have run all layers before a cut, with the last stage in one zone.
+/// Cheapest path that runs all layers before a cut, with its last stage in one zone.
 #[derive(Clone, Copy, Debug)]
 struct Path {
     cost: f64,
     segment: Segment,
-    /// Where the way stood before this stage.
+    /// Vertex at which the last stage begins; `None` at the beginning of the chain.
     previous: Option<Vertex>,
 }
 
 impl Search<'_> {
-    /// The cheapest chain.
+    /// Returns the cheapest chain for a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Shortage::Layers`] if the candidates do not hold all layers, [`Shortage::Size`] if
+    /// the request does not fit even into empty endpoints, and [`Shortage::Capacity`] if no chain
+    /// has enough free capacity.
     pub(crate) fn cheapest_chain(&self, need: &Need) -> Result<Vec<Segment>, Shortage> {
         debug_assert!(self.rows.iter().all(|c| c.row.is_available(self.now)));
         let cuts = self.cuts();
@@ -191,12 +200,12 @@
         self.backtrack(&best, &hops, end).ok_or(Shortage::Capacity)
     }
 
-    /// Where the best way to a place is kept.
+    /// Returns the index of the best path to a vertex.
     fn slot(&self, (at, zone): Vertex) -> usize {
         at * self.zones.len() + zone
     }
 
-    /// Layers at which a stage may begin or end.
+    /// Returns the layers at which a stage may begin or end, in ascending order.
     fn cuts(&self) -> Vec<Layer> {
         let spans = self.rows.iter().map(|c| c.row.endpoint.span);
         let mut cuts: Vec<Layer> = spans.flat_map(|s| [s.from, s.to]).collect();
@@ -212,14 +221,16 @@
         cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.contains(c)))
     }
 
-    /// Most tokens that any endpoint could hold of a request if it ran just this layer, empty.
+    /// Returns the maximum number of tokens of a request that an empty endpoint can hold if it runs
+    /// only this layer.
     fn max_capacity(&self, layer: Layer) -> f64 {
         let rows = self.rows.iter().map(|c| c.row);
         let rows = rows.filter(|r| r.endpoint.span.contains(layer));
         rows.map(|r| r.capacity).fold(0.0, f64::max)
     }
 
-    /// Cost before a stage on `row` that begins at cut `at`, and the way there.
+    /// Returns the cost before a stage on `row` that begins at cut `at`, and the vertex that it
+    /// continues from.
     fn best_entry(
         &self,
         best: &[Option<Path>],
@@ -249,19 +260,20 @@
         found
     }
 
-    /// Price of the wait before a chain begins at this row. An endpoint begins a bounded number of
-    /// chains at once, whatever memory it has; those beyond wait, and their callers with them.
+    /// Returns the cost of the wait before a chain begins at this row. An endpoint begins a limited
+    /// number of chains at once, whatever its memory; further requests wait, and so do their
+    /// callers.
     fn queue_cost(&self, row: &Row) -> f64 {
         let slots = f64::from(row.endpoint.slots.max(1));
         let queued = row.load.map_or(0, |l| l.queued(self.now));
         match self.span.from {
             0 => QUEUE_COST_FACTOR * f64::from(queued) * self.residence.as_secs_f64() / slots,
-            // The endpoints of a detour are not the first of their chain.
+            // The search starts behind the head of a chain when it replaces a stage.
             _ => 0.0,
         }
     }
 
-    /// Whether the way to a state has a stage on this row.
+    /// Returns whether the best path to a vertex has a stage on this row.
     fn path_uses(&self, best: &[Option<Path>], mut state: Vertex, row: usize) -> bool {
         while let Some(before) = best[self.slot(state)] {
             if before.segment.row == row {
@@ -275,7 +287,7 @@
         false
     }
 
-    /// What hops between all zones cost this request.
+    /// Returns the costs of this request for hops between all pairs of zones.
     fn hop_costs(&self, need: &Need) -> Hops {
         let zones = self.zones.len();
         let pairs = (0..zones).flat_map(|from| (0..zones).map(move |to| (from, to)));
@@ -285,7 +297,7 @@
         Hops { zones, costs }
     }
 
-    /// Time that a hop costs a request; nothing if the pipe can't take it.
+    /// Returns the cost of a hop, in seconds; `None` if the link has no capacity left.
     fn hop_cost(&self, from: usize, to: usize, need: &Need) -> Option<f64> {
         if from == to {
             return Some(0.0);
@@ -297,19 +309,21 @@
         if used > MAX_LINK_UTILIZATION {
             return None;
         }
-        // A token waits for the one before it, so each token pays the delay. The pipe is shared
-        // by all requests, so a request's part of it counts several times its own transfer.
+        // Each token waits for the previous one, so each pays the delay. All requests share the
+        // link, so the request's own transfer time is weighted with a factor.
         Some(
             delay.as_secs_f64() * f64::from(need.size.answer)
                 + LINK_COST_FACTOR * transfer / (1.0 - used),
         )
     }
 
-    /// Time that a request spends at each layer of a stage, dearer the fuller its memory is.
+    /// Returns the time that a request spends at each layer of a stage, scaled up with the
+    /// utilization of the endpoint.
     fn price_per_layer(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
         let &Candidate { row, used, .. } = candidate;
         let layer_fraction = self.engine.model_fraction(1);
-        // Requests under way there, by the room that one of this size would take.
+        // Number of requests in flight, estimated by the capacity that a request of this size would
+        // take.
         let per_request = f64::from(row.endpoint.span.len()) * need.tokens();
         let in_flight = used / per_request.max(1.0);
         let request_time = self.engine.step_time_per_request.as_secs_f64()
@@ -346,15 +360,15 @@
     }
 }
 
-/// Takes `tokens` tokens as under way on a chain, for the next search.
+/// Adds `tokens` tokens in flight to the endpoints of a chain, for the next search.
 pub(crate) fn add_load(rows: &mut [Candidate<'_>], chain: &[Segment], tokens: f64) {
     for (candidate, segment) in candidates_on(rows, chain) {
         candidate.used += tokens * f64::from(segment.span.len());
     }
 }
 
-/// Takes `tokens` tokens as being read anew on a chain, for the next search: they take room there
-/// and time before whatever comes later.
+/// Adds the renewed prefill of `tokens` tokens to the endpoints of a chain, for the next search: it
+/// takes capacity, and delays later requests.
 pub(crate) fn add_prefill(
     engine: &Engine,
     rows: &mut [Candidate<'_>],
@@ -369,7 +383,8 @@
     }
 }
 
-/// The candidates that a chain runs on, each with its part; a chain has no endpoint twice.
+/// Returns the candidates that a chain runs on, each with its segment; a chain contains each
+/// endpoint at most once.
 fn candidates_on<'r, 'a>(
     rows: &'r mut [Candidate<'a>],
     chain: &'r [Segment],
@@ -379,7 +394,7 @@
         .filter_map(move |c| segment(c).map(|s| (c, s)))
 }
 
-/// Bits that a request sends over one hop.
+/// Returns the number of bits that a request transfers over one hop.
 pub(crate) fn bits(engine: &Engine, need: &Need) -> f64 {
     need.tokens() * engine.activation_bytes * 8.0
 }
--- a/crates/steer/src/selector.rs
+++ b/crates/steer/src/selector.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints and the choice of a target.
+//! Table of endpoints and selection of targets.
 
 mod chain;
 mod departing;
@@ -28,25 +28,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an attempt holds at one endpoint.
+/// Capacity that an attempt reserves at one endpoint.
 #[derive(Clone, Debug)]
 struct Share {
     run: Run,
     addr: SocketAddr,
-    /// Room in tokens times layers.
+    /// Reserved capacity, in token-layers.
     reserved: f64,
 }
 
-/// What an attempt holds.
+/// Capacity that an attempt reserves at all its endpoints.
 #[derive(Clone, Debug)]
 struct Reservation {
     began: Timestamp,
     shares: Vec<Share>,
 }
 
-/// The state of one worker.
+/// Selects the endpoints for the requests of one worker.
 ///
-/// Invariant: what a row has flying and held is the sum over the attempts that are not ended.
+/// Invariant: the requests in flight and the reserved capacity of a row are the sums over the
+/// attempts that have not ended.
 pub struct Selector {
     fleet: Fleet,
     allowance: Allowance,
@@ -56,7 +57,7 @@
     reservations: BTreeMap<ReservationId, Reservation>,
     budgets: BTreeMap<String, Budget>,
     links: Links,
-    /// By the name of a model service.
+    /// Flow of requests by the name of a model service.
     flows: BTreeMap<String, Flow>,
     transitions: Vec<Transition>,
     next_reservation: ReservationId,
@@ -64,7 +65,7 @@
 }
 
 impl Selector {
-    /// A worker that knows no endpoint yet; its draws follow `seed`.
+    /// Creates a selector that knows no endpoints; `seed` determines its random draws.
     pub fn new(seed: u64, allowance: Allowance) -> Self {
         Self {
             fleet: Fleet::default(),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes a new view of the outside; what is under way at endpoints that stay is kept.
+    /// Replaces the state of the fleet; the requests in flight at endpoints that remain are kept.
     pub fn update_fleet(&mut self, now: Timestamp, fleet: Fleet) {
         let mut previous: HashMap<Run, Row> = std::mem::take(&mut self.rows)
             .into_iter()
@@ -114,12 +115,12 @@
         self.fleet = fleet;
     }
 
-    /// Nodes that send requests, as a factor.
+    /// Returns the number of nodes that send requests, at least 1.
     fn nodes(&self) -> f64 {
         self.fleet.nodes.max(1) as f64
     }
 
-    /// Nodes that choose as this one does, as a factor.
+    /// Returns the number of nodes that select by the same reports, at least 1.
     fn selecting_nodes(&self) -> f64 {
         self.fleet.selecting_nodes.max(self.fleet.nodes).max(1) as f64
     }
@@ -132,7 +133,12 @@
         })
     }
 
-    /// A target for a request of `service` that was not sent to any of `tried`.
+    /// Selects a target for a request of `service`, without the endpoints in `tried`, and reserves
+    /// its capacity.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Shortage`] if no endpoint or chain can take the request now.
     pub fn select(
         &mut self,
         now: Timestamp,
@@ -151,8 +157,8 @@
         Ok(self.reserve(now, &segments, need.tokens()))
     }
 
-    /// Whether there is such a target. Nothing is taken, neither room nor a part of a pipe: those
-    /// that only ask, again and again while an answer is silent, would look like load.
+    /// Returns whether [`Self::select`] would find a target. It reserves neither endpoint nor link
+    /// capacity: repeated checks while an answer is idle would otherwise count as load.
     pub fn can_select(
         &mut self,
         now: Timestamp,
@@ -180,7 +186,7 @@
         }
     }
 
-    /// The endpoint with the least under way; among equals a random one.
+    /// Selects the endpoint with the fewest requests in flight, at random among equals.
     fn least_loaded(
         &mut self,
         now: Timestamp,
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Takes room at endpoints.
+    /// Reserves capacity at the endpoints of a chain.
     fn reserve_segments(&mut self, segments: &[Segment], tokens: f64) -> (Vec<Share>, Vec<Stage>) {
         let reserve = |segment: &Segment| {
             let row = &mut self.rows[segment.row];
@@ -257,7 +263,7 @@
         segments.iter().map(reserve).unzip()
     }
 
-    /// Gives room back.
+    /// Releases reserved capacity.
     fn release(&mut self, share: &Share) {
         let Some(&at) = self.index.get(&share.run) else {
             return;
@@ -270,8 +276,9 @@
         };
     }
 
-    /// An attempt ended; `blame` is the endpoint that it is about, if it is known, or else the
-    /// outcome counts for all stages (good) or for the first (anything else).
+    /// Ends an attempt. If `blame` is the address of an endpoint of the attempt, the outcome counts
+    /// for that endpoint only. Without it, a success counts for all stages and any other outcome
+    /// for the first one.
     pub fn end(
         &mut self,
         now: Timestamp,
@@ -311,7 +318,7 @@
         }
     }
 
-    /// Takes in how long an attempt stayed if it ended well.
+    /// Records the residence time of an attempt that succeeded.
     fn record_residence(&mut self, now: Timestamp, reservation: &Reservation, outcome: Outcome) {
         if outcome != Outcome::Success {
             return;
@@ -327,14 +334,14 @@
         }
     }
 
-    /// Takes an endpoint out of use for a while, by its address: an engine named it as the one
-    /// that its chain waits for. The engine's word counts more than an attempt that failed, so the
-    /// others are told at once.
+    /// Records that an engine reported its chain as waiting for the endpoint at `addr`, and ejects
+    /// the endpoint. Such a report is more reliable than a failed attempt, so the first one is
+    /// published to the other nodes.
     pub fn report_failed(&mut self, now: Timestamp, addr: SocketAddr) {
         self.record_at(now, addr, 1, |_| Outcome::Failed);
     }
 
-    /// Takes in that a head named an endpoint as missing from its chain, by its address.
+    /// Records that the head of a chain reported the endpoint at `addr` as missing.
     pub fn report_missing(&mut self, now: Timestamp, addr: SocketAddr) {
         let nodes = self.nodes();
         self.record_at(now, addr, FAILURES_TO_PUBLISH, |row| {
@@ -342,7 +349,7 @@
         });
     }
 
-    /// Takes in what is said now of the endpoint at an address; see [`record_outcome`].
+    /// Records the outcome of the endpoint at an address as of now; see [`record_outcome`].
     fn record_at(
         &mut self,
         now: Timestamp,
@@ -358,12 +365,12 @@
         self.transitions.extend(transitions);
     }
 
-    /// What the other nodes should know, since the last call.
+    /// Returns the health transitions to publish to the other nodes since the last call.
     pub fn take_transitions(&mut self) -> Vec<Transition> {
         std::mem::take(&mut self.transitions)
     }
 
-    /// A first attempt for `service` was made.
+    /// Records the first attempt of a request for `service`.
     pub fn record_request(&mut self, now: Timestamp, service: &str) {
         if let Some(engine) = engine_of(&self.fleet, service) {
             let flow = self.flows.entry(service.to_owned());
@@ -374,14 +381,14 @@
         self.budget(service).record_request(now, &allowance);
     }
 
-    /// Takes one further attempt for `service` out of the budget, if there is one.
+    /// Takes one retry for `service` from the retry budget; returns whether one was left.
     pub fn try_retry(&mut self, now: Timestamp, service: &str) -> bool {
         let nodes = self.fleet.budget_nodes.max(self.fleet.nodes);
         let allowance = self.allowance;
         self.budget(service).try_retry(now, &allowance, nodes)
     }
 
-    /// Whether the budget has a further attempt for `service` left.
+    /// Returns whether the retry budget has a retry left for `service`.
     pub fn can_retry(&mut self, now: Timestamp, service: &str) -> bool {
         let nodes = self.fleet.budget_nodes.max(self.fleet.nodes);
         let allowance = self.allowance;
@@ -392,7 +399,7 @@
         self.budgets.entry(service.to_owned()).or_default()
     }
 
-    /// What is scarce for requests of a service.
+    /// Returns the scarce resources of a service.
     pub fn scarcity(&self, now: Timestamp, service: ServiceId) -> Scarcity {
         let Some(service) = self.fleet.catalog.service(service) else {
             return Scarcity::default();
@@ -412,26 +419,28 @@
         }
     }
 
-    /// Attempts that are not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn in_flight(&self) -> usize {
         self.reservations.len()
     }
 
-    /// The rows, for dumps and tests.
+    /// Returns the rows of the table, for dumps and tests.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
 }
 
-/// Requests of this node at a plain endpoint, as a multiple of its slots, from which on it counts
-/// as full: more would wait longer than they would take elsewhere later.
+/// Number of requests of this node at a plain endpoint, as a multiple of its slots, above which the
+/// endpoint counts as full: a further request would wait longer there than if another endpoint took
+/// it later.
 const MAX_IN_FLIGHT_PER_SLOT: u32 = 3;
 
-/// Failures in a row from which an endpoint is told of. One may be the request's or the way's.
+/// Number of consecutive failures after which a failure is published. A single one may be due to
+/// the request or to the network.
 const FAILURES_TO_PUBLISH: u32 = 2;
 
-/// Takes in how an attempt ended; what the other nodes should know of it. They are told of an endpoint
-/// that failed `least` times in a row.
+/// Records the outcome of an attempt, and returns the health transition to publish, if any. A
+/// failure is published from `min_failures` consecutive failures on.
 fn record_outcome(
     row: &mut Row,
     now: Timestamp,
@@ -464,7 +473,7 @@
     found.next()?.engine.as_ref()
 }
 
-/// The text for the dump.
+/// Formats the state for the dump.
 impl fmt::Display for Selector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
--- a/crates/steer/src/selector/chain.rs
+++ b/crates/steer/src/selector/chain.rs
@@ -1,4 +1,4 @@
-//! The choice of a chain.
+//! Selection of a chain.
 
 use super::Selector;
 use crate::chain::Need;
@@ -16,15 +16,15 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The rows that a search looks at, by their indexes.
+/// Sample of the rows, which a search examines.
 pub(super) struct Shortlist<'a> {
     pub(super) rows: &'a [usize],
-    /// Part of the usable rows that these are.
+    /// Fraction of the usable rows that the sample contains.
     pub(super) fraction: f64,
 }
 
 impl Selector {
-    /// A chain for a request of a model service that was not sent to any of `tried`.
+    /// Selects a chain for a request of a model service, without the endpoints in `tried`.
     pub(super) fn chain(
         &mut self,
         now: Timestamp,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Looks for a chain among few of the usable rows, and among all of them if these few have none.
+    /// Searches a sample of the usable rows, and all of them if the sample contains no chain.
     pub(super) fn search_shortlist(
         &self,
         engine: &Engine,
@@ -81,7 +81,7 @@
         .or_else(|_| find(all))
     }
 
-    /// A few of these rows, drawn anew for each request.
+    /// Returns a sample of these rows, drawn anew for each request.
     fn shortlist(&self, engine: &Engine, usable: &[usize]) -> Vec<usize> {
         let holder = |&row: &usize| Holder {
             span: self.rows[row].endpoint.span,
@@ -92,15 +92,15 @@
         sample.into_iter().map(|at| usable[at]).collect()
     }
 
-    /// Indexes of the rows that may be used.
+    /// Returns the indexes of the rows that satisfy a predicate.
     pub(super) fn usable(&self, usable: impl Fn(&Row) -> bool) -> Vec<usize> {
         let rows = self.rows.iter().enumerate();
         let rows = rows.filter(|(_, row)| usable(row));
         rows.map(|(index, _)| index).collect()
     }
 
-    /// The chain that is the cheapest once others have placed so many parts of the requests that
-    /// no report shows yet.
+    /// Returns the cheapest chain after `increments` simulated placements of other nodes'
+    /// unreported requests.
     fn chain_after_others(
         &self,
         now: Timestamp,
@@ -125,7 +125,7 @@
         )
     }
 
-    /// A search for a whole chain.
+    /// Creates a search for a chain over all layers.
     pub(super) fn search<'a>(
         &'a self,
         now: Timestamp,
@@ -149,37 +149,38 @@
         }
     }
 
-    /// How requests of a model service come and stay.
+    /// Returns the flow of requests of a model service.
     pub(super) fn flow(&self, service: &Service, engine: &Engine) -> Flow {
         let flow = self.flows.get(&service.name);
         flow.copied().unwrap_or(Flow::new(engine.residence_time()))
     }
 
-    /// Counts what goes over pipes when each of these zones hands on to the next.
+    /// Records the transfer of `bits` over the link between each pair of consecutive zones.
     pub(super) fn record_hops(&mut self, now: Timestamp, zones: &[usize], bits: f64) {
         let hops = zones.windows(2).filter(|hop| hop[0] != hop[1]);
         hops.for_each(|hop| self.links.record(now, hop[0], hop[1], bits));
     }
 
-    /// Hops of a chain between availability zones, as far as its endpoints are known.
+    /// Returns the number of hops of a chain between availability zones; endpoints that are no
+    /// longer known are left out.
     pub fn crossings(&self, stages: &[Stage]) -> u32 {
         let zones: Vec<usize> = stages.iter().filter_map(|s| self.zone_of(s)).collect();
         zones.windows(2).filter(|hop| hop[0] != hop[1]).count() as u32
     }
 
-    /// The zone of a stage's endpoint, if it is still known.
+    /// Returns the index of the zone of a stage's endpoint, if the endpoint is still known.
     pub(super) fn zone_of(&self, stage: &Stage) -> Option<usize> {
         self.index.get(&stage.run).map(|&at| self.rows[at].zone)
     }
 
-    /// The endpoints that a stage may run on, each with its chance factor.
+    /// Returns the candidates for a search, each with its random price factor.
     pub(super) fn candidates(
         &self,
         now: Timestamp,
         residence: Duration,
         rows: &[usize],
     ) -> Vec<Candidate<'_>> {
-        // A generator of its own, since the table is borrowed by the candidates.
+        // Use a copy of the generator, since the candidates borrow the table.
         let mut rng = self.rng.clone();
         let nodes = self.nodes();
         let jitter = Jitter::new(&mut rng, self.selecting_nodes(), self.zones.len());
@@ -197,7 +198,7 @@
     }
 }
 
-/// Mean age of the reports by which these are chosen.
+/// Returns the mean age of the load reports of the candidates.
 fn mean_report_age(now: Timestamp, rows: &[Candidate<'_>]) -> Duration {
     let ages = rows.iter().filter_map(|c| c.row.load.map(|l| l.age(now)));
     let (count, sum) = ages.fold((0, Duration::ZERO), |(n, sum), age| (n + 1, sum + age));
--- a/crates/steer/src/selector/departing.rs
+++ b/crates/steer/src/selector/departing.rs
@@ -1,4 +1,4 @@
-//! Stages of chains under way that are about to go.
+//! Stages of chains in flight whose endpoints are about to stop serving them.
 
 use super::Selector;
 use crate::target::{Stage, Target};
@@ -6,9 +6,10 @@
 use std::net::SocketAddr;
 
 impl Selector {
-    /// The first stage of a chain under way, its head left out, that will not serve to the answer's
-    /// end: its endpoint leaves, is no longer registered, or gives up the stage's layers or is about
-    /// to. The head can't be replaced, since the request is there.
+    /// Returns the address of the first stage of a chain in flight, other than the head, that will
+    /// not serve until the end of the answer: its endpoint is draining, is no longer registered, or
+    /// has released or is about to release the layers of the stage. The head cannot be replaced,
+    /// since it holds the request.
     pub fn departing(&self, target: &Target) -> Option<SocketAddr> {
         let mut stages = target.stages.iter().skip(1);
         stages.find(|s| self.departs(s)).map(|s| s.addr)
--- a/crates/steer/src/selector/reroute.rs
+++ b/crates/steer/src/selector/reroute.rs
@@ -1,10 +1,10 @@
-//! A way around one stage of a chain that is under way.
+//! Replacement of one stage of a chain in flight.
 //!
-//! The new stages read all tokens of the request again, and what they read comes from the stage
-//! before them. All nodes move the requests that were at a dead endpoint within half a second. So
-//! a way is looked for in the zone of the stages around it, and what the others move is placed in
-//! thought first, as for new requests ([`crate::unreported`]): were all to take the cheapest endpoint,
-//! it would read for longer than callers wait.
+//! The new stages prefill all tokens of the request again, and receive the activations from the
+//! previous stage. The search therefore prefers the zone of the neighboring stages. After an
+//! endpoint dies, all nodes reroute its requests within half a second. The search therefore first
+//! simulates the reroutes of the other nodes, as for new requests ([`crate::unreported`]): if all
+//! nodes took the cheapest endpoint, its prefill would take longer than callers wait.
 
 use super::{Selector, Share};
 use crate::chain::Need;
@@ -21,13 +21,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Parts in which the requests of the others are placed.
+/// Number of increments in which the reroutes of the other nodes are simulated.
 const INCREMENTS: u32 = 24;
 
-/// A stage that is replaced.
+/// Stage that is to be replaced.
 struct Gap<'a> {
     target: &'a Target,
-    /// Its index among the stages.
+    /// Index among the stages of the target.
     index: usize,
     neighbors: Neighbors,
 }
@@ -37,7 +37,7 @@
         &self.target.stages[self.index]
     }
 
-    /// Whether an endpoint holds layers of the stage and is not in the chain yet.
+    /// Returns whether an endpoint holds layers of the stage and is not part of the chain.
     fn can_run(&self, row: &Row) -> bool {
         let (held, lost) = (row.endpoint.span, self.stage().span);
         let overlaps = held.from < lost.to && lost.from < held.to;
@@ -45,7 +45,7 @@
         overlaps && !stages.any(|s| s.run == row.endpoint.run)
     }
 
-    /// The stages with others in its place.
+    /// Returns the stages of the target with `stages` in place of the replaced one.
     fn with_replacement(&self, stages: Vec<Stage>) -> Vec<Stage> {
         let mut all = self.target.stages.clone();
         all.splice(self.index..=self.index, stages);
@@ -54,8 +54,14 @@
 }
 
 impl Selector {
-    /// Replaces the stage at `faulty_stage` of a chain that is under way. Its head stays, since the
-    /// request is there. The stages of the new chain; the attempt holds them from now on.
+    /// Replaces the stage at address `faulty_stage` of a chain in flight, and returns the stages of
+    /// the new chain, whose capacity the attempt reserves from now on. The head cannot be replaced,
+    /// since it holds the request.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Shortage`] if `faulty_stage` is the head or not part of the chain, or if no
+    /// other endpoints can take over its layers.
     pub fn reroute(
         &mut self,
         now: Timestamp,
@@ -84,7 +90,8 @@
         Ok(gap.with_replacement(stages))
     }
 
-    /// Takes back a change of stages that the head did not take: the attempt holds what `target` says.
+    /// Reverts a reroute that the head of the chain did not accept: the attempt reserves the stages
+    /// of `target` again.
     pub fn revert_reroute(&mut self, target: &Target, need: &Need) {
         let Some(mut reservation) = self.reservations.remove(&target.reservation) else {
             return;
@@ -103,7 +110,11 @@
         self.reservations.insert(target.reservation, reservation);
     }
 
-    /// The stage at `faulty_stage`, unless it is the head.
+    /// Returns the stage at address `faulty_stage`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Shortage::Endpoints`] if it is the head or not part of the chain.
     fn gap<'a>(&self, target: &'a Target, faulty_stage: SocketAddr) -> Result<Gap<'a>> {
         let index = target.stages.iter().position(|s| s.addr == faulty_stage);
         let index = index.filter(|&p| p > 0).ok_or(Shortage::Endpoints)?;
@@ -119,7 +130,8 @@
         })
     }
 
-    /// The cheapest way around a stage once others have moved so many parts of their requests.
+    /// Returns the cheapest replacement of a stage after `increments` simulated reroutes of other
+    /// nodes.
     fn replacement(
         &self,
         now: Timestamp,
@@ -151,20 +163,20 @@
         })
     }
 
-    /// Tokens that other nodes' requests have at each layer of a stage that is gone, by its last
-    /// report.
+    /// Returns the number of tokens of other nodes' requests at each layer of a lost stage, by its
+    /// last load report.
     fn stranded_tokens(&self, now: Timestamp, stage: &Stage) -> f64 {
         let Some(&at) = self.index.get(&stage.run) else {
             return 0.0;
         };
         let row = &self.rows[at];
-        // None of them ends while its stage is gone.
+        // None of these requests ends while its stage is lost, so none is discounted.
         let used = row.used(now, self.nodes(), Duration::MAX);
         let layers = f64::from(row.endpoint.span.len().max(1));
         (used - row.reserved).max(0.0) / layers
     }
 
-    /// What an attempt holds at `faulty_stage` gives way to these shares.
+    /// Replaces the share of an attempt at address `faulty_stage` by other shares.
     fn replace_share(&mut self, id: ReservationId, faulty_stage: SocketAddr, shares: Vec<Share>) {
         let Some(reservation) = self.reservations.get_mut(&id) else {
             return shares.iter().for_each(|share| self.release(share));
--- a/crates/steer/src/shortage.rs
+++ b/crates/steer/src/shortage.rs
@@ -1,20 +1,20 @@
-//! Why there is no target for a request.
+//! Reasons why a request finds no target.
 
-/// Why no endpoint can take a request now.
+/// Reason why no endpoint can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// No endpoint of the service is known or in use.
+    /// No endpoint of the service is known or available.
     Endpoints,
-    /// No chain of endpoints in use holds all layers.
+    /// The available endpoints do not hold all layers.
     Layers,
-    /// Endpoints are there, but they are full.
+    /// Available endpoints exist, but they are full.
     Capacity,
-    /// The request is larger than any chain has memory for.
+    /// The request is larger than the memory of any chain.
     Size,
 }
 
 impl Shortage {
-    /// The word for logs.
+    /// Returns the label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Endpoints => "no endpoint",
--- a/crates/steer/src/shortlist.rs
+++ b/crates/steer/src/shortlist.rs
@@ -1,9 +1,9 @@
-//! The endpoints that one search looks at.
+//! Random sample of the endpoints that one search examines.
 //!
-//! A search costs time in proportion to the endpoints that it looks at. So it looks at a few holders of
-//! each layer in each availability zone, drawn anew for each request. A few drawn at random are enough to find one
-//! with little load (the power of two choices, Mitzenmacher 1996), and nodes that draw for
-//! themselves do not all choose the same ones.
+//! The time of a search grows with the number of endpoints that it examines. It therefore examines
+//! a few holders of each layer in each availability zone, sampled anew for each request. A few
+//! random endpoints suffice to find one with low load (the power of two choices, Mitzenmacher
+//! 1996), and nodes with samples of their own do not all select the same endpoints.
 
 use catalog::Layer;
 use catalog::endpoint::Span;
@@ -11,20 +11,21 @@
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
-/// Holders of each layer in each zone that a search looks at, if there are so many.
+/// Number of holders of each layer in each zone that a search examines, if as many exist.
 pub const HOLDERS_PER_LAYER: u32 = 6;
 
-/// The layers that an endpoint holds, and the number of its availability zone.
+/// Layers that an endpoint holds, and the index of its availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// Its layers.
+    /// Layers that the endpoint holds.
     pub span: Span,
-    /// Its zone.
+    /// Index of the availability zone.
     pub zone: usize,
 }
 
-/// Indexes of the holders that are looked at, in ascending order: so many that each of `layers`
-/// layers has [`HOLDERS_PER_LAYER`] in each zone, or all that there are.
+/// Returns the indexes of a sample of `holders`, in ascending order. It contains
+/// [`HOLDERS_PER_LAYER`] holders of each of `layers` layers in each zone, or all of them if there
+/// are fewer.
 pub fn sample(rng: &mut impl Rng, layers: Layer, holders: &[Holder]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..holders.len()).collect();
     order.shuffle(rng);
--- a/crates/steer/src/transition.rs
+++ b/crates/steer/src/transition.rs
@@ -1,12 +1,12 @@
-//! What a worker finds out about endpoints that the other nodes should know.
+//! Health transitions of endpoints that a worker reports to the other nodes.
 
 use catalog::endpoint::Run;
 
-/// A finding.
+/// Health transition of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// It has failed again after it was left out for a while.
+    /// The endpoint failed several times in a row, or a head reported that its chain waits for it.
     Down(Run),
-    /// It does well again.
+    /// The endpoint succeeded again.
     Up(Run),
 }
--- a/crates/steer/src/unreported.rs
+++ b/crates/steer/src/unreported.rs
@@ -1,34 +1,38 @@
-//! Requests of other nodes that reports do not show yet.
+//! Estimate of the requests of other nodes that load reports do not show yet.
 //!
-//! All nodes choose by the same reports, which are up to a second old. What the others have sent
-//! since then is not known, but it is much the same as what this node would send if it had all
-//! their requests: callers spread evenly over the nodes, and the nodes choose alike. So before a
-//! node places a request of its own, it places theirs in thought, a part at a time, each part on
-//! the chain that is the cheapest after the parts before it. Its own request goes as one of these
-//! parts, drawn at random, so that all nodes together fill chains as they were filled in thought.
-//! The idea is that of load balancing by interpreted stale reports (Dahlin, 2000), with the
-//! incremental assignment of traffic to shortest paths in place of single servers.
+//! All nodes select by the same reports, which are up to a second old. The requests that the other
+//! nodes have sent since are unknown, but resemble what this node would send if it received all
+//! their requests: callers are spread evenly over the nodes, and all nodes select alike. Before a
+//! node places a request of its own, it therefore simulates the placement of theirs in increments,
+//! each on the chain that is cheapest after the previous ones. Its own request takes the place of a
+//! random increment, so that all nodes together fill the chains as in the simulation.
+//!
+//! This combines load balancing by interpretation of stale reports (Dahlin, 2000) with the
+//! incremental assignment of traffic to shortest paths instead of to single servers.
 
 use crate::search::Segment;
 use crate::{Result, Timestamp};
 use std::time::Duration;
 
-/// Parts in which the requests of the others are placed. More parts spread them more finely and
-/// cost a search each.
+/// Number of increments in which the requests of the other nodes are placed. More increments spread
+/// them more evenly and cost one search each.
 pub(crate) const INCREMENTS: u32 = 8;
-/// Time in which a request counts less towards the usual rate by a factor of e.
+/// Time in which the weight of a request in the long-term rate decays by a factor of e.
 const LONG_TERM_DECAY: Duration = Duration::from_secs(4);
-/// The same for the rate of the moment: about the age of reports, since what came in that time is
-/// what they do not show. Callers that were cut off come back together, many more than usual.
+/// Same for the short-term rate: about the age of reports, since they do not show the requests that
+/// arrived in that time. Callers that were cut off return together, at a much higher rate than
+/// usual.
 const SHORT_TERM_DECAY: Duration = Duration::from_millis(500);
-/// Shortest time over which a rate is taken: one request in the first millisecond is no rate.
+/// Minimum period over which a rate is computed: one request in the first millisecond is not a
+/// rate.
 const MIN_RATE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Requests over which the mean stay is taken, at the most.
+/// Maximum number of requests over which the mean residence time is computed.
 const MAX_SAMPLES: u32 = 32;
 
-/// The cheapest chain once others have taken `parts` chains before it, each the cheapest after those
-/// before; `take` puts a chain's load on what `find` looks at.
+/// Returns the cheapest chain after `increments` simulated placements, each on the chain that is
+/// cheapest after the previous ones. `find` searches `state`, and `apply` adds the load of a chain
+/// to it.
 pub(crate) fn assign_incrementally<T>(
     state: &mut T,
     increments: u32,
@@ -40,14 +44,14 @@
         apply(state, &found);
         match find(state) {
             Ok(chain) => found = chain,
-            // There is room for a part of the requests only.
+            // Only some of the simulated requests fit.
             Err(_) => break,
         }
     }
     Ok(found)
 }
 
-/// Requests a second, those of long ago counting less.
+/// Exponentially decaying rate, in requests per second.
 #[derive(Clone, Copy, Debug)]
 struct Rate {
     decay: Duration,
@@ -73,32 +77,32 @@
         self.per_second * self.weight(now.saturating_sub(self.updated_at))
     }
 
-    /// The rate of requests that have come for `time`. Where that is shorter than the memory, what
-    /// it would hold of earlier ones is missing and made up for.
+    /// Returns the rate of requests that have been recorded for `time`. If `time` is shorter than
+    /// the decay time, it compensates for the requests that would have arrived before.
     fn rate_over(&self, now: Timestamp, time: Duration) -> f64 {
         self.decayed(now) / (1.0 - self.weight(time.max(MIN_RATE_PERIOD)))
     }
 
-    /// Part that counts after `age`.
+    /// Returns the weight of a request of this age.
     fn weight(&self, age: Duration) -> f64 {
         (-age.as_secs_f64() / self.decay.as_secs_f64()).exp()
     }
 }
 
-/// How requests of one service come to this node and how long they stay.
+/// Arrival rates and residence time of the requests of one service at this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Flow {
     long_term: Rate,
     short_term: Rate,
-    /// When the first request came.
+    /// Arrival of the first request.
     first_at: Option<Timestamp>,
     residence: Duration,
-    /// Requests that the stay is the mean of; what was expected at first counts as one.
+    /// Number of samples in the mean residence time; the initial estimate counts as one.
     samples: u32,
 }
 
 impl Flow {
-    /// Nothing came yet; requests are expected to stay for `stay`.
+    /// Creates a flow without requests whose expected residence time is `residence`.
     pub(crate) fn new(residence: Duration) -> Self {
         Self {
             long_term: Rate::new(LONG_TERM_DECAY),
@@ -109,21 +113,21 @@
         }
     }
 
-    /// A request came.
+    /// Records the arrival of a request.
     pub(crate) fn record_arrival(&mut self, now: Timestamp) {
         self.first_at.get_or_insert(now);
         self.long_term.record(now);
         self.short_term.record(now);
     }
 
-    /// A request ended well after this time.
+    /// Records the residence time of a request that succeeded.
     pub(crate) fn record_residence(&mut self, time: Duration) {
         self.samples = (self.samples + 1).min(MAX_SAMPLES);
         let weight = 1.0 / f64::from(self.samples);
         self.residence = self.residence.mul_f64(1.0 - weight) + time.mul_f64(weight);
     }
 
-    /// The part of the requests that go to a part of the endpoints.
+    /// Returns the flow of the fraction of the requests that goes to a fraction of the endpoints.
     pub(crate) fn scaled(self, fraction: f64) -> Self {
         let scaled = |rate: Rate| Rate {
             per_second: rate.per_second * fraction,
@@ -136,12 +140,13 @@
         }
     }
 
-    /// How long requests stay, on average.
+    /// Returns the mean residence time of requests.
     pub(crate) fn residence(&self) -> Duration {
         self.residence
     }
 
-    /// Requests a second: as usual, or more if more come at the moment.
+    /// Returns the arrival rate per second: the long-term rate, or the short-term rate if it is
+    /// higher.
     fn rate(&self, now: Timestamp) -> f64 {
         let first_at = self.first_at.unwrap_or(now);
         let time = now.saturating_sub(first_at);
@@ -152,8 +157,8 @@
         long_term.max(short_term)
     }
 
-    /// Requests that the other ones of `nodes` nodes got in the last `time` and that have not
-    /// ended.
+    /// Returns the number of requests that the other nodes among `nodes` received within the last
+    /// `time` and that have not ended.
     pub(crate) fn others_in_flight(&self, now: Timestamp, nodes: f64, time: Duration) -> f64 {
         let residence = self.residence.as_secs_f64().max(1e-9);
         let remaining = residence * (1.0 - (-time.as_secs_f64() / residence).exp());
