--- a/crates/member/src/action.rs
+++ b/crates/member/src/action.rs
@@ -1,4 +1,4 @@
-//! What a group asks for.
+//! Actions that a group asks its caller to perform.
 
 use crate::head::Head;
 use crate::identity::Id;
@@ -7,36 +7,36 @@
 use crate::peer::State;
 use std::net::SocketAddr;
 
-/// An action.
+/// An action that results from an event.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message.
+    /// Send a message to a peer.
     Send {
-        /// The peer; its id is not known to be right when it was only listed.
+        /// Id of the receiver. Not verified if the receiver is known from the instance list only.
         peer: Id,
-        /// Where it listens.
+        /// Address that the receiver listens on.
         to: SocketAddr,
-        /// What to send.
+        /// The message.
         message: Message,
     },
-    /// A peer is in another state, or was first heard of.
+    /// The state of a peer changed, or the peer was entered into the roster.
     StateChanged {
         /// The peer.
         peer: Id,
-        /// Its state.
+        /// Its new state.
         state: State,
-        /// Whether this is another run of it than before.
+        /// Whether the peer runs with another incarnation than before.
         restarted: bool,
     },
-    /// An item is new here.
+    /// An item of a peer was stored that this node did not have.
     Learned(Item),
-    /// A peer has a bundle in force that is newer than the one here; ask it for the record.
+    /// A peer has a newer bundle in force than this node: fetch its record from that peer.
     FetchHead {
-        /// What it has.
+        /// Head of the peer's bundle.
         head: Head,
         /// The peer.
         peer: Id,
-        /// Where it listens.
+        /// Address that the peer listens on.
         addr: SocketAddr,
     },
 }
--- a/crates/member/src/counters.rs
+++ b/crates/member/src/counters.rs
@@ -1,15 +1,15 @@
-//! Counters of one group.
+//! Counters of a group.
 
-/// What happened so far.
+/// Number of occurrences since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes sent.
+    /// Direct probes sent.
     pub probes: u64,
-    /// Probes that were answered.
+    /// Direct probes that were acknowledged.
     pub acks: u64,
-    /// Probes that others were asked for.
+    /// Indirect probes that were requested of other nodes.
     pub relays: u64,
-    /// Peers that this node was the first here to suspect.
+    /// Peers that this node suspected because its own probe failed.
     pub suspected: u64,
     /// Suspicions of this node that it refuted.
     pub refuted: u64,
@@ -17,16 +17,16 @@
     pub dead: u64,
     /// Peers judged parted.
     pub parted: u64,
-    /// Peers that came back after that.
+    /// Dead or parted peers that were found up again.
     pub returned: u64,
     /// Pauses of this process.
     pub pauses: u64,
-    /// Messages of an older run, or from a removed peer.
+    /// Messages or items discarded because they are of an old run, of a removed peer or invalid.
     pub stale: u64,
-    /// Exchanges whose rosters differed.
+    /// Digests answered with rows, because the rosters of a bucket differed.
     pub differing: u64,
-    /// Items learned.
+    /// Items of peers stored.
     pub learned: u64,
-    /// Items that did not fit the bounds.
+    /// Items, peers and indirect probes discarded because a bound was reached.
     pub dropped: u64,
 }
--- a/crates/member/src/demand.rs
+++ b/crates/member/src/demand.rs
@@ -1,4 +1,4 @@
-//! Announcing a node's own demand: what changed most first, within a budget of items.
+//! Announces a node's own demand: the largest changes first, within a budget of items.
 
 use crate::Now;
 use crate::item::{Observation, Team};
@@ -6,15 +6,15 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Steps of 19% by which a demand must differ before it is announced again.
+/// Number of levels (of 19% each) by which a demand must change to be announced again.
 const MIN_LEVEL_CHANGE: u8 = 2;
-/// Steps that are remembered: as long as a parted group may take to notice.
+/// Number of remembered steps: the longest time that a group may take to detect that it is parted.
 const MAX_HISTORY_STEPS: usize = 30;
 
-/// Requests of one team at one node.
+/// Demand of one team at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests per second that callers ask for, whether admitted or not.
+    /// Requests per second that callers send, whether admitted or not.
     pub rate: f64,
     /// Requests in flight or waiting for a slot.
     pub in_flight: f64,
@@ -31,7 +31,7 @@
     pub in_flight: f64,
 }
 
-/// What was announced of one team, and the least of it within the window.
+/// Announced demand of one team over the remembered steps.
 #[derive(Clone, Debug, Default)]
 pub struct Announced {
     latest: (Level, Level),
@@ -39,7 +39,7 @@
 }
 
 impl Announced {
-    /// Notes what holds from now on; `window` steps are kept.
+    /// Records the announced levels of a step. Keeps at least `window` steps.
     fn record(&mut self, levels: (Level, Level), window: usize) {
         self.latest = levels;
         self.history.push_back(levels);
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The least demand announced within the last `window` steps; zero until there were so many.
+    /// Returns the smallest demand announced within the last `window` steps; zero until that many steps
+    /// are recorded.
     pub fn min_over(&self, window: usize) -> Demand {
         let window = window.min(MAX_HISTORY_STEPS);
         if self.history.len() < window {
@@ -63,12 +64,12 @@
         }
     }
 
-    /// The least demand announced as far as is remembered.
+    /// Returns the smallest demand announced within the remembered steps.
     pub fn min_remembered(&self) -> Demand {
         self.min_over(MAX_HISTORY_STEPS.min(self.history.len()))
     }
 
-    /// What was announced last.
+    /// Returns the demand announced last.
     pub fn latest(&self) -> Demand {
         Demand {
             rate: self.latest.0.amount(),
@@ -76,13 +77,13 @@
         }
     }
 
-    /// Forgets the past, so that nothing counts until the window is full again.
+    /// Discards the history, so that no own demand counts until the window is full again.
     fn clear(&mut self) {
         self.history.clear();
     }
 }
 
-/// Own demand of all teams, by the index of the team.
+/// Announced own demand of all teams, by index of the team.
 #[derive(Clone, Debug, Default)]
 pub struct Announcer {
     rows: Vec<Announced>,
@@ -90,7 +91,7 @@
     last_step: Option<Now>,
 }
 
-/// A change worth announcing.
+/// A change of demand that is large enough to be announced.
 struct Change {
     row: usize,
     levels: (Level, Level),
@@ -98,7 +99,7 @@
 }
 
 impl Announcer {
-    /// Fits the table to `teams` rows, in a new order given by `old`: the former index of each.
+    /// Reorders the rows for a new list of teams; `old` holds the former index of each team.
     pub(crate) fn remap(&mut self, old: &[Option<usize>]) {
         let row = |o: &Option<usize>| {
             o.and_then(|i| self.rows.get(i).cloned())
@@ -107,18 +108,18 @@
         self.rows = old.iter().map(row).collect();
     }
 
-    /// Forgets what counted so far.
+    /// Discards the history of all teams.
     pub(crate) fn clear(&mut self) {
         self.rows.iter_mut().for_each(Announced::clear);
     }
 
-    /// What was announced of the team with index `row`.
+    /// Returns the announced demand of the team with index `row`.
     pub fn row(&self, row: usize) -> Option<&Announced> {
         self.rows.get(row)
     }
 
-    /// The items to publish now, at most `rate` per second on average. Demand below the floor,
-    /// which a node has anyway, is announced as none.
+    /// Returns the observations to publish now, at most `budget.items_per_second` on average. Demand
+    /// within the floor, which every node has in any case, is announced as zero.
     pub(crate) fn step(
         &mut self,
         now: Now,
@@ -130,8 +131,8 @@
             .last_step
             .map_or(Duration::from_secs(1), |s| now.saturating_sub(s));
         self.last_step = Some(now);
-        let most = (budget.items_per_second * 4.0).max(1.0);
-        self.credit = (self.credit + budget.items_per_second * gap.as_secs_f64()).min(most);
+        let max_credit = (budget.items_per_second * 4.0).max(1.0);
+        self.credit = (self.credit + budget.items_per_second * gap.as_secs_f64()).min(max_credit);
         let mut changes = self.changes(budget.nodes, limits, demands);
         changes.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.row.cmp(&b.row)));
         changes.truncate(self.credit as usize);
@@ -172,19 +173,20 @@
     }
 }
 
-/// Bounds of one step.
+/// Bounds of the announcements of one step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Budget {
     /// Items per second.
     pub(crate) items_per_second: f64,
-    /// Steps of the window.
+    /// Number of steps in the window.
     pub(crate) window_steps: usize,
-    /// Nodes that exist.
+    /// Number of existing nodes.
     pub(crate) nodes: usize,
 }
 
+/// Returns the level to announce for a demand; zero if the floor covers it.
 fn announced_level(demand: f64, limit: f64, nodes: usize) -> Level {
-    // Demand beyond the limit cannot be met anywhere and would only crowd out the others.
+    // Demand beyond the limit cannot be served anywhere and would only reduce the shares of other nodes.
     let demand = demand.min(limit);
     match demand <= crate::share::floor(limit, nodes) {
         true => Level(0),
@@ -192,7 +194,8 @@
     }
 }
 
-/// How much a change matters: its part of the limit; zero if it is too small.
+/// Returns the change as a fraction of the limit, by which changes are ranked; zero if the change is too
+/// small to announce.
 fn change_weight(old: Level, new: Level, limit: f64) -> f64 {
     let zero = (old.0 == 0) != (new.0 == 0);
     if limit <= 0.0 || (!zero && old.distance(new) < MIN_LEVEL_CHANGE) {
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a group.
+//! Events that drive a group.
 
 use crate::head::Head;
 use crate::identity::Id;
@@ -10,27 +10,27 @@
 /// An event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; comes at least every [`TICK`].
+    /// Time passed. Must occur at least once per [`TICK`].
     Tick,
-    /// A peer sent a message.
+    /// A message of a peer arrived.
     Received {
-        /// Where that peer listens.
+        /// Address that the peer listens on.
         from: SocketAddr,
-        /// What it sent.
+        /// The message.
         message: Message,
     },
-    /// The instance list was read; all its nodes.
+    /// The instance list was read; holds every node that it names.
     Listed(Vec<Entry>),
-    /// This node has a bundle in force. Publish a head only when its record is at hand, since
-    /// peers that learn of it ask this node for the record.
+    /// This node has a bundle in force. Raise this only once the bundle's record can be served,
+    /// since peers that learn of the head request the record from this node.
     Head(Head),
-    /// This node observed something. All of one event are spread together.
+    /// This node made observations. Those of one event spread as one publication.
     Publish(Vec<Observation>),
     /// A new connection to a peer failed.
     ConnectFailed(Id),
-    /// This node is about to exit, with nothing in flight.
+    /// This node is about to exit and has no request in flight.
     Quit,
 }
 
-/// Longest time between two ticks.
+/// Longest time between two [`Event::Tick`]s.
 pub const TICK: std::time::Duration = std::time::Duration::from_millis(100);
--- a/crates/member/src/head.rs
+++ b/crates/member/src/head.rs
@@ -1,13 +1,13 @@
-//! Heads of the bundle stream.
+//! Head of the bundle stream: identifies the newest bundle that a node has in force.
 
 use std::fmt;
 
-/// The bundle that a node has in force: the highest number wins.
+/// Identifies the bundle that a node has in force. The head with the highest number supersedes all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Head {
-    /// Number of the version.
+    /// Version number of the bundle.
     pub number: u64,
-    /// Digest of its canonical text.
+    /// Digest of the bundle's canonical text.
     pub digest: [u8; 32],
 }
 
--- a/crates/member/src/identity.rs
+++ b/crates/member/src/identity.rs
@@ -1,20 +1,21 @@
-//! Who a node is.
+//! Identity of a node and of its process run.
 
 use std::fmt;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hash of an instance's name; the key of all tables here.
+/// Hash of an instance's name. All tables of this crate use it as key.
 pub type Id = u64;
-/// Number of one run of an instance; a restart has a higher one (milliseconds since the epoch).
+/// Number of one process run of an instance, in milliseconds since the Unix epoch at its start. A
+/// restart has a higher number.
 pub type Incarnation = u64;
 
-/// The id of the instance named `name`.
+/// Returns the id of the instance named `name`.
 pub fn id(name: &str) -> Id {
     xxh3_64(name.as_bytes())
 }
 
-/// Name, place and run of a node.
+/// Name, address, location and run of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Name in the instance list.
@@ -30,7 +31,7 @@
 }
 
 impl Identity {
-    /// The id of its name.
+    /// Returns the id of the node's name.
     pub fn id(&self) -> Id {
         id(&self.name)
     }
--- a/crates/member/src/item.rs
+++ b/crates/member/src/item.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other about the world.
+//! Items: observations that nodes publish to each other.
 
 use crate::identity::{Id, Incarnation};
 use crate::level::Level;
@@ -7,35 +7,35 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of a publication within one run of its origin, from 1.
+/// Number of a publication within one run of its origin, starting at 1.
 pub type Version = u32;
-/// Hash of a team's name. Two teams with the same hash have their demands added up, which makes
-/// their shares smaller and never larger.
+/// Hash of a team's name. The demands of two teams with the same hash are added up, which can only
+/// reduce their shares.
 pub type Team = u32;
 /// Hash of a request's content.
 pub type Fingerprint = u64;
 
-/// The key of the team named `name`.
+/// Returns the key of the team named `name`.
 pub fn team(name: &str) -> Team {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// What an item is about; a later item of the same origin and key replaces an earlier one.
+/// Subject of an item. A later item of the same origin and key replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
-    /// The origin takes no new work.
+    /// Exit of the origin.
     Leaving,
     /// Load of the origin.
     Load,
-    /// The origin's callers' listener.
+    /// Address on which the origin serves callers.
     Callers,
     /// An endpoint, by name.
     Endpoint(String),
-    /// An endpoint that is about to give up layers, by name.
+    /// An endpoint that is about to release layers, by name.
     Releasing(String),
-    /// A fingerprint in flight at an endpoint's death.
+    /// A fingerprint that was in flight when an endpoint died.
     Suspect(Fingerprint),
-    /// A fingerprint on which a verdict is awaited.
+    /// A fingerprint whose verdict is pending.
     Pending(Fingerprint),
     /// A fingerprint that crashes endpoints.
     Condemned(Fingerprint),
@@ -46,55 +46,56 @@
 /// One observation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// The origin takes no new work.
+    /// The origin accepts no new requests.
     Leaving,
-    /// Load of the origin as a fraction of what it can carry.
+    /// Load of the origin as a fraction of its capacity.
     Load(Level),
-    /// Where the origin serves callers.
+    /// The origin serves callers at an address.
     Callers {
-        /// Address as callers reach it.
+        /// Address that callers connect to.
         addr: SocketAddr,
-        /// Whether it speaks TLS.
+        /// Whether the listener uses TLS.
         tls: bool,
     },
-    /// The origin ejected an endpoint, or took it back.
+    /// The origin ejected an endpoint, or ended its ejection.
     Endpoint {
         /// Name of the endpoint.
         name: String,
-        /// Whether it is ejected.
+        /// Whether the endpoint is ejected.
         ejected: bool,
-        /// How long this counts.
+        /// Time until the observation expires.
         ttl: Duration,
     },
     /// The origin is about to order an endpoint to release its layers and load others.
     Releasing {
         /// Name of the endpoint.
         name: String,
-        /// How long this counts.
+        /// Time until the observation expires.
         ttl: Duration,
     },
     /// A request with this fingerprint was in flight when an endpoint died.
     Suspect {
-        /// Hash of the request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// How long this counts.
+        /// Time until the observation expires.
         ttl: Duration,
     },
-    /// A request with this fingerprint was alone on an endpoint that died; a verdict is awaited.
+    /// A request with this fingerprint was the only one on an endpoint that died; the verdict on it is
+    /// pending.
     Pending {
-        /// Hash of the request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// How long this counts.
+        /// Time until the observation expires.
         ttl: Duration,
     },
     /// Requests with this fingerprint crash endpoints and are refused.
     Condemned {
-        /// Hash of the request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// How long this counts.
+        /// Time until the observation expires.
         ttl: Duration,
     },
-    /// What callers of a team ask of the origin.
+    /// Demand of a team at the origin.
     Demand {
         /// The team.
         team: Team,
@@ -106,7 +107,7 @@
 }
 
 impl Observation {
-    /// What it is about.
+    /// Returns the subject of the observation.
     pub fn key(&self) -> Key {
         match self {
             Self::Leaving => Key::Leaving,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// How long it counts; nothing if until its origin goes.
+    /// Returns the time until the observation expires; `None` if it is valid until its origin leaves.
     pub fn ttl(&self) -> Option<Duration> {
         match self {
             Self::Endpoint { ttl, .. }
@@ -133,34 +134,34 @@
         }
     }
 
-    /// The same with another time to count.
-    pub fn with_ttl(mut self, left: Duration) -> Self {
+    /// Returns the observation with another time to live, if it has one.
+    pub fn with_ttl(mut self, new_ttl: Duration) -> Self {
         match &mut self {
             Self::Endpoint { ttl, .. }
             | Self::Releasing { ttl, .. }
             | Self::Suspect { ttl, .. }
             | Self::Pending { ttl, .. }
-            | Self::Condemned { ttl, .. } => *ttl = left,
+            | Self::Condemned { ttl, .. } => *ttl = new_ttl,
             _ => {}
         }
         self
     }
 
-    /// Whether it is sent on at once and not only by the next exchange. Demand and load change
-    /// all the time, and their readers allow for a delay.
+    /// Returns whether the observation is sent on at once instead of with the next exchange. Demand and
+    /// load change continuously, and their readers allow for a delay.
     pub fn urgent(&self) -> bool {
         !matches!(self, Self::Load(_) | Self::Demand { .. })
     }
 }
 
-/// An observation of one node.
+/// An observation with its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// The node that published it.
+    /// Id of the node that published the item.
     pub origin: Id,
-    /// The run of that node.
+    /// Incarnation of the origin at publication.
     pub incarnation: Incarnation,
-    /// Number of the publication; items that were published together share it.
+    /// Number of the publication, shared by all items that were published together.
     pub version: Version,
     /// The observation.
     pub body: Observation,
--- a/crates/member/src/level.rs
+++ b/crates/member/src/level.rs
@@ -1,18 +1,18 @@
-//! Quantised amounts: one byte for a rate or a count.
+//! Amounts quantised to one byte on a logarithmic scale, for rates and counts.
 
 use std::fmt;
 
-/// Levels per doubling. Four make one step 19%.
+/// Levels per doubling of the amount: 4, so that adjacent levels differ by 19%.
 const STEPS_PER_DOUBLING: f64 = 4.0;
 /// Amount of the lowest level above zero.
 const LOWEST_AMOUNT: f64 = 0.01;
 
-/// An amount, rounded up to a step of 19%; from 0.01 to 1e17, and zero.
+/// An amount rounded up to the next level: zero, or from 0.01 to 1e17 in steps of 19%.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Level(pub u8);
 
 impl Level {
-    /// The lowest level whose amount is at least `amount`.
+    /// Returns the lowest level whose amount is at least `amount`.
     pub fn of(amount: f64) -> Self {
         if amount <= 0.0 || amount.is_nan() {
             return Self(0);
@@ -21,7 +21,7 @@
         Self(step.clamp(0.0, 254.0) as u8 + 1)
     }
 
-    /// The amount it stands for.
+    /// Returns the amount that the level represents.
     pub fn amount(self) -> f64 {
         match self.0 {
             0 => 0.0,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Steps between two levels.
+    /// Returns the number of steps between two levels.
     pub fn distance(self, other: Self) -> u8 {
         self.0.abs_diff(other.0)
     }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,17 +1,19 @@
-//! Membership of the nodes, spread of observations between them, and shares of team limits.
+//! Membership of nodes, dissemination of their observations, and their shares of team limits.
 //!
-//! [`group::Group`] decides who lives: it takes [`event::Event`]s with the time they came at and
-//! gives [`action::Action`]s back. It probes one peer per round and exchanges digests with that
-//! same peer, and probes the two that it watches, so that a node's cost per round does not depend on
-//! the number of nodes. What one node publishes ([`item::Observation`]) reaches all others; the highest bundle
-//! head is part of every message. [`team::Teams`] turns the spread demand into each node's share of the team limits.
+//! [`group::Group`] holds the membership protocol, a variant of SWIM. It handles [`event::Event`]s,
+//! each with the time of its arrival, and returns [`action::Action`]s. Per round it probes one peer
+//! and exchanges digests with it (anti-entropy), and probes its two neighbours in the ring of ids, so
+//! that the cost of a node per round does not depend on the number of nodes. What one node publishes
+//! ([`item::Observation`]) reaches all others. Every message carries the highest bundle head known
+//! to its sender. [`team::Teams`] computes each node's share of the team limits from the demand that
+//! the nodes announced.
 //!
-//! Time is passed in as the time since the process started, chance as a seed: the same events
-//! give the same actions. There is no I/O here.
+//! The crate performs no I/O and is deterministic: the time since the process started is an
+//! argument, and all random choices derive from a seed.
 //!
-//! Left to others: frames, connections and their authentication (`wire`), reading the instance
-//! list (`platform`), fetching and checking the bundle behind a head (`bundle`), enforcing the
-//! shares at admission (`route`).
+//! Other crates encode frames and authenticate connections (`wire`), read the instance list
+//! (`platform`), fetch and verify the bundle of a head (`bundle`) and enforce the shares at
+//! admission (`route`).
 
 pub mod action;
 pub mod counters;
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between groups. Their form on the wire is the `wire` crate's.
+//! Messages between nodes. The `wire` crate defines their encoding.
 
 use crate::head::Head;
 use crate::identity::{Id, Identity, Incarnation};
@@ -6,7 +6,7 @@
 use crate::peer::Refutations;
 use std::net::SocketAddr;
 
-/// Number of a probe of one node.
+/// Sequence number of a probe, assigned by the node that sends it.
 pub type Seq = u32;
 /// Index of a bucket of the roster.
 pub type Bucket = u8;
@@ -16,61 +16,61 @@
 /// A message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The sender.
+    /// Id of the sender.
     pub from: Id,
-    /// Its run.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// What it has in force.
+    /// Head of the bundle that the sender has in force.
     pub head: Option<Head>,
-    /// What changed in the group of late. A [`Update::Suspect`] of a run whose row is in the body is what
-    /// the sender thinks of it, and no news.
+    /// Recent changes of membership, piggybacked on the message. An [`Update::Suspect`] of a run whose
+    /// row is in the body states how the sender sees that run, and is not a recent change.
     pub updates: Vec<Update>,
-    /// The matter itself.
+    /// Content of the message.
     pub body: Body,
 }
 
-/// The matter of a message.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// Answer with an [`Body::Ack`] of the same number if you are `to`.
+    /// Direct probe: the receiver answers with a [`Body::Ack`] of the same number if it is `to`.
     Ping {
         /// Number of the probe.
         seq: Seq,
-        /// Whom the sender means.
+        /// Id of the node that the sender expects at the address.
         to: Id,
     },
-    /// `of` answered the probe.
+    /// Answer to a probe: `of` is alive.
     Ack {
         /// Number of the probe.
         seq: Seq,
-        /// Who answered.
+        /// Id of the probed node.
         of: Id,
     },
-    /// Probe `to` for me.
+    /// Request for an indirect probe: the receiver probes `to` and forwards the answer.
     IndirectPing {
         /// Number of the sender's probe.
         seq: Seq,
-        /// Whom to probe.
+        /// Id of the node to probe.
         to: Id,
-        /// Where it listens.
+        /// Address that the node to probe listens on.
         addr: SocketAddr,
     },
-    /// Who are you? The asked one answers with [`Body::Rows`] of itself.
+    /// Request for identification: the receiver answers with [`Body::Rows`] that holds its own row.
     Identify,
     /// Rows of the roster.
     Rows(Vec<Row>),
-    /// Only the head and the news matter.
+    /// No content: the message carries only the head and the updates.
     Empty,
-    /// Urgent items.
+    /// Urgent items, sent without waiting for the next exchange.
     Items(Vec<Item>),
-    /// What the sender knows, by bucket; answered by [`Body::Delta`].
+    /// Versions known to the sender, by bucket; answered by [`Body::Delta`].
     Digest(Vec<Summary>),
-    /// What the other side of an exchange lacks.
+    /// Items and rows that the other side of an exchange lacks.
     Delta(Delta),
 }
 
 impl Body {
-    /// Rows of the roster in it.
+    /// Returns the rows of the roster that the message carries.
     pub fn rows(&self) -> &[Row] {
         match self {
             Self::Rows(rows) => rows,
@@ -80,58 +80,58 @@
     }
 }
 
-/// A row of the roster.
+/// A row of the roster as sent in messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Name, place and run.
+    /// Name, address, location and run of the node.
     pub identity: Identity,
-    /// Its last refutation.
+    /// Number of suspicions that the run has refuted.
     pub refutations: Refutations,
 }
 
-/// A change in the group.
+/// A change of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// A node is there.
+    /// A node joined.
     Join(Row),
-    /// A node did not answer.
+    /// A node did not answer a probe.
     Suspect(Run),
     /// A node refuted a suspicion.
     Alive(Run),
-    /// A node left.
+    /// A node left by announcement.
     Left(Run),
 }
 
-/// One run of a node, up to a refutation.
+/// Identifies one run of a node at one of its refutations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The node.
+    /// Id of the node.
     pub id: Id,
-    /// The run.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// The last refutation known to the sender.
+    /// Number of refutations of the run known to the sender.
     pub refutations: Refutations,
 }
 
-/// What a node knows of one bucket.
+/// Versions of one bucket known to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// Hash over the ids and runs of the bucket's rows.
+    /// Hash over the ids and incarnations of the bucket's rows.
     pub hash: u32,
-    /// By row: the version up to which all is known.
+    /// By row: the version up to which all publications are known.
     pub versions: Vec<Version>,
 }
 
 /// The answer to a digest.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
-    /// Items that the other side lacks.
+    /// Items that the other side lacks, by bucket.
     pub items: Vec<BucketItems>,
-    /// Rows of buckets that differ.
+    /// Rows of the buckets whose hashes differ.
     pub rows: Vec<Row>,
-    /// Buckets whose rows are all in `rows`: answer with those missing there.
+    /// Buckets whose rows are all in `rows`: the receiver answers with the rows that are missing there.
     pub complete: Vec<Bucket>,
-    /// What the sender lacks.
+    /// Requests for items that the sender lacks.
     pub requests: Vec<Request>,
 }
 
@@ -140,48 +140,48 @@
 pub struct BucketItems {
     /// The bucket.
     pub bucket: Bucket,
-    /// Its hash; places are void under another one.
+    /// Hash of the bucket. Row indexes are valid only where the receiver has the same hash.
     pub hash: u32,
     /// Items by origin.
     pub batches: Vec<Batch>,
 }
 
-/// Items of one origin: all that changed after the version that the other side knew.
+/// Items of one origin: all that changed after the version known to the other side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Place of the origin in its bucket.
+    /// Row of the origin in its bucket.
     pub row: RowIndex,
-    /// The version up to which this is complete.
+    /// Version up to which the batch is complete.
     pub up_to: Version,
-    /// Items by publication, ascending.
+    /// Publications in ascending order of version.
     pub publications: Vec<Publication>,
 }
 
-/// Items of one publication that are still current.
+/// The observations of one publication that no later one has replaced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Publication {
-    /// Its version.
+    /// Version of the publication.
     pub version: Version,
     /// The observations.
     pub observations: Vec<item::Observation>,
 }
 
-/// What the sender lacks of one bucket.
+/// Request for the items of one bucket that the sender lacks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// The bucket.
     pub bucket: Bucket,
-    /// Its hash.
+    /// Hash of the bucket.
     pub hash: u32,
-    /// Rows where it is behind.
+    /// Rows whose items the sender lacks.
     pub known: Vec<KnownVersion>,
 }
 
-/// A row where the sender is behind.
+/// The version of one row up to which a node knows all publications.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownVersion {
-    /// Place of the origin in its bucket.
+    /// Row of the origin in its bucket.
     pub row: RowIndex,
-    /// The version up to which the sender knows all.
+    /// Version up to which all publications are known.
     pub version: Version,
 }
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -1,4 +1,4 @@
-//! Peers as this node sees them.
+//! Peers: nodes as seen by this node, itself included.
 
 use crate::Now;
 use crate::identity::{Id, Identity};
@@ -6,36 +6,36 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// How often a node has refuted a suspicion in one run.
+/// Number of suspicions that a node has refuted in one run; orders statements about that run.
 pub type Refutations = u32;
 
-/// What this node thinks of a peer. `Dead` and `Parted` are each node's own judgement; only
-/// suspicion and its refutation are spread.
+/// State of a peer as seen by this node. Each node judges by itself whether a peer is `Dead` or
+/// `Parted`; only suspicions and refutations are disseminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers.
+    /// The peer answers.
     Up,
-    /// It did not answer somebody, and may still refute that.
+    /// The peer did not answer a probe of some node and may still refute the suspicion.
     Suspect,
-    /// It is out of reach together with most of its availability zone, or with most of the
-    /// group; it counts as existing.
+    /// The peer is unreachable together with most of its availability zone or of the group, as in a
+    /// network partition. It still counts as an existing node.
     Parted,
-    /// It alone did not answer and did not refute.
+    /// The peer did not answer and did not refute the suspicion, while its availability zone answers.
     Dead,
-    /// It left by itself, or nobody lists or reaches it any longer.
+    /// The peer announced its exit, or is neither listed nor reachable, and was removed.
     Left,
 }
 
-/// What the instance list says of an instance.
+/// State of an instance in the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It is listed as live.
+    /// Listed as live.
     Live,
-    /// It is listed as leaving.
+    /// Listed as leaving.
     Leaving,
 }
 
-/// One line of the instance list.
+/// An entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Name of the instance.
@@ -46,43 +46,43 @@
     pub zone: String,
     /// Name of its region.
     pub region: String,
-    /// What the list says of it.
+    /// State of the instance in the list.
     pub state: ListedState,
 }
 
-/// A peer.
+/// A node in the roster.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Hash of its name.
+    /// Hash of the node's name.
     pub id: Id,
-    /// Name, place and run.
+    /// Name, address, location and run.
     pub identity: Identity,
-    /// Its last known refutation.
+    /// Number of refutations known of its run.
     pub refutations: Refutations,
-    /// What this node thinks of it.
+    /// State as seen by this node.
     pub state: State,
-    /// Since when.
+    /// Time at which the peer entered its state, or at which the state was last confirmed.
     pub state_since: Now,
-    /// When it was last no longer up; what followed has one cause with what other peers lost
-    /// then.
+    /// Time at which the peer last ceased to be up. Losses of several peers within a short time are
+    /// taken to have one cause.
     pub lost_at: Now,
-    /// When something last came from it or proved that it lives; nothing if it is only known from
-    /// others.
+    /// Time of the last message from the peer or other proof that it is alive; `None` if it is known only
+    /// through other nodes.
     pub heard_at: Option<Now>,
-    /// When this node's own probe of it last failed.
+    /// Time at which this node's own probe of the peer last failed.
     pub probe_failed_at: Option<Now>,
-    /// Since when, after it was lost, its availability zone is known to answer.
+    /// Time since which, after the loss of the peer, its availability zone is known to answer.
     pub zone_alive_since: Option<Now>,
-    /// What the list says; nothing if it does not name the peer.
+    /// State in the instance list; `None` if the list does not name the peer.
     pub listed: Option<ListedState>,
-    /// All its publications up to this one are stored.
+    /// Version up to which all publications of the peer are stored.
     pub version: Version,
-    /// Whether it said that it takes no new work.
+    /// Whether the peer announced that it accepts no new requests.
     pub leaving: bool,
 }
 
 impl Peer {
-    /// A peer that is up.
+    /// Creates a peer that is up.
     pub fn new(identity: Identity, now: Now) -> Self {
         Self {
             id: identity.id(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether work may be sent to it.
+    /// Returns whether requests may be sent to the peer.
     pub fn accepts_work(&self) -> bool {
         let live = self.listed != Some(ListedState::Leaving);
         self.state == State::Up && !self.leaving && live
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -1,4 +1,4 @@
-//! The table of nodes that have been heard of, this one among them.
+//! Roster: the table of known nodes, including this one.
 
 use crate::Now;
 use crate::identity::{Id, Identity};
@@ -6,18 +6,18 @@
 use crate::peer::Peer;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Number of buckets. A difference between two rosters costs the rows of one bucket, so more
-/// buckets make differences cheaper and every digest longer.
+/// Number of buckets of a roster. Two rosters that differ exchange all rows of the differing buckets:
+/// more buckets make a difference cheaper, but every digest longer.
 pub const BUCKETS: usize = 16;
 
-/// Rows by bucket, each sorted by id.
+/// Rows of the known nodes by bucket; each bucket is sorted by id.
 #[derive(Clone, Debug)]
 pub struct Roster {
     rows: Vec<Vec<Peer>>,
     hashes: Vec<u32>,
 }
 
-/// The bucket of `id`.
+/// Returns the index of the bucket that holds `id`.
 pub fn bucket(id: Id) -> usize {
     (id % BUCKETS as u64) as usize
 }
@@ -34,17 +34,18 @@
 }
 
 impl Roster {
-    /// All rows in a fixed order.
+    /// Iterates over all rows by bucket and id.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.rows.iter().flatten()
     }
 
-    /// All rows in a fixed order; ids and runs stay as they are.
+    /// Iterates over all rows by bucket and id. Callers must not change ids and incarnations, which the
+    /// bucket hashes cover.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Peer> {
         self.rows.iter_mut().flatten()
     }
 
-    /// The row of `id`.
+    /// Returns the row of `id`.
     pub fn get(&self, id: Id) -> Option<&Peer> {
         let rows = &self.rows[bucket(id)];
         rows.binary_search_by_key(&id, |p| p.id)
@@ -52,14 +53,15 @@
             .map(|i| &rows[i])
     }
 
-    /// The row of `id`; its id and run stay as they are.
+    /// Returns the row of `id`. Callers must not change its id and incarnation, which the bucket hash covers.
     pub(crate) fn get_mut(&mut self, id: Id) -> Option<&mut Peer> {
         let rows = &mut self.rows[bucket(id)];
         let found = rows.binary_search_by_key(&id, |p| p.id).ok();
         found.map(|i| &mut rows[i])
     }
 
-    /// Adds or replaces a row. Nothing happens when its bucket is full, since a place is a byte.
+    /// Inserts or replaces a row. Returns false and changes nothing if its bucket is full: a
+    /// [`RowIndex`] is one byte.
     pub(crate) fn insert(&mut self, peer: Peer) -> bool {
         let index = bucket(peer.id);
         let rows = &mut self.rows[index];
@@ -72,7 +74,7 @@
         true
     }
 
-    /// Takes a row out.
+    /// Removes and returns the row of `id`.
     pub(crate) fn remove(&mut self, id: Id) -> Option<Peer> {
         let index = bucket(id);
         let at = self.rows[index].binary_search_by_key(&id, |p| p.id).ok()?;
@@ -81,33 +83,33 @@
         Some(peer)
     }
 
-    /// The rows of one bucket.
+    /// Returns the rows of a bucket; empty if `index` is out of range.
     pub fn bucket(&self, index: Bucket) -> &[Peer] {
         self.rows.get(usize::from(index)).map_or(&[], Vec::as_slice)
     }
 
-    /// Hash over ids and runs of one bucket.
+    /// Returns the hash over the ids and incarnations of a bucket.
     pub fn hash(&self, index: Bucket) -> Option<u32> {
         self.hashes.get(usize::from(index)).copied()
     }
 
-    /// Number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.iter().map(Vec::len).sum()
     }
 
-    /// Whether there is none.
+    /// Returns whether the roster has no rows.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Row of another node that says it listens on the address of `identity`.
+    /// Returns the row of a node of another name with the same address as `identity`.
     pub(crate) fn address_conflict(&self, identity: &Identity) -> Option<&Peer> {
         self.iter()
             .find(|p| p.identity.addr == identity.addr && p.identity.name != identity.name)
     }
 
-    /// The hash that `index` should have.
+    /// Computes the hash of a bucket from its rows.
     pub(crate) fn computed_hash(&self, index: usize) -> u32 {
         let mut hash = Xxh3::new();
         for peer in &self.rows[index] {
@@ -122,7 +124,7 @@
     }
 }
 
-/// The row as it is sent.
+/// Returns the row of a peer as sent in messages.
 pub(crate) fn to_row(peer: &Peer) -> Row {
     Row {
         identity: peer.identity.clone(),
@@ -130,7 +132,7 @@
     }
 }
 
-/// Age of a time, zero if it is ahead.
+/// Returns the time from `then` to `now`; zero if `then` is in the future.
 pub(crate) fn age(now: Now, then: Now) -> Now {
     now.saturating_sub(then)
 }
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -1,49 +1,49 @@
-//! Settings of membership.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// Nodes up to which a group is small.
+/// Largest number of nodes of a small group.
 pub const SMALL_GROUP_NODES: usize = 32;
 
-/// Times and bounds. The defaults are those that the figures in the docs were measured with.
+/// Times and bounds of the membership protocol. The figures in the documentation hold for the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// One peer is probed, and digests are exchanged with it, per round; half of it in a small
-    /// group.
+    /// Time between two rounds; in each, one peer is probed and digests are exchanged with it. Half of it
+    /// applies in a small group.
     pub probe_interval: Duration,
-    /// Time between two exchanges of a node that knows nobody or has just started: until it knows the
-    /// others, it takes what it sees of the load for all that there is.
+    /// Time between two exchanges of a node that knows no peer or has recently started. Short, because
+    /// until it knows the other nodes, it takes the load that it sees for the whole load.
     pub startup_exchange_interval: Duration,
-    /// How long a node has just started.
+    /// Time after its start during which a node counts as recently started.
     pub startup_period: Duration,
-    /// Time without a new peer after which a node that has just started takes those that it knows for
-    /// all that there are.
+    /// Time without a new peer after which a recently started node takes its roster for complete.
     pub settle_time: Duration,
-    /// How long a probe may take before others are asked to probe.
+    /// Time without an answer to a direct probe after which indirect probes are requested.
     pub direct_probe_timeout: Duration,
-    /// How long a probe may take in all before the peer is suspected.
+    /// Time without an answer, direct or indirect, after which the probed peer is suspected.
     pub probe_timeout: Duration,
-    /// How long a suspected peer may take to refute; grows with the logarithm of the group.
+    /// Time for a suspected peer to refute, in a group of up to 10 nodes; it grows with the logarithm of
+    /// the number of nodes.
     pub suspicion_timeout: Duration,
-    /// A gap between two ticks above this means that this process was paused.
+    /// Time between two ticks above which this process counts as having been paused.
     pub pause_threshold: Duration,
-    /// How long a peer that is neither listed nor reachable is kept.
+    /// Time after which a peer that is neither listed nor reachable is removed.
     pub unlisted_retention: Duration,
-    /// How long a removed run of a peer is remembered, so that late news do not bring it back.
+    /// Time for which a removed run of a peer is remembered, so that a delayed update does not restore it.
     pub tombstone_retention: Duration,
-    /// Helpers asked to probe.
+    /// Number of peers that are asked to probe an unresponsive one.
     pub indirect_probers: usize,
-    /// Peers that an urgent item is sent to by each node that learns it.
+    /// Number of peers to which each node that learns an urgent item forwards it.
     pub fanout: usize,
-    /// News in one message at most.
+    /// Largest number of updates in one message.
     pub max_updates: usize,
-    /// Bytes of items in one answer of an exchange at most, as an estimate.
+    /// Largest size of the items in one answer of an exchange, in estimated bytes.
     pub max_delta_bytes: usize,
-    /// Rows of the roster in one answer of an exchange at most.
+    /// Largest number of rows of the roster in one answer of an exchange.
     pub max_delta_rows: usize,
-    /// Items stored per origin at most.
+    /// Largest number of items stored per origin.
     pub max_items_per_origin: usize,
-    /// Peers at most.
+    /// Largest number of rows in the roster.
     pub max_peers: usize,
 }
 
@@ -72,15 +72,15 @@
 }
 
 impl Settings {
-    /// How long a suspicion lasts in a group of `peers`: rumours need a number of rounds that
-    /// grows with the logarithm of the group, there and back.
+    /// Returns the time that a suspected peer has to refute in a group of `peers` nodes. The suspicion and
+    /// its refutation each spread in a number of rounds that grows with the logarithm of that number.
     pub fn suspicion_timeout(&self, peers: usize) -> Duration {
         let scale = (peers.max(2) as f64).log10().max(1.0);
         self.suspicion_timeout.mul_f64(scale)
     }
 
-    /// Time between two rounds among `peers`: small groups can afford twice as many, which halves
-    /// the time until a demand counts everywhere.
+    /// Returns the time between two rounds in a group of `peers` nodes. Small groups can afford twice as
+    /// many rounds, which halves the time until a demand counts on all nodes.
     pub fn probe_interval(&self, peers: usize) -> Duration {
         match peers <= SMALL_GROUP_NODES {
             true => self.probe_interval / 2,
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Time until the next exchange of digests among `peers`, `age` after the start. Nodes that have
-    /// just started look for each other in each tick, since callers that were cut off are back within
-    /// a second.
+    /// Returns the time until the next exchange of digests in a group of `peers` nodes, `age` after the
+    /// start. Recently started nodes exchange with every tick, since callers that lost their connections
+    /// reconnect within a second.
     pub fn exchange_interval(&self, peers: usize, age: Duration) -> Duration {
         let usual = self.probe_interval(peers);
         match peers <= 1 || age < self.startup_period {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// How often a piece of news is passed on by a node.
+    /// Returns how many times a node sends an update in a group of `peers` nodes.
     pub fn update_transmissions(&self, peers: usize) -> u32 {
         3 * (usize::BITS - peers.leading_zeros()).max(1)
     }
--- a/crates/member/src/store.rs
+++ b/crates/member/src/store.rs
@@ -1,4 +1,4 @@
-//! Items by origin.
+//! Store of the items that nodes published, by origin.
 
 use crate::Now;
 use crate::identity::Id;
@@ -7,20 +7,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An item as stored.
+/// A stored item.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// Its publication.
+    /// Version of its publication.
     pub version: Version,
-    /// When it stops to count.
+    /// Time at which the item expires; `None` if it is valid until its origin leaves.
     pub expires_at: Option<Now>,
     /// The observation.
     pub body: Observation,
-    /// What a demand was before, if that was less, and when it last changed.
+    /// For a demand, the smallest value before its last change, and the time of that change.
     pub previous_min: Option<PreviousMin>,
 }
 
-/// The least of a demand before its last change.
+/// The smallest value of a demand before its last change.
 #[derive(Clone, Copy, Debug)]
 pub struct PreviousMin {
     rate: Level,
@@ -29,8 +29,8 @@
 }
 
 impl Slot {
-    /// The least that this demand was within `time`, or less: changes that follow each other
-    /// within that time are taken as one.
+    /// Returns a lower bound of this demand within the last `time`. Changes that follow each other within
+    /// that time are treated as one, so the result may be less than the demand ever was.
     pub fn min_demand(&self, now: Now, time: Duration) -> (Level, Level) {
         let Observation::Demand {
             rate, in_flight, ..
@@ -39,13 +39,14 @@
             return Default::default();
         };
         match self.previous_min {
-            Some(low) if now.saturating_sub(low.changed_at) < time => {
-                (low.rate.min(*rate), low.in_flight.min(*in_flight))
+            Some(previous) if now.saturating_sub(previous.changed_at) < time => {
+                (previous.rate.min(*rate), previous.in_flight.min(*in_flight))
             }
             _ => (*rate, *in_flight),
         }
     }
 
+    /// Initializes the history of a demand that is stored for the first time: it was zero before.
     fn init_previous_min(&mut self, now: Now) {
         let none = Level::default();
         self.previous_min =
@@ -56,6 +57,7 @@
             });
     }
 
+    /// Continues the history of the demand that this item replaces.
     fn update_previous_min(&mut self, old: &Slot, now: Now) {
         if matches!(old.body, Observation::Demand { .. }) {
             let (rate, in_flight) = old.min_demand(now, MIN_DEMAND_RETENTION);
@@ -67,11 +69,11 @@
         }
     }
 
-    /// The observation with the time that it still counts.
+    /// Returns the observation with its remaining time to live.
     pub fn with_remaining_ttl(&self, now: Now) -> Observation {
-        let left = self.expires_at.map(|u| u.saturating_sub(now));
-        match left {
-            Some(left) => self.body.clone().with_ttl(left),
+        let remaining = self.expires_at.map(|u| u.saturating_sub(now));
+        match remaining {
+            Some(ttl) => self.body.clone().with_ttl(ttl),
             None => self.body.clone(),
         }
     }
@@ -83,20 +85,21 @@
     origins: BTreeMap<Id, BTreeMap<Key, Slot>>,
 }
 
-/// How long the least of a demand is remembered.
+/// Time for which the smallest previous value of a demand is remembered.
 pub const MIN_DEMAND_RETENTION: Duration = Duration::from_secs(30);
-/// The longest an item may count; a peer's larger value is cut.
+/// Longest time to live of an item. A longer one received from a peer is reduced to this.
 pub const MAX_TTL: Duration = Duration::from_secs(24 * 3600);
 
 impl Store {
-    /// Stores an item unless a later one of its key is there, or the origin has `most` items.
+    /// Stores an item, unless it or a later one of the same key is stored, or the origin already has
+    /// `max_items` items.
     pub(crate) fn put(
         &mut self,
         origin: Id,
         version: Version,
         body: Observation,
         now: Now,
-        most: usize,
+        max_items: usize,
     ) -> PutOutcome {
         let slots = self.origins.entry(origin).or_default();
         let key = body.key();
@@ -107,7 +110,7 @@
             body,
             previous_min: None,
         };
-        let full = slots.len() >= most;
+        let full = slots.len() >= max_items;
         match slots.get_mut(&key) {
             Some(old) if old.version >= version => return PutOutcome::Known,
             Some(old) => {
@@ -116,7 +119,7 @@
             }
             None if full => return PutOutcome::Full,
             None => {
-                // Nothing announced counts as none.
+                // A demand that was never announced counts as zero.
                 slot.init_previous_min(now);
                 slots.insert(key, slot);
             }
@@ -124,41 +127,41 @@
         PutOutcome::New
     }
 
-    /// Drops all items of an origin.
+    /// Removes all items of an origin.
     pub(crate) fn forget(&mut self, origin: Id) {
         self.origins.remove(&origin);
     }
 
-    /// Drops what no longer counts.
+    /// Removes expired items.
     pub(crate) fn expire(&mut self, now: Now) {
         for slots in self.origins.values_mut() {
             slots.retain(|_, slot| slot.expires_at.is_none_or(|u| u > now));
         }
     }
 
-    /// Items of one origin, by key.
+    /// Iterates over the items of one origin in order of their keys.
     pub fn items(&self, origin: Id) -> impl Iterator<Item = (&Key, &Slot)> {
         self.origins.get(&origin).into_iter().flatten()
     }
 
-    /// One item.
+    /// Returns the item of an origin and key.
     pub fn get(&self, origin: Id, key: &Key) -> Option<&Slot> {
         self.origins.get(&origin)?.get(key)
     }
 
-    /// All origins with items.
+    /// Iterates over the origins.
     pub fn origins(&self) -> impl Iterator<Item = Id> {
         self.origins.keys().copied()
     }
 }
 
-/// What became of an item.
+/// Outcome of storing an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It is stored.
+    /// The item was stored.
     New,
-    /// It, or a later one, was known.
+    /// The item, or a later one of its key, was already stored.
     Known,
-    /// There was no room.
+    /// The origin already has the maximum number of items.
     Full,
 }
