--- a/crates/catalog/src/checked.rs
+++ b/crates/catalog/src/checked.rs
@@ -47,8 +47,8 @@
             Some(rows) => rows,
             None => self.hosts.get(&name.to_ascii_lowercase())?,
         };
-        let fits = |id: &RouteId| path.starts_with(&self.routes[*id as usize].prefix);
-        rows.iter().copied().find(fits)
+        let matches = |id: &RouteId| path.starts_with(&self.routes[*id as usize].prefix);
+        rows.iter().copied().find(matches)
     }
 
     /// The team that holds `key`.
@@ -63,8 +63,8 @@
 
     /// The id of the service called `name`.
     pub fn service_id(&self, name: &str) -> Option<ServiceId> {
-        let at = self.services.iter().position(|s| s.name == name)?;
-        u32::try_from(at).ok()
+        let index = self.services.iter().position(|s| s.name == name)?;
+        u32::try_from(index).ok()
     }
 }
 
@@ -104,16 +104,16 @@
     services: &HashMap<String, ServiceId>,
     findings: &mut Vec<Finding>,
 ) -> Option<Route> {
-    let place = format!("route {}", raw.name);
-    let before = findings.len();
-    let mut find = |message: String| findings.push(Finding::new(place.clone(), message));
+    let location = format!("route {}", raw.name);
+    let findings_before = findings.len();
+    let mut report = |message: String| findings.push(Finding::new(location.clone(), message));
     if !raw.prefix.starts_with('/') || !raw.prefix.ends_with('/') {
-        find(format!("prefix {:?} has no slash at an end", raw.prefix));
+        report(format!("prefix {:?} has no slash at an end", raw.prefix));
     }
     let mut split = Vec::new();
     for share in &raw.split {
         match services.get(&share.service) {
-            None => find(format!("service {} is not in the catalog", share.service)),
+            None => report(format!("service {} is not in the catalog", share.service)),
             Some(_) if share.weight == 0 => {}
             Some(&service) => split.push(Share {
                 service,
@@ -122,12 +122,12 @@
         }
     }
     if split.is_empty() {
-        find("no service takes its requests".to_owned());
+        report("no service takes its requests".to_owned());
     }
     if raw.timeout.is_zero() {
-        find("its timeout is 0".to_owned());
+        report("its timeout is 0".to_owned());
     }
-    (findings.len() == before).then(|| Route {
+    (findings.len() == findings_before).then(|| Route {
         host: raw.host.to_ascii_lowercase(),
         name: raw.name,
         prefix: raw.prefix,
@@ -161,8 +161,8 @@
                 .insert(key.clone(), id)
                 .is_some_and(|other| other != id)
             {
-                let place = format!("team {}", team.name);
-                findings.push(Finding::new(place, "shares a key with another team"));
+                let location = format!("team {}", team.name);
+                findings.push(Finding::new(location, "shares a key with another team"));
             }
         }
         teams.push(Team {
--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Requests of a batch that share a step, in estimates of work.
-const BATCH: f64 = 50.0;
+const TYPICAL_BATCH_SIZE: f64 = 50.0;
 
 /// Layers of a model, and what it costs to run and to hold them.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,48 +79,49 @@
 impl Engine {
     /// The accelerator called `name`.
     pub fn accelerator(&self, name: &str) -> Option<&Accelerator> {
-        self.accelerators.iter().find(|k| k.name == name)
+        self.accelerators.iter().find(|a| a.name == name)
     }
 
     /// Most layers that fit into `accelerator` with room for `tokens` tokens of requests through
     /// all of them.
     pub fn max_layers(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
-        let each = self.layer_bytes + tokens.max(0.0) * self.kv_bytes_per_token;
-        let most = (accelerator.memory_bytes / each).floor();
-        (most.max(0.0) as Layer).min(self.layers)
+        let bytes_per_layer = self.layer_bytes + tokens.max(0.0) * self.kv_bytes_per_token;
+        let layers = (accelerator.memory_bytes / bytes_per_layer).floor();
+        (layers.max(0.0) as Layer).min(self.layers)
     }
 
     /// Room for requests, in tokens times layers, beside `held` layers.
     pub fn kv_capacity(&self, accelerator: &Accelerator, held: Layer) -> f64 {
-        let left = accelerator.memory_bytes - f64::from(held) * self.layer_bytes;
-        (left / self.kv_bytes_per_token).max(0.0)
+        let free_bytes = accelerator.memory_bytes - f64::from(held) * self.layer_bytes;
+        (free_bytes / self.kv_bytes_per_token).max(0.0)
     }
 
     /// Time for which one request of this size keeps one layer busy. Steps are shared by the
-    /// requests of a batch; those of [`BATCH`] requests are taken.
+    /// requests of a batch; those of [`TYPICAL_BATCH_SIZE`] requests are taken.
     pub fn layer_busy_time(&self, accelerator: &Accelerator, size: Size) -> Duration {
         let context = f64::from(size.prompt) / 1000.0;
-        let own = self.step_time_per_request.as_secs_f64()
+        let extra = self.step_time_per_request.as_secs_f64()
             + self.step_time_per_1k_context.as_secs_f64() * context;
-        let step = (self.step_time.as_secs_f64() / BATCH + own) * accelerator.step_factor;
-        let read = accelerator.prefill_factor / self.prefill_rate.max(1.0);
-        let whole = step * f64::from(size.answer) + read * f64::from(size.prompt);
-        let layer = whole / f64::from(self.layers.max(1));
-        Duration::try_from_secs_f64(layer).unwrap_or_default()
+        let step_time =
+            (self.step_time.as_secs_f64() / TYPICAL_BATCH_SIZE + extra) * accelerator.step_factor;
+        let prefill = accelerator.prefill_factor / self.prefill_rate.max(1.0);
+        let total = step_time * f64::from(size.answer) + prefill * f64::from(size.prompt);
+        let per_layer = total / f64::from(self.layers.max(1));
+        Duration::try_from_secs_f64(per_layer).unwrap_or_default()
     }
 
     /// Time that a usual request spends in a chain that is neither idle nor full: all its steps at
     /// twice the pace of the fastest kind, since chains mix kinds.
     pub fn residence_time(&self) -> Duration {
-        let paces = self.accelerators.iter().map(|k| k.step_factor);
-        let fastest = paces.fold(f64::INFINITY, f64::min);
-        let pace = if fastest.is_finite() {
+        let factors = self.accelerators.iter().map(|a| a.step_factor);
+        let fastest = factors.fold(f64::INFINITY, f64::min);
+        let factor = if fastest.is_finite() {
             2.0 * fastest
         } else {
             1.0
         };
         self.step_time
-            .mul_f64(f64::from(self.typical_size.answer) * pace)
+            .mul_f64(f64::from(self.typical_size.answer) * factor)
     }
 
     /// Part of the model that `layers` are.
@@ -133,10 +134,10 @@
         if a == b {
             return Duration::ZERO;
         }
-        let of = |d: &&Delay| (d.from == a && d.to == b) || (d.from == b && d.to == a);
+        let joins = |d: &&Delay| (d.from == a && d.to == b) || (d.from == b && d.to == a);
         self.delays
             .iter()
-            .find(of)
+            .find(joins)
             .map_or(Duration::ZERO, |d| d.delay)
     }
 }
--- a/crates/catalog/src/finding.rs
+++ b/crates/catalog/src/finding.rs
@@ -13,9 +13,9 @@
 
 impl Finding {
     /// A finding about `place`.
-    pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
+    pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            location: place.into(),
+            location: location.into(),
             message: message.into(),
         }
     }
--- a/crates/catalog/src/source.rs
+++ b/crates/catalog/src/source.rs
@@ -71,24 +71,24 @@
         let mut changed = Vec::new();
         if page.complete {
             self.history_start = page.next_offset;
-            let named: BTreeSet<&str> = page.records.iter().map(|r| r.key.as_str()).collect();
-            let lost = self.rows.values().filter(|r| r.value.is_some());
-            let lost = lost.filter(|r| !named.contains(r.key.as_str()));
-            let lost: Vec<String> = lost.map(|r| r.key.clone()).collect();
-            for key in lost {
-                let gone = Record {
+            let listed: BTreeSet<&str> = page.records.iter().map(|r| r.key.as_str()).collect();
+            let removed = self.rows.values().filter(|r| r.value.is_some());
+            let removed = removed.filter(|r| !listed.contains(r.key.as_str()));
+            let removed: Vec<String> = removed.map(|r| r.key.clone()).collect();
+            for key in removed {
+                let removal = Record {
                     key: key.clone(),
                     value: None,
                     offset: page.next_offset.saturating_sub(1),
                 };
-                self.rows.insert(key.clone(), gone);
+                self.rows.insert(key.clone(), removal);
                 changed.push(key);
             }
         }
         for record in page.records {
-            let known = self.rows.get(&record.key);
-            let same = |k: &Record| k.offset == record.offset && k.value == record.value;
-            if known.is_some_and(|k| k.offset > record.offset || same(k)) {
+            let current = self.rows.get(&record.key);
+            let unchanged = |k: &Record| k.offset == record.offset && k.value == record.value;
+            if current.is_some_and(|k| k.offset > record.offset || unchanged(k)) {
                 continue;
             }
             changed.push(record.key.clone());
@@ -119,15 +119,15 @@
         self.changes(from, usize::MAX).page
     }
 
-    /// The oldest changes from `from` on, for a peer whose copy ends there, in at most about `most`
+    /// The oldest changes from `from` on, for a peer whose copy ends there, in at most about `max_bytes`
     /// bytes; the first chunk of all keys if not all of these changes are kept. Given as changes,
     /// they would leave the peer with endpoints that are gone.
-    pub fn changes(&self, from: Offset, most: usize) -> Chunk {
+    pub fn changes(&self, from: Offset, max_bytes: usize) -> Chunk {
         if from < self.history_start {
-            return self.keys(0, most);
+            return self.keys(0, max_bytes);
         }
         let wanted = self.rows.values().filter(|r| r.offset >= from);
-        let (records, more) = oldest(wanted.collect(), most);
+        let (records, more) = oldest_records(wanted.collect(), max_bytes);
         let next = match records.last() {
             Some(last) if more => last.offset + 1,
             _ => self.next_offset,
@@ -140,13 +140,13 @@
         Chunk { page, more }
     }
 
-    /// The keys that last changed at `from` or later, the oldest first, in at most about `most`
+    /// The keys that last changed at `from` or later, the oldest first, in at most about `max_bytes`
     /// bytes. A key that changes while its peer gathers the chunks comes again in a later one, or
     /// among the changes from the first chunk's `next` on.
-    pub fn keys(&self, from: Offset, most: usize) -> Chunk {
-        let living = self.rows.values().filter(|r| r.value.is_some());
-        let wanted = living.filter(|r| r.offset >= from);
-        let (records, more) = oldest(wanted.collect(), most);
+    pub fn keys(&self, from: Offset, max_bytes: usize) -> Chunk {
+        let present = self.rows.values().filter(|r| r.value.is_some());
+        let wanted = present.filter(|r| r.offset >= from);
+        let (records, more) = oldest_records(wanted.collect(), max_bytes);
         let page = Page {
             records,
             next_offset: self.next_offset,
@@ -156,15 +156,15 @@
     }
 }
 
-/// The oldest of some records in about `most` bytes, and whether some are left over. Records of
+/// The oldest of some records in about `max_bytes` bytes, and whether some are left over. Records of
 /// one offset stay together, since a peer goes on behind the last offset that it has.
-fn oldest(mut records: Vec<&Record>, most: usize) -> (Vec<Record>, bool) {
+fn oldest_records(mut records: Vec<&Record>, max_bytes: usize) -> (Vec<Record>, bool) {
     records.sort_unstable_by_key(|r| r.offset);
     let mut bytes = 0;
     let mut end = 0;
     while end < records.len() {
-        let again = end > 0 && records[end].offset == records[end - 1].offset;
-        if bytes >= most && !again {
+        let same_offset = end > 0 && records[end].offset == records[end - 1].offset;
+        if bytes >= max_bytes && !same_offset {
             break;
         }
         bytes += records[end].size();
