--- a/crates/gate/src/admit.rs
+++ b/crates/gate/src/admit.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's request against the catalog.
+//! Admission of requests: checks them against the catalog.
 
 use crate::dialect::{Dialect, RequestInfo};
 use crate::job::Job;
@@ -14,7 +14,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern a single connection and are not forwarded (RFC 9110, section
+/// 7.6.1).
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -26,18 +27,22 @@
     "upgrade",
 ];
 
-/// What the head of a request was checked to be.
+/// Result of checking a request's head.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the head says.
+    /// Metadata from the request's headers.
     pub info: RequestInfo,
-    /// The route.
+    /// The matching route.
     pub route: RouteId,
-    /// The caller's team, and its rank if it has one of its own.
+    /// The caller's team, with its priority if it has one of its own; `None` if no team has the
+    /// key.
     pub team: Option<catalog::team::Team>,
 }
 
-/// Checks a head, of which `ask` was read.
+/// Checks the head of a request, whose headers were parsed into `info`.
+///
+/// Refuses requests that match no route, and requests without a known key if the catalog and the
+/// route require one.
 pub fn head(catalog: &Catalog, parts: &Parts, info: RequestInfo) -> Result<Admitted, Refusal> {
     let host = parts.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
@@ -52,7 +57,7 @@
     Ok(Admitted { info, route, team })
 }
 
-/// Reads a body of at most `most` bytes.
+/// Reads a body of at most `max_bytes` bytes.
 pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
     match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -61,7 +66,9 @@
     }
 }
 
-/// The request that goes on, from what was checked.
+/// Builds the job from the parts of an admitted request.
+///
+/// `random` selects the service if the route splits its traffic among several.
 pub fn job<D: Dialect>(
     dialect: &D,
     catalog: &Arc<Catalog>,
@@ -94,21 +101,21 @@
     })
 }
 
-/// Longest time for any request; a far longer one, added to a clock, would overflow it.
+/// Upper bound on the time of any request; a value far above it would overflow `Instant`.
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// Headers that are passed on to an endpoint.
+/// Returns the request headers that are forwarded to an endpoint.
 fn forwarded<D: Dialect>(dialect: &D, headers: &HeaderMap) -> HeaderMap {
     filtered(headers, |name| !dialect.is_stripped(name))
 }
 
-/// Headers of an endpoint's answer that are passed on to the caller.
+/// Returns the headers of an endpoint's response that are forwarded to the caller.
 pub fn returned(headers: &HeaderMap) -> HeaderMap {
     filtered(headers, |_| true)
 }
 
-/// Headers that concern more than one connection and that `wanted` keeps. The length is that of
-/// the body as it is sent on.
+/// Returns the end-to-end headers for which `keep` holds. `Content-Length` is omitted; it is set
+/// anew from the body that is sent.
 fn filtered(headers: &HeaderMap, keep: impl Fn(&HeaderName) -> bool) -> HeaderMap {
     let listed = connection_options(headers);
     let filtered = headers.iter();
@@ -121,7 +128,7 @@
     HOP_BY_HOP.contains(&name.as_str()) || listed.iter().any(|n| n == name.as_str())
 }
 
-/// Headers that `Connection` names as concerning this connection only.
+/// Returns the headers that `Connection` declares as hop-by-hop.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter();
     let values = values.filter_map(|v| v.to_str().ok());
--- a/crates/gate/src/dialect.rs
+++ b/crates/gate/src/dialect.rs
@@ -1,4 +1,5 @@
-//! What differs between installations: names and forms of headers and of short answers.
+//! The installation-specific part of the protocol: names and formats of headers and of short
+//! responses.
 
 use bytes::Bytes;
 use catalog::engine::Size;
@@ -7,98 +8,98 @@
 use std::time::Duration;
 use steer::target::{Stage, Target};
 
-/// What a caller's head says.
+/// Metadata in the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request's id.
+    /// Request id.
     pub id: Option<String>,
-    /// The key of the caller's team.
+    /// Key of the caller's team.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// Tokens of a model request: of the prompt, and of the longest answer.
+    /// Token counts of a model request: prompt, and maximum output.
     pub size: Option<Size>,
-    /// The caller's estimate of the answer's tokens.
+    /// The caller's estimate of the number of output tokens.
     pub expected_output: Option<u32>,
-    /// The last event that the caller has of an earlier answer.
+    /// Id of the last event that the caller received from an earlier response to this request.
     pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// Metadata that is added to the caller's headers when a request is sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct ForwardInfo<'a> {
-    /// Where the request goes.
+    /// Endpoint or chain that the request is sent to.
     pub target: &'a Target,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub time_left: Duration,
-    /// The caller's team.
+    /// Name of the caller's team.
     pub team: Option<&'a str>,
-    /// Rank among the endpoint's requests, 0 first.
+    /// Priority among the endpoint's requests, 0 first; `None` if the service has no engine.
     pub priority: Option<u8>,
-    /// The event after which the answer goes on.
+    /// Id of the event after which the response is to be resumed.
     pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint's head says beside its status.
+/// Metadata in the headers of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// Id of the request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// Whether it states that the request was not run.
+    /// Whether the endpoint states that it did not execute the request.
     pub not_run: bool,
-    /// Whether the answer is sealed: proof that the endpoint made it.
+    /// Whether the response has a seal, which proves that the endpoint produced it.
     pub sealed: bool,
-    /// The endpoint of a chain that is at fault.
+    /// The endpoint of the chain that caused the failure.
     pub faulty_stage: Option<SocketAddr>,
     /// How long the endpoint keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
 }
 
-/// A request that waits for an endpoint of its chain.
+/// A request that is blocked on another endpoint of its chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// The request's id.
+    /// Request id.
     pub request: String,
-    /// The endpoint that it waits for.
+    /// The endpoint that the request waits for.
     pub blocked_on: SocketAddr,
 }
 
-/// What an engine says of itself.
+/// Status report of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusReport {
-    /// Requests that were sent to it and wait for another endpoint.
+    /// Requests that this engine is the head of and that wait for another endpoint.
     pub stalls: Vec<Stall>,
 }
 
-/// What came of an order to go on over other stages.
+/// Result of rerouting a request that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RerouteOutcome {
-    /// The head goes on over them.
+    /// The head continues the request over the new stages.
     Done,
-    /// This stage is not there, or has no room.
+    /// This stage is unreachable or has no free capacity.
     Missing(SocketAddr),
-    /// The head knows no such request, or did not answer.
+    /// The head does not know the request, or did not respond.
     Failed,
 }
 
-/// The installation's dialect.
+/// Protocol between callers, nodes and endpoints of one installation.
 pub trait Dialect: Clone + 'static {
-    /// Reads a caller's head.
+    /// Parses the headers of a caller's request.
     fn request_info(&self, headers: &HeaderMap) -> RequestInfo;
-    /// Whether a caller's header is for the node alone and not passed on.
+    /// Returns whether a caller's header is addressed to the node and not forwarded.
     fn is_stripped(&self, name: &HeaderName) -> bool;
-    /// Adds what an endpoint is told.
+    /// Adds the headers for an endpoint.
     fn add_headers(&self, headers: &mut HeaderMap, info: &ForwardInfo<'_>);
-    /// Reads an endpoint's head.
+    /// Parses the headers of an endpoint's response.
     fn response_info(&self, headers: &HeaderMap) -> ResponseInfo;
-    /// The answer to a caller that asks which addresses to use.
+    /// Encodes the list of addresses that callers should use for the next `ttl`.
     fn addresses(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
-    /// Asks an engine for its account; nothing if it does not answer.
+    /// Requests the status report of an engine; `None` if it does not respond.
     fn status_report(&self, addr: SocketAddr) -> impl Future<Output = Option<StatusReport>>;
-    /// Orders the head of a chain to go on over other stages.
+    /// Orders the head of a chain to continue a request over other stages.
     fn reroute(&self, request: &str, stages: &[Stage]) -> impl Future<Output = RerouteOutcome>;
-    /// Path of the question for addresses.
+    /// Path at which callers request the list of addresses.
     fn addresses_path(&self) -> &'static str;
-    /// Path of the question whether this node takes requests.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/gate/src/discovery.rs
+++ b/crates/gate/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Answers the question which addresses callers should use.
+//! Responses for service discovery: the addresses of the nodes, and the readiness of this node.
 
 use crate::body::{self, Body};
 use crate::dialect::Dialect;
@@ -7,13 +7,14 @@
 use http::{HeaderValue, Response, StatusCode};
 use std::time::Duration;
 
-/// Most addresses of an answer: callers read no more.
+/// Maximum number of addresses in a response; callers don't read more.
 const MAX_ADDRESSES: usize = 64;
-/// How long callers keep an answer. Some keep it three times as long; a node that leaves serves
-/// for longer than that.
+/// How long callers may cache the list. Some cache it three times as long; a node that leaves keeps
+/// serving for longer than that.
 pub const ADDRESS_TTL: Duration = Duration::from_secs(1);
 
-/// The answer, from `view` on; `turn` shifts the list, so that each part of a long one is told.
+/// Returns the addresses of the nodes in `view`. `rotation` shifts the start of the list, so that
+/// successive responses cover all nodes when there are more than `MAX_ADDRESSES`.
 pub fn addresses<D: Dialect, S>(
     dialect: &D,
     view: Option<&View>,
@@ -34,7 +35,7 @@
     response
 }
 
-/// The answer to the question whether this node takes requests.
+/// Responds to a readiness check: 200 if this node accepts requests, 503 otherwise.
 pub fn readiness<S>(view: Option<&View>) -> Response<Body<S>> {
     let ready = view.is_some_and(|v| !v.leaving);
     let mut response = Response::new(body::full(if ready { "ready\n" } else { "not ready\n" }));
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -1,47 +1,47 @@
-//! Cuts an event stream into whole events.
+//! Splits an event stream (`text/event-stream`) into events.
 //!
-//! An endpoint may stop in the middle of an event. Only whole events are passed on, so that what
-//! follows from another endpoint stands right behind them.
+//! An endpoint may fail in the middle of an event. Only complete events are forwarded, so that the
+//! events of the endpoint that resumes the response can follow directly.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for.
+/// Maximum size of an event; a longer one fails the stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event, with the empty line that ends it.
+/// A complete event, including the empty line that terminates it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one that is a number.
+    /// Numeric event id; `None` if the event has no id or the id is not a number.
     pub id: Option<u64>,
-    /// Its bytes.
+    /// The event as received.
     pub bytes: Bytes,
 }
 
-/// Bytes that are not a whole event yet.
+/// Buffers the bytes of a stream and iterates over its complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes of `rest` in which no end was found.
+    /// Number of leading bytes of `buffer` that contain no end of an event.
     scanned: usize,
 }
 
 impl Splitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the stream stops in the middle of an event.
+    /// Returns whether the buffer holds an incomplete event.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether an event is longer than any that is sent.
+    /// Returns whether the buffered event exceeds the maximum size.
     pub fn is_oversized(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops what is left of an endpoint's stream.
+    /// Discards buffered bytes, before the stream of another endpoint follows.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
@@ -51,7 +51,7 @@
 impl Iterator for Splitter {
     type Item = Event;
 
-    /// The next whole event.
+    /// Returns the next complete event; `None` until more bytes are received.
     fn next(&mut self) -> Option<Event> {
         let Some(end) = event_end(&self.buffer, self.scanned) else {
             self.scanned = self.buffer.len().saturating_sub(3);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Where the first event ends: behind an empty line.
+/// Returns the offset behind the first event, which ends with an empty line.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.min(bytes.len());
     let ends = (from..bytes.len()).filter(|&i| bytes[i] == b'\n');
--- a/crates/gate/src/forward.rs
+++ b/crates/gate/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to endpoints until one answers, as far as it may be repeated.
+//! Forwards a request to endpoints until one responds, with retries where the route allows them.
 
 pub mod attempt;
 pub mod migration;
@@ -30,52 +30,56 @@
 use steer::{Selector, Timestamp};
 use tokio::time::timeout;
 
-/// Attempts that may end without having reached an endpoint.
+/// Maximum number of attempts that may fail without having reached an endpoint.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
-/// Part of the route's target time that a request waits for room: past it another node, asked
-/// again by the caller, is as likely to have room as this one.
+/// Maximum wait for an endpoint with free capacity, as a fraction of the route's latency target.
+/// After that time another node that the caller retries on is as likely to find capacity as this
+/// one.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.4;
-/// Time in which an idempotent request that was not answered is sent to another endpoint, as a
-/// multiple of the route's target time.
+/// Time after which an idempotent request without a response is retried on another endpoint, as a
+/// multiple of the route's latency target.
 const HEAD_TIMEOUT_FACTOR: f64 = 1.5;
-/// Bytes of an answer that are gathered before it is passed on.
+/// Maximum size of a buffered response body.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Longest body of a refusal that is read to keep its connection.
+/// Maximum size of a refusal's body that is read to reuse the connection.
 const MAX_DRAINED_BYTES: usize = 64 << 10;
-/// Longest time for that.
+/// Maximum time for reading a refusal's body.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
-/// When to come back if all endpoints are full: a part of what an answer takes.
+/// Retry-after delay when all endpoints are full: a fraction of a response's duration.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
-/// When to come back if endpoints are missing: about what an endpoint takes to load its layers.
+/// Retry-after delay when endpoints are missing: about the time in which an endpoint loads its
+/// layers.
 const RETRY_AFTER_MISSING: Duration = Duration::from_millis(800);
-/// When to come back if nothing is large enough: an endpoint more is needed.
+/// Retry-after delay when no endpoint is large enough for the request: an additional endpoint is
+/// needed.
 const RETRY_AFTER_TOO_LARGE: Duration = Duration::from_secs(3);
 
-/// A request under way.
+/// A request in flight.
 pub(crate) struct Forwarder<D: Dialect> {
     pub(crate) worker: Rc<Worker<D>>,
     pub(crate) job: Job,
     pub(crate) log: RequestLog,
-    /// Endpoints that it was sent to.
+    /// Endpoints that the request was sent to.
     pub(crate) tried: Vec<catalog::endpoint::Run>,
-    /// Attempts that may have run.
+    /// Number of attempts that may have been executed.
     pub(crate) possible_runs: u32,
-    /// Whether an attempt has reached an endpoint, so that the next one is a further arrival.
+    /// Whether an attempt reached an endpoint. From then on further attempts count against the
+    /// retry budget.
     pub(crate) reached: bool,
-    pub(crate) _flight: InFlightGuard,
+    pub(crate) _in_flight: InFlightGuard,
 }
 
-/// What a caller gets.
+/// The response that a caller gets.
 enum Reply<D: Dialect> {
-    /// An endpoint's whole answer.
+    /// A buffered response of an endpoint.
     Complete(Response<Bytes>),
-    /// An endpoint's answer that comes in events.
+    /// An event stream of an endpoint.
     Events(Box<EventSource<D>>),
-    /// The node's own.
+    /// An error response of this node.
     Refused(Refusal),
 }
 
-/// Runs a request to its answer.
+/// Forwards an admitted request and returns the response for the caller.
 pub(crate) async fn run<D: Dialect>(
     worker: Rc<Worker<D>>,
     job: Job,
@@ -91,16 +95,16 @@
         tried: Vec::new(),
         possible_runs: 0,
         reached: false,
-        _flight: guard,
+        _in_flight: guard,
     };
     match forwarder.run_attempts().await {
         Reply::Refused(refusal) => {
             forwarder.log.end_refused(refusal);
             refusal.response()
         }
-        Reply::Complete(answer) => {
-            forwarder.log.end_answered(answer.status().as_u16());
-            answer.map(body::full)
+        Reply::Complete(response) => {
+            forwarder.log.end_answered(response.status().as_u16());
+            response.map(body::full)
         }
         Reply::Events(source) => {
             let head = source.head();
@@ -154,7 +158,7 @@
         }
     }
 
-    /// What an endpoint's head leads to; nothing if the request is sent again.
+    /// Turns an endpoint's response into the reply; `None` if the request is to be retried.
     async fn handle_response(&mut self, exchange: Exchange<D>) -> Option<Reply<D>> {
         let status = exchange.response.status();
         if exchange.not_run() {
@@ -168,8 +172,9 @@
         }
         let repeat = status.is_server_error() && self.job.kind().repeatable();
         let info = exchange.info.clone();
-        let Some(answer) = self.read_complete(exchange).await else {
-            self.log.record_failure("the answer broke off", true);
+        let Some(response) = self.read_complete(exchange).await else {
+            self.log
+                .record_failure("response was cut off before its end", true);
             if !self.job.kind().repeatable() {
                 return Some(Reply::Refused(Refusal::new(Reason::OutcomeUnknown)));
             }
@@ -179,10 +184,10 @@
             self.log.record_failure(&format!("status {status}"), true);
             return None;
         }
-        Some(Reply::Complete(answer))
+        Some(Reply::Complete(response))
     }
 
-    /// Reads an answer to its end; nothing if it broke off.
+    /// Reads a response completely; `None` if it was cut off or exceeds the size limit.
     async fn read_complete(&mut self, exchange: Exchange<D>) -> Option<Response<Bytes>> {
         let Exchange {
             conn,
@@ -205,7 +210,7 @@
         Some(Response::from_parts(parts, body.to_bytes()))
     }
 
-    /// Gives up an attempt whose endpoint refused it.
+    /// Ends an attempt that the endpoint refused.
     pub(crate) async fn end_refused(&mut self, exchange: Exchange<D>) {
         let status = exchange.response.status();
         let not_run = exchange.not_run();
@@ -222,7 +227,7 @@
         self.drain_body(conn, response, &info).await;
     }
 
-    /// Reads the short body of a refusal, so that its connection can be used again.
+    /// Reads the short body of a refusal, so that the connection can be reused.
     async fn drain_body(
         &self,
         conn: Conn,
@@ -237,8 +242,8 @@
         }
     }
 
-    /// Nothing if the request is sent once more after an attempt that reached an endpoint, or else
-    /// the answer that ends it.
+    /// Returns `None` if the request may be retried after an attempt that reached an endpoint,
+    /// otherwise the final reply.
     fn retry_or_refuse(&mut self) -> Option<Reply<D>> {
         match self.try_retry(true) {
             true => None,
@@ -246,8 +251,9 @@
         }
     }
 
-    /// Whether the request may be sent once more; `arrived` if the last attempt counts as one
-    /// that reached an endpoint.
+    /// Returns whether the request may be retried, and takes the retry from the budget. `reached`
+    /// tells whether the last attempt counts as one that reached an endpoint; retries before that
+    /// are free.
     pub(crate) fn try_retry(&mut self, reached: bool) -> bool {
         self.reached |= reached;
         if self.possible_runs >= self.job.route().max_attempts {
@@ -269,24 +275,25 @@
         granted
     }
 
-    /// A target, after a wait for room if it must be; `patience` bounds the wait.
+    /// Selects a target and reserves its capacity. Waits for free capacity for up to `max_wait`, or
+    /// a fraction of the route's latency target.
     pub(crate) async fn acquire_target(
         &mut self,
         max_wait: Option<Duration>,
     ) -> Result<steer::target::Target, Shortage> {
         let started = tokio::time::Instant::now();
-        let usual = self
+        let default_wait = self
             .job
             .route()
             .latency_target
             .mul_f64(MAX_QUEUE_TIME_FRACTION);
-        let max_wait = max_wait.unwrap_or(usual).min(self.job.time_left());
+        let max_wait = max_wait.unwrap_or(default_wait).min(self.job.time_left());
         let need = self.job.need();
         loop {
-            let found = self.query_untried(|selector, now, service, tried| {
+            let selected = self.query_untried(|selector, now, service, tried| {
                 selector.select(now, service, &need, tried)
             });
-            let shortage = match found {
+            let shortage = match selected {
                 Ok(target) => {
                     self.worker.metrics.record_queue_time(started.elapsed());
                     return Ok(target);
@@ -301,13 +308,15 @@
         }
     }
 
-    /// Whether the request could go on elsewhere now. An answer that is only silent is not given up
-    /// before that: the endpoint may still go on, and a caller whose answer is cut has nothing.
+    /// Returns whether the request could be retried on another endpoint now. An attempt that is
+    /// merely idle is not abandoned before that: its endpoint may still continue, while a caller
+    /// whose response is cut off has nothing.
     pub(crate) fn can_fail_over(&self) -> bool {
         self.possible_runs + 1 < self.job.route().max_attempts && self.can_resume()
     }
 
-    /// The same for an answer that has begun, whose run is counted already.
+    /// Like [`Self::can_fail_over`], for a response that has started and whose execution is already
+    /// counted.
     pub(crate) fn can_resume(&self) -> bool {
         if !self.job.kind().repeatable() || self.possible_runs >= self.job.route().max_attempts {
             return false;
@@ -320,13 +329,13 @@
             return false;
         }
         let need = self.job.need();
-        let found = self.query_untried(|selector, now, service, tried| {
+        let selected = self.query_untried(|selector, now, service, tried| {
             selector.can_select(now, service, &need, tried)
         });
-        found.is_ok()
+        selected.is_ok()
     }
 
-    /// Asks for endpoints that were not tried, or else for any.
+    /// Runs a query for endpoints that were not tried yet; if there are none, for all endpoints.
     fn query_untried<T>(
         &self,
         query: impl Fn(
@@ -345,8 +354,8 @@
             })
     }
 
-    /// The id of the job's service in the catalog that is in force now, which may be a later one
-    /// than the job's own.
+    /// Returns the id of the job's service in the catalog that is in force, which may be newer than
+    /// the job's own.
     pub(crate) fn current_service(&self) -> steer::Result<ServiceId> {
         let name = &self.job.service().name;
         let now = self.worker.view();
@@ -358,19 +367,19 @@
         }
     }
 
-    /// Longest wait for an answer's head.
+    /// Returns the maximum wait for the head of a response.
     fn head_timeout(&self) -> Duration {
-        let left = self.job.time_left();
+        let time_left = self.job.time_left();
         let last = self.possible_runs + 1 >= self.job.route().max_attempts;
         match self.job.kind() {
             Kind::Idempotent if !last => {
-                left.min(self.job.route().latency_target.mul_f64(HEAD_TIMEOUT_FACTOR))
+                time_left.min(self.job.route().latency_target.mul_f64(HEAD_TIMEOUT_FACTOR))
             }
-            _ => left,
+            _ => time_left,
         }
     }
 
-    /// The reason when the time is over.
+    /// Returns the reason of a refusal after the deadline.
     fn timeout_reason(&self) -> Reason {
         match self.possible_runs {
             0 => Reason::ExpiredNotRun,
@@ -378,7 +387,7 @@
         }
     }
 
-    /// The answer when no further attempt is made.
+    /// Returns the refusal when no further attempt is made.
     fn exhausted(&self) -> Refusal {
         match self.possible_runs {
             0 => Refusal::with_retry_after(Reason::Unavailable, jitter(RETRY_AFTER_FULL)),
@@ -387,7 +396,7 @@
         }
     }
 
-    /// The answer when no endpoint can take it.
+    /// Records a shortage and returns the refusal when no endpoint can take the request.
     fn refuse_for_shortage(&mut self, shortage: Shortage) -> Refusal {
         self.log.set_reason(shortage.as_str());
         let scarcity = self.current_service().map(|service| {
@@ -399,27 +408,27 @@
         if self.possible_runs > 0 {
             return Refusal::new(Reason::OutcomeUnknown);
         }
-        let after = match shortage {
+        let base = match shortage {
             Shortage::Capacity => RETRY_AFTER_FULL,
             Shortage::Endpoints | Shortage::Layers => RETRY_AFTER_MISSING,
             Shortage::Size => RETRY_AFTER_TOO_LARGE,
         };
-        Refusal::with_retry_after(Reason::Unavailable, jitter(after))
+        Refusal::with_retry_after(Reason::Unavailable, jitter(base))
     }
 }
 
-/// A refusal in words, with the stage that the head of a chain names.
+/// Describes a refusal for the log, with the faulty stage that the head of a chain reported.
 fn describe_refusal(status: StatusCode, not_run: bool, info: &ResponseInfo) -> String {
     let run = if not_run { ", not run" } else { "" };
-    let culprit = info.faulty_stage.map(|c| format!(", for {c}"));
+    let stage = info.faulty_stage.map(|c| format!(", for {c}"));
     format!(
         "status {}{run}{}",
         status.as_u16(),
-        culprit.unwrap_or_default()
+        stage.unwrap_or_default()
     )
 }
 
-/// What a refusal says of the endpoint that it is about.
+/// Returns what a refusal implies for the health of the endpoint.
 fn refusal_outcome(status: StatusCode, info: &ResponseInfo) -> Outcome {
     match status {
         StatusCode::MISDIRECTED_REQUEST => Outcome::Misdirected,
@@ -428,12 +437,13 @@
     }
 }
 
-/// Spreads the return of callers that were refused together over once to twice the time.
-pub(crate) fn jitter(after: Duration) -> Duration {
-    after.mul_f64(rand::rng().random_range(1.0..2.0))
+/// Spreads the retries of callers that are refused together: returns one to two times `after`, at
+/// random.
+pub(crate) fn jitter(base: Duration) -> Duration {
+    base.mul_f64(rand::rng().random_range(1.0..2.0))
 }
 
-/// Whether an endpoint closes the connection after its answer.
+/// Returns whether the endpoint closes the connection after its response.
 pub(crate) fn closes_connection(headers: &http::HeaderMap) -> bool {
     let values = headers.get_all(http::header::CONNECTION).iter();
     let mut values = values.filter_map(|v| v.to_str().ok());
--- a/crates/gate/src/forward/attempt.rs
+++ b/crates/gate/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt up to the head of its answer.
+//! A single attempt, up to the head of the response.
 
 use super::Forwarder;
 use super::stall::{self, Verdict};
@@ -16,7 +16,8 @@
 use steer::target::{Stage, Target};
 use tokio::time::{Instant, timeout};
 
-/// What an attempt holds at endpoints, given back when it ends or is dropped.
+/// The capacity that an attempt reserved at its endpoints, released when the attempt ends or is
+/// dropped.
 pub(crate) struct Reservation<D: Dialect> {
     worker: Rc<Worker<D>>,
     pub(crate) target: Target,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Ends it; see [`steer::Selector::end`].
+    /// Releases the reservation and reports the outcome; see [`steer::Selector::end`].
     pub(crate) fn end(mut self, outcome: Outcome, faulty_stage: Option<SocketAddr>) {
         self.ended = true;
         self.worker
@@ -49,7 +50,7 @@
     }
 }
 
-/// An attempt whose answer's head came.
+/// An attempt whose response head was received.
 pub(crate) struct Exchange<D: Dialect> {
     pub(crate) conn: Conn,
     pub(crate) response: Response<Incoming>,
@@ -58,27 +59,27 @@
 }
 
 impl<D: Dialect> Exchange<D> {
-    /// Whether the endpoint says that it did not run the request.
+    /// Returns whether the endpoint states that it did not execute the request.
     pub(crate) fn not_run(&self) -> bool {
         self.info.not_run || self.response.status() == StatusCode::MISDIRECTED_REQUEST
     }
 }
 
-/// Why an attempt brought no head.
+/// Why an attempt got no response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection, or one that ended before anything was sent.
+    /// No connection, or one that was closed before the request was sent.
     Unsent,
     /// The connection broke.
     Broken,
-    /// Nothing came in time.
+    /// No response within the time limit.
     TimedOut,
-    /// What came is the answer to another request, or none that the endpoint vouches for.
+    /// The response belongs to another request, or lacks the seal of the endpoint.
     Unverified,
 }
 
 impl Failure {
-    /// Whether the request may have reached the endpoint, and have run.
+    /// Returns whether the request may have reached the endpoint and have been executed.
     pub(crate) fn may_have_run(self) -> bool {
         self != Self::Unsent
     }
@@ -86,9 +87,9 @@
     fn as_str(self) -> &'static str {
         match self {
             Self::Unsent => "no connection",
-            Self::Broken => "the connection broke",
-            Self::TimedOut => "no answer in time",
-            Self::Unverified => "another request's answer, or one without a seal",
+            Self::Broken => "connection broke",
+            Self::TimedOut => "no response head before the timeout",
+            Self::Unverified => "response belongs to another request or has no seal",
         }
     }
 }
@@ -103,8 +104,8 @@
 }
 
 impl<D: Dialect> Forwarder<D> {
-    /// Sends the request to the head of a target and waits up to `limit` for the answer's head.
-    /// `after` is the event after which the answer goes on.
+    /// Sends the request to the head of a target and waits for up to `limit` for the response head.
+    /// A response is resumed after the event `last_event_id`.
     pub(crate) async fn send(
         &mut self,
         mut reservation: Reservation<D>,
@@ -139,7 +140,7 @@
         Err(failure)
     }
 
-    /// Hops of a chain between availability zones, for the log.
+    /// Returns the number of hops between availability zones, for the log.
     pub(crate) fn crossings(&self, stages: &[Stage]) -> u32 {
         self.worker
             .with_selector(|selector, _| selector.crossings(stages))
@@ -158,7 +159,8 @@
             .await_head(&mut conn, request, reservation, limit)
             .await
         {
-            // A kept connection that was closed before the request left: a new one is made.
+            // The endpoint closed the idle connection before the request was sent; retry on a new
+            // one.
             Err(Failure::Unsent) => {
                 self.worker.pool.close_idle(addr);
                 let mut conn = self.worker.pool.get(addr).await?;
@@ -172,8 +174,8 @@
         }
     }
 
-    /// Waits for the head of an answer. A chain's head is asked what it waits for when it stays
-    /// silent; see [`super::look`].
+    /// Waits for the head of the response. If it is late, the head of a chain is asked what it
+    /// waits for; see [`super::stall`].
     async fn await_head(
         &self,
         conn: &mut Conn,
@@ -235,15 +237,16 @@
         request
     }
 
-    /// Whether an answer is this request's and the endpoint vouches for it. An endpoint may send
-    /// a second answer late, at the place of the next one; a success without a seal is nobody's.
+    /// Returns whether a response belongs to this request and was produced by the endpoint. An
+    /// endpoint may send a second response late, which then takes the place of the next one. A
+    /// success without a seal has no proven origin.
     fn is_genuine(&self, response: &Response<Incoming>, info: &ResponseInfo) -> bool {
         let own_id = info.request_id.is_none() || info.request_id == self.job.info.id;
         let success = response.status().is_success();
         let encoded = response
             .headers()
             .contains_key(http::header::CONTENT_ENCODING);
-        let informational = response.status() == StatusCode::SWITCHING_PROTOCOLS;
-        own_id && !informational && !encoded && (!success || info.sealed)
+        let upgraded = response.status() == StatusCode::SWITCHING_PROTOCOLS;
+        own_id && !upgraded && !encoded && (!success || info.sealed)
     }
 }
--- a/crates/gate/src/forward/migration.rs
+++ b/crates/gate/src/forward/migration.rs
@@ -1,10 +1,10 @@
-//! When an answer is moved off a stage that is about to go.
+//! Moves responses off a stage that is about to stop serving.
 //!
-//! An endpoint that leaves, or gives up layers, serves what passes through it for a few seconds and
-//! then ends. Answers that last longer stall on it, are found by their silence, and come late. So
-//! they are moved while it still serves: the caller sees the time that the new stage takes to read
-//! the tokens so far. All answers of a stage moved at once would wait for each other at the new one,
-//! so each draws its moment.
+//! An endpoint that leaves or releases layers keeps serving its requests for a few seconds and then
+//! ends. Longer responses would stall on it, be detected only by their idle time, and be late. So
+//! they are moved while the endpoint still serves, and the caller only waits while the new stage
+//! prefills the tokens so far. Moving all responses of a stage at once would queue them at the new
+//! one, so each is moved at a random time.
 
 use crate::dialect::Dialect;
 use crate::worker::Worker;
@@ -14,29 +14,29 @@
 use steer::target::Target;
 use tokio::time::Instant;
 
-/// Time over which the answers of one stage are moved. Endpoints serve for two seconds after they
-/// said that they leave, and nodes learn it up to a second later.
+/// Time over which the responses of one stage are moved. Endpoints keep serving for two seconds
+/// after they announce that they leave, and nodes learn of it up to one second later.
 const MIGRATION_WINDOW: Duration = Duration::from_millis(900);
 
-/// A move that is to come.
+/// A planned replacement of a stage.
 #[derive(Clone, Copy, Debug)]
 struct PlannedMove {
-    /// The stage that is replaced.
+    /// The stage to be replaced.
     stage: SocketAddr,
     at: Instant,
 }
 
-/// What one answer knows of its departing stages.
+/// Departing stages of one response.
 #[derive(Debug, Default)]
 pub(crate) struct Migration {
-    /// Number of the view that was looked at.
+    /// Number of the view that was last checked.
     view_number: u64,
     planned: Option<PlannedMove>,
 }
 
 impl Migration {
-    /// The stage of `target` that is to be replaced now, if any. After that it draws another moment,
-    /// so that a move which fails is tried again later.
+    /// Returns the stage of `target` that is to be replaced now, if any, and schedules another
+    /// replacement, so that one that fails is retried later.
     pub(crate) fn due<D: Dialect>(
         &mut self,
         worker: &Worker<D>,
@@ -52,7 +52,7 @@
         Some(due.stage)
     }
 
-    /// Finds the departing stage anew; one that is planned keeps its moment.
+    /// Looks up the departing stage again; one that is already scheduled keeps its time.
     fn refresh<D: Dialect>(&mut self, worker: &Worker<D>, target: &Target) {
         let found = worker.with_selector(|selector, _| selector.departing(target));
         let planned_stage = self.planned.map(|n| n.stage);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Replaces a stage at a moment within [`SPREAD`].
+/// Schedules a replacement at a random time within [`MIGRATION_WINDOW`].
 fn schedule(stage: SocketAddr) -> PlannedMove {
     let delay = MIGRATION_WINDOW.mul_f64(rand::rng().random_range(0.0..1.0));
     let at = Instant::now() + delay;
--- a/crates/gate/src/forward/request_log.rs
+++ b/crates/gate/src/forward/request_log.rs
@@ -1,4 +1,4 @@
-//! What is told of one request, decision by decision.
+//! Log and metrics of one request.
 
 use crate::job::Job;
 use crate::metrics::Metrics;
@@ -11,7 +11,8 @@
 use steer::target::{Stage, Target};
 use tokio::time::Instant;
 
-/// Tells of one request. Dropped before its end, it tells that the caller left.
+/// Records the events of one request. If it is dropped before the end, it records that the caller
+/// left.
 pub(crate) struct RequestLog {
     journal: Journal,
     metrics: Metrics,
@@ -23,7 +24,7 @@
     attempts: u32,
     reason: &'static str,
     max_pause: std::time::Duration,
-    /// When the caller was last given an event.
+    /// When the last event was sent to the caller.
     last_event: Option<Instant>,
     ended: bool,
 }
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Keeps a reason for the end.
+    /// Sets the reason that is recorded at the request's end.
     pub(crate) fn set_reason(&mut self, reason: &'static str) {
         self.reason = reason;
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, target: &Target, crossings: u32) {
         self.attempts += 1;
         self.metrics.record_attempt("sent");
@@ -64,7 +65,7 @@
         });
     }
 
-    /// A stage of an attempt was replaced.
+    /// Records that a stage of the current attempt was replaced.
     pub(crate) fn record_reroute(&self, replaced: SocketAddr, stages: &[Stage], crossings: u32) {
         self.metrics.record_attempt("stage replaced");
         self.journal.record(Event::Detour {
@@ -77,9 +78,9 @@
         });
     }
 
-    /// No endpoint could take the request.
+    /// Records that no endpoint could take the request.
     pub(crate) fn record_shortage(&self, shortage: Shortage, scarcity: &Scarcity) {
-        let percent = |part: f64| (part * 100.0).round() as u64;
+        let percent = |fraction: f64| (fraction * 100.0).round() as u64;
         self.journal.record(Event::Short {
             id: self.id.clone(),
             shortage: shortage.as_str(),
@@ -93,7 +94,7 @@
         });
     }
 
-    /// An attempt failed.
+    /// Records that an attempt failed.
     pub(crate) fn record_failure(&self, why: &str, ran: bool) {
         self.metrics
             .record_attempt(if ran { "failed" } else { "not run" });
@@ -106,15 +107,15 @@
         });
     }
 
-    /// The answer's head went to the caller.
+    /// Records that the response's head and first event were sent to the caller.
     pub(crate) fn record_first_event(&mut self) {
         self.first_event = Some(Instant::now());
         self.last_event = self.first_event;
         self.metrics.record_first_event(self.received_at.elapsed());
     }
 
-    /// A further event went to the caller. The pause before it is the caller's, whether or not the answer
-    /// went on from another endpoint meanwhile.
+    /// Records that a further event was sent to the caller. The pause is measured between the
+    /// caller's events, also if the response was resumed from another endpoint meanwhile.
     pub(crate) fn record_event(&mut self) {
         let pause = self.last_event.unwrap_or(self.received_at).elapsed();
         self.max_pause = self.max_pause.max(pause);
@@ -122,7 +123,7 @@
         self.metrics.record_pause(pause);
     }
 
-    /// The node answered by itself.
+    /// Ends the log of a request that the node refused or failed.
     pub(crate) fn end_refused(&mut self, refusal: Refusal) {
         let why = match self.reason {
             "" => refusal.reason.message().to_owned(),
@@ -131,12 +132,12 @@
         self.end(refusal.reason.status().as_u16(), "refused", why);
     }
 
-    /// An endpoint's answer went to the caller as a whole.
+    /// Ends the log of a request whose response was sent completely.
     pub(crate) fn end_answered(&mut self, status: u16) {
         self.end(status, "answered", String::new());
     }
 
-    /// An answer that had begun was broken off.
+    /// Ends the log of a request whose response was cut off after it had started.
     pub(crate) fn end_truncated(&mut self) {
         let why = self.reason.to_owned();
         self.end(200, "broken off", why);
@@ -144,7 +145,7 @@
 
     fn end(&mut self, status: u16, outcome: &'static str, why: String) {
         self.ended = true;
-        let head = self.first_event.unwrap_or_else(Instant::now);
+        let head_sent = self.first_event.unwrap_or_else(Instant::now);
         self.metrics
             .record_request(outcome, status, self.received_at.elapsed());
         self.journal.record(Event::Ended {
@@ -154,7 +155,7 @@
             outcome,
             why,
             attempts: self.attempts,
-            head_ms: (head - self.received_at).as_millis() as u64,
+            head_ms: (head_sent - self.received_at).as_millis() as u64,
             all_ms: self.received_at.elapsed().as_millis() as u64,
             pause_ms: self.max_pause.as_millis() as u64,
             quiet_ms: self
--- a/crates/gate/src/forward/stall.rs
+++ b/crates/gate/src/forward/stall.rs
@@ -1,9 +1,10 @@
-//! What to do about an answer that does not go on.
+//! Handles responses that stall.
 //!
-//! The head of a chain knows which stage its requests wait for. A node that hears nothing asks it:
-//! a named stage is replaced in the chain that is under way, which costs the tokens that the new
-//! stage reads again and no further attempt; a head that does not answer is given up; and an
-//! answer that is only slow is left alone, so that load is not doubled where there is too much.
+//! The head of a chain knows which stage its requests wait for, so a node that receives no data
+//! asks it. A stage that the head reports is replaced in the chain in flight, which costs only the
+//! prefill of the tokens so far on the new stage and no further attempt. A head that does not
+//! respond is abandoned. A response that is merely slow is left alone, because a retry would double
+//! the load when the fleet is overloaded.
 
 use super::Forwarder;
 use super::attempt::Reservation;
@@ -16,54 +17,56 @@
 use steer::target::Target;
 use tokio::time::{Instant, timeout};
 
-/// Silence before the first event after which the head is asked.
+/// Idle time before the first event after which the head is queried.
 pub(crate) const FIRST_EVENT_PROBE_DELAY: Duration = Duration::from_millis(350);
-/// Silence between two events after which the head is asked.
+/// Idle time between two events after which the head is queried.
 pub(crate) const NEXT_EVENT_PROBE_DELAY: Duration = Duration::from_millis(260);
-/// Time until it is asked again: what its account is old, and a little.
+/// Time until the head is queried again. Slightly longer than the age of a status report, so that
+/// the next report is a newer one.
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(220);
-/// Longest wait for its account.
+/// Timeout of a status report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for which one account serves all requests of a head.
+/// Age up to which a status report is reused for other requests of the same head.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(100);
-/// Silence after which a head that does not answer is given up. One lost packet is sent again
-/// within this time.
+/// Idle time after which an unresponsive head is abandoned. A lost packet is retransmitted within
+/// this time.
 const UNRESPONSIVE_HEAD_TIMEOUT: Duration = Duration::from_millis(550);
-/// Silence after which an answer is given up although nothing is known to be wrong: callers leave
-/// after two seconds, and another chain needs some time.
+/// Idle time after which a response is abandoned although no fault is known. Callers leave after
+/// two seconds, and another chain needs part of that time.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Stages of one chain that are replaced in a row, at the most.
+/// Maximum number of stages of one chain that are replaced in a row.
 const MAX_REPLACED_STAGES: usize = 4;
 
-/// What came of a look.
+/// Result of assessing an idle response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It may go on.
+    /// The response may continue.
     Wait,
-    /// It is given up.
+    /// The response is abandoned, for this reason.
     Abandon(&'static str),
 }
 
-/// An engine's account, and how old it is.
+/// The status report of an engine and when it was received; `None` if the engine did not respond.
 #[derive(Clone, Debug)]
 pub(crate) struct CachedReport {
-    at: Instant,
+    received_at: Instant,
     report: Option<Rc<StatusReport>>,
 }
 
 impl<D: Dialect> Worker<D> {
-    /// The account of an engine, not much older than [`FRESH`].
+    /// Returns the status report of an engine, from the cache if it is younger than
+    /// [`MAX_REPORT_AGE`].
     async fn cached_report(&self, addr: SocketAddr) -> Option<Rc<StatusReport>> {
         let cached = self.status_reports.borrow().get(&addr).cloned();
         let is_fresh = cached
             .as_ref()
-            .is_some_and(|c| c.at.elapsed() < MAX_REPORT_AGE);
+            .is_some_and(|c| c.received_at.elapsed() < MAX_REPORT_AGE);
         let report = cached.and_then(|c| c.report);
         if is_fresh {
             return report;
         }
-        // Those that come meanwhile take the old account instead of asking too.
+        // Concurrent requests use the old report instead of querying the engine as well.
         self.cache_report(addr, report);
         let received = timeout(REPORT_TIMEOUT, self.dialect.status_report(addr)).await;
         let report = received.ok().flatten().map(Rc::new);
@@ -72,15 +75,18 @@
     }
 
     fn cache_report(&self, addr: SocketAddr, report: Option<Rc<StatusReport>>) {
-        let at = Instant::now();
-        let cached = CachedReport { at, report };
+        let received_at = Instant::now();
+        let cached = CachedReport {
+            received_at,
+            report,
+        };
         self.status_reports.borrow_mut().insert(addr, cached);
     }
 }
 
 impl<D: Dialect> Forwarder<D> {
-    /// Asks the head of a silent answer what it waits for. Dropped before its end, it changes
-    /// nothing, so that an event which comes meanwhile is passed on at once.
+    /// Asks the head of an idle response what it waits for. Cancelling it has no effect, so that an
+    /// event that arrives meanwhile is forwarded at once.
     pub(crate) async fn query_head(&self, target: &Target) -> Option<Rc<StatusReport>> {
         match target.head().span.is_empty() {
             true => None,
@@ -88,7 +94,8 @@
         }
     }
 
-    /// Decides about an answer that has been silent for `silent`, by its head's account.
+    /// Decides about a response that has been idle for `idle`, based on the status report of its
+    /// head.
     pub(crate) async fn assess(
         &self,
         reservation: &mut Reservation<D>,
@@ -100,11 +107,11 @@
             return Verdict::Wait;
         }
         if idle > MAX_IDLE_TIME {
-            return Verdict::Abandon("fell silent");
+            return Verdict::Abandon("idle for too long");
         }
         let Some(report) = report else {
             return match chain && idle > UNRESPONSIVE_HEAD_TIMEOUT {
-                true => Verdict::Abandon("the head does not answer"),
+                true => Verdict::Abandon("head of the chain is unresponsive"),
                 false => Verdict::Wait,
             };
         };
@@ -115,27 +122,27 @@
         }
     }
 
-    /// Replaces the stage that a request waits for.
+    /// Replaces the stage that a request is blocked on.
     async fn replace_blocked(
         &self,
         reservation: &mut Reservation<D>,
         stage: SocketAddr,
     ) -> Verdict {
         if !reservation.target.stages.iter().any(|s| s.addr == stage) {
-            // An account from before the last detour.
+            // The report is older than the last reroute.
             return Verdict::Wait;
         }
         self.worker
             .with_selector(|selector, now| selector.report_failed(now, stage));
         match self.replace_stages(reservation, stage).await {
             Some(RerouteOutcome::Done) => Verdict::Wait,
-            Some(_) => Verdict::Abandon("a stage is dead, and the head can't replace it"),
-            None => Verdict::Abandon("a stage is dead, and nothing replaces it"),
+            Some(_) => Verdict::Abandon("a stage failed and the head could not replace it"),
+            None => Verdict::Abandon("a stage failed and has no replacement"),
         }
     }
 
-    /// Moves an answer off a stage that is about to go and still serves. Where that fails the answer
-    /// goes on as it is.
+    /// Moves a response off a stage that is about to stop serving. If that fails, the response
+    /// continues on the old stages.
     pub(crate) async fn migrate(&self, reservation: &mut Reservation<D>, stage: SocketAddr) {
         let previous = reservation.target.stages.clone();
         if self.replace_stages(reservation, stage).await == Some(RerouteOutcome::Done) {
@@ -147,8 +154,8 @@
             .with_selector(|selector, _| selector.revert_reroute(&reservation.target, &need));
     }
 
-    /// Replaces a stage, and each further one that the head names as missing meanwhile: endpoints die, and
-    /// give up layers, together.
+    /// Replaces a stage, and further stages that the head reports as missing. Endpoints fail, and
+    /// release layers, in groups.
     async fn replace_stages(
         &self,
         reservation: &mut Reservation<D>,
@@ -166,8 +173,8 @@
         Some(outcome)
     }
 
-    /// Takes another endpoint for a stage and orders the head to go on over it; nothing if no endpoint
-    /// can.
+    /// Selects another endpoint for a stage and orders the head to continue over it; `None` if no
+    /// endpoint is available.
     async fn replace_stage(
         &self,
         reservation: &mut Reservation<D>,
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -1,4 +1,4 @@
-//! A request that was admitted.
+//! Admitted requests.
 
 use crate::dialect::RequestInfo;
 use bytes::Bytes;
@@ -14,68 +14,68 @@
 use steer::chain::Need;
 use tokio::time::Instant;
 
-/// Rank of urgent requests.
+/// Priority at which requests count as urgent.
 const URGENT_PRIORITY: u8 = 0;
-/// Part by which an answer may be longer than its caller expects before room runs short: the
-/// estimate is right at the median only.
+/// Factor applied to the caller's estimate of the output length when capacity is reserved: the
+/// estimate is accurate at the median only, and longer outputs would run out of capacity.
 const OUTPUT_LENGTH_MARGIN: f64 = 1.25;
 
-/// A request on its way.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What its head says.
+    /// Metadata from the request's headers.
     pub info: RequestInfo,
-    /// The catalog that admitted it.
+    /// The catalog under which the request was admitted.
     pub catalog: Arc<Catalog>,
-    /// Its route.
+    /// Route of the request in `catalog`.
     pub route: RouteId,
-    /// The service that was drawn for it.
+    /// Service selected from the route's traffic split.
     pub service: ServiceId,
     /// Name of the caller's team.
     pub team: Option<String>,
-    /// Rank, 0 first.
+    /// Priority, 0 first.
     pub priority: u8,
-    /// Its method.
+    /// Request method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Headers that are passed on.
+    /// Headers that are forwarded to the endpoint.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When it came.
+    /// Arrival time.
     pub received_at: Instant,
-    /// When its time is over: the caller's, or the route's if that is shorter.
+    /// Deadline: the caller's timeout, or the route's if that is shorter.
     pub deadline: Instant,
 }
 
 impl Job {
-    /// Its route.
+    /// Returns the route.
     pub fn route(&self) -> &Route {
         &self.catalog.routes[self.route as usize]
     }
 
-    /// Its service.
+    /// Returns the service.
     pub fn service(&self) -> &Service {
         &self.catalog.services[self.service as usize]
     }
 
-    /// What may be repeated.
+    /// Returns the kind of the route, which defines whether requests may be repeated.
     pub fn kind(&self) -> Kind {
         self.route().kind
     }
 
-    /// Its id; empty if it has none.
+    /// Returns the request id; empty if the caller sent none.
     pub fn id(&self) -> &str {
         self.info.id.as_deref().unwrap_or_default()
     }
 
-    /// Time that is left.
+    /// Returns the time until the deadline; zero once it has passed.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What it needs of a chain.
+    /// Returns the size and urgency by which a chain is selected.
     pub fn need(&self) -> Need {
         let usual = self.service().engine.as_ref().map(|e| e.typical_size);
         let usual = usual.unwrap_or_default();
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,15 +1,16 @@
-//! The callers' side for routes by host and path: requests in, answers of endpoints out.
+//! HTTP front end for routes that are selected by host and path: accepts callers' requests,
+//! forwards them to endpoints and returns the responses.
 //!
-//! A request keeps its method, path, headers and body on its way to an endpoint, and the answer
-//! its status, headers and body on its way back. What differs between installations, the names
-//! and forms of headers, is behind the [`dialect::Dialect`].
+//! Method, path, headers and body of a request and status, headers and body of a response are
+//! passed through, except for hop-by-hop headers and headers between nodes and endpoints. Names and
+//! formats of headers differ between installations and are defined by a [`dialect::Dialect`].
 //!
-//! Inputs are callers' connections and the [`view::View`] that control publishes; outputs are
-//! requests to endpoints. One [`worker::Worker`] is one thread with a current-thread runtime; only
-//! that thread touches its `steer::Selector`.
+//! Inputs are callers' connections and the [`view::View`] that the control task publishes; outputs
+//! are requests to endpoints. Each [`worker::Worker`] runs on one thread with a current-thread
+//! runtime, and only that thread accesses its `steer::Selector`.
 //!
-//! Left to others: which endpoint runs a request (`steer`), what the fleet looks like (control, in
-//! the node).
+//! Selection of endpoints is in `steer`; the state of the fleet is maintained by the control task
+//! of the node.
 
 pub mod admit;
 pub mod body;
--- a/crates/gate/src/listener.rs
+++ b/crates/gate/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners of a worker: callers, the question for addresses, and the question for readiness.
+//! Listeners of a worker: requests, service discovery, readiness and metrics.
 
 use crate::body::Body;
 use crate::dialect::Dialect;
@@ -22,40 +22,42 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
-/// Path of the dump.
+/// Path of the state dump.
 const DUMP_PATH: &str = "/dump";
-/// Pause after a failed accept, so that a lack of descriptors does not spin the thread.
+/// Delay after a failed `accept`, so that a shortage of file descriptors does not make the loop
+/// spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time after which the kernel gives up a caller that does not confirm what was sent.
+/// `TCP_USER_TIMEOUT` of callers' connections: time without an acknowledgement of sent data after
+/// which the kernel closes the connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Least buffer of a connection's head that the HTTP library takes.
+/// Minimum read buffer for request heads that the HTTP library accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
-/// What a listener serves.
+/// The role of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Port {
     /// Requests of callers.
     Callers,
-    /// The question which addresses to use.
+    /// Lists of node addresses for service discovery.
     Addresses,
-    /// The question whether this node takes requests.
+    /// Readiness checks.
     Ready,
-    /// Metrics and the dump, for operators.
+    /// Metrics and the state dump, for operators.
     Metrics,
 }
 
-/// When a listener ends.
+/// Tokens that end a listener.
 #[derive(Clone, Debug, Default)]
 pub struct Stop {
-    /// Connections end with the request that they carry; idle ones are closed.
+    /// Graceful shutdown: connections close after the request in progress, idle ones at once.
     pub drain: CancellationToken,
-    /// All is broken off.
+    /// Aborts all connections and ends the listener.
     pub kill: CancellationToken,
 }
 
-/// Accepts connections until `stop.kill`.
+/// Accepts up to `max_connections` concurrent connections until `stop.kill` is cancelled.
 pub async fn run<D: Dialect>(
     worker: Rc<Worker<D>>,
     listener: TcpListener,
@@ -74,7 +76,8 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Over the bound a connection is closed at once: its caller goes to another node.
+        // Above the limit the connection is closed at once, and the caller connects to another
+        // node.
         let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
@@ -96,7 +99,8 @@
     port: Port,
     stop: &Stop,
 ) {
-    // Without these options answers are slower or a lost caller is noticed later.
+    // Without these options responses are slower or a lost caller is detected later, but the
+    // connection works; failures are ignored.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let limits = worker.view().map(|v| v.fleet.catalog.limits);
@@ -104,12 +108,13 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The library's one bound on the time for a head runs while a connection is idle too.
+        // The library has a single timeout for reading a head, which also runs while a keep-alive
+        // connection is idle.
         .header_read_timeout(limits.idle_time.max(limits.head_time))
         .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES) * 2);
     let service = service_fn(move |request| respond(worker.clone(), request, port));
     let mut conn = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // An error ends one caller's connection only; its request tells its own story.
+    // An error ends only this caller's connection, and its request writes its own log lines.
     tokio::select! {
         _ = conn.as_mut() => return,
         () = stop.drain.cancelled() => conn.as_mut().graceful_shutdown(),
--- a/crates/gate/src/metrics.rs
+++ b/crates/gate/src/metrics.rs
@@ -1,16 +1,17 @@
-//! Counters and latency histograms of a node, as text for a collector.
+//! Counters and latency histograms of a node, exported in the Prometheus text format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 use prometheus::{Encoder, Registry, TextEncoder};
 use std::time::Duration;
 
-/// Bounds of the histograms, in seconds: from a hop within a zone to a caller's longest wait.
+/// Bucket bounds of the histograms in seconds, from one hop within an availability zone to the
+/// longest time that callers wait.
 const BUCKET_BOUNDS: [f64; 13] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
-/// Why there is no text.
+/// The metrics could not be encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(String);
 
@@ -22,10 +23,10 @@
 
 impl std::error::Error for Error {}
 
-/// Result of making the text.
+/// Result of encoding the metrics.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The instruments of a node; clones share them.
+/// The metric instruments of a node. Clones share them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -45,7 +46,7 @@
 }
 
 impl Metrics {
-    /// Instruments of `meter`, whose values `registry` gathers.
+    /// Creates the instruments on `meter`; `registry` collects their values.
     pub fn new(meter: &Meter, registry: Registry) -> Self {
         let seconds = |name: &'static str, description: &'static str| {
             let histogram = meter.f64_histogram(name).with_unit("s");
@@ -85,7 +86,7 @@
         }
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn record_request(&self, outcome: &'static str, status: u16, time: Duration) {
         let status = KeyValue::new("status", i64::from(status));
         self.requests
@@ -94,27 +95,27 @@
             .record(time.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// An attempt began, failed, or was moved.
+    /// Counts an attempt that was sent or failed, or a stage that was replaced, by `what`.
     pub fn record_attempt(&self, what: &'static str) {
         self.attempts.add(1, &[KeyValue::new("what", what)]);
     }
 
-    /// The first event of an answer came.
+    /// Records the time to the first event of a response.
     pub fn record_first_event(&self, time: Duration) {
         self.first_event.record(time.as_secs_f64(), &[]);
     }
 
-    /// A pause between two events.
+    /// Records the time between two events.
     pub fn record_pause(&self, time: Duration) {
         self.pause.record(time.as_secs_f64(), &[]);
     }
 
-    /// A request waited for room.
+    /// Records how long a request waited for an endpoint with free capacity.
     pub fn record_queue_time(&self, time: Duration) {
         self.queue_time.record(time.as_secs_f64(), &[]);
     }
 
-    /// The store was read, or could not be.
+    /// Records a read of the store and whether it succeeded.
     pub fn record_store_read(&self, table: &'static str, ok: bool, time: Duration) {
         let outcome = KeyValue::new("outcome", if ok { "read" } else { "failed" });
         self.store_reads
@@ -123,7 +124,8 @@
             .record(time.as_secs_f64(), &[KeyValue::new("table", table)]);
     }
 
-    /// A peer gave what it was asked for, or did not.
+    /// Records a request for a table copy or load reports to a peer and whether the peer returned
+    /// them.
     pub fn record_peer_request(&self, what: &'static str, ok: bool, time: Duration) {
         let outcome = KeyValue::new("outcome", if ok { "given" } else { "failed" });
         self.peer_requests
@@ -132,7 +134,8 @@
             .record(time.as_secs_f64(), &[KeyValue::new("what", what)]);
     }
 
-    /// What is believed now, and how old that is.
+    /// Records the catalog version and number of endpoints of the current view, and the age of a
+    /// table in it.
     pub fn record_view(&self, version: u64, endpoints: u64, table: &'static str, age: Duration) {
         self.catalog_version.record(version, &[]);
         self.endpoints.record(endpoints, &[]);
@@ -140,7 +143,7 @@
             .record(age.as_secs_f64(), &[KeyValue::new("table", table)]);
     }
 
-    /// The text that a collector reads.
+    /// Encodes all metrics in the text format.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let mut text = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
--- a/crates/gate/src/pool.rs
+++ b/crates/gate/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints, kept open between requests; each carries one request at a time.
+//! Pool of keep-alive HTTP/1.1 connections to endpoints. Each connection carries one request at a
+//! time.
 
 use crate::stats::{self, Stats};
 use bytes::Bytes;
@@ -16,39 +17,41 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Longest time to make a connection: a few round trips, and one lost packet at the most.
+/// Timeout for establishing a connection; covers a few round trips and one retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after which the kernel gives a connection up whose data is not confirmed. Without it a
-/// connection to an instance that lost power would hang for minutes.
+/// `TCP_USER_TIMEOUT` of connections to endpoints. Without it a connection to an instance that lost
+/// power would hang for minutes.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an idle connection is used again if the endpoint does not say how long it keeps it.
+/// How long an idle connection may be reused if the endpoint does not announce its own idle
+/// timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Part of the endpoint's idle time after which a connection is not used again: what is sent
-/// while the endpoint closes is lost, and may or may not have run.
+/// Fraction of the endpoint's idle timeout after which a connection is no longer reused. A request
+/// that is sent while the endpoint closes the connection is lost, and it is unknown whether it was
+/// executed.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// Idle connections kept to one endpoint.
+/// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
-/// Why a request got no answer's head.
+/// Why no response head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection: nothing was sent.
+    /// No connection could be established; nothing was sent.
     Connect,
-    /// The connection ended before anything was sent.
+    /// The connection was closed before the request was sent.
     Unsent,
-    /// The connection broke, or what came was no answer: the request may have run.
+    /// The connection broke or the response was malformed; the request may have been executed.
     Broken,
 }
 
 /// Result of sending a request.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A connection that carries a request. Dropped, it closes; the endpoint then drops the request.
+/// A connection that is in use. Dropping it closes it, whereupon the endpoint cancels the request.
 #[derive(Debug)]
 pub struct Conn {
     sender: SendRequest<Full<Bytes>>,
     addr: SocketAddr,
-    /// How long it may stay idle and still be used.
+    /// How long the connection may be idle and still be reused.
     idle_timeout: Duration,
 }
 
@@ -66,7 +69,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(stats: Rc<Stats>) -> Self {
         Self {
             idle: RefCell::default(),
@@ -74,7 +77,7 @@
         }
     }
 
-    /// A connection to `addr`: a kept one that is still open, or a new one.
+    /// Returns a connection to `addr`: an idle one that is still open, or a new one.
     pub async fn get(&self, addr: SocketAddr) -> Result<Conn> {
         if let Some(conn) = self.take_idle(addr) {
             return Ok(conn);
@@ -95,7 +98,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool after its response was read completely.
     pub fn put(&self, mut conn: Conn, idle_timeout: Option<Duration>) {
         conn.idle_timeout =
             idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |i| i.mul_f64(IDLE_TIMEOUT_FRACTION));
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Closes connections that were idle for too long, and all to endpoints not in `addrs`.
+    /// Closes connections that exceeded their idle timeout, and all connections to addresses for
+    /// which `known` is false.
     pub fn prune(&self, known: impl Fn(SocketAddr) -> bool) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|addr, list| {
@@ -118,14 +122,14 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint that failed.
+    /// Closes the idle connections to an endpoint, after a failure.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 }
 
 impl Conn {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -139,12 +143,13 @@
 
 async fn connect(addr: SocketAddr) -> Result<Conn> {
     let stream = TcpStream::connect(addr).await.map_err(|_| Error::Connect)?;
-    // Without these options requests are slower or silence is noticed later; they still work.
+    // Without these options requests are slower or a lost endpoint is detected later, but the
+    // connection works; failures are ignored.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, conn) = handshake.map_err(|_| Error::Connect)?;
-    // The connection's own error is told to the request that it carries.
+    // Errors of the connection are returned to the request that uses it.
     tokio::task::spawn_local(async move {
         let _ = conn.await;
     });
--- a/crates/gate/src/refusal.rs
+++ b/crates/gate/src/refusal.rs
@@ -1,37 +1,37 @@
-//! Answers that the node gives by itself.
+//! Error responses that the node generates itself.
 
 use crate::body::{self, Body};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 use std::time::Duration;
 
-/// Why a node answers by itself.
+/// Why the node refuses a request or fails it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// No catalog is known yet.
+    /// The node has no catalog yet.
     NoCatalog,
-    /// No route has the host and path.
+    /// No route matches the host and path.
     NoRoute,
     /// No team has the key.
     UnknownKey,
-    /// The body is over its bound.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The request can't be read.
+    /// The request is malformed.
     Malformed,
-    /// This node is about to end.
+    /// This node is shutting down.
     Leaving,
-    /// No endpoint can take the request now, and it has not run.
+    /// No endpoint can take the request now, and it was not executed.
     Unavailable,
-    /// The request was lost on its way, and may have run.
+    /// The attempt failed, and the request may have been executed.
     OutcomeUnknown,
-    /// The time is over, and the request may have run.
+    /// The deadline passed, and the request may have been executed.
     TimedOut,
-    /// The time is over, and the request has not run.
+    /// The deadline passed, and the request was not executed.
     ExpiredNotRun,
 }
 
 impl Reason {
-    /// Its status. 503 says that the request has not run and will not.
+    /// Returns the HTTP status. 503 guarantees that the request was not and will not be executed.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoCatalog | Self::Leaving | Self::Unavailable | Self::ExpiredNotRun => {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its words.
+    /// Returns the error message in the response body.
     pub fn message(self) -> &'static str {
         match self {
             Self::NoCatalog => "no catalog is known yet",
@@ -65,17 +65,17 @@
     }
 }
 
-/// A node's own answer.
+/// An error response of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused or failed.
     pub reason: Reason,
-    /// When to come back.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// Creates a refusal without `Retry-After`.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A refusal with a time to come back.
+    /// Creates a refusal with `Retry-After`.
     pub fn with_retry_after(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The answer.
+    /// Returns the HTTP response.
     pub fn response<S>(self) -> Response<Body<S>> {
         let body = serde_json::json!({ "error": self.reason.message() }).to_string();
         let mut response = Response::new(body::full(body));
--- a/crates/gate/src/splice.rs
+++ b/crates/gate/src/splice.rs
@@ -1,9 +1,10 @@
-//! An answer in events, from one endpoint after the other.
+//! Joins the event streams of successive endpoints into one response.
 //!
-//! Events are passed on as they come. When an endpoint breaks off or falls silent, the answer goes
-//! on from another one after the last event that was passed on, if the route allows it. The head
-//! of the answer stays that of the first endpoint. An answer is ended as whole only when the
-//! endpoint ended it between two events; else the caller's connection is broken off.
+//! Events are forwarded as they arrive. When an endpoint's stream breaks or stalls, the response is
+//! resumed from another endpoint after the last forwarded event, if the route allows it. The head
+//! of the response remains that of the first endpoint. A response is ended as complete only if its
+//! endpoint ended it between two events; otherwise the caller's connection is aborted, so that a
+//! truncated response does not look complete.
 
 use crate::admit;
 use crate::dialect::Dialect;
@@ -22,30 +23,30 @@
 use steer::health::Outcome;
 use tokio::time::{Instant, timeout};
 
-/// Time after the last event in which another endpoint is looked for.
+/// Maximum wait for an endpoint with free capacity when a response is resumed.
 const MAX_RESUME_WAIT: Duration = Duration::from_millis(600);
 
-/// What a caller's body is made of.
+/// A frame of the body that is sent to a caller.
 pub type Chunk = std::result::Result<Frame<Bytes>, Incomplete>;
 
-/// The answer can't be ended as a whole.
+/// Error that aborts the body of a response which can't be completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incomplete;
 
 impl fmt::Display for Incomplete {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response was cut off before its end")
     }
 }
 
 impl std::error::Error for Incomplete {}
 
-/// An endpoint's answer while it comes.
+/// The response of one endpoint while its events are received.
 pub(crate) struct EventSource<D: Dialect> {
     exchange: Exchange<D>,
 }
 
-/// The head that a caller gets.
+/// Status and headers that are sent to the caller.
 pub(crate) struct Head {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -65,13 +66,13 @@
     }
 }
 
-/// How an endpoint's stream went on.
+/// Result of reading from the endpoint's stream.
 enum Step {
-    /// Bytes were added to the cutter.
+    /// Bytes were added to the splitter.
     Data,
-    /// The endpoint ended the answer.
+    /// The endpoint ended the response.
     End,
-    /// It broke off, fell silent, or skipped an event.
+    /// The stream broke, stalled or skipped an event.
     Failed(&'static str),
 }
 
@@ -79,18 +80,18 @@
     forwarder: Forwarder<D>,
     source: Option<EventSource<D>>,
     splitter: Splitter,
-    /// Id of the last event that was passed on.
+    /// Id of the last event that was forwarded, or that the caller already had.
     last_event_id: Option<u64>,
-    /// When an event or the request last came, or the answer went on from another endpoint.
+    /// Time of the last forwarded event, of the last resumption, or of the request's arrival.
     last_progress: Instant,
-    /// Whether an event was passed on.
+    /// Whether an event was forwarded.
     has_started: bool,
-    /// The stage that is about to go, if any.
+    /// The planned move off a departing stage.
     migration: Migration,
     done: bool,
 }
 
-/// The body of an answer that begins with `live`.
+/// Returns the body of a response whose first part is read from `source`.
 pub(crate) fn stream<D: Dialect>(
     forwarder: Forwarder<D>,
     source: EventSource<D>,
@@ -112,7 +113,7 @@
 }
 
 impl<D: Dialect> Splice<D> {
-    /// The next part of the body; nothing at its end.
+    /// Returns the next part of the body; `None` at its end.
     async fn next_chunk(&mut self) -> Option<Chunk> {
         if self.done {
             return None;
@@ -148,11 +149,11 @@
         }
     }
 
-    /// Whole events that are there, without those that the caller has.
+    /// Returns the complete events that are buffered, without those that the caller already has.
     fn take_events(&mut self) -> Result<Option<Bytes>, &'static str> {
         let mut out: Option<Bytes> = None;
         if self.splitter.is_oversized() {
-            return Err("sent an event without end");
+            return Err("sent an event that exceeds the size limit");
         }
         while let Some(event) = self.splitter.next() {
             if !self.is_next(&event)? {
@@ -168,7 +169,8 @@
         Ok(out)
     }
 
-    /// Whether an event is the next one; one that the caller has is left out.
+    /// Returns whether an event is to be forwarded. Events that the caller already has are skipped;
+    /// a gap in the ids is an error.
     fn is_next(&self, event: &Event) -> Result<bool, &'static str> {
         match (self.last_event_id, event.id) {
             (Some(last), Some(id)) if id <= last => Ok(false),
@@ -200,7 +202,7 @@
         loop {
             let left = self.forwarder.job.time_left();
             if left.is_zero() {
-                return Step::Failed("the time is over");
+                return Step::Failed("deadline passed");
             }
             let wait = next_probe
                 .saturating_sub(self.last_progress.elapsed())
@@ -237,7 +239,7 @@
             };
             return match frame {
                 None => Step::End,
-                Some(Err(_)) => Step::Failed("broke off"),
+                Some(Err(_)) => Step::Failed("connection broke"),
                 Some(Ok(frame)) => {
                     if let Some(data) = frame.data_ref() {
                         self.splitter.feed(data);
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Goes on from another endpoint; whether there is one.
+    /// Resumes the response from another endpoint. Returns whether one was found.
     async fn resume(&mut self, reason: &'static str) -> bool {
         self.forwarder.log.record_failure(reason, true);
         self.forwarder.log.set_reason(reason);
--- a/crates/gate/src/stats.rs
+++ b/crates/gate/src/stats.rs
@@ -1,27 +1,29 @@
-//! What a worker counts for itself and its dump; what operators collect is in the metrics.
+//! Counters of a worker that are shown in the state dump. Those that operators monitor are in
+//! [`crate::metrics`].
 
 use std::cell::Cell;
 use std::fmt;
 
-/// Counters; a worker's own thread alone counts.
+/// Counters of one worker, updated by its own thread only.
 #[derive(Debug, Default)]
 pub struct Stats {
-    /// Attempts beyond the first.
+    /// Attempts beyond a request's first.
     pub retries: Cell<u64>,
-    /// Connections made to endpoints.
+    /// Connections that were opened to endpoints.
     pub connects: Cell<u64>,
-    /// Findings about endpoints that control was too busy to take.
+    /// State transitions of endpoints that were not reported because the control task's queue was
+    /// full.
     pub dropped_transitions: Cell<u64>,
     /// Requests in flight.
     pub in_flight: Cell<u64>,
 }
 
-/// Adds one.
+/// Increments a counter.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// Takes one away.
+/// Decrements a counter, down to zero.
 pub fn decrement(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_sub(1));
 }
--- a/crates/gate/src/view.rs
+++ b/crates/gate/src/view.rs
@@ -1,20 +1,21 @@
-//! What control publishes to a worker.
+//! The state of the fleet that the control task publishes to a worker.
 
 use arc_swap::ArcSwapOption;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use steer::Fleet;
 
-/// Control's knowledge at one moment.
+/// Snapshot of the state that the control task knows.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Catalog, endpoints and number of nodes.
     pub fleet: Fleet,
-    /// Where callers reach the nodes that take new work, this one included unless it leaves.
+    /// Addresses for callers of the nodes that accept new requests; includes this node unless it
+    /// leaves.
     pub nodes: Vec<SocketAddr>,
-    /// Whether this node leaves.
+    /// Whether this node is leaving.
     pub leaving: bool,
 }
 
-/// Where control puts the newest view; empty until a catalog is in force.
+/// The current view, replaced by the control task; empty until a catalog is in force.
 pub type SharedView = Arc<ArcSwapOption<View>>;
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -1,4 +1,4 @@
-//! One request worker: its state, and the way of a request through it.
+//! State of a request worker, and the handling of a request from admission to response.
 
 use crate::admit;
 use crate::body::Body;
@@ -32,45 +32,47 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time to come back for a caller whose node is about to end: another node takes the request at
-/// once.
+/// Retry-after delay when this node is about to end. It is short because another node can take the
+/// request at once.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Time to come back for a caller whose node knows no catalog yet. A node that starts beside others
-/// has theirs before callers are sent to it, so the others know none either: all have started anew
-/// while the store is out, which lasts for seconds, and most callers come back only once.
+/// Retry-after delay when this node has no catalog. A node that starts while others run gets their
+/// catalog before callers are sent to it. So a node without a catalog means that all nodes
+/// restarted while the store was unavailable, which lasts for seconds. The delay has to cover that,
+/// since most callers retry only once.
 const NO_CATALOG_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time from the start in which requests wait for the first catalog. Nodes that start together read it
-/// from the store at the same time.
+/// Time since the start during which requests wait for the first catalog. Nodes that start together
+/// read it from the store at the same time.
 const STARTUP_WAIT_WINDOW: Duration = Duration::from_millis(2000);
-/// Part of a request's time that it waits for the first catalog at the most. Callers give up what was
-/// not read within a third of it, or within a second.
+/// Maximum wait for the first catalog as a fraction of the request's timeout. Callers abandon a
+/// request that was not read within a third of its timeout, or within one second.
 const MAX_CATALOG_WAIT_FRACTION: f64 = 0.25;
-/// Longest wait for the first catalog.
+/// Maximum wait for the first catalog, below the one second after which callers abandon an unread
+/// request.
 const MAX_CATALOG_WAIT: Duration = Duration::from_millis(900);
 
-/// What a worker is made of.
+/// Inputs of a worker.
 #[derive(Debug)]
 pub struct Parts<D> {
-    /// The installation's dialect.
+    /// Protocol of the installation.
     pub dialect: D,
-    /// Where control publishes.
+    /// The view that the control task publishes.
     pub shared_view: SharedView,
-    /// Decisions are told here.
+    /// Log of decisions.
     pub journal: Journal,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Where control is asked for its part of a dump.
+    /// Requests to the control task for its part of the state dump.
     pub dumps: mpsc::Sender<oneshot::Sender<String>>,
-    /// Further attempts that are allowed.
+    /// Budget for retries.
     pub allowance: Allowance,
-    /// Seed of its draws.
+    /// Seed of the random number generator that selects endpoints.
     pub seed: u64,
-    /// What control is told of endpoints.
+    /// Transitions of endpoints that are reported to the control task.
     pub transitions: mpsc::Sender<Transition>,
 }
 
-/// The state of one worker. Only its own thread touches it.
+/// A request worker. Its state is accessed by its own thread only.
 pub struct Worker<D> {
     pub(crate) dialect: D,
     pub(crate) journal: Journal,
@@ -81,22 +83,22 @@
     shared_view: SharedView,
     transitions: mpsc::Sender<Transition>,
     selector: RefCell<Selector>,
-    /// The view that `steer` follows.
+    /// The view that `selector` was last updated with.
     view: RefCell<Option<Arc<View>>>,
-    /// How many views it has followed.
+    /// Number of views that `selector` was updated with.
     view_number: Cell<u64>,
-    /// Set off when room may have come free.
+    /// Notified when capacity may have become free.
     capacity_freed: Notify,
-    start: Instant,
+    started_at: Instant,
     rotation: Cell<usize>,
-    /// What heads of chains last said of their requests.
+    /// Cached status reports of the heads of chains.
     pub(crate) status_reports: RefCell<HashMap<SocketAddr, CachedReport>>,
-    /// Whether new requests are refused, since the process is about to end.
+    /// Whether new requests are refused because the process is about to end.
     closing: Cell<bool>,
 }
 
 impl<D: Dialect> Worker<D> {
-    /// A worker that knows nothing yet.
+    /// Creates a worker without a view.
     pub fn new(parts: Parts<D>) -> Rc<Self> {
         let stats = Rc::new(Stats::default());
         Rc::new(Self {
@@ -112,14 +114,14 @@
             view: RefCell::new(None),
             view_number: Cell::new(0),
             capacity_freed: Notify::new(),
-            start: Instant::now(),
+            started_at: Instant::now(),
             rotation: Cell::new(0),
             status_reports: RefCell::default(),
             closing: Cell::new(false),
         })
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.stats.in_flight.get()
     }
@@ -129,12 +131,13 @@
         self.closing.set(true);
     }
 
-    /// Whether callers are told that their connection ends with the answer.
+    /// Returns whether connections of callers are to be closed after the response in progress.
     pub fn leaving(&self) -> bool {
         self.closing.get() || self.view().is_some_and(|v| v.leaving)
     }
 
-    /// The newest view. What was learned from it is kept until another one is published.
+    /// Returns the current view and updates the selector if the view changed. What the selector
+    /// learned is kept until another view is published.
     pub fn view(&self) -> Option<Arc<View>> {
         let newest = self.shared_view.load_full();
         let mut current = self.view.borrow_mut();
@@ -157,8 +160,8 @@
         newest
     }
 
-    /// The newest view. In a process that has just started, a request of so much time that came at `came`
-    /// waits for the first one.
+    /// Returns the current view. Shortly after the process's start, a request with this timeout
+    /// that arrived at `received_at` waits for the first view.
     async fn wait_for_view(
         &self,
         timeout: Option<Duration>,
@@ -167,7 +170,7 @@
         let max_wait = timeout.map_or(MAX_CATALOG_WAIT, |t| {
             t.mul_f64(MAX_CATALOG_WAIT_FRACTION).min(MAX_CATALOG_WAIT)
         });
-        let until = (self.start + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
+        let until = (self.started_at + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
         loop {
             let view = self.view();
             if view.is_some() || self.closing.get() || Instant::now() >= until {
@@ -177,49 +180,51 @@
         }
     }
 
-    /// Number of the newest view; another one tells that something may have changed.
+    /// Returns the number of the current view, which changes with every published view.
     pub(crate) fn view_number(&self) -> u64 {
         self.view();
         self.view_number.get()
     }
 
-    /// Number of the next answer about addresses.
+    /// Returns the rotation of the next address list.
     pub fn next_rotation(&self) -> usize {
         self.rotation.set(self.rotation.get().wrapping_add(1));
         self.rotation.get()
     }
 
     pub(crate) fn now(&self) -> Duration {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Asks the table something.
+    /// Runs an operation on the selector and reports the resulting transitions of endpoints.
     pub(crate) fn with_selector<T>(
         &self,
         operation: impl FnOnce(&mut Selector, Duration) -> T,
     ) -> T {
-        // The newest view first, so that no endpoint is chosen that is known to leave.
+        // The view is updated first, so that no endpoint is selected that is known to be leaving.
         self.view();
         let now = self.now();
         let mut selector = self.selector.borrow_mut();
-        let answer = operation(&mut selector, now);
+        let result = operation(&mut selector, now);
         for transition in selector.take_transitions() {
-            // Control is behind: a further failure tells it again.
+            // The control task is behind. The transition is dropped; the endpoint's next failure
+            // reports it again.
             if self.transitions.try_send(transition).is_err() {
                 stats::increment(&self.stats.dropped_transitions);
             }
         }
-        answer
+        result
     }
 
-    /// Waits until room may have come free, or for `most`.
+    /// Waits until capacity may have become free, at most for `max_wait`.
     pub(crate) async fn wait_for_capacity(&self, max_wait: Duration) {
-        // Endpoints come back into use by time alone, which nothing tells.
+        // Ejected endpoints become available again by the passage of time, which sends no
+        // notification.
         let max_wait = max_wait.min(POLL_INTERVAL);
         let _ = tokio::time::timeout(max_wait, self.capacity_freed.notified()).await;
     }
 
-    /// Gives back what an attempt holds.
+    /// Releases the reservation of an attempt.
     pub(crate) fn release(
         &self,
         reservation: ReservationId,
@@ -230,7 +235,8 @@
         self.capacity_freed.notify_one();
     }
 
-    /// Closes idle connections that are old, or whose endpoint is gone.
+    /// Closes idle connections that timed out or whose endpoint no longer exists, and drops the
+    /// status reports of removed endpoints.
     pub fn prune(&self) {
         let Some(view) = self.view() else {
             return;
@@ -243,11 +249,11 @@
             .retain(|addr, _| known(*addr));
     }
 
-    /// The text for the dump, with control's part if it answers in time.
+    /// Returns the text of the state dump, with the control task's part if it responds in time.
     pub async fn dump(&self) -> String {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let control = match self.dumps.try_send(reply) {
-            Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, answer).await.ok(),
+            Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, response).await.ok(),
             Err(_) => None,
         };
         let control = control.and_then(|c| c.ok());
@@ -255,7 +261,7 @@
         format!("{}{}{control}", self.stats, self.selector.borrow())
     }
 
-    /// Serves one request of a caller.
+    /// Serves a request of a caller.
     pub async fn serve(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -329,9 +335,9 @@
     }
 }
 
-/// Longest wait for control's part of a dump.
+/// Maximum wait for the control task's part of the state dump.
 const DUMP_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a request that waits looks again, at the least.
+/// Maximum time between two checks of a waiting request.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Counts a request as in flight until it is dropped.
--- a/crates/journal/src/event.rs
+++ b/crates/journal/src/event.rs
@@ -1,183 +1,184 @@
-//! The events.
+//! Events of the log. The names of the variants and fields are the names on the written lines.
 
 use serde::Serialize;
 
-/// An event. `id` is the request's id as its caller gave it.
+/// An entry of the log. `id` is always the request id that the caller sent.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// The process starts.
     Start {
-        /// Name of the node.
+        /// Node name.
         node: String,
-        /// Where callers reach it.
+        /// Address of the listener for callers.
         callers: String,
     },
-    /// The process begins to leave, or ends.
+    /// The process starts to drain, or ends.
     Stop {
-        /// Why.
+        /// Reason for the stop.
         reason: &'static str,
     },
-    /// The settings were read again.
+    /// The settings file was read again.
     Reload {
-        /// What came of it.
+        /// Result of the reload: what was applied, or why the old settings were kept.
         outcome: String,
     },
-    /// Something that the node depends on does not answer, or answers again.
+    /// A dependency of the node became unavailable, or available again.
     Dependency {
-        /// What.
+        /// Name of the dependency.
         name: String,
-        /// Whether it answers.
+        /// Whether the dependency is available.
         up: bool,
-        /// The error, or how long it was away.
+        /// The error, or how long the dependency was unavailable.
         detail: String,
     },
-    /// A peer did not give the copy or the loads that it was asked for.
+    /// A peer did not return the table copy or the load reports that it was asked for.
     Unanswered {
         /// Address of the peer.
         peer: String,
-        /// What it was asked for.
+        /// What was requested.
         ask: String,
         /// The error.
         why: String,
     },
-    /// A catalog came.
+    /// A catalog was received.
     Catalog {
-        /// Its version.
+        /// Version of the received catalog.
         version: u64,
-        /// The version before.
+        /// Version of the catalog that was in force before.
         before: u64,
-        /// Where it came from.
+        /// Source of the catalog.
         source: &'static str,
-        /// What became of it: `in force`, `older` or what is wrong with it.
+        /// Result: `in force`, `older`, or the reason why the catalog was rejected.
         outcome: String,
     },
-    /// An endpoint came, changed or went.
+    /// An endpoint was added, changed or removed.
     Endpoint {
-        /// Its run.
+        /// Run of the endpoint: its id and start time.
         run: String,
-        /// What it is now.
+        /// New state of the endpoint.
         state: String,
-        /// Offset of the change in the endpoints' table.
+        /// Offset of the change in the table of endpoints.
         offset: u64,
     },
-    /// A node came or went.
+    /// A node joined, left or changed its state.
     Node {
-        /// Its name.
+        /// Node name.
         name: String,
-        /// Its state.
+        /// New state of the node.
         state: String,
     },
-    /// An order to an endpoint.
+    /// An endpoint was ordered to hold other layers.
     Order {
-        /// The endpoint's run.
+        /// Run of the endpoint.
         run: String,
-        /// The layers that it held when the order was planned.
+        /// Layers that the endpoint held when the order was planned.
         held: String,
-        /// The layers that it is to hold.
+        /// Layers that the endpoint is to hold.
         layers: String,
-        /// Orders that the endpoint had accepted before; nothing if it did not say.
+        /// Number of orders that the endpoint had accepted before; `None` if it did not report it.
         after: Option<u64>,
-        /// What came of it.
+        /// Result of the order.
         outcome: String,
     },
-    /// A request was sent to an endpoint or a chain.
+    /// An attempt of a request was sent to an endpoint or to the head of a chain.
     Sent {
-        /// The request.
+        /// Request id.
         id: String,
         /// Number of the attempt, from 1.
         attempt: u32,
-        /// The stages.
+        /// Stages of the chain, as `run=layers` separated by commas.
         stages: String,
-        /// Hops between availability zones.
+        /// Number of hops between availability zones.
         crossings: u32,
         /// Version of the catalog that chose the route.
         catalog: u64,
     },
-    /// No endpoint could take a request; what was believed then.
+    /// No endpoint could take a request. The fields describe the fleet as this node knew it.
     Short {
-        /// The request.
+        /// Request id.
         id: String,
-        /// What was short.
+        /// The resource that was missing.
         shortage: &'static str,
-        /// Endpoints of the service.
+        /// Number of known endpoints of the service.
         known: usize,
-        /// Those in use.
+        /// Number of available endpoints.
         open: usize,
-        /// The layer with the least room, if the service runs a model.
+        /// The layer with the least free capacity, if the service runs a model.
         layer: Option<u32>,
-        /// Part of memory that is free at the roomiest endpoint with that layer.
+        /// Free memory of the endpoint with the most free capacity that holds `layer`, in percent.
         free_percent: u64,
-        /// Part of the fullest pipe between zones that is used.
+        /// Utilization of the busiest inter-zone link, in percent.
         pipe_percent: u64,
-        /// Age of the oldest report of load that this rests on.
+        /// Age in milliseconds of the oldest load report that the decision used.
         age_ms: u64,
-        /// Version of the catalog.
+        /// Version of the catalog that admitted the request.
         catalog: u64,
     },
-    /// A stage of a chain was replaced while its request was under way.
+    /// A stage of a chain was replaced while its request was in flight.
     Detour {
-        /// The request.
+        /// Request id.
         id: String,
         /// Number of the attempt.
         attempt: u32,
-        /// The stage that its head waited for.
+        /// The stage that was replaced.
         culprit: String,
-        /// The stages from now on.
+        /// Stages of the chain after the change, as `run=layers` separated by commas.
         stages: String,
-        /// Hops between availability zones from now on.
+        /// Number of hops between availability zones after the change.
         crossings: u32,
-        /// Milliseconds since the request came.
+        /// Time from the request's arrival to the change, in milliseconds.
         after_ms: u64,
     },
-    /// An attempt failed, was refused by its endpoint, or fell silent.
+    /// An attempt failed, was refused by its endpoint, or timed out.
     Failed {
-        /// The request.
+        /// Request id.
         id: String,
         /// Number of the attempt.
         attempt: u32,
-        /// What happened.
+        /// Cause of the failure.
         why: String,
-        /// Whether it may have run.
+        /// Whether the attempt may have been executed.
         ran: bool,
-        /// Milliseconds since the request came.
+        /// Time from the request's arrival to the failure, in milliseconds.
         after_ms: u64,
     },
     /// A request ended.
     Ended {
-        /// The request.
+        /// Request id.
         id: String,
-        /// Name of its route; empty if it has none.
+        /// Name of the route; empty if no route was found.
         route: String,
-        /// The status that its caller got.
+        /// Status that the caller received; 0 if the caller left before the end.
         status: u16,
         /// `answered`, `refused`, `broken off` or `left`.
         outcome: &'static str,
-        /// The reason, for all but an answer.
+        /// Reason for the outcome; empty for `answered`.
         why: String,
-        /// Attempts that were sent.
+        /// Number of attempts that were sent.
         attempts: u32,
-        /// Milliseconds to the answer's head.
+        /// Time to the first event, or to the end of a response without events, in milliseconds.
         head_ms: u64,
-        /// Milliseconds in all.
+        /// Total time in milliseconds.
         all_ms: u64,
-        /// Longest pause between events in milliseconds.
+        /// Longest time between two events that were sent to the caller, in milliseconds.
         pause_ms: u64,
-        /// Milliseconds since the caller was last given an event, or since the request came.
+        /// Time since the last event that was sent to the caller, or since the request's arrival,
+        /// in milliseconds.
         quiet_ms: u64,
     },
-    /// A line of a library, or of code without an event of its own.
+    /// A record of the `log` crate, written by a library or by code without an event of its own.
     Note {
-        /// Its level.
+        /// Log level.
         level: &'static str,
-        /// The module that it is from.
+        /// Module that wrote the record.
         target: String,
-        /// The line.
+        /// Text of the record.
         message: String,
     },
-    /// Events that found the queue full.
+    /// Events were dropped because the queue was full.
     Overflow {
-        /// How many.
+        /// Number of dropped events.
         lost: u64,
     },
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,9 +1,9 @@
-//! Lines that explain a decision afterwards: typed events, written as JSON to standard output.
+//! A structured log of decisions: typed events, written to standard output as lines of JSON.
 //!
-//! [`Journal::tell`] puts an event into a bounded queue and never waits; [`writer`] writes the
-//! queue from a thread of its own, so that a reader of standard output that stops reading stops
-//! nothing else. An event that finds the queue full is counted, and the count is a line of its
-//! own once there is room.
+//! [`Journal::record`] puts an event into a bounded queue and never blocks. [`writer`] drains the
+//! queue on a thread of its own, so a reader that stops reading standard output does not stall
+//! request processing. Events that find the queue full are counted, and the count is written as an
+//! event of its own once the queue has free capacity.
 
 pub mod event;
 pub mod logger;
@@ -16,30 +16,30 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Lines that may wait to be written: a few seconds of a busy node, some 2 MB.
+/// Capacity of the queue in lines: a few seconds of output of a busy node, about 2 MB.
 pub const QUEUE_CAPACITY: usize = 4096;
 
-/// An event with its time.
+/// An event and its timestamp.
 #[derive(Debug, Serialize)]
 pub struct Line {
-    /// Milliseconds of Unix time.
+    /// Unix time in milliseconds.
     pub time: u64,
     /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What is in the queue.
+/// An item of the queue between journals and the writer.
 #[derive(Debug)]
 pub enum Message {
     /// A line to write.
     Line(Line),
-    /// Nothing follows. The logger of the whole process keeps a journal for good, so the writer
-    /// can't wait until all of them are dropped.
+    /// End of the log. The logger of the process holds a [`Journal`] for the process's lifetime, so
+    /// the channel never disconnects and the end needs an explicit mark.
     End,
 }
 
-/// Where events are told; clones share the queue.
+/// Handle that records events. Clones share one queue.
 #[derive(Clone, Debug)]
 pub struct Journal {
     queue: Option<SyncSender<Message>>,
@@ -47,7 +47,7 @@
 }
 
 impl Journal {
-    /// A journal and the lines that are told it.
+    /// Creates a journal whose queue holds `capacity` lines, and the receiver of its lines.
     pub fn new(capacity: usize) -> (Self, Receiver<Message>) {
         let (tx, rx) = sync_channel(capacity);
         let journal = Self {
@@ -57,7 +57,7 @@
         (journal, rx)
     }
 
-    /// A journal that nobody reads.
+    /// Creates a journal that discards all events.
     pub fn disabled() -> Self {
         Self {
             queue: None,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Tells an event.
+    /// Records an event. Never blocks; if the queue is full the event is dropped and counted.
     pub fn record(&self, event: Event) {
         let Some(queue) = &self.queue else {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Marks the end of the lines; whether there was room for the mark.
+    /// Queues the mark for the end of the log. Returns whether the queue had free capacity for it.
     pub(crate) fn end(&self) -> bool {
         let queue = self.queue.as_ref();
         queue.is_none_or(|queue| queue.try_send(Message::End).is_ok())
--- a/crates/journal/src/logger.rs
+++ b/crates/journal/src/logger.rs
@@ -1,4 +1,4 @@
-//! Lines of libraries and of code without an event of its own, told like any other event.
+//! Backend of the `log` crate that records log lines as [`Event::Note`].
 
 use crate::Journal;
 use crate::event::Event;
@@ -26,7 +26,9 @@
     fn flush(&self) {}
 }
 
-/// Takes the lines of the whole process from now on.
+/// Installs the logger for the whole process, with `level` as the maximum level.
+///
+/// Fails if a logger is installed already.
 pub fn install(journal: &Journal, level: LevelFilter) -> Result<(), SetLoggerError> {
     let journal = journal.clone();
     log::set_boxed_logger(Box::new(Logger { journal }))?;
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes lines in batches from a thread of its own.
+//! Writes queued lines in batches on a separate thread.
 
 use crate::event::Event;
 use crate::{Journal, Line, Message, unix_millis};
@@ -7,16 +7,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Time in which lines are gathered before they are written: one write for many lines costs a
-/// small instance less, and a reader is not late by it.
+/// Time over which lines are collected into one write. One write for many lines saves CPU time on a
+/// small instance, and the delay is short enough for readers of the log.
 const BATCH_INTERVAL: Duration = Duration::from_millis(200);
-/// Lines of one write.
+/// Maximum number of lines in one write.
 const MAX_BATCH_LINES: usize = 512;
 
-/// How often the end of the thread is looked for.
+/// How often [`Writer::finish`] checks whether the thread has ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The thread that writes.
+/// Handle of the writer thread.
 #[derive(Debug)]
 pub struct Writer {
     journal: Journal,
@@ -24,8 +24,8 @@
 }
 
 impl Writer {
-    /// Writes what was told and ends; gives up after `most`, so that an output which takes nothing
-    /// does not keep the process.
+    /// Writes the queued lines and ends the thread. Returns after `timeout` in any case, so that a
+    /// blocked output does not keep the process from ending.
     pub fn finish(self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         let mut end_sent = false;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Starts the thread; it ends at [`Writer::finish`], or when all journals are dropped.
+/// Starts the thread. It ends on [`Writer::finish`], or when all journals are dropped.
 pub fn start<W: Write + Send + 'static>(
     journal: &Journal,
     lines: Receiver<Message>,
@@ -54,7 +54,8 @@
                 let time = unix_millis();
                 append_line(&Line { time, event }, &mut buffer);
             }
-            // Nobody can be told that standard output is gone; requests go on without it.
+            // A failure of standard output can't be reported anywhere; requests are served without
+            // the log.
             let _ = out.write_all(&buffer).and_then(|()| out.flush());
             buffer.clear();
             if ended {
@@ -66,7 +67,8 @@
     Ok(Writer { journal, thread })
 }
 
-/// Waits for a line, gathers those that follow; whether they have ended.
+/// Waits for a line and appends it and the lines that follow within [`BATCH_INTERVAL`] to `buffer`.
+/// Returns whether the log has ended.
 fn collect_batch(lines: &Receiver<Message>, buffer: &mut Vec<u8>) -> bool {
     match lines.recv() {
         Ok(Message::Line(line)) => append_line(&line, buffer),
@@ -84,7 +86,7 @@
 }
 
 fn append_line(line: &Line, buffer: &mut Vec<u8>) {
-    // An event is made of texts and numbers, which can always be written as JSON.
+    // Events consist of strings and numbers, which always serialize to JSON.
     if serde_json::to_writer(&mut *buffer, line).is_ok() {
         buffer.push(b'\n');
     }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Lines are whole, bounded and never in the way of what they tell of.
+//! Tests of the event log: lines are well-formed, the queue is bounded, and recording never blocks.
 
 use journal::event::Event;
 use journal::{Journal, Message};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Standard output that takes nothing until it is let go.
+/// An output that blocks every write until `release` is signalled or dropped.
 struct Stuck {
     release: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
@@ -35,8 +35,8 @@
     }
 }
 
-// The reader of standard output stops reading. Events are told on as if nothing were wrong; what
-// does not fit is counted, and the count is written once there is room.
+// The reader of standard output stops reading. Recording must not block; events beyond the queue's
+// capacity are counted, and the count is written once there is free capacity.
 #[test]
 fn a_stuck_output_stops_nothing_and_losses_are_told() {
     let (release, stuck): (Sender<()>, _) = channel();
@@ -73,7 +73,7 @@
     assert!(line["time"].as_u64().is_some_and(|t| t > 0));
 }
 
-// The reader of standard output has stopped for good, and the process is told to end. It ends.
+// The output blocks for good while the process shuts down. `finish` must return nevertheless.
 #[test]
 fn a_stuck_output_does_not_keep_the_process() {
     let (_go, stuck): (Sender<()>, _) = channel();
