--- a/crates/place/tests/plan.rs
+++ b/crates/place/tests/plan.rs
@@ -75,7 +75,7 @@
     [zone("a", 1, 10, 4), zone("b", 2, 4, 4), zone("c", 1, 6, 6)].concat()
 }
 
-fn carry_out(holders: &mut [Holder], orders: &[Order]) {
+fn apply_all(holders: &mut [Holder], orders: &[Order]) {
     for order in orders {
         let holder = holders.iter_mut().find(|h| h.run == order.run).unwrap();
         assert_eq!(holder.span, order.held, "{order:?}");
@@ -83,20 +83,20 @@
     }
 }
 
-fn cover(holders: &[Holder], zone: Option<&str>) -> Vec<u32> {
-    let mut cover = vec![0; 80];
+fn copies(holders: &[Holder], zone: Option<&str>) -> Vec<u32> {
+    let mut copies = vec![0; 80];
     let own = holders.iter().filter(|h| zone.is_none_or(|z| z == h.zone));
     own.flat_map(|h| h.span.from..h.span.to)
-        .for_each(|l| cover[l as usize] += 1);
-    cover
+        .for_each(|l| copies[l as usize] += 1);
+    copies
 }
 
-fn whole(holders: &[Holder], zone: &str) -> bool {
-    cover(holders, Some(zone)).iter().all(|&n| n > 0)
+fn is_complete(holders: &[Holder], zone: &str) -> bool {
+    copies(holders, Some(zone)).iter().all(|&n| n > 0)
 }
 
 /// Fails if an endpoint holds more than its memory does: an engine crashes on such an order.
-fn verify(engine: &Engine, holders: &[Holder]) {
+fn assert_fits(engine: &Engine, holders: &[Holder]) {
     for holder in holders {
         let kind = engine.accelerator(&holder.kind).unwrap();
         let bytes = f64::from(holder.span.len()) * engine.layer_bytes;
@@ -107,29 +107,29 @@
     }
 }
 
-fn placed() -> Vec<Holder> {
+fn placed_fleet() -> Vec<Holder> {
     let mut holders = fleet();
     let orders = plan::next_orders(&engine(), &holders);
-    carry_out(&mut holders, &orders);
+    apply_all(&mut holders, &orders);
     holders
 }
 
 #[test]
-fn every_zone_of_a_fresh_fleet_gets_a_cover_of_its_own() {
-    let holders = placed();
-    verify(&engine(), &holders);
+fn each_zone_of_an_empty_fleet_gets_a_replica_set() {
+    let holders = placed_fleet();
+    assert_fits(&engine(), &holders);
     for zone in ["a", "b", "c"] {
         assert!(
-            whole(&holders, zone),
+            is_complete(&holders, zone),
             "{zone}: {:?}",
-            cover(&holders, Some(zone))
+            copies(&holders, Some(zone))
         );
     }
     assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
 /// A fleet of 93 endpoints in three zones that differ in what they have.
-fn large() -> Vec<Holder> {
+fn large_fleet() -> Vec<Holder> {
     [
         zone("a", 2, 24, 9),
         zone("b", 4, 10, 11),
@@ -142,20 +142,20 @@
 // Requests of the zone meet at the endpoint that holds a layer alone, it is full while the rest
 // idle, and its death leaves a hole. Copies are spread evenly within each zone.
 #[test]
-fn the_copies_of_a_zone_are_even() {
+fn copies_are_spread_evenly_within_a_zone() {
     let engine = engine();
-    let mut holders = large();
+    let mut holders = large_fleet();
     let orders = plan::next_orders(&engine, &holders);
-    carry_out(&mut holders, &orders);
+    apply_all(&mut holders, &orders);
     for name in ["a", "b", "c"] {
-        let cover = cover(&holders, Some(name));
+        let cover = copies(&holders, Some(name));
         let (least, most) = (cover.iter().min().unwrap(), cover.iter().max().unwrap());
         println!("zone {name}: {cover:?}");
         assert!(*least >= 2 && *most <= least + 2, "zone {name}: {cover:?}");
     }
 }
 
-/// An engine on smaller accelerators: each zone of [`tight`] has memory for 1.7 to 2 covers when
+/// An engine on smaller accelerators: each zone of [`small_fleet`] has memory for 1.7 to 2 covers when
 /// nothing is kept for requests.
 fn small_engine() -> Engine {
     Engine {
@@ -179,7 +179,7 @@
     }
 }
 
-fn tight() -> Vec<Holder> {
+fn small_fleet() -> Vec<Holder> {
     [
         holders("a", &[("a100s", 1), ("l4", 8), ("t4", 5)]),
         holders("b", &[("a100s", 3), ("l4", 3), ("t4", 5)]),
@@ -194,21 +194,25 @@
 // another zone and back. Grounds: the least spare copies that close any hole of one of the
 // smallest kind are as many layers as that kind holds.
 #[test]
-fn a_tight_zone_is_whole_again_after_the_loss_of_a_small_endpoint() {
+fn a_zone_with_little_memory_recovers_from_the_loss_of_a_small_endpoint() {
     let engine = small_engine();
-    let mut placed = tight();
+    let mut placed = small_fleet();
     let orders = plan::next_orders(&engine, &placed);
-    carry_out(&mut placed, &orders);
-    verify(&engine, &placed);
+    apply_all(&mut placed, &orders);
+    assert_fits(&engine, &placed);
     for gone in placed.iter().filter(|h| h.kind == "t4") {
         let mut left = placed.clone();
         left.retain(|h| h.run != gone.run);
         for _ in 0..4 {
             let orders = plan::next_orders(&engine, &left);
-            carry_out(&mut left, &orders);
+            apply_all(&mut left, &orders);
         }
-        let own = cover(&left, Some(&gone.zone));
-        assert!(whole(&left, &gone.zone), "without {}: {own:?}", gone.run);
+        let own = copies(&left, Some(&gone.zone));
+        assert!(
+            is_complete(&left, &gone.zone),
+            "without {}: {own:?}",
+            gone.run
+        );
     }
 }
 
@@ -218,11 +222,11 @@
 // requests went to other zones. Aim: each endpoint has room for three quarters of the requests, as
 // long as half of the layers are held twice.
 #[test]
-fn a_zone_with_memory_for_several_covers_keeps_room_for_its_requests() {
+fn a_zone_with_memory_for_several_replica_sets_keeps_capacity_for_requests() {
     let engine = engine();
     let mut placed = zone("a", 1, 16, 7);
     let orders = plan::next_orders(&engine, &placed);
-    carry_out(&mut placed, &orders);
+    apply_all(&mut placed, &orders);
     let usual = f64::from(engine.typical_size.prompt + engine.typical_size.answer);
     for holder in &placed {
         let kind = engine.accelerator(&holder.kind).unwrap();
@@ -230,17 +234,17 @@
             engine.kv_capacity(kind, holder.span.len()) / f64::from(holder.span.len()) / usual;
         assert!(places >= 150.0, "{}: room for {places:.0}", holder.run);
     }
-    let twice = cover(&placed, None).iter().filter(|&&n| n >= 2).count();
+    let twice = copies(&placed, None).iter().filter(|&&n| n >= 2).count();
     assert!(twice >= 40, "{twice}");
 }
 
 #[test]
-fn the_plan_is_the_same_whoever_makes_it() {
-    let mut turned = fleet();
-    turned.reverse();
+fn the_plan_does_not_depend_on_the_order_of_endpoints() {
+    let mut reversed = fleet();
+    reversed.reverse();
     let (mut a, mut b) = (
         plan::next_orders(&engine(), &fleet()),
-        plan::next_orders(&engine(), &turned),
+        plan::next_orders(&engine(), &reversed),
     );
     a.sort_by(|x, y| x.run.cmp(&y.run));
     b.sort_by(|x, y| x.run.cmp(&y.run));
@@ -250,42 +254,42 @@
 // An endpoint crashes and starts again empty. Only it gets an order, and it gets back what is
 // missing: each further load would take an endpoint out of use for seconds.
 #[test]
-fn an_endpoint_that_comes_back_empty_fills_its_own_gap() {
-    let mut holders = placed();
+fn a_restarted_endpoint_fills_its_own_gap() {
+    let mut holders = placed_fleet();
     let lost = holders[0].span;
     holders[0].span = Span::default();
     holders[0].run.started_at = 2;
     let orders = plan::next_orders(&engine(), &holders);
     assert!(orders.iter().any(|o| o.run == holders[0].run));
-    carry_out(&mut holders, &orders);
+    apply_all(&mut holders, &orders);
     assert!(
-        whole(&holders, "a"),
+        is_complete(&holders, "a"),
         "lost {lost}: {:?}",
-        cover(&holders, Some("a"))
+        copies(&holders, Some("a"))
     );
 }
 
 // An endpoint is gone for good. Without a repair, every request of its zone would go to another
 // zone and back for the rest of the day. Spare copies move; nothing that is held once does.
 #[test]
-fn a_zone_that_lost_an_endpoint_is_repaired_by_its_spare_copies() {
-    let mut holders = placed();
+fn a_zone_that_lost_an_endpoint_is_repaired_by_redundant_copies() {
+    let mut holders = placed_fleet();
     // One that holds a layer alone: the loss of a spare copy leaves nothing to repair.
-    let own = cover(&holders, Some("a"));
+    let own = copies(&holders, Some("a"));
     let alone = |h: &Holder| (h.span.from..h.span.to).any(|l| own[l as usize] == 1);
     let needed = |h: &Holder| h.zone == "a" && h.kind == "v100" && alone(h);
     let gone = holders.iter().position(needed).unwrap();
     holders.remove(gone);
-    assert!(!whole(&holders, "a"));
+    assert!(!is_complete(&holders, "a"));
     let orders = plan::next_orders(&engine(), &holders);
     assert_eq!(orders.len(), 1, "{orders:?}");
     for order in &orders {
-        let own = cover(&holders, Some("a"));
+        let own = copies(&holders, Some("a"));
         let span = order.held.from as usize..order.held.to as usize;
         assert!(own[span].iter().all(|&n| n >= 2), "{order:?}");
     }
-    carry_out(&mut holders, &orders);
-    assert!(whole(&holders, "a"));
+    apply_all(&mut holders, &orders);
+    assert!(is_complete(&holders, "a"));
     assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
@@ -293,7 +297,7 @@
 // or not at all. Whatever happens, no order asks for more than memory holds, none moves the last
 // copy of a layer in its zone, and once all is calm the fleet holds every layer.
 #[test]
-fn random_troubles_end_in_a_cover() {
+fn random_failures_end_in_a_complete_replica_set() {
     let engine = engine();
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -318,39 +322,39 @@
             }
             let orders = plan::next_orders(&engine, &holders);
             for order in orders {
-                check_order(&holders, &order);
+                assert_copies_remain(&holders, &order);
                 match rng.random_range(0..4) {
                     0 => late.push(order),
                     1 => {}
-                    _ => take(&mut holders, &order),
+                    _ => apply_order(&mut holders, &order),
                 }
             }
             if rng.random() && !late.is_empty() {
                 let order = late.swap_remove(rng.random_range(0..late.len()));
-                take(&mut holders, &order);
+                apply_order(&mut holders, &order);
             }
-            verify(&engine, &holders);
+            assert_fits(&engine, &holders);
         }
         for _ in 0..5 {
             let orders = plan::next_orders(&engine, &holders);
-            orders.iter().for_each(|o| take(&mut holders, o));
+            orders.iter().for_each(|o| apply_order(&mut holders, o));
         }
-        let held = cover(&holders, None);
+        let held = copies(&holders, None);
         assert!(held.iter().all(|&n| n > 0), "seed {seed}: {held:?}");
     }
 }
 
 /// An endpoint takes an order only if it is still what the order was planned for.
-fn take(holders: &mut [Holder], order: &Order) {
+fn apply_order(holders: &mut [Holder], order: &Order) {
     let found = holders.iter_mut().find(|h| h.run == order.run);
     if let Some(holder) = found.filter(|h| h.span == order.held) {
         holder.span = order.span;
     }
 }
 
-fn check_order(holders: &[Holder], order: &Order) {
+fn assert_copies_remain(holders: &[Holder], order: &Order) {
     let holder = holders.iter().find(|h| h.run == order.run).unwrap();
-    let own = cover(holders, Some(&holder.zone));
+    let own = copies(holders, Some(&holder.zone));
     let span = holder.span.from as usize..holder.span.to as usize;
     assert!(own[span].iter().all(|&n| n >= 2), "{order:?}");
 }
@@ -371,9 +375,9 @@
 // The baseline is a random plan: each endpoint holds as many layers as leave the same room, from a
 // random layer on. What counts is the room of the scarcest layer, since requests take all layers.
 #[test]
-fn the_plan_leaves_more_room_than_random_ones() {
+fn the_plan_leaves_more_capacity_than_random_plans() {
     let engine = engine();
-    let planned = bottleneck(&engine, &placed());
+    let planned = bottleneck(&engine, &placed_fleet());
     let mut best: f64 = 0.0;
     for seed in 0..1000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -398,7 +402,7 @@
 // A plan is made on a small instance every tenth of a second while anything is missing. At the
 // size to design for, 4,700 endpoints in 18 zones, it must not take the instance for seconds.
 #[test]
-fn a_plan_for_thousands_of_endpoints_is_made() {
+fn thousands_of_endpoints_are_planned() {
     let zones = (0..18).map(|z| format!("z{z}"));
     let holders: Vec<Holder> = zones.flat_map(|z| zone(&z, 28, 137, 96)).collect();
     let begun = Instant::now();
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -91,7 +91,7 @@
     /// Layers to run: all layers, or those of a replaced stage.
     pub(crate) span: Span,
     /// Available endpoints that the request was not sent to yet.
-    pub(crate) rows: &'a [Candidate<'a>],
+    pub(crate) candidates: &'a [Candidate<'a>],
     /// Names of the availability zones, by index.
     pub(crate) zones: &'a [String],
     /// Stages around the replaced stage, if any.
@@ -127,7 +127,7 @@
     /// the request does not fit even into empty endpoints, and [`Shortage::Capacity`] if no chain
     /// has enough free capacity.
     pub(crate) fn cheapest_chain(&self, need: &Need) -> Result<Vec<Segment>, Shortage> {
-        debug_assert!(self.rows.iter().all(|c| c.row.is_available(self.now)));
+        debug_assert!(self.candidates.iter().all(|c| c.row.is_available(self.now)));
         let cuts = self.cuts();
         if !self.is_covered(&cuts) {
             return Err(Shortage::Layers);
@@ -144,7 +144,7 @@
         }
         let hops = self.hop_costs(need);
         let prices: Vec<f64> = self
-            .rows
+            .candidates
             .iter()
             .map(|c| self.price_per_layer(c, need))
             .collect();
@@ -155,7 +155,7 @@
             if !reached[at] {
                 continue;
             }
-            for (candidate, price) in self.rows.iter().zip(&prices) {
+            for (candidate, price) in self.candidates.iter().zip(&prices) {
                 let &Candidate {
                     index,
                     row,
@@ -207,7 +207,7 @@
 
     /// Returns the layers at which a stage may begin or end, in ascending order.
     fn cuts(&self) -> Vec<Layer> {
-        let spans = self.rows.iter().map(|c| c.row.endpoint.span);
+        let spans = self.candidates.iter().map(|c| c.row.endpoint.span);
         let mut cuts: Vec<Layer> = spans.flat_map(|s| [s.from, s.to]).collect();
         cuts.extend([self.span.from, self.span.to]);
         cuts.retain(|&c| self.span.from <= c && c <= self.span.to);
@@ -218,13 +218,17 @@
 
     fn is_covered(&self, cuts: &[Layer]) -> bool {
         let mut cuts = cuts.iter().filter(|&&c| c < self.span.to);
-        cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.contains(c)))
+        cuts.all(|&c| {
+            self.candidates
+                .iter()
+                .any(|r| r.row.endpoint.span.contains(c))
+        })
     }
 
     /// Returns the maximum number of tokens of a request that an empty endpoint can hold if it runs
     /// only this layer.
     fn max_capacity(&self, layer: Layer) -> f64 {
-        let rows = self.rows.iter().map(|c| c.row);
+        let rows = self.candidates.iter().map(|c| c.row);
         let rows = rows.filter(|r| r.endpoint.span.contains(layer));
         rows.map(|r| r.capacity).fold(0.0, f64::max)
     }
@@ -361,8 +365,8 @@
 }
 
 /// Adds `tokens` tokens in flight to the endpoints of a chain, for the next search.
-pub(crate) fn add_load(rows: &mut [Candidate<'_>], chain: &[Segment], tokens: f64) {
-    for (candidate, segment) in candidates_on(rows, chain) {
+pub(crate) fn add_load(candidates: &mut [Candidate<'_>], chain: &[Segment], tokens: f64) {
+    for (candidate, segment) in candidates_on(candidates, chain) {
         candidate.used += tokens * f64::from(segment.span.len());
     }
 }
@@ -371,12 +375,12 @@
 /// takes capacity, and delays later requests.
 pub(crate) fn add_prefill(
     engine: &Engine,
-    rows: &mut [Candidate<'_>],
+    candidates: &mut [Candidate<'_>],
     chain: &[Segment],
     tokens: f64,
 ) {
-    add_load(rows, chain, tokens);
-    for (candidate, segment) in candidates_on(rows, chain) {
+    add_load(candidates, chain, tokens);
+    for (candidate, segment) in candidates_on(candidates, chain) {
         let row = candidate.row;
         candidate.backlog_secs +=
             row.prefill_secs * row.slowdown * tokens * engine.model_fraction(segment.span.len());
@@ -386,11 +390,12 @@
 /// Returns the candidates that a chain runs on, each with its segment; a chain contains each
 /// endpoint at most once.
 fn candidates_on<'r, 'a>(
-    rows: &'r mut [Candidate<'a>],
+    candidates: &'r mut [Candidate<'a>],
     chain: &'r [Segment],
 ) -> impl Iterator<Item = (&'r mut Candidate<'a>, &'r Segment)> {
     let segment = |c: &Candidate<'_>| chain.iter().find(|s| s.row == c.index);
-    rows.iter_mut()
+    candidates
+        .iter_mut()
         .filter_map(move |c| segment(c).map(|s| (c, s)))
 }
 
--- a/crates/steer/src/selector/chain.rs
+++ b/crates/steer/src/selector/chain.rs
@@ -41,17 +41,17 @@
                 && row.is_available(now)
                 && !tried.contains(&endpoint.run)
         };
-        let usable = self.usable(usable);
+        let usable = self.rows_where(usable);
         if usable.is_empty() {
             return Err(Shortage::Endpoints);
         }
         self.search_shortlist(engine, &usable, |listed| {
-            let rows = self.candidates(now, flow.residence(), listed.rows);
+            let candidates = self.candidates(now, flow.residence(), listed.rows);
             self.chain_after_others(
                 now,
                 engine,
                 need,
-                rows,
+                candidates,
                 flow.scaled(listed.fraction),
                 increments,
             )
@@ -93,9 +93,9 @@
     }
 
     /// Returns the indexes of the rows that satisfy a predicate.
-    pub(super) fn usable(&self, usable: impl Fn(&Row) -> bool) -> Vec<usize> {
+    pub(super) fn rows_where(&self, predicate: impl Fn(&Row) -> bool) -> Vec<usize> {
         let rows = self.rows.iter().enumerate();
-        let rows = rows.filter(|(_, row)| usable(row));
+        let rows = rows.filter(|(_, row)| predicate(row));
         rows.map(|(index, _)| index).collect()
     }
 
@@ -106,22 +106,25 @@
         now: Timestamp,
         engine: &Engine,
         need: &Need,
-        mut rows: Vec<Candidate<'_>>,
+        mut candidates: Vec<Candidate<'_>>,
         flow: Flow,
         increments: u32,
     ) -> Result<Vec<Segment>> {
         let residence = flow.residence();
-        let others =
-            flow.others_in_flight(now, self.selecting_nodes(), mean_report_age(now, &rows));
+        let others = flow.others_in_flight(
+            now,
+            self.selecting_nodes(),
+            mean_report_age(now, &candidates),
+        );
         let tokens = need.tokens() * others / f64::from(unreported::INCREMENTS);
         unreported::assign_incrementally(
-            &mut rows,
+            &mut candidates,
             increments,
-            |rows| {
-                self.search(now, engine, residence, rows)
+            |candidates| {
+                self.search(now, engine, residence, candidates)
                     .cheapest_chain(need)
             },
-            |rows, chain| search::add_load(rows, chain, tokens),
+            |candidates, chain| search::add_load(candidates, chain, tokens),
         )
     }
 
@@ -131,7 +134,7 @@
         now: Timestamp,
         engine: &'a Engine,
         residence: Duration,
-        rows: &'a [Candidate<'a>],
+        candidates: &'a [Candidate<'a>],
     ) -> Search<'a> {
         Search {
             engine,
@@ -140,7 +143,7 @@
                 to: engine.layers,
             },
             neighbors: Neighbors::default(),
-            rows,
+            candidates,
             zones: &self.zones,
             nodes: self.nodes(),
             links: &self.links,
@@ -199,8 +202,10 @@
 }
 
 /// Returns the mean age of the load reports of the candidates.
-fn mean_report_age(now: Timestamp, rows: &[Candidate<'_>]) -> Duration {
-    let ages = rows.iter().filter_map(|c| c.row.load.map(|l| l.age(now)));
+fn mean_report_age(now: Timestamp, candidates: &[Candidate<'_>]) -> Duration {
+    let ages = candidates
+        .iter()
+        .filter_map(|c| c.row.load.map(|l| l.age(now)));
     let (count, sum) = ages.fold((0, Duration::ZERO), |(n, sum), age| (n + 1, sum + age));
     sum.checked_div(count).unwrap_or_default()
 }
--- a/crates/steer/src/selector/reroute.rs
+++ b/crates/steer/src/selector/reroute.rs
@@ -141,25 +141,30 @@
         gap: &Gap<'_>,
         increments: u32,
     ) -> Result<Vec<Segment>> {
-        let usable = self.usable(|row| {
+        let usable = self.rows_where(|row| {
             row.endpoint.service == service.name && row.is_available(now) && gap.can_run(row)
         });
         let residence = self.flow(service, engine).residence();
         let stranded = self.stranded_tokens(now, gap.stage()) / f64::from(INCREMENTS);
-        let find = |rows: &Vec<Candidate<'_>>| {
+        let find = |candidates: &Vec<Candidate<'_>>| {
             let search = Search {
                 span: gap.stage().span,
                 neighbors: gap.neighbors,
-                ..self.search(now, engine, residence, rows)
+                ..self.search(now, engine, residence, candidates)
             };
             search.cheapest_chain(need)
         };
         self.search_shortlist(engine, &usable, |listed| {
-            let mut rows = self.candidates(now, residence, listed.rows);
+            let mut candidates = self.candidates(now, residence, listed.rows);
             let tokens = stranded * listed.fraction;
-            unreported::assign_incrementally(&mut rows, increments, find, |rows, chain| {
-                search::add_prefill(engine, rows, chain, tokens);
-            })
+            unreported::assign_incrementally(
+                &mut candidates,
+                increments,
+                find,
+                |candidates, chain| {
+                    search::add_prefill(engine, candidates, chain, tokens);
+                },
+            )
         })
     }
 
--- a/crates/steer/tests/budget.rs
+++ b/crates/steer/tests/budget.rs
@@ -15,35 +15,35 @@
 // A zone is lost and every request fails at first. Were each node to send each again, what is
 // left would get twice the load. Whatever the nodes ask for, each window holds the bound.
 #[test]
-fn no_window_has_more_further_attempts_than_allowed() {
+fn no_window_exceeds_the_allowed_retries() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut budgets = vec![Budget::default(); NODES];
-        let mut first: Vec<Duration> = Vec::new();
-        let mut further: Vec<Duration> = Vec::new();
+        let mut requests: Vec<Duration> = Vec::new();
+        let mut retries: Vec<Duration> = Vec::new();
         let mut now = Duration::ZERO;
         while now < Duration::from_secs(40) {
             now += Duration::from_micros(rng.random_range(1..20_000));
             let node = rng.random_range(0..NODES);
             budgets[node].record_request(now, &ALLOWANCE);
-            first.push(now);
+            requests.push(now);
             if budgets[node].try_retry(now, &ALLOWANCE, NODES) {
-                further.push(now);
+                retries.push(now);
             }
         }
-        for &start in &further {
+        for &start in &retries {
             let inside = |t: &&Duration| **t >= start && **t < start + ALLOWANCE.window;
-            let repeats = further.iter().filter(inside).count() as f64;
-            let firsts = first.iter().filter(inside).count() as f64;
+            let repeats = retries.iter().filter(inside).count() as f64;
+            let firsts = requests.iter().filter(inside).count() as f64;
             let bound = ALLOWANCE.ratio * firsts + ALLOWANCE.slack;
             assert!(repeats <= bound, "seed {seed}: {repeats} over {bound}");
         }
-        assert!(further.len() > 50, "seed {seed}: {} granted", further.len());
+        assert!(retries.len() > 50, "seed {seed}: {} granted", retries.len());
     }
 }
 
 #[test]
-fn a_budget_comes_back_with_time() {
+fn the_budget_is_replenished_over_time() {
     let mut budget = Budget::default();
     let mut granted = 0;
     // A node knows the others after its first window; before that it takes less.
@@ -59,7 +59,7 @@
 // All nodes lose power and start again together. None knows another one yet, so each would take the
 // whole fixed part of the budget for itself, while every request fails at first.
 #[test]
-fn nodes_that_started_together_do_not_each_take_the_whole_budget() {
+fn nodes_that_start_together_do_not_each_take_the_whole_budget() {
     let mut granted = 0;
     for _ in 0..10 {
         let mut budget = Budget::default();
@@ -71,18 +71,18 @@
 }
 
 /// Nodes, requests a second in all and the fixed part of the budget, as three deployments have them.
-const FLEETS: [(usize, usize, f64); 3] = [(8, 75, 200.0), (67, 235, 318.0), (195, 530, 574.0)];
+const DEPLOYMENTS: [(usize, usize, f64); 3] = [(8, 75, 200.0), (67, 235, 318.0), (195, 530, 574.0)];
 
 // Stages die, and all nodes use up what further attempts they have. Then all lose power and start
 // again: they neither know each other yet nor what they used before. Callers must not find more
 // load on what is left than the operator allows in any window, also in the one across the restart.
 #[test]
-fn nodes_that_used_up_their_budget_and_start_anew_stay_within_it() {
-    for (nodes, rate, slack) in FLEETS {
+fn nodes_that_restart_after_using_their_budget_stay_within_it() {
+    for (nodes, rate, slack) in DEPLOYMENTS {
         let allowance = Allowance { slack, ..ALLOWANCE };
         // The window ends a second after the restart.
         let before = allowance.window - Duration::from_secs(1);
-        let old = spend(
+        let old = count_retries(
             &allowance,
             nodes,
             nodes,
@@ -90,7 +90,7 @@
             Duration::from_secs(20),
             before,
         );
-        let young = spend(
+        let young = count_retries(
             &allowance,
             nodes,
             1,
@@ -110,7 +110,7 @@
 
 /// Further attempts that `nodes` nodes take which know of `known`, from `start` on for `time`, with
 /// `rate` first attempts a second in all.
-fn spend(
+fn count_retries(
     allowance: &Allowance,
     nodes: usize,
     known: usize,
--- a/crates/steer/tests/chain.rs
+++ b/crates/steer/tests/chain.rs
@@ -18,7 +18,7 @@
 const MODEL: u32 = 0;
 
 /// Fails unless the stages run every layer once and in order, no endpoint twice.
-fn verify(target: &Target) {
+fn assert_complete(target: &Target) {
     let mut next = 0;
     let mut seen = BTreeSet::new();
     for stage in &target.stages {
@@ -40,11 +40,11 @@
     let target = selector(rows)
         .select(ms(0), MODEL, &need(100), &[])
         .unwrap();
-    verify(&target);
+    assert_complete(&target);
 }
 
 #[test]
-fn what_is_short_is_told_apart() {
+fn shortages_are_distinguished() {
     let gap = vec![
         endpoint(1, "a", "fast", 0, 5),
         endpoint(2, "a", "fast", 6, 8),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_ended_gives_its_room_back() {
+fn ended_attempts_release_their_capacity() {
     let mut selector = selector(vec![endpoint(1, "a", "fast", 0, 8)]);
     for _ in 0..10 {
         let target = selector.select(ms(0), MODEL, &need(200), &[]).unwrap();
@@ -82,7 +82,7 @@
 // Activations between availability zones go over a pipe that all share; chains that cross without
 // need fill it, and every answer on it is late.
 #[test]
-fn a_chain_stays_in_one_zone_while_it_can() {
+fn a_chain_stays_in_one_zone_if_possible() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "a", "slow", 4, 8),
@@ -107,7 +107,7 @@
 // Only a chain over both zones is left. Callers get it until the pipe is used up, then an honest
 // refusal at once: one more request on a full pipe would make all of them late.
 #[test]
-fn a_pipe_is_not_filled_past_what_it_carries() {
+fn a_link_is_not_filled_beyond_its_capacity() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "b", "fast", 4, 8),
@@ -131,7 +131,7 @@
 // elsewhere. Counted as requests over the pipe, the questions alone would fill it, and the next
 // callers would be refused although nothing crosses.
 #[test]
-fn asking_for_a_chain_takes_nothing() {
+fn checking_for_a_chain_reserves_nothing() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "b", "fast", 4, 8),
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn draining_accused_and_failed_endpoints_are_left_out() {
+fn draining_reported_and_failed_endpoints_are_not_selected() {
     let mut leaving = endpoint(1, "a", "fast", 0, 8);
     leaving.state = State::Draining;
     let mut selector = selector(vec![leaving, endpoint(2, "a", "slow", 0, 8)]);
@@ -165,7 +165,7 @@
 // A caller's answer stalls because a stage died. The rest of the chain keeps its memory, so only
 // that stage is replaced; the head stays, since the request is there.
 #[test]
-fn a_detour_replaces_the_dead_stage_alone() {
+fn a_reroute_replaces_only_the_dead_stage() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 3),
         endpoint(2, "a", "fast", 3, 6),
@@ -180,7 +180,7 @@
     target.stages = selector
         .reroute(ms(1), &target, MODEL, &need(50), dead)
         .unwrap();
-    verify(&target);
+    assert_complete(&target);
     assert!(target.stages.iter().all(|s| s.addr != dead));
     assert_eq!(target.head().run.id, "e1");
     // The head can't be replaced, and what nobody else holds neither.
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn random_fleets_give_whole_chains_or_the_reason() {
+fn random_fleets_yield_complete_chains_or_a_shortage() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(1..20);
@@ -217,16 +217,16 @@
                 endpoint(number, zone, kind, from, to)
             })
             .collect();
-        let whole = (0..LAYERS).all(|l| rows.iter().any(|r| r.span.contains(l)));
+        let complete = (0..LAYERS).all(|l| rows.iter().any(|r| r.span.contains(l)));
         let mut selector = selector(rows);
-        let mut held = Vec::new();
+        let mut reservations = Vec::new();
         for _ in 0..50 {
             match selector.select(ms(0), MODEL, &need(rng.random_range(2..400)), &[]) {
                 Ok(target) => {
-                    verify(&target);
-                    held.push(target.reservation);
+                    assert_complete(&target);
+                    reservations.push(target.reservation);
                 }
-                Err(shortage) => assert_eq!(shortage == Shortage::Layers, !whole),
+                Err(shortage) => assert_eq!(shortage == Shortage::Layers, !complete),
             }
         }
         assert!(
@@ -236,8 +236,8 @@
                 .all(|r| r.reserved <= r.capacity * MAX_FILL),
             "seed {seed}\n{selector}"
         );
-        for hold in held {
-            selector.end(ms(1), hold, Outcome::Success, None);
+        for reservation in reservations {
+            selector.end(ms(1), reservation, Outcome::Success, None);
         }
         assert!(
             selector.rows().iter().all(|r| r.reserved == 0.0),
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn what_is_scarce_is_told_with_its_figures() {
+fn scarcity_reports_the_scarcest_layer() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 4),
         endpoint(2, "a", "fast", 4, 8),
@@ -271,13 +271,13 @@
 // bounded number of chains at once, and the others queue. Its report says so, and requests begin
 // elsewhere; as a later stage of a chain it is used as before.
 #[test]
-fn a_first_endpoint_with_a_queue_is_passed_over() {
+fn a_head_with_a_queue_is_avoided() {
     let fast = endpoint(0, "a", "fast", 0, 4);
     let slow = endpoint(1, "a", "slow", 0, 4);
     let rest = endpoint(2, "a", "fast", 4, 8);
     let begin = |queued: u32| {
-        let told = |e: &Endpoint, queued| (e.run.to_string(), load(1, 0.0, queued, ms(200)));
-        let loads = [told(&fast, queued), told(&rest, 50)];
+        let report = |e: &Endpoint, queued| (e.run.to_string(), load(1, 0.0, queued, ms(200)));
+        let loads = [report(&fast, queued), report(&rest, 50)];
         let mut selector = Selector::new(1, ALLOWANCE);
         let fleet = Fleet {
             loads: Arc::new(loads.into_iter().collect()),
@@ -295,16 +295,16 @@
 // that a third is free. The refusal is newer than the report: the next request does not go there,
 // or it would be refused as well and use up an attempt more.
 #[test]
-fn a_refusal_for_want_of_memory_is_newer_than_the_report() {
+fn a_refusal_for_lack_of_memory_overrides_an_older_report() {
     let (fast, slow) = (
         endpoint(0, "a", "fast", 0, 8),
         endpoint(1, "a", "slow", 0, 8),
     );
-    let room = f64::from(LAYERS) * 250.0;
-    let told = load(1, room * 0.66, 0, ms(1000));
+    let capacity = f64::from(LAYERS) * 250.0;
+    let report = load(1, capacity * 0.66, 0, ms(1000));
     let mut selector = Selector::new(1, ALLOWANCE);
     let fleet = Fleet {
-        loads: Arc::new([(fast.run.to_string(), told)].into()),
+        loads: Arc::new([(fast.run.to_string(), report)].into()),
         ..fleet(vec![fast.clone(), slow.clone()], 1)
     };
     selector.update_fleet(ms(1000), fleet);
@@ -326,7 +326,7 @@
 // many others choose beside them was taken for requests that these hold, and 162 callers of seven nodes
 // were refused within a second after all had started anew.
 #[test]
-fn others_that_are_guessed_take_no_room() {
+fn assumed_nodes_occupy_no_capacity() {
     let row = endpoint(1, "a", "fast", 0, 8);
     let mut selector = Selector::new(1, ALLOWANCE);
     let view = Fleet {
--- a/crates/steer/tests/depart.rs
+++ b/crates/steer/tests/depart.rs
@@ -22,7 +22,7 @@
     ]
 }
 
-fn under_way() -> (Selector, Target) {
+fn in_flight() -> (Selector, Target) {
     let mut selector = selector(rows());
     let target = selector.select(Duration::ZERO, 0, &need(20), &[]).unwrap();
     assert_eq!(selector.departing(&target), None);
@@ -31,7 +31,7 @@
 
 /// What departs once the endpoints are as `change` makes them.
 fn departs(change: impl Fn(&mut Vec<Endpoint>)) -> Option<usize> {
-    let (mut selector, target) = under_way();
+    let (mut selector, target) = in_flight();
     let mut rows = rows();
     change(&mut rows);
     selector.update_fleet(Duration::from_secs(1), fleet(rows, 1));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_stage_departs_that_leaves_is_gone_or_gives_up_its_layers() {
+fn a_stage_departs_if_it_drains_disappears_or_releases_its_layers() {
     assert_eq!(departs(|rows| rows[1].state = State::Draining), Some(1));
     assert_eq!(departs(|rows| drop(rows.remove(2))), Some(2));
     assert_eq!(
@@ -54,15 +54,15 @@
 // More layers than before take nothing from an answer; and the head is where the request is, so
 // that it can't be moved.
 #[test]
-fn a_stage_that_grows_and_the_head_stay() {
+fn a_stage_with_more_layers_and_the_head_do_not_depart() {
     assert_eq!(departs(|rows| rows[1].span = Span { from: 2, to: 7 }), None);
     assert_eq!(departs(|rows| rows[0].state = State::Draining), None);
 }
 
 // Guards against requests that are sent to an endpoint which is about to give up its layers, and refused.
 #[test]
-fn an_endpoint_that_is_about_to_give_up_its_layers_departs_and_gets_nothing_new() {
-    let (mut selector, target) = under_way();
+fn an_endpoint_about_to_release_its_layers_departs_and_gets_no_new_requests() {
+    let (mut selector, target) = in_flight();
     let moved = &target.stages[1];
     let releasing = BTreeSet::from([moved.run.to_string()]);
     let view = Fleet {
--- a/crates/steer/tests/detour.rs
+++ b/crates/steer/tests/detour.rs
@@ -14,24 +14,27 @@
 use steer::chain::Need;
 use steer::health::Outcome;
 use steer::{Fleet, Selector};
-use support::{ALLOWANCE, SIZE, catalog_of, endpoint, fleet, load, model, read, selector, tokens};
+use support::{
+    ALLOWANCE, TYPICAL_SIZE, catalog_with, endpoint, fleet, large_engine, load, prefill_factor,
+    selector, tokens,
+};
 
 const NODES: usize = 84;
 /// Requests that each node has on the endpoint.
-const EACH: usize = 3;
+const REQUESTS_PER_NODE: usize = 3;
 /// Layers of the dead stage, of eight.
-const LOST: u32 = 2;
+const LOST_LAYERS: u32 = 2;
 /// Requests that an endpoint has room for.
-const PLACES: usize = 400;
+const CAPACITY_REQUESTS: usize = 400;
 /// Largest part by which the time of the endpoint that reads longest may be over the even share.
 /// A node knows only in thought what the others do, so it is not 1.
-const UNEVEN: f64 = 1.35;
+const MAX_IMBALANCE: f64 = 1.35;
 
 /// A chain of four stages.
 fn chain() -> Vec<Endpoint> {
     let one = |n: u8| {
-        let from = u32::from(n) * LOST;
-        endpoint(n, "a", "slow", from, from + LOST)
+        let from = u32::from(n) * LOST_LAYERS;
+        endpoint(n, "a", "slow", from, from + LOST_LAYERS)
     };
     (0..4).map(one).collect()
 }
@@ -40,7 +43,7 @@
 fn holders() -> Vec<Endpoint> {
     let kind = |n| if n == 10 { "fast" } else { "slow" };
     (10..15)
-        .map(|n| endpoint(n, "a", kind(n), LOST, 2 * LOST))
+        .map(|n| endpoint(n, "a", kind(n), LOST_LAYERS, 2 * LOST_LAYERS))
         .collect()
 }
 
@@ -48,13 +51,13 @@
 // that it has, by the same report of the other holders. If they all take the cheapest one, it reads
 // their tokens one request after the other, and callers leave before theirs is through.
 #[test]
-fn moved_requests_are_read_by_all_that_hold_the_layers() {
+fn rerouted_requests_are_spread_over_all_holders_of_the_layers() {
     let base = Fleet {
-        catalog: catalog_of(model(LOST, PLACES)),
+        catalog: catalog_with(large_engine(LOST_LAYERS, CAPACITY_REQUESTS)),
         ..fleet(chain(), NODES)
     };
     let need = Need {
-        size: SIZE,
+        size: TYPICAL_SIZE,
         urgent: false,
     };
     let mut nodes: Vec<Selector> = (0..NODES as u64)
@@ -63,12 +66,12 @@
     let mut targets = Vec::new();
     for (number, node) in nodes.iter_mut().enumerate() {
         node.update_fleet(Duration::ZERO, base.clone());
-        for _ in 0..EACH {
+        for _ in 0..REQUESTS_PER_NODE {
             targets.push((number, node.select(Duration::ZERO, 0, &need, &[]).unwrap()));
         }
     }
     let now = Duration::from_millis(500);
-    let held = (NODES * EACH) as f64 * tokens() * f64::from(LOST);
+    let held = (NODES * REQUESTS_PER_NODE) as f64 * tokens() * f64::from(LOST_LAYERS);
     let loads = chain().into_iter().map(|e| (e.run.to_string(), held));
     let loads = loads.chain(holders().into_iter().map(|e| (e.run.to_string(), 0.0)));
     let loads: BTreeMap<_, _> = loads
@@ -90,25 +93,28 @@
             let Some(holder) = holders().into_iter().find(|e| e.run == stage.run) else {
                 continue;
             };
-            let read = read(holder.accelerator.as_deref().unwrap());
-            let work = read * f64::from(stage.span.len()) / f64::from(LOST);
+            let prefill = prefill_factor(holder.accelerator.as_deref().unwrap());
+            let work = prefill * f64::from(stage.span.len()) / f64::from(LOST_LAYERS);
             *reads.entry(holder.run.id).or_default() += work;
         }
     }
     let rate: f64 = holders()
         .iter()
-        .map(|e| 1.0 / read(e.accelerator.as_deref().unwrap()))
+        .map(|e| 1.0 / prefill_factor(e.accelerator.as_deref().unwrap()))
         .sum();
-    let even = (NODES * EACH) as f64 / rate;
+    let even = (NODES * REQUESTS_PER_NODE) as f64 / rate;
     let longest = reads.values().copied().fold(0.0, f64::max);
-    assert!(longest < even * UNEVEN, "even {even:.0}: {reads:.0?}");
+    assert!(
+        longest < even * MAX_IMBALANCE,
+        "even {even:.0}: {reads:.0?}"
+    );
 }
 
 // A caller waits for an answer whose chain lost a stage. The faster of two holders of its layers is
 // in another zone: all tokens so far would go there and back over the pipe that zones share, one
 // request after the other. The holder nearby is slower, and its callers wait for less.
 #[test]
-fn a_stage_is_replaced_in_the_zone_of_its_neighbours() {
+fn a_stage_is_replaced_in_the_zone_of_its_neighbors() {
     let rows = vec![
         endpoint(1, "a", "fast", 0, 3),
         endpoint(2, "a", "fast", 3, 6),
@@ -139,36 +145,36 @@
 // Guards against room that nothing uses: a change of stages that a head refuses left its new stages
 // held beside the old ones.
 #[test]
-fn a_change_that_the_head_refuses_holds_nothing() {
+fn a_reroute_that_the_head_refuses_reserves_nothing() {
     let mut rows = chain();
     rows.extend(holders());
     let mut selector = selector(rows);
     let need = Need {
-        size: SIZE,
+        size: TYPICAL_SIZE,
         urgent: false,
     };
-    let model = Fleet {
-        catalog: catalog_of(model(LOST, PLACES)),
+    let fleet = Fleet {
+        catalog: catalog_with(large_engine(LOST_LAYERS, CAPACITY_REQUESTS)),
         ..fleet(chain().into_iter().chain(holders()).collect(), 1)
     };
-    selector.update_fleet(Duration::ZERO, model);
+    selector.update_fleet(Duration::ZERO, fleet);
     let target = selector.select(Duration::ZERO, 0, &need, &[]).unwrap();
-    let held = |selector: &Selector| -> Vec<(u32, f64)> {
+    let reserved = |selector: &Selector| -> Vec<(u32, f64)> {
         selector
             .rows()
             .iter()
             .map(|r| (r.in_flight, r.reserved))
             .collect()
     };
-    let before = held(&selector);
+    let before = reserved(&selector);
     for _ in 0..10 {
         let faulty_stage = target.stages[1].addr;
         selector
             .reroute(Duration::ZERO, &target, 0, &need, faulty_stage)
             .unwrap();
-        assert_ne!(held(&selector), before);
+        assert_ne!(reserved(&selector), before);
         selector.revert_reroute(&target, &need);
-        assert_eq!(held(&selector), before);
+        assert_eq!(reserved(&selector), before);
     }
     selector.end(Duration::ZERO, target.reservation, Outcome::Success, None);
     assert!(
--- a/crates/steer/tests/health.rs
+++ b/crates/steer/tests/health.rs
@@ -13,29 +13,29 @@
 const PLAIN: u32 = 1;
 
 /// When an endpoint is used again that fails each time it is tried, from 0 on.
-fn trials(count: usize) -> Vec<u64> {
+fn retry_times(count: usize) -> Vec<u64> {
     let mut health = Health::default();
     let mut now = 0;
-    let mut trials = Vec::new();
+    let mut retries = Vec::new();
     for _ in 0..count {
         health.record(ms(now), ms(now), Outcome::Failed);
         while !health.is_usable(ms(now)) {
             now += 1;
         }
-        trials.push(now);
+        retries.push(now);
     }
-    trials
+    retries
 }
 
 #[test]
-fn a_dead_endpoint_is_tried_more_and_more_seldom() {
-    assert_eq!(trials(6), [300, 900, 2100, 4500, 8500, 12500]);
+fn a_dead_endpoint_is_retried_with_exponential_backoff() {
+    assert_eq!(retry_times(6), [300, 900, 2100, 4500, 8500, 12500]);
 }
 
 // An endpoint crashes under a hundred requests. Each of them fails; counted one by one they would
 // keep the endpoint out for the longest time, although it is back after a moment.
 #[test]
-fn requests_that_break_off_together_are_one_failure() {
+fn requests_that_break_off_together_count_as_one_failure() {
     let mut health = Health::default();
     for _ in 0..100 {
         health.record(ms(50), ms(10), Outcome::Failed);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_good_answer_clears_an_endpoint() {
+fn one_success_resets_an_endpoint() {
     let mut health = Health::default();
     health.record(ms(0), ms(0), Outcome::Failed);
     health.record(ms(10), ms(0), Outcome::Success);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_full_endpoint_is_passed_over_and_not_blamed() {
+fn a_full_endpoint_is_avoided_without_a_failure() {
     let mut health = Health::default();
     health.record(ms(0), ms(0), Outcome::Full);
     assert!(!health.is_usable(ms(100)) && health.is_usable(ms(120)));
@@ -63,7 +63,7 @@
 // Other nodes should not learn of a dead endpoint by an attempt each. One failure may be the
 // request's or this node's own, so the second in a row is told, and the recovery after it.
 #[test]
-fn the_second_failure_in_a_row_is_told() {
+fn the_second_consecutive_failure_is_published() {
     let mut selector = selector(vec![plain(1)]);
     let mut attempt = |now: u64, outcome| {
         let target = selector.select(ms(now), PLAIN, &need(0), &[]).unwrap();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_endpoint_with_the_least_under_way_gets_the_next_request() {
+fn the_endpoint_with_the_fewest_requests_in_flight_is_selected() {
     let mut selector = selector(vec![plain(1), plain(2), plain(3)]);
     let mut heads: Vec<_> = (0..3)
         .map(|_| selector.select(ms(0), PLAIN, &need(0), &[]).unwrap())
@@ -97,17 +97,17 @@
 // do for one that is full. It was tried again each 120 ms by each node and no node was told, until
 // its row lapsed after three heartbeats. It has stopped reporting, which one that is full has not.
 #[test]
-fn an_endpoint_that_is_named_and_stops_reporting_is_told_to_be_dead() {
+fn a_missing_endpoint_that_stops_reporting_is_published_as_down() {
     // Told again while it lasts, since what one node tells counts for a while only.
-    let mut told = named_for_two_seconds(None);
-    told.dedup();
-    assert_eq!(told, vec![Transition::Down(dead().run)]);
+    let mut published = reported_missing_for_two_seconds(None);
+    published.dedup();
+    assert_eq!(published, vec![Transition::Down(dead().run)]);
 }
 
 // The same with an engine that is alive and full: it is never blamed, however often it refuses.
 #[test]
-fn an_endpoint_that_is_named_and_goes_on_reporting_is_full() {
-    assert_eq!(named_for_two_seconds(Some(ms(400))), vec![]);
+fn a_missing_endpoint_that_keeps_reporting_is_full() {
+    assert_eq!(reported_missing_for_two_seconds(Some(ms(400))), vec![]);
 }
 
 fn dead() -> Endpoint {
@@ -116,7 +116,7 @@
 
 /// What a node tells when one endpoint is named in each request to it for two seconds, while it
 /// goes on to report every so often.
-fn named_for_two_seconds(reports: Option<Duration>) -> Vec<Transition> {
+fn reported_missing_for_two_seconds(reports: Option<Duration>) -> Vec<Transition> {
     let run = dead().run.to_string();
     // Room is 2 GB beside 8 layers, 2000 in tokens times layers.
     let view = |stamp: u64| Fleet {
@@ -125,25 +125,25 @@
     };
     let mut selector = Selector::new(1, ALLOWANCE);
     selector.update_fleet(Duration::ZERO, view(0));
-    let mut notes = Vec::new();
-    let mut reported = Duration::ZERO;
+    let mut transitions = Vec::new();
+    let mut reported_at = Duration::ZERO;
     for now in (0..2000).step_by(20).map(ms) {
-        if reports.is_some_and(|every| now >= reported + every) {
-            reported = now;
+        if reports.is_some_and(|interval| now >= reported_at + interval) {
+            reported_at = now;
             selector.update_fleet(now, view(now.as_millis() as u64));
         }
         if let Ok(target) = selector.select(now, 0, &need(20), &[]) {
             selector.end(now, target.reservation, Outcome::Missing, Some(dead().addr));
         }
-        notes.extend(selector.take_transitions());
+        transitions.extend(selector.take_transitions());
     }
-    notes
+    transitions
 }
 
 // Guards against sends to a dead stage by nodes that have not met it: a head's word that its chain waits
 // for the stage was told only once it had been given a second time, 0.3 s later.
 #[test]
-fn a_stage_that_a_head_names_is_told_at_once() {
+fn a_stage_that_a_head_waits_for_is_published_at_once() {
     let mut selector = selector(vec![endpoint(1, "a", "fast", 0, LAYERS)]);
     let row = endpoint(1, "a", "fast", 0, LAYERS);
     selector.report_failed(ms(0), row.addr);
--- a/crates/steer/tests/herd.rs
+++ b/crates/steer/tests/herd.rs
@@ -18,26 +18,26 @@
 use steer::load::Load;
 use steer::target::{Stage, Target};
 use steer::{Fleet, Selector};
-use support::{SIZE, catalog_of, endpoint, fleet, load, model, tokens};
+use support::{TYPICAL_SIZE, catalog_with, endpoint, fleet, large_engine, load, tokens};
 
 const NODES: usize = 84;
 const ENDPOINTS: u8 = 48;
 /// Requests that fit into an endpoint.
-const PLACES: usize = 150;
+const CAPACITY_REQUESTS: usize = 150;
 /// Layers of an endpoint.
-const HELD: u32 = 2;
+const LAYERS_HELD: u32 = 2;
 /// A step of the clock.
 const STEP: Duration = Duration::from_millis(10);
 /// Steps between two reports.
-const REPORT: usize = 40;
+const REPORT_INTERVAL: usize = 40;
 /// Steps that a report takes to the nodes.
-const LAG: usize = 30;
+const REPORT_DELAY: usize = 30;
 /// Steps of the whole run: 20 s.
 const STEPS: usize = 2000;
 /// Requests that start in a step: half of the places are taken on average.
-const BUSY: usize = 6;
+const STARTS: usize = 6;
 /// Steps that a request lasts.
-const LASTS: usize = 150;
+const REQUEST_STEPS: usize = 150;
 
 /// What happened.
 #[derive(Debug, Default)]
@@ -52,10 +52,10 @@
 /// In each zone four chains of four stages; the stages of one chain are fast.
 fn endpoints() -> Vec<Endpoint> {
     let one = |n: u8| {
-        let from = u32::from(n % 4) * HELD;
+        let from = u32::from(n % 4) * LAYERS_HELD;
         let zone = ["a", "b", "c"][usize::from(n / 4 % 3)];
         let kind = if n < 12 { "fast" } else { "slow" };
-        endpoint(n, zone, kind, from, from + HELD)
+        endpoint(n, zone, kind, from, from + LAYERS_HELD)
     };
     (0..ENDPOINTS).map(one).collect()
 }
@@ -77,8 +77,8 @@
 impl World {
     /// An endpoint of the chain that has no room for the prompt.
     fn full(&self, target: &Target) -> Option<SocketAddr> {
-        let prompt = f64::from(SIZE.prompt) * f64::from(HELD);
-        let room = PLACES as f64 * tokens() * f64::from(HELD);
+        let prompt = f64::from(TYPICAL_SIZE.prompt) * f64::from(LAYERS_HELD);
+        let room = CAPACITY_REQUESTS as f64 * tokens() * f64::from(LAYERS_HELD);
         let used = |s: &Stage| self.used.get(&s.run.to_string()).copied().unwrap_or(0.0);
         let full = target.stages.iter().find(|s| used(s) + prompt > room);
         full.map(|s| s.addr)
@@ -86,7 +86,7 @@
 
     fn add(&mut self, target: &Target, tokens: f64) {
         for stage in &target.stages {
-            *self.used.entry(stage.run.to_string()).or_default() += tokens * f64::from(HELD);
+            *self.used.entry(stage.run.to_string()).or_default() += tokens * f64::from(LAYERS_HELD);
         }
     }
 
@@ -100,19 +100,19 @@
             nodes[ended.node].end(now, ended.target.reservation, Outcome::Success, None);
             self.add(&ended.target, -tokens());
         }
-        let token = f64::from(SIZE.answer) / LASTS as f64;
+        let token = f64::from(TYPICAL_SIZE.answer) / REQUEST_STEPS as f64;
         running.iter().for_each(|r| self.add(&r.target, token));
         self.running = running;
     }
 
     /// What the endpoints report now.
     fn loads(&self, base: &Fleet, step: usize) -> BTreeMap<String, Load> {
-        let told = |run: String| {
+        let report = |run: String| {
             let used = self.used.get(&run).copied().unwrap_or(0.0);
-            (run, load(step as u64, used, 0, STEP * LAG as u32))
+            (run, load(step as u64, used, 0, STEP * REPORT_DELAY as u32))
         };
         let runs = base.endpoints.iter().map(|e| e.run.to_string());
-        runs.map(told).collect()
+        runs.map(report).collect()
     }
 }
 
@@ -124,11 +124,11 @@
         window: Duration::from_secs(10),
     };
     let base = Fleet {
-        catalog: catalog_of(model(HELD, PLACES)),
+        catalog: catalog_with(large_engine(LAYERS_HELD, CAPACITY_REQUESTS)),
         ..fleet(endpoints(), NODES)
     };
     let need = Need {
-        size: SIZE,
+        size: TYPICAL_SIZE,
         urgent: false,
     };
     let mut nodes: Vec<Selector> = (0..NODES)
@@ -143,10 +143,10 @@
     for step in 0..STEPS {
         let now = STEP * step as u32;
         world.step(step, &mut nodes, now);
-        if step % REPORT == 0 {
+        if step % REPORT_INTERVAL == 0 {
             reported = Arc::new(world.loads(&base, step));
         }
-        if step % REPORT == LAG % REPORT {
+        if step % REPORT_INTERVAL == REPORT_DELAY % REPORT_INTERVAL {
             let view = Fleet {
                 loads: Arc::clone(&reported),
                 ..base.clone()
@@ -169,9 +169,9 @@
                 node.end(now, target.reservation, Outcome::Missing, Some(full));
                 continue;
             }
-            world.add(&target, f64::from(SIZE.prompt));
+            world.add(&target, f64::from(TYPICAL_SIZE.prompt));
             world.running.push_back(Running {
-                end: step + LASTS,
+                end: step + REQUEST_STEPS,
                 node: number,
                 target,
             });
@@ -186,8 +186,8 @@
 // requests meet a full endpoint. The baseline is the same load with the same chance everywhere, so
 // that the nodes agree in their choice.
 #[test]
-fn nodes_do_not_all_choose_the_same_chain() {
-    let (agreed, own) = (run(|_| BUSY, |_| 0), run(|_| BUSY, |node| node as u64));
+fn nodes_do_not_all_select_the_same_chain() {
+    let (agreed, own) = (run(|_| STARTS, |_| 0), run(|_| STARTS, |node| node as u64));
     println!("agreed {agreed:?}, by own chance {own:?}");
     assert_eq!(agreed.short, own.short);
     // With chance alone 1047 of 11820 were refused.
@@ -197,9 +197,9 @@
 
 /// Requests that start in a step when all callers come back: with half of the places taken in this
 /// time, half are left free.
-const RETURN: usize = 18;
+const RETURNS: usize = 18;
 /// Steps in which they come back: half a second.
-const RETURNS: usize = 50;
+const RETURN_STEPS: usize = 50;
 
 // All nodes lost power and start anew. Callers come back within half a second, five times as many
 // as usual, and are refused though places are free: a node that has just begun to count takes the
@@ -207,15 +207,15 @@
 // and so do all. Load: 900 requests in half a second before 1,800 places. Aim: no more than one in
 // twenty meets a full endpoint, as on any other day.
 #[test]
-fn callers_that_come_back_at_once_are_spread() {
+fn callers_that_return_at_once_are_spread() {
     // Nodes know a catalog after the first report.
     let starts = |step: usize| match step {
-        0..=LAG => 0,
-        _ if step <= LAG + RETURNS => RETURN,
-        _ => BUSY / 2,
+        0..=REPORT_DELAY => 0,
+        _ if step <= REPORT_DELAY + RETURN_STEPS => RETURNS,
+        _ => STARTS / 2,
     };
     let back = run(starts, |node| node as u64);
     println!("back at once {back:?}");
     assert_eq!(back.short, 0);
-    assert!(back.refused * 20 < RETURN * RETURNS, "{back:?}");
+    assert!(back.refused * 20 < RETURNS * RETURN_STEPS, "{back:?}");
 }
--- a/crates/steer/tests/shortlist.rs
+++ b/crates/steer/tests/shortlist.rs
@@ -37,7 +37,7 @@
 }
 
 /// How many of these hold each layer in each zone.
-fn held(holders: impl Iterator<Item = Holder>) -> BTreeMap<(usize, u32), u32> {
+fn count_holders(holders: impl Iterator<Item = Holder>) -> BTreeMap<(usize, u32), u32> {
     let mut held = BTreeMap::new();
     for holder in holders {
         for layer in holder.span.from..holder.span.to {
@@ -49,15 +49,15 @@
 
 // Guards against choices whose cost grows with the fleet, and against layers that are left out.
 #[test]
-fn a_search_looks_at_a_few_holders_of_each_layer() {
+fn a_search_examines_a_few_holders_of_each_layer() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut sizes = Vec::new();
     for count in [300, 1000, 3000, 4700] {
         let all = holders(count, &mut rng);
         let few = shortlist::sample(&mut rng, MODEL, &all);
         assert!(few.is_sorted());
-        let kept = held(few.iter().map(|&at| all[at]));
-        for (place, &there) in &held(all.iter().copied()) {
+        let kept = count_holders(few.iter().map(|&at| all[at]));
+        for (place, &there) in &count_holders(all.iter().copied()) {
             let kept = kept.get(place).copied().unwrap_or(0);
             assert!(
                 kept >= there.min(HOLDERS_PER_LAYER),
@@ -73,7 +73,7 @@
 
 // Guards against a change of choice on small fleets, where every holder counts.
 #[test]
-fn a_small_fleet_is_looked_at_whole() {
+fn a_small_fleet_is_examined_completely() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let all = holders(ZONES * HOLDERS_PER_LAYER as usize, &mut rng);
     let few = shortlist::sample(&mut rng, MODEL, &all);
@@ -82,7 +82,7 @@
 
 // Guards against spans that an endpoint reports wrongly.
 #[test]
-fn spans_past_the_model_are_no_holders() {
+fn spans_beyond_the_model_are_ignored() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let holder = |from, to| Holder {
         span: Span { from, to },
@@ -93,7 +93,7 @@
 }
 
 /// Many endpoints of one zone, each with half of the layers.
-fn many(count: u16) -> Vec<Endpoint> {
+fn half_model_endpoints(count: u16) -> Vec<Endpoint> {
     let one = |n: u16| {
         let from = u32::from(n % 2) * LAYERS / 2;
         Endpoint {
@@ -117,8 +117,8 @@
 
 // Guards against nodes that keep to the endpoints of one draw while hundreds of others idle.
 #[test]
-fn each_request_looks_at_others() {
-    let mut selector = selector(many(400));
+fn each_request_examines_a_new_sample() {
+    let mut selector = selector(half_model_endpoints(400));
     let heads = heads(&mut selector, 100);
     assert!(heads.len() >= 60, "{} heads of 200", heads.len());
 }
@@ -126,9 +126,9 @@
 // Guards against callers that are refused for want of room while an endpoint that was not looked at
 // has some.
 #[test]
-fn all_endpoints_are_looked_at_before_a_refusal() {
+fn all_endpoints_are_examined_before_a_refusal() {
     // Each holds four layers, with room for 1,500 tokens: one request of this size.
-    let mut selector = selector(many(120));
+    let mut selector = selector(half_model_endpoints(120));
     for _ in 0..60 {
         let found = selector.select(ms(0), 0, &need(1000), &[]);
         assert!(found.is_ok(), "{found:?}");
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -68,31 +68,31 @@
 }
 
 /// A usual request of the users: its prompt, and its answer.
-pub const SIZE: Size = Size {
+pub const TYPICAL_SIZE: Size = Size {
     prompt: 775,
     answer: 214,
 };
 
 /// Tokens of such a request in all.
 pub fn tokens() -> f64 {
-    f64::from(SIZE.prompt + SIZE.answer)
+    f64::from(TYPICAL_SIZE.prompt + TYPICAL_SIZE.answer)
 }
 
 /// Factor on the time to read prompts, by the kind of the users' accelerators.
-pub fn read(kind: &str) -> f64 {
+pub fn prefill_factor(kind: &str) -> f64 {
     if kind == "fast" { 3.2 } else { 7.9 }
 }
 
 /// The users' model, in eight parts instead of eighty layers, on accelerators that have room for
-/// `places` requests beside `held` parts.
-pub fn model(held: Layer, places: usize) -> Engine {
+/// `requests` requests beside `held` parts.
+pub fn large_engine(held: Layer, requests: usize) -> Engine {
     let (layer, token) = (17.5e9, 61_500.0);
-    let bytes = f64::from(held) * (layer + places as f64 * tokens() * token);
+    let bytes = f64::from(held) * (layer + requests as f64 * tokens() * token);
     let kind = |name: &str, pace| Accelerator {
         name: name.to_owned(),
         memory_bytes: bytes,
         step_factor: pace,
-        prefill_factor: read(name),
+        prefill_factor: prefill_factor(name),
     };
     Engine {
         layer_bytes: layer,
@@ -102,18 +102,18 @@
         step_time_per_1k_context: Duration::from_nanos(5120),
         prefill_rate: 196_000.0,
         accelerators: vec![kind("fast", 2.4), kind("slow", 5.3)],
-        typical_size: SIZE,
+        typical_size: TYPICAL_SIZE,
         ..engine()
     }
 }
 
 /// A catalog with a model service and a plain one.
 pub fn catalog() -> Arc<Catalog> {
-    catalog_of(engine())
+    catalog_with(engine())
 }
 
 /// The same with another engine.
-pub fn catalog_of(engine: Engine) -> Arc<Catalog> {
+pub fn catalog_with(engine: Engine) -> Arc<Catalog> {
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
         max_connections: 10,
