--- a/crates/member/src/dissemination.rs
+++ b/crates/member/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! Update of the group, heads and urgent items: sent on at once or with other messages.
+//! Dissemination of membership updates, heads and urgent items: piggybacked on other messages, or flushed to
+//! some peers at once.
 
 use crate::Now;
 use crate::action::Action;
@@ -13,23 +14,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a peer that was named for a newer head gets before another one is named.
+/// Time for which no other peer is asked for a head that was requested from one.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Update kept at most; the most often told go first.
+/// Largest number of queued updates. Beyond it, the one with the fewest remaining sends is dropped.
 const MAX_QUEUED_UPDATES: usize = 512;
-/// Shortest time between two flushes, so that a storm of observations costs a bounded rate.
+/// Shortest time between two flushes, which bounds their rate when many observations arrive at once.
 const MIN_FLUSH_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between the two times that a node sends an urgent item on. Once to a few leaves out one
-/// node in fifty; those of the second time are others.
+/// Time between the first and the second send of an urgent item by a node. A single send to a few peers
+/// misses one node in fifty; the second goes to other peers.
 const URGENT_RESEND_DELAY: Duration = Duration::from_secs(1);
-/// Times that a node sends an urgent item on.
+/// Number of times that a node sends an urgent item.
 const URGENT_SENDS: u8 = 2;
-/// Urgent items of one flush at most.
+/// Largest number of urgent items in one flush.
 const MAX_URGENT_PER_FLUSH: usize = 16;
-/// Urgent items that wait at most; one more is left to the exchange of digests.
+/// Largest number of queued urgent items. Further ones spread with the exchange of digests only.
 const MAX_QUEUED_URGENT: usize = 256;
 
-/// An urgent item that is still to be sent on.
+/// An urgent item that is still to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct UrgentItem {
     pub(crate) item: Item,
@@ -37,7 +38,7 @@
     sends_left: u8,
 }
 
-/// A piece of news and how often it is still to be told.
+/// An update and the number of times that it is still to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedUpdate {
     pub(crate) subject: Id,
@@ -45,7 +46,7 @@
     pub(crate) sends_left: u32,
 }
 
-/// The run of a row.
+/// Returns the run of a peer as sent in messages.
 pub(crate) fn to_run(peer: &Peer) -> Run {
     Run {
         id: peer.id,
@@ -54,24 +55,24 @@
     }
 }
 
-/// Whom a piece of news is about.
-pub(crate) fn subject(news: &Update) -> Id {
-    match news {
+/// Returns the node that an update is about.
+pub(crate) fn subject(update: &Update) -> Id {
+    match update {
         Update::Join(row) => row.identity.id(),
         Update::Suspect(run) | Update::Alive(run) | Update::Left(run) => run.id,
     }
 }
 
 impl Group {
-    /// Takes a piece of news to tell; one about the same node gives way.
-    pub(crate) fn queue_update(&mut self, news: Update) {
-        let about = subject(&news);
-        self.updates.retain(|p| p.subject != about);
-        let left = self.transmissions(&news);
+    /// Queues an update. It replaces a queued one about the same node.
+    pub(crate) fn queue_update(&mut self, update: Update) {
+        let subject = subject(&update);
+        self.updates.retain(|p| p.subject != subject);
+        let sends_left = self.transmissions(&update);
         self.updates.push(QueuedUpdate {
-            subject: about,
-            update: news,
-            sends_left: left,
+            subject,
+            update,
+            sends_left,
         });
         if self.updates.len() > MAX_QUEUED_UPDATES {
             self.updates.sort_by_key(|p| p.sends_left);
@@ -79,12 +80,13 @@
         }
     }
 
-    /// A row is long, and the exchange of rosters brings it anyway.
-    fn transmissions(&self, news: &Update) -> u32 {
-        let most = self.settings.update_transmissions(self.roster.len());
-        match news {
-            Update::Join(_) => most / 3,
-            _ => most,
+    /// Returns how many times an update is sent. A join is sent less often: its row is long, and the exchange
+    /// of rosters delivers it anyway.
+    fn transmissions(&self, update: &Update) -> u32 {
+        let usual = self.settings.update_transmissions(self.roster.len());
+        match update {
+            Update::Join(_) => usual / 3,
+            _ => usual,
         }
     }
 
@@ -92,37 +94,38 @@
         self.queue_update(Update::Join(row));
     }
 
-    /// Those of `rows` that are not up here.
+    /// Returns those of `rows` that this node does not see up.
     pub(crate) fn rows_not_up(&self, rows: &[Row]) -> Vec<Row> {
         let peer = |row: &&Row| self.roster.get(row.identity.id());
-        let away = |row: &&Row| peer(row).is_some_and(|p| p.state != State::Up);
-        rows.iter().filter(away).cloned().collect()
+        let not_up = |row: &&Row| peer(row).is_some_and(|p| p.state != State::Up);
+        rows.iter().filter(not_up).cloned().collect()
     }
 
-    /// What this node thinks of `rows`, whose runs are not up here.
+    /// Returns suspicions of the runs of `rows`, which this node does not see up.
     pub(crate) fn suspicions_of(&self, rows: &[Row]) -> Vec<Update> {
         let peers = rows.iter().map(|row| row.identity.id());
         let peers = peers.filter_map(|id| self.roster.get(id));
         peers.map(|p| Update::Suspect(to_run(p))).collect()
     }
 
-    /// The least told news, and what the receiver needs to know of itself.
+    /// Selects the updates for one message: those sent least often so far, and the suspicion of the receiver
+    /// itself, if there is one.
     pub(crate) fn select_updates(&mut self, peer: Id) -> Vec<Update> {
         self.updates
             .sort_by_key(|p| std::cmp::Reverse(p.sends_left));
-        let most = self.settings.max_updates;
-        let charge = self.suspicion_of_receiver(peer);
-        let mut picked: Vec<Update> = charge.into_iter().collect();
-        for piece in self.updates.iter_mut().take(most) {
-            piece.sends_left -= 1;
-            picked.push(piece.update.clone());
+        let max_updates = self.settings.max_updates;
+        let suspicion = self.suspicion_of_receiver(peer);
+        let mut selected: Vec<Update> = suspicion.into_iter().collect();
+        for queued in self.updates.iter_mut().take(max_updates) {
+            queued.sends_left -= 1;
+            selected.push(queued.update.clone());
         }
         self.updates.retain(|p| p.sends_left > 0);
-        picked
+        selected
     }
 
-    pub(crate) fn handle_update(&mut self, now: Now, news: Update, out: &mut Vec<Action>) {
-        match news {
+    pub(crate) fn handle_update(&mut self, now: Now, update: Update, out: &mut Vec<Action>) {
+        match update {
             Update::Join(row) => self.merge_row(now, row, out),
             Update::Suspect(run) if run.id == self.me => self.refute(run),
             Update::Suspect(run) => self.handle_suspect(now, run, out),
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Somebody suspects this node: a higher turn outdoes the suspicion everywhere.
+    /// Refutes a suspicion of this node: a higher number of refutations overrides the suspicion on all nodes.
     fn refute(&mut self, run: Run) {
         let Some(own) = self.roster.get_mut(self.me) else {
             return;
@@ -144,7 +147,7 @@
         self.increment_refutations();
     }
 
-    /// Raises the own turn.
+    /// Increments the own number of refutations and disseminates it.
     pub(crate) fn increment_refutations(&mut self) {
         let Some(own) = self.roster.get_mut(self.me) else {
             return;
@@ -163,15 +166,18 @@
             return;
         }
         if peer.refutations > run.refutations {
-            // The sender missed the refutation; others may have too.
+            // The sender missed the refutation, and other nodes may have missed it too.
             let alive = Update::Alive(crate::dissemination::to_run(peer));
             if !self.updates.iter().any(|p| p.update == alive) {
                 self.queue_update(alive);
             }
             return;
         }
-        let probe = self.settings.probe_timeout;
-        if peer.heard_at.is_none_or(|h| roster::age(now, h) >= probe) {
+        let probe_timeout = self.settings.probe_timeout;
+        if peer
+            .heard_at
+            .is_none_or(|h| roster::age(now, h) >= probe_timeout)
+        {
             self.suspect(now, run.id, out);
         }
     }
@@ -185,12 +191,13 @@
         if !newer || run.id == self.me {
             return;
         }
-        let away = peer.state != State::Up;
+        let was_not_up = peer.state != State::Up;
         self.apply_refutation(now, run.id, run.refutations, out);
         self.queue_update(Update::Alive(run));
-        self.flush_pending |= away;
+        self.flush_pending |= was_not_up;
     }
 
+    /// Removes a peer that announced its exit.
     fn handle_left(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(run.id) else {
             return;
@@ -203,13 +210,13 @@
         self.flush_pending = true;
     }
 
-    /// Sends what should not wait for the next round to some peers.
+    /// Sends urgent items and pending updates to some peers without waiting for the next round.
     pub(crate) fn flush(&mut self, now: Now, out: &mut Vec<Action>) {
         let due = self.urgent.iter().any(|u| u.due_at <= now);
-        let early = self
+        let too_early = self
             .last_flush
             .is_some_and(|f| roster::age(now, f) < MIN_FLUSH_INTERVAL);
-        if early || !(self.flush_pending || due) {
+        if too_early || !(self.flush_pending || due) {
             return;
         }
         self.last_flush = Some(now);
@@ -225,14 +232,14 @@
         }
     }
 
-    /// Whom something urgent is sent to: the watched peers, so that each node has senders of its own, and
-    /// some drawn at random, so that it spreads fast.
+    /// Selects the receivers of a flush: the neighbours in the ring, so that every node has fixed senders, and
+    /// peers drawn at random, so that the flushed items spread fast.
     fn flush_targets(&mut self) -> Vec<Id> {
         let fanout = self.settings.fanout;
-        let watched = self.ring_neighbours();
+        let neighbours = self.ring_neighbours();
         let mut drawn = self.sample_up(fanout, None);
-        drawn.retain(|id| !watched.contains(id));
-        watched.into_iter().chain(drawn).take(fanout).collect()
+        drawn.retain(|id| !neighbours.contains(id));
+        neighbours.into_iter().chain(drawn).take(fanout).collect()
     }
 
     fn take_urgent(&mut self, now: Now) -> Vec<Item> {
@@ -263,6 +270,7 @@
         });
     }
 
+    /// Announces the exit of this node.
     pub(crate) fn quit(&mut self) {
         let Some(own) = self.roster.get(self.me) else {
             return;
@@ -273,7 +281,7 @@
         self.last_flush = None;
     }
 
-    /// This node has a head in force; it never goes back.
+    /// Sets the head that this node has in force, unless it has the same or a newer one.
     pub(crate) fn set_head(&mut self, head: Head) {
         if self.head.is_some_and(|h| h.number >= head.number) {
             return;
@@ -282,7 +290,7 @@
         self.flush_pending = true;
     }
 
-    /// Names a peer with a newer head, and another one after a while if nothing came of it.
+    /// Requests a newer head from the peer that reported it; after a timeout, from the next peer that does.
     pub(crate) fn compare_head(
         &mut self,
         now: Now,
@@ -295,18 +303,18 @@
         if head.number <= own {
             return;
         }
-        let waits = |(number, since): (u64, Now)| {
+        let is_requested = |(number, since): (u64, Now)| {
             number >= head.number && roster::age(now, since) < FETCH_TIMEOUT
         };
-        if self.head_requested.is_some_and(waits) {
+        if self.head_requested.is_some_and(is_requested) {
             return;
         }
         self.head_requested = Some((head.number, now));
         out.push(Action::FetchHead { head, peer, addr });
     }
 
-    /// Takes this node's own observations. One that a peer published already is left out: when
-    /// an endpoint dies, every node sees it, and one item tells it as well as hundreds.
+    /// Publishes this node's own observations, except those that a peer has already published: every node
+    /// observes the death of an endpoint, and one item reports it as well as hundreds.
     pub(crate) fn publish(&mut self, now: Now, mut bodies: Vec<item::Observation>) {
         bodies.retain(|b| !self.is_published_elsewhere(now, b));
         if bodies.is_empty() {
@@ -341,7 +349,8 @@
         }
     }
 
-    /// Whether another node's item says the same and counts for at least half as long.
+    /// Returns whether an item of another node holds the same observation and stays valid for at least half
+    /// its time to live.
     fn is_published_elsewhere(&self, now: Now, body: &item::Observation) -> bool {
         let (Some(ttl), key) = (body.ttl(), body.key()) else {
             return false;
@@ -352,8 +361,8 @@
         same.any(|s| s.expires_at.is_some_and(lasts) && s.body.clone().with_ttl(ttl) == *body)
     }
 
-    /// Takes an urgent item and sends it on when it is new. Its origin's version stays as it is:
-    /// earlier publications may still be missing, and the exchange must ask for them.
+    /// Handles an urgent item and forwards it if it is new. The version of its origin does not change: earlier
+    /// publications may still be missing, and the exchange must request them.
     pub(crate) fn handle_item(&mut self, now: Now, item: Item, out: &mut Vec<Action>) {
         let known = self.roster.get(item.origin).map(|p| p.identity.incarnation);
         if known != Some(item.incarnation) || item.origin == self.me {
@@ -364,18 +373,18 @@
             self.counters.stale += 1;
             return;
         }
-        let told = self.is_published_elsewhere(now, &item.body);
-        if self.learn(now, item.clone(), out) && !told {
+        let published_elsewhere = self.is_published_elsewhere(now, &item.body);
+        if self.learn(now, item.clone(), out) && !published_elsewhere {
             self.queue_urgent(now, item);
         }
     }
 
-    /// Stores an item; whether it is new.
+    /// Stores an item of a peer. Returns whether it is new.
     pub(crate) fn learn(&mut self, now: Now, item: Item, out: &mut Vec<Action>) -> bool {
-        let most = self.settings.max_items_per_origin;
+        let max_items = self.settings.max_items_per_origin;
         let put = self
             .store
-            .put(item.origin, item.version, item.body.clone(), now, most);
+            .put(item.origin, item.version, item.body.clone(), now, max_items);
         match put {
             PutOutcome::Known => return false,
             PutOutcome::Full => {
@@ -390,6 +399,7 @@
         true
     }
 
+    /// Marks a peer as leaving if the observation says so.
     fn mark_leaving(&mut self, origin: Id, body: &item::Observation) {
         if *body != item::Observation::Leaving {
             return;
@@ -403,7 +413,7 @@
         self.roster.get(id).map(|p| p.identity.addr)
     }
 
-    /// Tells `to` who is here.
+    /// Sends this node's own row to `to`.
     pub(crate) fn send_identity(&mut self, to: Id, addr: SocketAddr, out: &mut Vec<Action>) {
         let Some(own) = self.roster.get(self.me) else {
             return;
--- a/crates/member/src/exchange.rs
+++ b/crates/member/src/exchange.rs
@@ -1,14 +1,14 @@
-//! Exchange of digests: whatever was missed arrives, each item once.
+//! Anti-entropy: exchange of digests, which delivers every item that a node missed, each once.
 //!
-//! The asker sends the version of every origin, by bucket. The asked one answers with the items
-//! that the asker lacks and the rows where it lacks some itself; the asker then sends those.
-//! Where the rosters of a bucket differ, versions have no common order: the rows are exchanged
-//! first, and the items in a later round.
+//! A node sends a digest: the version of every origin, by bucket. The receiver answers with a delta that
+//! holds the items that the sender lacks, and requests for items that it lacks itself; the sender then
+//! answers the requests. Where the rosters of a bucket differ, versions have no common order: its rows are
+//! exchanged first, and its items in a later round.
 
 use crate::Now;
 use crate::action::Action;
 use crate::group::Group;
-use crate::identity::{Id, id};
+use crate::identity::{Id, Incarnation, id};
 use crate::item::{self, Item, Version};
 use crate::message::{
     self, Batch, Body, Bucket, Delta, KnownVersion, Publication, Request, Row, RowIndex, Summary,
@@ -19,12 +19,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bytes of a batch without its items, as an estimate.
+/// Estimated size of an encoded batch without its items.
 const BATCH_OVERHEAD_BYTES: usize = 8;
-/// Bytes of a small item, as an estimate.
+/// Estimated size of an encoded small item.
 const SMALL_ITEM_BYTES: usize = 7;
 
-/// Bytes of an item in a frame, as an estimate.
+/// Returns the estimated size of an encoded observation.
 fn estimated_bytes(body: &item::Observation) -> usize {
     match body {
         item::Observation::Endpoint { name, .. } | item::Observation::Releasing { name, .. } => {
@@ -38,7 +38,7 @@
 }
 
 impl Group {
-    /// What this node knows.
+    /// Returns the digest of this node: the known versions of all buckets.
     pub(crate) fn summaries(&self) -> Vec<Summary> {
         let summary = |bucket: usize| {
             let rows = self.roster.bucket(bucket as Bucket);
@@ -51,14 +51,15 @@
         (0..BUCKETS).map(summary).collect()
     }
 
+    /// Starts an exchange with a peer.
     pub(crate) fn send_digest(&mut self, partner: Id, out: &mut Vec<Action>) {
         let Some(to) = self.addr(partner) else { return };
         let digest = self.summaries();
         self.send(partner, to, Body::Digest(digest), out);
     }
 
-    /// Answers a digest. Starts at a random bucket, so that a full answer does not always leave
-    /// out the same ones.
+    /// Answers a digest with a delta. Starts at a random bucket, so that a delta that reaches its bounds does
+    /// not omit the same buckets every time.
     pub(crate) fn handle_digest(
         &mut self,
         now: Now,
@@ -72,11 +73,17 @@
             return;
         }
         let first = self.rng.random_range(0..BUCKETS);
-        let mut room = self.settings.max_delta_bytes;
+        let mut capacity = self.settings.max_delta_bytes;
         let mut delta = Delta::default();
         for step in 0..BUCKETS {
             let index = (first + step) % BUCKETS;
-            self.answer_bucket(now, index as Bucket, &theirs[index], &mut room, &mut delta);
+            self.answer_bucket(
+                now,
+                index as Bucket,
+                &theirs[index],
+                &mut capacity,
+                &mut delta,
+            );
         }
         self.counters.differing += u64::from(!delta.complete.is_empty());
         if delta != Delta::default() {
@@ -84,12 +91,13 @@
         }
     }
 
+    /// Adds the answer for one bucket to the delta.
     fn answer_bucket(
         &self,
         now: Now,
         bucket: Bucket,
         theirs: &Summary,
-        room: &mut usize,
+        capacity: &mut usize,
         delta: &mut Delta,
     ) {
         let rows = self.roster.bucket(bucket);
@@ -101,18 +109,18 @@
             }
             return;
         }
-        let behind = |i: usize, p: &Peer| p.version < theirs.versions[i];
-        let gap = |i: usize, p: &Peer| KnownVersion {
+        let is_behind = |i: usize, p: &Peer| p.version < theirs.versions[i];
+        let known_version = |i: usize, p: &Peer| KnownVersion {
             row: i as RowIndex,
             version: p.version,
         };
-        let gaps = rows.iter().enumerate().filter(|(i, p)| behind(*i, p));
-        let gaps: Vec<KnownVersion> = gaps.map(|(i, p)| gap(i, p)).collect();
-        if !gaps.is_empty() {
+        let lagging = rows.iter().enumerate().filter(|(i, p)| is_behind(*i, p));
+        let lagging: Vec<KnownVersion> = lagging.map(|(i, p)| known_version(i, p)).collect();
+        if !lagging.is_empty() {
             delta.requests.push(Request {
                 bucket,
                 hash,
-                known: gaps,
+                known: lagging,
             });
         }
         let known = theirs.versions.iter().enumerate();
@@ -120,26 +128,27 @@
             row: i as RowIndex,
             version: *v,
         });
-        self.fill(now, bucket, known, room, delta);
+        self.fill(now, bucket, known, capacity, delta);
     }
 
-    /// Adds what is newer than `gaps` for the origins of one bucket, as far as there is room.
+    /// Adds the items of one bucket that are newer than the `known` versions, as far as `capacity` bytes
+    /// allow.
     fn fill(
         &self,
         now: Now,
         bucket: Bucket,
-        gaps: impl Iterator<Item = KnownVersion>,
-        room: &mut usize,
+        known: impl Iterator<Item = KnownVersion>,
+        capacity: &mut usize,
         delta: &mut Delta,
     ) {
         let rows = self.roster.bucket(bucket);
         let mut batches = Vec::new();
-        for gap in gaps {
-            let Some(peer) = rows.get(usize::from(gap.row)) else {
+        for known in known {
+            let Some(peer) = rows.get(usize::from(known.row)) else {
                 continue;
             };
-            if peer.version > gap.version && *room > BATCH_OVERHEAD_BYTES {
-                batches.extend(self.batch(now, peer, gap, room));
+            if peer.version > known.version && *capacity > BATCH_OVERHEAD_BYTES {
+                batches.extend(self.batch(now, peer, known, capacity));
             }
         }
         if batches.is_empty() {
@@ -153,41 +162,48 @@
         });
     }
 
-    /// Whole publications in their order. What came ahead of its turn (version above the row's)
-    /// is left out, or the receiver would take the versions between for known.
-    fn batch(&self, now: Now, peer: &Peer, gap: KnownVersion, room: &mut usize) -> Option<Batch> {
-        let mut prints: BTreeMap<Version, Vec<item::Observation>> = BTreeMap::new();
+    /// Collects complete publications of one origin in order. Items above the version of its row, which arrived
+    /// as urgent items, are left out: the receiver would take the missing versions in between for known.
+    fn batch(
+        &self,
+        now: Now,
+        peer: &Peer,
+        known: KnownVersion,
+        capacity: &mut usize,
+    ) -> Option<Batch> {
+        let mut publications: BTreeMap<Version, Vec<item::Observation>> = BTreeMap::new();
         for (_, slot) in self.store.items(peer.id) {
-            if slot.version > gap.version && slot.version <= peer.version {
-                prints
+            if slot.version > known.version && slot.version <= peer.version {
+                publications
                     .entry(slot.version)
                     .or_default()
                     .push(slot.with_remaining_ttl(now));
             }
         }
         let mut batch = Batch {
-            row: gap.row,
+            row: known.row,
             up_to: peer.version,
             publications: Vec::new(),
         };
-        let mut upto = gap.version;
-        *room = room.saturating_sub(BATCH_OVERHEAD_BYTES);
-        for (version, bodies) in prints {
-            let size: usize = 2 + bodies.iter().map(estimated_bytes).sum::<usize>();
-            if size > *room {
-                batch.up_to = upto;
+        let mut up_to = known.version;
+        *capacity = capacity.saturating_sub(BATCH_OVERHEAD_BYTES);
+        for (version, observations) in publications {
+            let size: usize = 2 + observations.iter().map(estimated_bytes).sum::<usize>();
+            if size > *capacity {
+                batch.up_to = up_to;
                 break;
             }
-            *room -= size;
-            upto = version;
+            *capacity -= size;
+            up_to = version;
             batch.publications.push(Publication {
                 version,
-                observations: bodies,
+                observations,
             });
         }
-        (batch.up_to > gap.version).then_some(batch)
+        (batch.up_to > known.version).then_some(batch)
     }
 
+    /// Stores the items and rows of a delta, and answers its requests.
     pub(crate) fn handle_delta(
         &mut self,
         now: Now,
@@ -197,24 +213,24 @@
         out: &mut Vec<Action>,
     ) {
         let Delta {
-            items: groups,
+            items,
             rows,
-            complete: whole,
-            requests: wants,
+            complete,
+            requests,
         } = delta;
-        groups
+        items
             .into_iter()
-            .for_each(|g| self.apply_bucket(now, g, out));
-        self.apply_rows(now, peer, to, rows, &whole, out);
+            .for_each(|bucket| self.apply_bucket(now, bucket, out));
+        self.apply_rows(now, peer, to, rows, &complete, out);
         let mut answer = Delta::default();
-        let mut room = self.settings.max_delta_bytes;
-        for want in wants {
-            if self.roster.hash(want.bucket) == Some(want.hash) {
+        let mut capacity = self.settings.max_delta_bytes;
+        for request in requests {
+            if self.roster.hash(request.bucket) == Some(request.hash) {
                 self.fill(
                     now,
-                    want.bucket,
-                    want.known.into_iter(),
-                    &mut room,
+                    request.bucket,
+                    request.known.into_iter(),
+                    &mut capacity,
                     &mut answer,
                 );
             }
@@ -224,14 +240,14 @@
         }
     }
 
-    fn apply_bucket(&mut self, now: Now, group: message::BucketItems, out: &mut Vec<Action>) {
-        for batch in group.batches {
-            // A row that came or went since the digest was sent moves the places of the others.
-            if self.roster.hash(group.bucket) != Some(group.hash) {
+    fn apply_bucket(&mut self, now: Now, items: message::BucketItems, out: &mut Vec<Action>) {
+        for batch in items.batches {
+            // A row that was inserted or removed since the digest was sent shifts the indexes of the others.
+            if self.roster.hash(items.bucket) != Some(items.hash) {
                 return;
             }
-            let place = usize::from(batch.row);
-            let Some(row) = self.roster.bucket(group.bucket).get(place) else {
+            let index = usize::from(batch.row);
+            let Some(row) = self.roster.bucket(items.bucket).get(index) else {
                 continue;
             };
             let (origin, incarnation) = (row.id, row.identity.incarnation);
@@ -245,13 +261,13 @@
         &mut self,
         now: Now,
         origin: Id,
-        incarnation: u64,
+        incarnation: Incarnation,
         batch: Batch,
         out: &mut Vec<Action>,
     ) {
-        for print in batch.publications {
-            for body in print.observations {
-                let version = print.version;
+        for publication in batch.publications {
+            for body in publication.observations {
+                let version = publication.version;
                 self.learn(
                     now,
                     Item {
@@ -269,13 +285,14 @@
         }
     }
 
+    /// Merges the rows of a delta and answers with the rows that the peer lacks in its `complete` buckets.
     fn apply_rows(
         &mut self,
         now: Now,
         peer: Id,
         to: SocketAddr,
         rows: Vec<Row>,
-        whole: &[Bucket],
+        complete: &[Bucket],
         out: &mut Vec<Action>,
     ) {
         let theirs: BTreeMap<Id, u64> = rows
@@ -288,7 +305,7 @@
                 .get(&p.id)
                 .is_none_or(|run| *run < p.identity.incarnation)
         };
-        let missing = whole
+        let missing = complete
             .iter()
             .flat_map(|b| self.roster.bucket(*b))
             .filter(lacks);
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -1,4 +1,4 @@
-//! The group of nodes as one of them sees it.
+//! The group of nodes as seen by one of them: entry point of the membership protocol.
 
 use crate::Now;
 use crate::action::Action;
@@ -20,19 +20,20 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Rows of one message whose runs are said to be gone at most.
+/// Largest number of suspicions that accompany the rows of one message.
 const MAX_SUSPICIONS_PER_MESSAGE: usize = 32;
 
-/// A run that was taken out of the roster.
+/// A run that was removed from the roster.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Tombstone {
     pub(crate) incarnation: Incarnation,
     pub(crate) removed_at: Now,
-    /// Whether it left by itself; a run that was only out of reach may come back.
-    pub(crate) left: bool,
+    /// Whether the run has ended for good: the node announced its exit, or another one has its address. A
+    /// run that was only unreachable may return.
+    pub(crate) ended: bool,
 }
 
-/// The state of membership and spread.
+/// State of the membership protocol of one node.
 #[derive(Clone, Debug)]
 pub struct Group {
     pub(crate) me: Id,
@@ -40,28 +41,32 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) roster: Roster,
     pub(crate) store: Store,
+    /// The instance list as last read.
     pub(crate) listed: Option<BTreeMap<Id, Entry>>,
     pub(crate) head: Option<Head>,
+    /// Number of the head last requested from a peer, and the time of that request.
     pub(crate) head_requested: Option<(u64, Now)>,
+    /// Version of the last own publication.
     pub(crate) version: Version,
+    /// Updates to be piggybacked on messages.
     pub(crate) updates: Vec<QueuedUpdate>,
-    /// Urgent items to send on.
+    /// Urgent items to be forwarded.
     pub(crate) urgent: VecDeque<UrgentItem>,
-    /// Whether there is news that should not wait for the next round.
+    /// Whether an update or a head is to be sent before the next round.
     pub(crate) flush_pending: bool,
     pub(crate) last_flush: Option<Now>,
     pub(crate) probes: Probes,
     pub(crate) tombstones: BTreeMap<Id, Tombstone>,
     pub(crate) last_tick: Option<Now>,
-    /// When the first tick came.
+    /// Time of the first tick.
     pub(crate) first_tick: Option<Now>,
-    /// When a peer was last entered into the roster.
+    /// Time at which a peer was last entered into the roster.
     pub(crate) last_join: Now,
     pub(crate) counters: Counters,
 }
 
 impl Group {
-    /// A group that holds only this node.
+    /// Creates a group that holds only this node. All random choices derive from `seed`.
     pub fn new(me: Identity, seed: u64, settings: Settings) -> Self {
         let id = me.id();
         let mut roster = Roster::default();
@@ -89,7 +94,7 @@
         }
     }
 
-    /// Takes an event that came at `now` and adds what is to be done to `out`.
+    /// Handles an event that arrived at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
@@ -123,8 +128,8 @@
         }
     }
 
-    /// After a pause of this process answers may wait unread while all timers have run out: the
-    /// peers are not to blame, so every probe and every suspicion starts anew.
+    /// Restarts all probes and suspicions after a pause of this process. Its timers have expired while
+    /// answers wait unread in its sockets, which is no failure of the peers.
     fn handle_pause(&mut self, now: Now) {
         self.counters.pauses += 1;
         self.probes.reset(now);
@@ -133,7 +138,7 @@
                 peer.state_since = now;
             }
         }
-        // Peers that suspected this node meanwhile may already wait to judge it.
+        // Peers that suspected this node during the pause may be about to judge it.
         self.increment_refutations();
     }
 
@@ -148,7 +153,7 @@
             from: id,
             incarnation,
             head,
-            updates: news,
+            updates,
             body,
         } = message;
         if id == self.me {
@@ -162,20 +167,21 @@
         if let Some(head) = head {
             self.compare_head(now, head, id, from, out);
         }
-        let (doubts, news) = split_row_suspicions(news, body.rows());
-        news.into_iter()
+        let (suspicions, updates) = split_row_suspicions(updates, body.rows());
+        updates
+            .into_iter()
             .for_each(|n| self.handle_update(now, n, out));
         self.handle_body(now, id, from, body, out);
-        // A node that was not known has now told who it is.
+        // The message may have held the row of a sender that was unknown before.
         if self.is_current_run(id, incarnation) {
             self.mark_alive(now, id, out);
         }
-        doubts
+        suspicions
             .into_iter()
             .for_each(|run| self.adopt_suspicion(now, run, out));
     }
 
-    /// Whether this run of a node is in the roster.
+    /// Returns whether the roster holds this run of a node.
     fn is_current_run(&self, id: Id, run: Incarnation) -> bool {
         self.roster
             .get(id)
@@ -207,7 +213,8 @@
         }
     }
 
-    /// Notes that a run of `id` sent something. Returns whether the message counts.
+    /// Records that a run of `id` sent a message. Returns whether the message is to be handled: messages of
+    /// removed or older runs are not.
     fn accept_sender(
         &mut self,
         now: Now,
@@ -216,9 +223,10 @@
         from: SocketAddr,
         out: &mut Vec<Action>,
     ) -> bool {
-        if let Some(grave) = self.tombstones.get(&id) {
-            let gone = grave.incarnation > run || (grave.left && grave.incarnation == run);
-            if gone {
+        if let Some(tombstone) = self.tombstones.get(&id) {
+            let ended =
+                tombstone.incarnation > run || (tombstone.ended && tombstone.incarnation == run);
+            if ended {
                 return false;
             }
         }
@@ -233,15 +241,15 @@
         true
     }
 
-    /// Takes over a row that a peer sent.
+    /// Merges a row that a peer sent into the roster.
     pub(crate) fn merge_row(&mut self, now: Now, row: Row, out: &mut Vec<Action>) {
         let id = row.identity.id();
         let run = row.identity.incarnation;
-        let buried = self
+        let removed = self
             .tombstones
             .get(&id)
             .is_some_and(|g| g.incarnation >= run);
-        if buried {
+        if removed {
             return;
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
@@ -252,15 +260,16 @@
         }
     }
 
+    /// Enters a row into the roster as a peer that is up. `restarted` says that it replaces an older run.
     fn insert_peer(&mut self, now: Now, row: Row, restarted: bool, out: &mut Vec<Action>) {
         let run = row.identity.incarnation;
-        let clash = self
+        let conflict = self
             .roster
             .address_conflict(&row.identity)
             .map(|p| (p.id, p.identity.incarnation));
-        match clash {
+        match conflict {
             Some((old, other)) if old == self.me || other >= run => return,
-            // Two names cannot listen on one address: the earlier run there has ended.
+            // Two nodes cannot listen on one address: the one that started earlier has ended.
             Some((old, _)) => self.remove(now, old, true, out),
             None => {}
         }
@@ -286,18 +295,18 @@
         });
     }
 
-    /// Takes a row out and remembers its run.
-    pub(crate) fn remove(&mut self, now: Now, id: Id, left: bool, out: &mut Vec<Action>) {
+    /// Removes a row from the roster and remembers its run. `ended`: the run cannot return.
+    pub(crate) fn remove(&mut self, now: Now, id: Id, ended: bool, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.remove(id) else {
             return;
         };
         self.store.forget(id);
-        let grave = Tombstone {
+        let tombstone = Tombstone {
             incarnation: peer.identity.incarnation,
             removed_at: now,
-            left,
+            ended,
         };
-        self.tombstones.insert(id, grave);
+        self.tombstones.insert(id, tombstone);
         self.probes.forget(id);
         out.push(Action::StateChanged {
             peer: id,
@@ -321,39 +330,40 @@
         self.listed.as_ref()?.get(&id).map(|e| e.state)
     }
 
-    /// Sends a message with the head and some news. What this node thinks of the rows in it goes along.
+    /// Sends a message with the head and some updates. Suspicions of the rows that it holds are sent with it,
+    /// and in further messages if they exceed the bound of one.
     pub(crate) fn send(&mut self, peer: Id, to: SocketAddr, body: Body, out: &mut Vec<Action>) {
-        let mut news = self.select_updates(peer);
-        let away = self.rows_not_up(body.rows());
-        let (first, more) = away.split_at(MAX_SUSPICIONS_PER_MESSAGE.min(away.len()));
-        news.extend(self.suspicions_of(first));
-        let message = self.message(news, body);
+        let mut updates = self.select_updates(peer);
+        let not_up = self.rows_not_up(body.rows());
+        let (first, rest) = not_up.split_at(MAX_SUSPICIONS_PER_MESSAGE.min(not_up.len()));
+        updates.extend(self.suspicions_of(first));
+        let message = self.message(updates, body);
         out.push(Action::Send { peer, to, message });
-        for rows in more.chunks(MAX_SUSPICIONS_PER_MESSAGE) {
+        for rows in rest.chunks(MAX_SUSPICIONS_PER_MESSAGE) {
             let message = self.message(self.suspicions_of(rows), Body::Rows(rows.to_vec()));
             out.push(Action::Send { peer, to, message });
         }
     }
 
-    /// Sends nothing but `news`.
+    /// Sends a message that holds only the head and `updates`.
     pub(crate) fn send_updates(
         &mut self,
         peer: Id,
         to: SocketAddr,
-        news: Vec<Update>,
+        updates: Vec<Update>,
         out: &mut Vec<Action>,
     ) {
-        let message = self.message(news, Body::Empty);
+        let message = self.message(updates, Body::Empty);
         out.push(Action::Send { peer, to, message });
     }
 
-    fn message(&self, news: Vec<Update>, body: Body) -> Message {
+    fn message(&self, updates: Vec<Update>, body: Body) -> Message {
         let incarnation = self.incarnation();
         Message {
             from: self.me,
             incarnation,
             head: self.head,
-            updates: news,
+            updates,
             body,
         }
     }
@@ -364,40 +374,40 @@
             .map_or(0, |p| p.identity.incarnation)
     }
 
-    /// The id of this node.
+    /// Returns the id of this node.
     pub fn me(&self) -> Id {
         self.me
     }
 
-    /// The nodes heard of, this one among them.
+    /// Returns the known nodes, including this one.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// What the nodes published.
+    /// Returns the items that the nodes published.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// What this node has in force.
+    /// Returns the head of the bundle that this node has in force.
     pub fn head(&self) -> Option<Head> {
         self.head
     }
 
-    /// What happened so far.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The instance list as last read.
+    /// Iterates over the instance list as last read.
     pub fn listed(&self) -> impl Iterator<Item = &Entry> {
         self.listed.iter().flat_map(BTreeMap::values)
     }
 
-    /// Whether the nodes known at `now` are likely all that there are. Nodes that start together know
-    /// few of the others at first: each of them would take the duties of the first node for its own.
+    /// Returns whether the roster is likely complete at `now`. Nodes that start together know few of the
+    /// others at first, and each of them would take over the duties of the first node.
     pub fn is_settled(&self, now: Now) -> bool {
-        let Some(began) = self.first_tick else {
+        let Some(first_tick) = self.first_tick else {
             return false;
         };
         let Settings {
@@ -405,14 +415,14 @@
             settle_time,
             ..
         } = self.settings;
-        if roster::age(now, began) >= startup_period {
+        if roster::age(now, first_tick) >= startup_period {
             return true;
         }
         let alone = self.roster.len() == 1 && self.listed().next().is_some();
-        !alone && roster::age(now, began.max(self.last_join)) >= settle_time
+        !alone && roster::age(now, first_tick.max(self.last_join)) >= settle_time
     }
 
-    /// Nodes that count as existing: heard of, or listed as live.
+    /// Returns the number of existing nodes: those in the roster and those listed as live.
     pub fn node_count(&self) -> usize {
         let live = |e: &Entry| e.state == ListedState::Live;
         let unknown = |(id, e): &(&Id, &Entry)| live(e) && self.roster.get(**id).is_none();
@@ -421,19 +431,19 @@
     }
 }
 
-/// What the sender of `rows` thinks of them, and the news.
-fn split_row_suspicions(news: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
+/// Separates the suspicions that concern `rows` of the same message from the other updates.
+fn split_row_suspicions(updates: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
     let sent: BTreeSet<Id> = rows.iter().map(|row| row.identity.id()).collect();
-    let mut doubts = Vec::new();
-    let news = news.into_iter().filter(|piece| match piece {
+    let mut suspicions = Vec::new();
+    let others = updates.into_iter().filter(|update| match update {
         Update::Suspect(run) if sent.contains(&run.id) => {
-            doubts.push(*run);
+            suspicions.push(*run);
             false
         }
         _ => true,
     });
-    let news = news.collect();
-    (doubts, news)
+    let others = others.collect();
+    (suspicions, others)
 }
 
 impl fmt::Display for Group {
--- a/crates/member/src/invariants.rs
+++ b/crates/member/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of a group, checked apart from the code that keeps them.
+//! Invariants of a group, verified independently of the code that maintains them.
 
 use crate::group::Group;
 use crate::identity::Id;
@@ -13,34 +13,35 @@
 /// A broken invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Which table and row.
+    /// Table and row.
     pub location: String,
-    /// What is wrong there.
+    /// Kind of the broken invariant.
     pub fault: Fault,
 }
 
 /// Kinds of broken invariants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The node itself is not in its roster, or not up.
+    /// This node is not in its own roster, or is not up there.
     LocalNodeNotUp,
-    /// A row is in a wrong bucket or out of order.
+    /// A row is in the wrong bucket or out of order.
     RowOrder,
-    /// A bucket's hash is not that of its rows.
+    /// The hash of a bucket does not match its rows.
     BucketHash,
-    /// A row that was taken out is back with the same run.
+    /// A removed run is in the roster.
     RemovedRun,
-    /// Items of an origin that is not in the roster.
+    /// The store holds items of an origin that is not in the roster.
     UnknownOrigin,
-    /// An own item is newer than the node's own version.
+    /// An own item is newer than this node's version.
     VersionAhead,
-    /// Something that only the exchange spreads came ahead of its turn.
+    /// An item that is not urgent is newer than the version of its origin, though only exchanges in order of
+    /// versions bring such items.
     NotUrgent,
-    /// A peer was judged before it could refute.
+    /// A peer was judged before its time to refute was over.
     JudgedEarly,
-    /// Two pieces of news about one node.
+    /// Two updates about one node are queued.
     DuplicateUpdate,
-    /// A table outgrew its bound.
+    /// A table exceeds its bound.
     BoundExceeded,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Group {
-    /// Collects every broken invariant.
+    /// Returns every broken invariant.
     pub fn verify(&self) -> Vec<Error> {
         let mut errors = Vec::new();
         self.verify_roster(&mut errors);
@@ -90,8 +91,8 @@
 
     fn verify_states(&self, errors: &mut Vec<Error>) {
         for peer in self.roster.iter() {
-            let buried = self.tombstones.get(&peer.id);
-            if buried.is_some_and(|g| g.incarnation >= peer.identity.incarnation) {
+            let tombstone = self.tombstones.get(&peer.id);
+            if tombstone.is_some_and(|t| t.incarnation >= peer.identity.incarnation) {
                 errors.push(error("peer", peer.id, Fault::RemovedRun));
             }
             let waited = peer.state_since.saturating_sub(peer.lost_at);
@@ -121,7 +122,7 @@
     fn verify_bounds(&self, errors: &mut Vec<Error>) {
         let subjects: BTreeSet<Id> = self.updates.iter().map(|p| p.subject).collect();
         if subjects.len() != self.updates.len() {
-            errors.push(error("news", self.updates.len(), Fault::DuplicateUpdate));
+            errors.push(error("updates", self.updates.len(), Fault::DuplicateUpdate));
         }
         if self.roster.len() > self.settings.max_peers {
             errors.push(error("roster", self.roster.len(), Fault::BoundExceeded));
--- a/crates/member/src/partition.rs
+++ b/crates/member/src/partition.rs
@@ -1,7 +1,7 @@
-//! The sides of a parted group: what part of each team's pool belongs to this node's side.
+//! Network partitions: the fraction of each team's pool that belongs to this node's side of a parted group.
 //!
-//! The split between the sides stays as it was when they parted, since neither side sees how the
-//! demand of the other one changes. Within a side the demand decides as ever.
+//! The pool stays split between the sides as it was when they parted, since neither side sees changes of
+//! demand on the other one. Within a side it is split by demand, as in a joined group.
 
 use crate::Now;
 use crate::demand::{Announcer, Demand, Limit};
@@ -15,49 +15,54 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// What a step goes by.
+/// Input of one step.
 pub(crate) struct Context<'a> {
     pub(crate) now: Now,
     pub(crate) group: &'a Group,
     pub(crate) limits: &'a [Limit],
+    /// Index of each team in `limits`.
     pub(crate) index: &'a HashMap<Team, usize>,
     pub(crate) announcer: &'a Announcer,
-    /// Nodes that exist.
+    /// Number of existing nodes.
     pub(crate) nodes: usize,
-    /// Time in which a report reaches every node.
+    /// Time in which an announcement reaches every node.
     pub(crate) window: Duration,
-    /// How long a dead peer's demand still counts.
+    /// Time for which the demand of a dead peer still counts.
     pub(crate) dead_demand_retention: Duration,
 }
 
-/// Demand announced by peers of one team.
+/// Sums of the demands that peers announced for one team.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Sum {
+    /// Demand of the peers on this side.
     pub(crate) near: Demand,
+    /// Demand of the peers on other sides.
     far: Demand,
-    /// The least that the near ones announced of late.
+    /// Smallest recent demand of the peers on this side.
     near_min: Demand,
 }
 
-/// Part of a team's pools that belongs to this side.
+/// Fractions of a team's pools that belong to this side.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PoolFraction {
     pub(crate) rate: f64,
     pub(crate) in_flight: f64,
 }
 
+/// The fractions of a side that is not parted from any node.
 const WHOLE_POOL: PoolFraction = PoolFraction {
     rate: 1.0,
     in_flight: 1.0,
 };
 
-/// The sides, by team.
+/// The division of the group into this side and the others, and of the pools of each team.
 #[derive(Clone, Debug)]
 pub(crate) struct Partition {
-    /// Windows that a peer which came back still counts as far.
+    /// Number of windows for which a peer that returned still counts as far.
     linger_windows: u32,
-    /// Peers that count as far, and when they were last parted.
+    /// Peers on other sides, and the time at which each was last parted.
     far: BTreeMap<Id, Now>,
+    /// Fractions of the pools, by index of the team.
     pools: Vec<PoolFraction>,
 }
 
@@ -70,31 +75,31 @@
         }
     }
 
-    /// Fits the table to the teams of a new bundle; `old` is the former index of each.
+    /// Reorders the table for the teams of a new bundle; `old` holds the former index of each.
     pub(crate) fn remap(&mut self, old: &[Option<usize>]) {
-        let side = |o: &Option<usize>| {
+        let pool = |o: &Option<usize>| {
             o.and_then(|i| self.pools.get(i).copied())
                 .unwrap_or(WHOLE_POOL)
         };
-        self.pools = old.iter().map(side).collect();
+        self.pools = old.iter().map(pool).collect();
     }
 
-    /// The side's part of the pools of a team.
+    /// Returns the fractions of a team's pools that belong to this side.
     pub(crate) fn pool(&self, row: usize) -> PoolFraction {
         self.pools.get(row).copied().unwrap_or(WHOLE_POOL)
     }
 
-    /// Whether nobody is parted.
+    /// Returns whether no peer counts as far.
     pub(crate) fn is_joined(&self) -> bool {
         self.far.is_empty()
     }
 
-    /// Number of peers that count as far.
+    /// Returns the number of peers that count as far.
     pub(crate) fn len(&self) -> usize {
         self.far.len()
     }
 
-    /// Nodes on this side, this one among them.
+    /// Returns the number of nodes on this side, including this one.
     pub(crate) fn near_nodes(&self, cx: &Context) -> usize {
         match self.far.is_empty() {
             true => cx.nodes,
@@ -102,6 +107,7 @@
         }
     }
 
+    /// Counts the nodes of the roster that are on this side.
     fn count_near(&self, group: &Group) -> usize {
         group
             .roster()
@@ -110,7 +116,7 @@
             .count()
     }
 
-    /// Follows the group as it parts and joins again.
+    /// Updates the division for peers that parted or returned.
     pub(crate) fn update(&mut self, cx: &Context) {
         let gone: Vec<Id> = parted_peers(cx.group)
             .filter(|id| !self.far.contains_key(id))
@@ -122,29 +128,30 @@
             self.far.insert(id, cx.now);
         }
         let linger = cx.window * self.linger_windows;
-        let over = |id: &Id, last: &Now| {
+        let has_returned = |id: &Id, last: &Now| {
             cx.now.saturating_sub(*last) > linger || cx.group.roster().get(*id).is_none()
         };
-        let back: Vec<Id> = self
+        let returning: Vec<Id> = self
             .far
             .iter()
-            .filter(|(id, last)| over(id, last))
+            .filter(|(id, last)| has_returned(id, last))
             .map(|(id, _)| *id)
             .collect();
-        if !back.is_empty() {
-            self.rejoin(cx, &back);
+        if !returning.is_empty() {
+            self.rejoin(cx, &returning);
         }
         if self.far.is_empty() {
             self.pools.iter_mut().for_each(|s| *s = WHOLE_POOL);
         }
     }
 
-    /// The other side goes by what it knew of this one before they parted. Demand that grew here
-    /// about then may not have got across, so this side counts only the least of it of late: the
-    /// parts of both sides then add up to no more than the whole.
+    /// Moves `gone` to the other sides and reduces the pools of this side. The other side splits the pools by
+    /// the demand of this side that it knew before they parted, and an increase shortly before may not have
+    /// reached it. This side therefore counts only the smallest recent demand of its own nodes, so that the
+    /// fractions of both sides add up to at most 1.
     fn split_off(&mut self, cx: &Context, gone: &[Id]) {
         let before = self.demand_sums(cx);
-        let left = self.count_near(cx.group).saturating_sub(gone.len()) as f64;
+        let remaining = self.count_near(cx.group).saturating_sub(gone.len()) as f64;
         gone.iter().for_each(|id| _ = self.far.insert(*id, cx.now));
         let after = self.demand_sums(cx);
         let gone = gone.len() as f64;
@@ -155,47 +162,55 @@
                 .map(|r| r.min_remembered())
                 .unwrap_or_default();
             let (before, after) = (&before[row], &after[row]);
-            let side = &mut self.pools[row];
-            let base = share::idle_weight(limit.rate, cx.nodes);
-            let stay = own.rate + after.near_min.rate + base * left;
-            let go = before.near.rate - after.near.rate + base * gone;
-            side.rate = share::side_after_split(side.rate, stay, go);
-            let base = share::idle_weight(limit.in_flight, cx.nodes);
-            let stay = own.in_flight + after.near_min.in_flight + base * left;
-            let go = before.near.in_flight - after.near.in_flight + base * gone;
-            side.in_flight = share::side_after_split(side.in_flight, stay, go);
+            let pool = &mut self.pools[row];
+            let idle_weight = share::idle_weight(limit.rate, cx.nodes);
+            let staying = own.rate + after.near_min.rate + idle_weight * remaining;
+            let leaving = before.near.rate - after.near.rate + idle_weight * gone;
+            pool.rate = share::side_after_split(pool.rate, staying, leaving);
+            let idle_weight = share::idle_weight(limit.in_flight, cx.nodes);
+            let staying = own.in_flight + after.near_min.in_flight + idle_weight * remaining;
+            let leaving = before.near.in_flight - after.near.in_flight + idle_weight * gone;
+            pool.in_flight = share::side_after_split(pool.in_flight, staying, leaving);
         }
     }
 
-    fn rejoin(&mut self, cx: &Context, back: &[Id]) {
+    /// Moves `returning` to this side and enlarges its pools by their fraction.
+    fn rejoin(&mut self, cx: &Context, returning: &[Id]) {
         let before = self.demand_sums(cx);
         let far = self.far.len() as f64;
-        back.iter().for_each(|id| _ = self.far.remove(id));
+        returning.iter().for_each(|id| _ = self.far.remove(id));
         let after = self.demand_sums(cx);
-        let back = back.len() as f64;
+        let returning = returning.len() as f64;
         for (row, limit) in cx.limits.iter().enumerate() {
             let (before, after) = (&before[row].far, &after[row].far);
-            let side = &mut self.pools[row];
-            let base = share::idle_weight(limit.rate, cx.nodes);
-            let some = before.rate - after.rate + base * back;
-            side.rate = share::side_after_rejoin(side.rate, before.rate + base * far, some);
-            let base = share::idle_weight(limit.in_flight, cx.nodes);
-            let some = before.in_flight - after.in_flight + base * back;
-            side.in_flight =
-                share::side_after_rejoin(side.in_flight, before.in_flight + base * far, some);
+            let pool = &mut self.pools[row];
+            let idle_weight = share::idle_weight(limit.rate, cx.nodes);
+            let returning_weight = before.rate - after.rate + idle_weight * returning;
+            pool.rate = share::side_after_rejoin(
+                pool.rate,
+                before.rate + idle_weight * far,
+                returning_weight,
+            );
+            let idle_weight = share::idle_weight(limit.in_flight, cx.nodes);
+            let returning_weight = before.in_flight - after.in_flight + idle_weight * returning;
+            pool.in_flight = share::side_after_rejoin(
+                pool.in_flight,
+                before.in_flight + idle_weight * far,
+                returning_weight,
+            );
         }
     }
 
-    /// Adds up what peers announced. A dead peer counts for a while: it may only be cut off, and
-    /// its requests in flight may still run.
+    /// Returns the sums of the demands announced by peers. A dead peer counts for a while: it may only be
+    /// unreachable from here, and its requests in flight may still run.
     pub(crate) fn demand_sums(&self, cx: &Context) -> Vec<Sum> {
         let mut sums = vec![Sum::default(); cx.limits.len()];
-        let over = |p: &Peer| {
+        let is_expired = |p: &Peer| {
             p.state == State::Dead
                 && cx.now.saturating_sub(p.state_since) >= cx.dead_demand_retention
         };
         let peers = cx.group.roster().iter();
-        for peer in peers.filter(|p| p.id != cx.group.me() && !over(p)) {
+        for peer in peers.filter(|p| p.id != cx.group.me() && !is_expired(p)) {
             let far = self.far.contains_key(&peer.id);
             for (_, slot) in cx.group.store().items(peer.id) {
                 let Observation::Demand {
@@ -228,6 +243,7 @@
     sum.in_flight += in_flight.amount();
 }
 
+/// Iterates over the peers that are parted.
 fn parted_peers(group: &Group) -> impl Iterator<Item = Id> {
     group
         .roster()
--- a/crates/member/src/probe.rs
+++ b/crates/member/src/probe.rs
@@ -1,4 +1,5 @@
-//! Probing: one peer per round beside the watched ones, then others are asked, then it is suspected.
+//! Failure detection by probes: one peer per round besides the neighbours in the ring. A peer that does not
+//! answer is probed indirectly through other peers, then suspected.
 
 use crate::Now;
 use crate::action::Action;
@@ -12,59 +13,64 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Peers that wait to be probed out of turn at most.
+/// Largest number of peers queued to be probed ahead of the regular order.
 const MAX_PRIORITY_PROBES: usize = 4;
-/// Probes for others that are open at most; more are not taken.
+/// Largest number of open probes on behalf of other nodes. Further requests are dropped.
 const MAX_OPEN_RELAYS: usize = 64;
-/// Listed but unknown nodes that are probed per round while this node knows nobody.
+/// Number of listed but unknown nodes that are probed per round while this node knows no peer.
 const MAX_CONTACTS_PER_ROUND: usize = 3;
 
 /// Why a peer is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// It is its turn, or it is suspected.
+    /// It is next in the regular order or in the priority queue.
     Schedule,
-    /// This node watches it.
+    /// It is a neighbour in the ring.
     Ring,
 }
 
+/// An open probe of this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Probe {
     pub(crate) seq: Seq,
     pub(crate) to: Id,
     pub(crate) sent_at: Now,
     pub(crate) cause: Cause,
-    /// Whether others were asked.
+    /// Whether indirect probes were requested.
     indirect_requested: bool,
-    /// Whether a new connection to it failed.
+    /// Whether a new connection to the peer failed.
     connect_failed: bool,
 }
 
-/// A probe for another node.
+/// A probe on behalf of another node.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     seq: Seq,
     sent_at: Now,
+    /// Id and address of the requesting node, and the number of its probe.
     requester: (Id, SocketAddr, Seq),
 }
 
-/// Open probes and the order of the next ones.
+/// Open probes and the schedule of the next ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
     pub(crate) open: Vec<Probe>,
     relays: Vec<Relay>,
+    /// Peers still to be probed in the current shuffled order.
     order: Vec<Id>,
+    /// Peers to be probed ahead of the order.
     priority: VecDeque<Id>,
     seq: Seq,
-    /// When digests are exchanged next.
+    /// Time of the next exchange of digests.
     next_exchange: Now,
-    /// When a peer is probed next.
+    /// Time of the next regular probe.
     next_round: Now,
-    /// When the watched peers are probed next.
+    /// Time of the next probes of the neighbours in the ring.
     pub(crate) next_ring_probe: Now,
 }
 
 impl Probes {
+    /// Drops all open probes and makes the next ones due.
     pub(crate) fn reset(&mut self, now: Now) {
         self.open.clear();
         self.relays.clear();
@@ -73,7 +79,7 @@
         self.next_ring_probe = now;
     }
 
-    /// Whether a probe of `id` has no answer yet.
+    /// Returns whether a probe of `id` is open.
     pub(crate) fn is_open(&self, id: Id) -> bool {
         self.open.iter().any(|p| p.to == id)
     }
@@ -94,14 +100,14 @@
         now >= self.probes.next_exchange
     }
 
-    /// Probes the next peer and exchanges digests: with the same one where it is up, since that
-    /// needs one connection instead of two. Where exchanges come sooner than rounds, those between
-    /// two rounds probe nobody, so that no more probes are open than ever.
+    /// Probes the next peer and exchanges digests with it if it is up, which needs one connection instead of
+    /// two, else with a random peer. Where exchanges are more frequent than regular probes, those in between
+    /// probe no peer, which keeps the number of open probes bounded.
     pub(crate) fn run_round(&mut self, now: Now, out: &mut Vec<Action>) {
         let jitter = self.rng.random_range(0.9..1.1);
-        let alive = self.first_tick.map_or(Now::ZERO, |began| age(now, began));
+        let uptime = self.first_tick.map_or(Now::ZERO, |first| age(now, first));
         let peers = self.roster.len();
-        let next = self.settings.exchange_interval(peers, alive);
+        let next = self.settings.exchange_interval(peers, uptime);
         self.probes.next_exchange = now + next.mul_f64(jitter);
         self.contact_unknown(out);
         let Some(target) = self.next_target() else {
@@ -125,11 +131,11 @@
         }
     }
 
-    /// Probes listed nodes that are not known here: that is how a new node finds the others, and
-    /// how sides that were parted for longer than the list named them find each other. One that
-    /// left is not asked; a new run of it comes by itself.
+    /// Probes listed nodes that are not in the roster. This is how a new node joins, and how the sides of a
+    /// network partition find each other when each has removed the other. A node that left is not probed; a
+    /// new run of it joins on its own.
     fn contact_unknown(&mut self, out: &mut Vec<Action>) {
-        let left = |id: &Id| self.tombstones.get(id).is_some_and(|g| g.left);
+        let left = |id: &Id| self.tombstones.get(id).is_some_and(|t| t.ended);
         let known = |id: &Id| self.roster.get(*id).is_some() || left(id);
         let listed = self.listed.iter().flatten();
         let unknown = listed
@@ -137,12 +143,12 @@
             .map(|(id, e)| (*id, e.addr));
         let mut unknown: Vec<(Id, SocketAddr)> = unknown.collect();
         unknown.shuffle(&mut self.rng);
-        let most = if self.roster.len() == 1 {
+        let max_contacts = if self.roster.len() == 1 {
             MAX_CONTACTS_PER_ROUND
         } else {
             1
         };
-        for (to, addr) in unknown.into_iter().take(most) {
+        for (to, addr) in unknown.into_iter().take(max_contacts) {
             let seq = self.probes.next_seq();
             self.send(to, addr, Body::Ping { seq, to }, out);
             let digest = self.summaries();
@@ -150,8 +156,8 @@
         }
     }
 
-    /// The next peer in a shuffled order that has each once, so that every peer is probed
-    /// within a bounded time.
+    /// Returns the peer to probe next: a prioritized one, else the next in a shuffled order that holds each
+    /// peer once, so that every peer is probed within a bounded time.
     fn next_target(&mut self) -> Option<Id> {
         while let Some(id) = self.probes.priority.pop_front() {
             if self
@@ -175,6 +181,7 @@
         }
     }
 
+    /// Sends a direct probe.
     pub(crate) fn probe(&mut self, now: Now, to: Id, cause: Cause, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(to) else {
             return;
@@ -194,13 +201,14 @@
         self.send(to, addr, Body::Ping { seq, to }, out);
     }
 
+    /// Requests indirect probes where a direct one is late, and ends the probes that timed out.
     pub(crate) fn check_probes(&mut self, now: Now, out: &mut Vec<Action>) {
-        let (direct, most) = (
+        let (direct_timeout, timeout) = (
             self.settings.direct_probe_timeout,
             self.settings.probe_timeout,
         );
-        let late = |p: &Probe| p.connect_failed || age(now, p.sent_at) >= direct;
-        let mut asked = Vec::new();
+        let late = |p: &Probe| p.connect_failed || age(now, p.sent_at) >= direct_timeout;
+        let mut late_probes = Vec::new();
         for probe in self
             .probes
             .open
@@ -209,36 +217,37 @@
         {
             if late(probe) {
                 probe.indirect_requested = true;
-                asked.push((probe.seq, probe.to));
+                late_probes.push((probe.seq, probe.to));
             }
         }
-        asked
+        late_probes
             .into_iter()
             .for_each(|(seq, to)| self.request_indirect_probes(seq, to, out));
-        let (open, over): (Vec<Probe>, Vec<Probe>) = self
+        let (open, timed_out): (Vec<Probe>, Vec<Probe>) = self
             .probes
             .open
             .iter()
-            .partition(|p| age(now, p.sent_at) < most);
+            .partition(|p| age(now, p.sent_at) < timeout);
         self.probes.open = open;
-        over.into_iter()
+        timed_out
+            .into_iter()
             .for_each(|p| self.probe_failed(now, p.to, out));
-        self.probes.relays.retain(|r| age(now, r.sent_at) < most);
+        self.probes.relays.retain(|r| age(now, r.sent_at) < timeout);
     }
 
-    /// Asks others to probe, first those of other availability zones: a fault on the way from
-    /// here then does not look like the peer's.
+    /// Requests indirect probes from other peers, preferably in other availability zones: a network fault
+    /// between this zone and the probed peer is then not taken for a failure of the peer.
     fn request_indirect_probes(&mut self, seq: Seq, to: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(to) else {
             return;
         };
         let addr = peer.identity.addr;
         let zone = self.roster.get(self.me).map(|p| p.identity.zone.clone());
-        let most = self.settings.indirect_probers;
-        let mut helpers = self.sample_up(most * 4, Some(to));
+        let count = self.settings.indirect_probers;
+        let mut helpers = self.sample_up(count * 4, Some(to));
         let same = |id: &Id| self.roster.get(*id).map(|p| &p.identity.zone) == zone.as_ref();
         helpers.sort_by_key(same);
-        for helper in helpers.into_iter().take(most) {
+        for helper in helpers.into_iter().take(count) {
             let Some(at) = self.roster.get(helper).map(|p| p.identity.addr) else {
                 continue;
             };
@@ -247,14 +256,14 @@
         }
     }
 
-    /// Some peers that are up, chosen at random.
-    pub(crate) fn sample_up(&mut self, most: usize, but: Option<Id>) -> Vec<Id> {
+    /// Returns up to `count` random peers that are up, without `excluded`.
+    pub(crate) fn sample_up(&mut self, count: usize, excluded: Option<Id>) -> Vec<Id> {
         let up = self.roster.iter().filter(|p| p.state == State::Up);
         let ids: Vec<Id> = up
             .map(|p| p.id)
-            .filter(|id| *id != self.me && Some(*id) != but)
+            .filter(|id| *id != self.me && Some(*id) != excluded)
             .collect();
-        ids.sample(&mut self.rng, most).copied().collect()
+        ids.sample(&mut self.rng, count).copied().collect()
     }
 
     pub(crate) fn handle_ping(
@@ -269,14 +278,15 @@
             self.send(id, from, Body::Ack { seq, of: to }, out);
             return;
         }
-        // The sender's row for this address is of an earlier process: tell it who is here now.
+        // The sender's row for this address is of an earlier process: send it the row of this one.
         self.send_identity(id, from, out);
     }
 
+    /// Probes `to` on behalf of the requesting node.
     pub(crate) fn handle_indirect_ping(
         &mut self,
         now: Now,
-        asker: (Id, SocketAddr, Seq),
+        requester: (Id, SocketAddr, Seq),
         to: Id,
         addr: SocketAddr,
         out: &mut Vec<Action>,
@@ -289,11 +299,12 @@
         self.probes.relays.push(Relay {
             seq,
             sent_at: now,
-            requester: asker,
+            requester,
         });
         self.send(to, addr, Body::Ping { seq, to }, out);
     }
 
+    /// Completes an own probe, or forwards the answer to the node that requested it.
     pub(crate) fn handle_ack(&mut self, now: Now, seq: Seq, of: Id, out: &mut Vec<Action>) {
         if let Some(at) = self
             .probes
@@ -309,11 +320,12 @@
         let Some(at) = self.probes.relays.iter().position(|r| r.seq == seq) else {
             return;
         };
-        let (asker, addr, seq) = self.probes.relays.remove(at).requester;
-        self.send(asker, addr, Body::Ack { seq, of }, out);
+        let (requester, addr, seq) = self.probes.relays.remove(at).requester;
+        self.send(requester, addr, Body::Ack { seq, of }, out);
     }
 
-    /// A failed connection is no proof of death, only a reason not to wait for the answer.
+    /// Handles a failed connection to a peer. It does not prove that the peer is dead, but indirect probes are
+    /// requested without waiting for the direct timeout.
     pub(crate) fn connect_failed(&mut self, peer: Id, out: &mut Vec<Action>) {
         let open = self.probes.open.iter_mut().filter(|p| p.to == peer);
         open.for_each(|p| p.connect_failed = true);
@@ -322,40 +334,46 @@
         }
     }
 
-    /// Puts the suspect next in the order, and a peer of its availability zone unless that is known to
-    /// answer: this node judges by its own probes, and whether the zone answers tells a dead node from
-    /// a parted zone.
+    /// Prioritizes probes that are needed to judge a suspect: one of the suspect, unless one failed since its
+    /// availability zone answered, and one of another peer of the zone, unless the zone is known to answer.
+    /// Whether the zone answers distinguishes a dead node from a parted zone.
     pub(crate) fn prioritize(&mut self, suspect: Id) {
         let Some(row) = self.roster.get(suspect) else {
             return;
         };
         let zone = row.identity.zone.clone();
-        let (tried, zoned) = (
+        let (probed, zone_alive) = (
             self.probed_since_zone_alive(row),
             row.zone_alive_since.is_some(),
         );
-        let mates = self
+        let zone_peers = self
             .roster
             .iter()
             .filter(|p| p.identity.zone == zone && p.state == State::Up);
-        let mates: Vec<Id> = mates.map(|p| p.id).filter(|id| *id != self.me).collect();
-        let mate = mates.choose(&mut self.rng).copied();
-        let next = [(!tried).then_some(suspect), mate.filter(|_| !zoned)];
+        let zone_peers: Vec<Id> = zone_peers
+            .map(|p| p.id)
+            .filter(|id| *id != self.me)
+            .collect();
+        let zone_peer = zone_peers.choose(&mut self.rng).copied();
+        let next = [
+            (!probed).then_some(suspect),
+            zone_peer.filter(|_| !zone_alive),
+        ];
         next.into_iter()
             .flatten()
             .for_each(|id| self.probe_next(id));
     }
 
-    /// Puts a peer next in the order, if there is room and no probe of it is open.
+    /// Queues a peer to be probed ahead of the order, if the queue is not full and no probe of it is open.
     pub(crate) fn probe_next(&mut self, id: Id) {
         let open = self.probes.is_open(id);
-        let focus = &mut self.probes.priority;
-        if focus.len() < MAX_PRIORITY_PROBES && !open && !focus.contains(&id) {
-            focus.push_back(id);
+        let priority = &mut self.probes.priority;
+        if priority.len() < MAX_PRIORITY_PROBES && !open && !priority.contains(&id) {
+            priority.push_back(id);
         }
     }
 
-    /// Update that concern the receiver: that it is suspected, so that it can refute.
+    /// Returns the suspicion of the receiver of a message, if there is one, so that it can refute.
     pub(crate) fn suspicion_of_receiver(&self, peer: Id) -> Option<Update> {
         let row = self.roster.get(peer)?;
         (row.state > State::Up).then(|| Update::Suspect(crate::dissemination::to_run(row)))
--- a/crates/member/src/ring.rs
+++ b/crates/member/src/ring.rs
@@ -1,7 +1,7 @@
-//! Watching: each node probes the next few in the ring of ids in every round.
+//! Ring probes: in every round, each node probes its next neighbours in the ring of ids.
 //!
-//! Probes of peers drawn at random leave one that died unprobed for many rounds now and then. In the
-//! ring each node has its own watchers, so that the time until a dead one is probed has a bound.
+//! Peers drawn at random would sometimes leave a dead one unprobed for many rounds. In the ring each node
+//! is probed by fixed neighbours, so that the time until a dead node is probed is bounded.
 
 use crate::Now;
 use crate::action::Action;
@@ -10,11 +10,11 @@
 use crate::peer::State;
 use crate::probe::Cause;
 
-/// Peers that a node watches, and nodes that watch it.
+/// Number of neighbours that a node probes in the ring, and of nodes that probe it.
 pub(crate) const RING_NEIGHBOURS: usize = 2;
 
 impl Group {
-    /// Probes the watched peers, unless a probe of them is open.
+    /// Probes the neighbours in the ring that have no open probe.
     pub(crate) fn probe_ring(&mut self, now: Now, out: &mut Vec<Action>) {
         if now < self.probes.next_ring_probe {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The next peers in the ring of ids that are up.
+    /// Returns the next peers in the ring of ids that are up.
     pub(crate) fn ring_neighbours(&self) -> Vec<Id> {
         let others = self.roster.iter().filter(|p| p.id != self.me);
         let mut up: Vec<Id> = others
--- a/crates/member/src/suspicion.rs
+++ b/crates/member/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! States of peers: suspicion, refutation, and whether a silent peer is dead or parted.
+//! States of peers: suspicion, refutation, and the verdict whether an unresponsive peer is dead or parted.
 
 use crate::Now;
 use crate::action::Action;
@@ -9,14 +9,14 @@
 use crate::roster::age;
 use std::time::Duration;
 
-/// Peers that went silent within this time of each other are taken to have one cause.
+/// Peers that were lost within this time of each other are taken to have been lost by one cause.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(20);
-/// How long a parted peer may stay away after most of its availability zone came back, before
-/// it is suspected by itself: news of many returns at once take their time.
+/// Time for which a peer stays parted after most of its availability zone returned, before it is suspected
+/// on its own. The updates of many peers that return at once take a while to spread.
 const PARTED_RECHECK_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Group {
-    /// Proof that the known run of a peer lives.
+    /// Takes note of proof that the known run of a peer is alive.
     pub(crate) fn mark_alive(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
@@ -25,11 +25,11 @@
         if peer.state == State::Up || id == self.me {
             return;
         }
-        let back = peer.state > State::Suspect;
+        let was_lost = peer.state > State::Suspect;
         peer.state = State::Up;
         peer.state_since = now;
         let run = crate::dissemination::to_run(peer);
-        self.counters.returned += u64::from(back);
+        self.counters.returned += u64::from(was_lost);
         out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
@@ -38,8 +38,8 @@
         self.notify_suspect(id, run, out);
     }
 
-    /// Tells a peer that it was suspected. It is up here, but the suspicion may still be on its
-    /// way to others, who would judge it dead unless it refutes.
+    /// Notifies a peer that it was suspected, so that it refutes. This node sees it up, but the suspicion may
+    /// still spread to other nodes, which would judge the peer dead.
     fn notify_suspect(&mut self, id: Id, run: Run, out: &mut Vec<Action>) {
         let Some(to) = self.addr(id) else { return };
         self.updates
@@ -47,28 +47,29 @@
         self.send_updates(id, to, vec![crate::message::Update::Suspect(run)], out);
     }
 
-    /// A refutation, or a row that holds one.
+    /// Applies the refutations that an update or a row holds; a higher number than the known one proves that
+    /// the peer is up.
     pub(crate) fn apply_refutation(
         &mut self,
         now: Now,
         id: Id,
-        turn: Refutations,
+        refutations: Refutations,
         out: &mut Vec<Action>,
     ) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
         };
-        if turn <= peer.refutations {
+        if refutations <= peer.refutations {
             return;
         }
-        peer.refutations = turn;
+        peer.refutations = refutations;
         if peer.state == State::Up {
             return;
         }
-        let back = peer.state > State::Suspect;
+        let was_lost = peer.state > State::Suspect;
         peer.state = State::Up;
         peer.state_since = now;
-        self.counters.returned += u64::from(back);
+        self.counters.returned += u64::from(was_lost);
         out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
@@ -76,7 +77,8 @@
         });
     }
 
-    /// This node's own probe of a peer had no answer, direct or by others.
+    /// Records that this node's own probe of a peer had no answer, direct or indirect, and suspects the peer
+    /// if it was up.
     pub(crate) fn probe_failed(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get_mut(id) else {
             return;
@@ -87,11 +89,11 @@
         }
         self.counters.suspected += 1;
         self.suspect(now, id, out);
-        // Its neighbours in the ring may be gone as well.
+        // The neighbours of the peer in the ring may have failed with it: probe the ring without delay.
         self.probes.next_ring_probe = now;
     }
 
-    /// Starts the time in which a peer may refute, and tells the others.
+    /// Suspects a peer and disseminates the suspicion. The peer then has the suspicion timeout to refute.
     pub(crate) fn suspect(&mut self, now: Now, id: Id, out: &mut Vec<Action>) {
         let Some(run) = self.begin_suspicion(now, id, out) else {
             return;
@@ -100,8 +102,8 @@
         self.flush_pending = true;
     }
 
-    /// Takes over what a peer thinks of a run whose row came with it. This node has heard nothing of
-    /// that run itself, so it is suspected here until it answers; the others know better than this node.
+    /// Adopts the suspicion of a run whose row came in the same message, unless this node has heard from that
+    /// run itself. The sender knows the run better than this node, so it stays suspected until it answers.
     pub(crate) fn adopt_suspicion(&mut self, now: Now, run: Run, out: &mut Vec<Action>) {
         let unheard = |p: &Peer| {
             p.heard_at.is_none()
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Makes a suspect of a peer that is up; which run of it, if it was.
+    /// Marks a peer that is up as suspected and returns its run; `None` if the peer is not up.
     fn begin_suspicion(&mut self, now: Now, id: Id, out: &mut Vec<Action>) -> Option<Run> {
         let peer = self.roster.get_mut(id)?;
         if peer.state != State::Up || id == self.me {
@@ -133,7 +135,7 @@
         Some(run)
     }
 
-    /// Judges suspects whose time is over.
+    /// Judges the suspects whose time to refute is over.
     pub(crate) fn judge_suspects(&mut self, now: Now, out: &mut Vec<Action>) {
         let wait = self.settings.suspicion_timeout(self.roster.len());
         let suspects = self.roster.iter().filter(|p| p.state == State::Suspect);
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Notes when a suspect's availability zone was first known to answer.
+    /// Records the time at which the availability zone of a suspect was first known to answer.
     fn check_zone(&mut self, now: Now, id: Id) {
         let Some(peer) = self.roster.get(id) else {
             return;
@@ -164,25 +166,25 @@
         }
     }
 
-    /// Whether this node's own probe failed that began when the zone was known to answer.
+    /// Returns whether a probe by this node failed that began after the zone was known to answer.
     pub(crate) fn probed_since_zone_alive(&self, peer: &Peer) -> bool {
-        let begun = peer
+        let earliest = peer
             .zone_alive_since
             .map(|z| z + self.settings.probe_timeout);
-        begun.is_some_and(|b| peer.probe_failed_at.is_some_and(|f| f >= b))
+        earliest.is_some_and(|e| peer.probe_failed_at.is_some_and(|f| f >= e))
     }
 
-    /// Judges dead and parted peers anew: what happened to their availability zone may show
-    /// only later.
+    /// Judges dead and parted peers again: whether their availability zone answers may become known only
+    /// later.
     pub(crate) fn rejudge_lost(&mut self, now: Now, out: &mut Vec<Action>) {
-        let gone = |p: &&Peer| p.state > State::Suspect;
-        let gone: Vec<(Id, State, Now)> = self
+        let is_lost = |p: &&Peer| p.state > State::Suspect;
+        let lost: Vec<(Id, State, Now)> = self
             .roster
             .iter()
-            .filter(gone)
+            .filter(is_lost)
             .map(|p| (p.id, p.state, p.state_since))
             .collect();
-        for (id, state, since) in gone {
+        for (id, state, since) in lost {
             match (state, self.verdict(id)) {
                 (State::Dead, Some(State::Parted)) => self.set_state(now, id, State::Parted, out),
                 (State::Parted, Some(State::Parted)) => self.renew_state(now, id),
@@ -196,13 +198,14 @@
         }
     }
 
-    /// What was known of its zone before it parted says nothing now.
+    /// Discards when the zone of a peer was known to answer: the time before the peer parted proves nothing.
     fn reset_zone(&mut self, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
             peer.zone_alive_since = None;
         }
     }
 
+    /// Restarts the time that a peer has been in its state.
     fn renew_state(&mut self, now: Now, id: Id) {
         if let Some(peer) = self.roster.get_mut(id) {
             peer.state_since = now;
@@ -227,16 +230,18 @@
         });
     }
 
-    /// Silent together with most of its availability zone, or of the group: parted. That keeps
-    /// its share and its row, since it most likely lives on the other side. Dead only if this
-    /// node's own probe failed while the zone answered: no node is called dead on a rumour, or by
-    /// a probe from before a parted zone came back. Else not yet known.
+    /// Returns the state of an unresponsive peer, or `None` if it can't be judged yet.
+    ///
+    /// The peer is parted if most of its availability zone or of the group is unresponsive too. It then
+    /// keeps its row and its share, since it most likely runs on the other side of a network partition.
+    /// It is dead only if a probe by this node failed while the zone answered. An update of another node
+    /// is not sufficient, nor is a probe from before a parted zone returned.
     fn verdict(&self, id: Id) -> Option<State> {
         let peer = self.roster.get(id)?;
-        let near = self.tally(peer, |p| same_zone(p, peer));
-        let all = self.tally(peer, |_| true);
+        let zone = self.tally(peer, |p| same_zone(p, peer));
+        let group = self.tally(peer, |_| true);
         match (
-            near.majority_away() || all.majority_away(),
+            zone.majority_away() || group.majority_away(),
             self.probed_since_zone_alive(peer),
         ) {
             (true, _) => Some(State::Parted),
@@ -245,12 +250,12 @@
         }
     }
 
-    /// Counts peers; those that died at another time than `peer` are left out.
+    /// Counts the peers that `like` selects, without those that died at another time than `peer`.
     fn tally(&self, peer: &Peer, like: impl Fn(&Peer) -> bool) -> Tally {
         let others = self.roster.iter().filter(|p| p.id != self.me && like(p));
-        let apart = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > COMMON_CAUSE_WINDOW;
+        let unrelated = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > COMMON_CAUSE_WINDOW;
         let mut tally = Tally::default();
-        for other in others.filter(|p| p.state != State::Dead || !apart(p)) {
+        for other in others.filter(|p| p.state != State::Dead || !unrelated(p)) {
             tally.total += 1;
             tally.away += usize::from(other.state != State::Up);
             tally.heard += usize::from(other.heard_at.is_some_and(|h| h > peer.lost_at));
@@ -258,48 +263,56 @@
         tally
     }
 
-    /// Removes peers that nobody lists and nobody reaches. The list alone removes nobody: it
-    /// lags, and a node that is up may not be in it yet.
+    /// Removes the peers that are neither listed nor reachable. Absence from the instance list alone removes
+    /// no peer: the list lags, and a node that is up may not be in it yet.
     pub(crate) fn remove_lost(&mut self, now: Now, out: &mut Vec<Action>) {
-        let bury = self.settings.tombstone_retention;
-        self.tombstones.retain(|_, g| age(now, g.removed_at) < bury);
+        let retention = self.settings.tombstone_retention;
+        self.tombstones
+            .retain(|_, t| age(now, t.removed_at) < retention);
         if self.listed.is_none() {
             return;
         }
-        let keep = self.settings.unlisted_retention;
-        let gone = |p: &&Peer| {
+        let unlisted_retention = self.settings.unlisted_retention;
+        let is_unreachable = |p: &&Peer| {
             p.id != self.me
                 && p.state > State::Suspect
                 && p.listed.is_none()
-                && age(now, p.lost_at) >= keep
+                && age(now, p.lost_at) >= unlisted_retention
         };
-        let gone: Vec<Id> = self.roster.iter().filter(gone).map(|p| p.id).collect();
-        gone.into_iter()
+        let unreachable: Vec<Id> = self
+            .roster
+            .iter()
+            .filter(is_unreachable)
+            .map(|p| p.id)
+            .collect();
+        unreachable
+            .into_iter()
             .for_each(|id| self.remove(now, id, false, out));
     }
 }
 
-/// Whether two peers are in one availability zone.
+/// Returns whether two peers are in the same availability zone.
 fn same_zone(a: &Peer, b: &Peer) -> bool {
     a.identity.zone == b.identity.zone && a.identity.region == b.identity.region
 }
 
-/// Peers of one kind.
+/// Counts of selected peers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     total: usize,
+    /// Peers that are not up.
     away: usize,
-    /// Those that were heard since the peer in question was lost.
+    /// Peers that were heard from since the judged peer was lost.
     heard: usize,
 }
 
 impl Tally {
-    /// Whether more than half of two or more are away.
+    /// Returns whether more than half of at least two peers are not up.
     fn majority_away(self) -> bool {
         self.total >= 2 && self.away * 2 > self.total
     }
 
-    /// Whether one is known to live, or the peer in question is the only one.
+    /// Returns whether the zone is known to answer: a peer was heard from, or the judged peer is the only one.
     fn zone_alive(self) -> bool {
         self.total <= 1 || self.heard > 0
     }
--- a/crates/member/src/team.rs
+++ b/crates/member/src/team.rs
@@ -1,4 +1,4 @@
-//! Team limits across all nodes: own demand announced, peers' demand added up, shares computed.
+//! Team limits over all nodes: announces own demand, adds up the demand of peers and computes this node's shares.
 
 use crate::Now;
 use crate::demand::{Announcer, Budget, Demand, Limit};
@@ -12,30 +12,30 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Times and bounds of shares.
+/// Times and bounds of the computation of shares.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Shares are computed and demand is announced once per step.
+    /// Time between two steps. In each, demand is announced and shares are computed.
     pub step_interval: Duration,
-    /// Steps of the window of a small group.
+    /// Length of the window of a small group, in steps.
     pub small_group_window_steps: usize,
-    /// Steps of the window in which a report must reach every node and be counted there, without
-    /// those that grow with the group.
+    /// Constant part of the window, in steps. Within the window an announcement must reach every node and be
+    /// counted there.
     pub base_window_steps: usize,
-    /// Steps of the window per factor of ten in the number of nodes.
+    /// Number of steps added to the window per factor of ten in the number of nodes.
     pub window_steps_per_decade: f64,
-    /// Demand items per second that all nodes together may publish.
+    /// Largest number of demand items that all nodes together publish per second.
     pub max_group_items_per_second: f64,
-    /// Demand items per second that one node may publish.
+    /// Largest number of demand items that one node publishes per second.
     pub max_node_items_per_second: f64,
-    /// How long a dead peer's demand still counts.
+    /// Time for which the demand of a dead peer still counts.
     pub dead_demand_retention: Duration,
-    /// Steps after a start or a pause in which a node takes only its floor, until it has
-    /// caught up with what the others announced.
+    /// Number of steps after a start or a pause in which a node takes only its floor, because it does not yet
+    /// know what its peers have announced.
     pub settle_steps: usize,
-    /// A gap between steps above this is a pause.
+    /// Time between two steps above which this process counts as having been paused.
     pub pause_threshold: Duration,
-    /// Nodes that exist at least, until the instance list was read.
+    /// Smallest number of nodes assumed until the instance list was read.
     pub expected_nodes: usize,
 }
 
@@ -57,8 +57,8 @@
 }
 
 impl Settings {
-    /// Steps of the window among `nodes`: exchanges spread in a time that grows with the
-    /// logarithm of the group.
+    /// Returns the length of the window in a group of `nodes` nodes, in steps. The time in which an item spreads
+    /// by exchanges grows with the logarithm of that number.
     pub fn window_steps(&self, nodes: usize) -> usize {
         if nodes <= SMALL_GROUP_NODES {
             return self.small_group_window_steps;
@@ -77,36 +77,39 @@
     pub in_flight: f64,
 }
 
-/// What one step gives.
+/// Result of one step.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// To be given to [`crate::event::Event::Publish`].
+    /// Observations to be passed to [`crate::event::Event::Publish`].
     pub publish: Vec<Observation>,
-    /// By team, in the order of the limits.
+    /// Shares by team, in the order of the limits.
     pub shares: Vec<Share>,
 }
 
-/// Windows that a peer which came back counts as far, in the two ways to see it. For a window
-/// the peers' reports are on their way. For one more the smaller of both shares is taken, since
-/// the nodes do not change over all at once: a node that already counts with the others must not
-/// meet one that still has its side's old part.
+/// Number of windows for which a peer that returned from another side still counts as far, for the early and
+/// the late partition. Within the first window, announcements of the peer are still in flight. Within the
+/// second, the smaller of the two shares applies, since nodes do not switch at the same time: one that
+/// already splits the pool with the returned peers must not coincide with one that still has the old
+/// fraction of its side.
 const LINGER_WINDOWS: [u32; 2] = [1, 2];
 
-/// The state of a node's shares.
+/// State of the computation of a node's shares.
 #[derive(Clone, Debug)]
 pub struct Teams {
     settings: Settings,
     teams: Vec<Team>,
     index: HashMap<Team, usize>,
     announcer: Announcer,
+    /// The division of the group, as it is after the first and after the second linger time.
     partitions: [Partition; 2],
     last_step: Option<Now>,
+    /// Steps since the start or the last pause.
     steps_since_start: usize,
     shares: Vec<Share>,
 }
 
 impl Teams {
-    /// No teams yet.
+    /// Creates a state without teams.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -120,24 +123,24 @@
         }
     }
 
-    /// Announces `demands` and computes the shares, unless the last step was less than a step
-    /// ago; then the shares are those of the last step. Both slices go by the same teams.
+    /// Announces `demands` and computes the shares. Returns the previous shares if less than a step has passed
+    /// since the last one. Both slices have the same teams in the same order.
     ///
-    /// Shares hold for a step. Whoever enforces them must take only the floor if the next ones
-    /// are more than [`Settings::pause`] late, since peers may have grown meanwhile.
+    /// Shares are valid for one step. If the next ones are late by more than [`Settings::pause_threshold`],
+    /// the caller must enforce only the floor, since the shares of peers may have grown in the meantime.
     pub fn step(&mut self, now: Now, group: &Group, limits: &[Limit], demands: &[Demand]) -> Step {
         assert_eq!(limits.len(), demands.len(), "one demand per limit");
         let gap = self.last_step.map(|s| now.saturating_sub(s));
-        let fresh = self.remap(limits);
-        if !fresh && gap.is_some_and(|g| g < self.settings.step_interval) {
+        let teams_changed = self.remap(limits);
+        if !teams_changed && gap.is_some_and(|g| g < self.settings.step_interval) {
             return Step {
                 publish: Vec::new(),
                 shares: self.shares.clone(),
             };
         }
         if gap.is_some_and(|g| g > self.settings.pause_threshold) {
-            // What peers announced meanwhile was not read, so others may have grown at this
-            // node's expense: it starts again from the floor.
+            // Announcements of peers were not read during the pause, and the shares of peers may have grown
+            // at the expense of this node: it restarts from the floor.
             self.steps_since_start = 0;
             self.announcer.clear();
         }
@@ -155,21 +158,23 @@
         }
     }
 
-    /// The shares of the last step.
+    /// Returns the shares of the last step.
     pub fn shares(&self) -> &[Share] {
         &self.shares
     }
 
+    /// Returns the number of existing nodes, at least the expected one until the instance list was read.
     fn existing_nodes(&self, group: &Group) -> usize {
-        let unread = group.listed().next().is_none();
-        let least = if unread {
+        let list_unread = group.listed().next().is_none();
+        let min_nodes = if list_unread {
             self.settings.expected_nodes
         } else {
             1
         };
-        group.node_count().max(least)
+        group.node_count().max(min_nodes)
     }
 
+    /// Returns the bounds of the announcements of a step.
     fn budget(&self, nodes: usize) -> Budget {
         let rate = (self.settings.max_group_items_per_second / nodes as f64)
             .min(self.settings.max_node_items_per_second);
@@ -180,7 +185,7 @@
         }
     }
 
-    /// Matches the tables to the teams of a new bundle. Whether they changed.
+    /// Reorders all tables for the teams of a new bundle. Returns whether the teams changed.
     fn remap(&mut self, limits: &[Limit]) -> bool {
         if limits.iter().map(|l| l.team).eq(self.teams.iter().copied()) {
             return false;
@@ -237,11 +242,12 @@
             .collect()
     }
 
-    /// Steps since a suspect was lost whose zone was not heard since. Until it is known whether the
-    /// zone parted, the own demand of before then counts: what grew since may not have reached the other side.
+    /// Returns the number of steps since the loss of the earliest suspect whose availability zone has not
+    /// answered since. Until it is known whether that zone parted, own demand counts as it was before the
+    /// loss: an increase since then may not have reached the other side.
     fn suspicion_steps(&self, now: Now, group: &Group) -> usize {
-        let parting = |p: &&Peer| p.state == State::Suspect && p.zone_alive_since.is_none();
-        let suspects = group.roster().iter().filter(parting);
+        let undecided = |p: &&Peer| p.state == State::Suspect && p.zone_alive_since.is_none();
+        let suspects = group.roster().iter().filter(undecided);
         let age = suspects
             .map(|p| now.saturating_sub(p.lost_at))
             .max()
@@ -249,16 +255,17 @@
         age.div_duration_f64(self.settings.step_interval).ceil() as usize
     }
 
-    /// A share is never negative and never above the limit.
+    /// Asserts that no share is negative or above its limit.
     fn assert_within_limits(&self, limits: &[Limit]) {
         for (share, limit) in self.shares.iter().zip(limits) {
             let fits = |s: f64, l: f64| s >= 0.0 && s <= l * (1.0 + 1e-9);
-            let whole = fits(share.rate, limit.rate) && fits(share.in_flight, limit.in_flight);
-            assert!(whole, "share {share:?} of {limit:?}");
+            let within = fits(share.rate, limit.rate) && fits(share.in_flight, limit.in_flight);
+            assert!(within, "share {share:?} of {limit:?}");
         }
     }
 }
 
+/// Returns the floor of a node.
 fn floor_share(limit: &Limit, nodes: usize) -> Share {
     let rate = share::floor(limit.rate, nodes);
     Share {
@@ -267,18 +274,20 @@
     }
 }
 
-fn shares_for(cx: &Context, sides: &Partition, steps: usize) -> Vec<Share> {
-    let sums = sides.demand_sums(cx);
-    let near = sides.near_nodes(cx);
+/// Computes the shares of all teams for one division of the group. `steps` is the window of own demand.
+fn shares_for(cx: &Context, partition: &Partition, steps: usize) -> Vec<Share> {
+    let sums = partition.demand_sums(cx);
+    let near_nodes = partition.near_nodes(cx);
     let rows = cx.limits.iter().enumerate();
-    rows.map(|(row, limit)| team_share(cx, sides, near, steps, (row, limit, &sums[row])))
+    rows.map(|(row, limit)| team_share(cx, partition, near_nodes, steps, (row, limit, &sums[row])))
         .collect()
 }
 
+/// Computes the share of one team, given its index, its limit and the demand of peers.
 fn team_share(
     cx: &Context,
-    sides: &Partition,
-    near: usize,
+    partition: &Partition,
+    near_nodes: usize,
     steps: usize,
     team: (usize, &Limit, &Sum),
 ) -> Share {
@@ -288,11 +297,11 @@
         .row(row)
         .map(|r| r.min_over(steps))
         .unwrap_or_default();
-    let (side, others) = (sides.pool(row), sum.near);
+    let (side, others) = (partition.pool(row), sum.near);
     let input = |limit, side, own, others| Input {
         limit,
         nodes: cx.nodes,
-        near_nodes: near,
+        near_nodes,
         side_fraction: side,
         own_demand: own,
         others_demand: others,
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -1,4 +1,4 @@
-//! What the nodes observed, put together for the rest of the program.
+//! Queries over the observations of all nodes, for the rest of the program.
 
 use crate::Now;
 use crate::group::Group;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Group {
-    /// Endpoints that some node has ejected.
+    /// Returns the endpoints that any node has ejected.
     pub fn ejected(&self, now: Now) -> BTreeSet<&str> {
         let name = |body| match body {
             &Observation::Endpoint {
@@ -24,7 +24,7 @@
         self.observed(now).filter_map(name).collect()
     }
 
-    /// Endpoints that some node is about to order to give up their layers.
+    /// Returns the endpoints that any node is about to order to release their layers.
     pub fn releasing(&self, now: Now) -> BTreeSet<String> {
         let name = |body: &Observation| match body {
             Observation::Releasing { name, .. } => Some(name.clone()),
@@ -33,8 +33,8 @@
         self.observed(now).filter_map(name).collect()
     }
 
-    /// Endpoints that at least `least` nodes have ejected.
-    pub fn ejected_by(&self, now: Now, least: usize) -> BTreeSet<String> {
+    /// Returns the endpoints that at least `min_nodes` nodes have ejected.
+    pub fn ejected_by(&self, now: Now, min_nodes: usize) -> BTreeSet<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for body in self.observed(now) {
             if let Observation::Endpoint {
@@ -46,29 +46,29 @@
                 *counts.entry(name).or_default() += 1;
             }
         }
-        let counts = counts.into_iter().filter(|&(_, count)| count >= least);
+        let counts = counts.into_iter().filter(|&(_, count)| count >= min_nodes);
         counts.map(|(name, _)| name.to_owned()).collect()
     }
 
-    /// Fingerprints in flight at the death of an endpoint.
+    /// Returns the fingerprints of requests that were in flight when an endpoint died.
     pub fn suspect_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Observation| match body {
+        let fingerprint = |body: &Observation| match body {
             Observation::Suspect { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
-        self.observed(now).filter_map(print).collect()
+        self.observed(now).filter_map(fingerprint).collect()
     }
 
-    /// Fingerprints of requests that every node refuses.
+    /// Returns the fingerprints of requests that every node refuses.
     pub fn condemned_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Observation| match body {
+        let fingerprint = |body: &Observation| match body {
             Observation::Condemned { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
-        self.observed(now).filter_map(print).collect()
+        self.observed(now).filter_map(fingerprint).collect()
     }
 
-    /// The load that a node announced.
+    /// Returns the load that a node announced.
     pub fn load(&self, node: Id) -> Option<Level> {
         match self.store().get(node, &Key::Load)?.body {
             Observation::Load(level) => Some(level),
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Nodes that may be named to callers, this one among them.
+    /// Iterates over the nodes that accept requests, including this one. Their addresses may be given to callers.
     pub fn accepting(&self) -> impl Iterator<Item = &Peer> {
         self.roster().iter().filter(|p| p.accepts_work())
     }
 
-    /// The node that listens on `addr`.
+    /// Returns the node that listens on `addr`.
     pub fn node_at(&self, addr: SocketAddr) -> Option<Id> {
         self.roster()
             .iter()
@@ -89,15 +89,16 @@
             .map(|p| p.id)
     }
 
-    /// All observations but demand, which comes last in the order of keys and is by far the most.
+    /// Iterates over all valid observations except demand. Demand has the last keys and by far the most items,
+    /// so iteration stops before it.
     fn observed(&self, now: Now) -> impl Iterator<Item = &Observation> {
-        let counts = move |slot: &Slot| slot.expires_at.is_none_or(|u| u > now);
+        let is_valid = move |slot: &Slot| slot.expires_at.is_none_or(|u| u > now);
         let origins = self.store().origins().flat_map(|o| {
             self.store()
                 .items(o)
                 .take_while(|(key, _)| **key < Key::Demand(0))
                 .map(|(_, slot)| slot)
         });
-        origins.filter(move |s| counts(s)).map(|s| &s.body)
+        origins.filter(move |s| is_valid(s)).map(|s| &s.body)
     }
 }
