--- a/crates/node/src/hosted/control.rs
+++ b/crates/node/src/hosted/control.rs
@@ -3,17 +3,17 @@
 //! One thread with a current-thread runtime. [`state::State`] holds what is believed; tasks around
 //! it read the store and the peers and send it [`input::Input`]s.
 
-pub mod accused;
+pub mod assignment;
 pub mod copy;
+pub mod failures;
 pub mod input;
 pub mod loads;
 pub mod orders;
-pub mod pace;
 pub mod pulls;
 pub mod reader;
-pub mod readers;
 pub mod state;
 pub mod tables;
+pub mod throttle;
 
 use super::settings::Settings;
 use adapter::Platform;
@@ -21,7 +21,7 @@
 use eyre::{Result, WrapErr};
 use gate::metrics::Metrics;
 use gate::view::SharedView;
-use input::{INPUTS, Input, Inputs};
+use input::{INPUT_QUEUE_LEN, Input, InputSender};
 use journal::Journal;
 use state::State;
 use std::sync::Arc;
@@ -33,13 +33,13 @@
 use wire::peer::{Inbound, Link, Setup};
 
 /// Messages of peers that may wait.
-const INBOUND: usize = 1024;
+const INBOUND_QUEUE_LEN: usize = 1024;
 /// Peers that a node keeps a connection to: those that ask engines, those that take copies from it,
 /// and those that membership spoke to within the time that an unused connection stays open. With
 /// fewer, a reader before 3,000 endpoints closed connections that it needed again a third of a second later.
-const ROUTES: usize = 256;
+const MAX_PEER_CONNECTIONS: usize = 256;
 /// How often control looks whether anything is due.
-const STEP: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What control is made of.
 pub struct Control {
@@ -50,7 +50,7 @@
     /// Seed of its draws.
     pub seed: u64,
     /// Where it publishes.
-    pub board: SharedView,
+    pub shared_view: SharedView,
     /// Decisions are told here.
     pub journal: Journal,
     /// Counters and histograms.
@@ -66,16 +66,16 @@
     /// asks through `asked` for control's part of a dump.
     pub async fn run(
         self,
-        noted: mpsc::Receiver<Transition>,
-        asked: mpsc::Receiver<oneshot::Sender<String>>,
+        transitions: mpsc::Receiver<Transition>,
+        dump_requests: mpsc::Receiver<oneshot::Sender<String>>,
     ) -> Result<()> {
-        let (inbound, peers) = mpsc::channel(INBOUND);
+        let (inbound, peers) = mpsc::channel(INBOUND_QUEUE_LEN);
         let setup = Setup {
             listen: self.settings.peers,
             advertise: Some(self.settings.peers),
             key: self.settings.key.clone(),
             limits: wire::limits::Limits {
-                routes: ROUTES,
+                routes: MAX_PEER_CONNECTIONS,
                 ..wire::limits::Limits::default()
             },
         };
@@ -83,8 +83,8 @@
             .await
             .wrap_err_with(|| format!("peers' listener {}", self.settings.peers))?;
         let platform = Arc::new(Platform::new(self.settings.store));
-        let (inputs, taken) = mpsc::channel(INPUTS);
-        let (reads, told) = watch::channel(true);
+        let (inputs, input_queue) = mpsc::channel(INPUT_QUEUE_LEN);
+        let (enable_reads, read_enabled) = watch::channel(true);
         for table in [Table::Operator, Table::Endpoints] {
             let (platform, inputs) = (platform.clone(), inputs.clone());
             let metrics = self.metrics.clone();
@@ -92,15 +92,15 @@
                 platform,
                 table,
                 inputs,
-                told.clone(),
+                read_enabled.clone(),
                 metrics,
             ));
         }
-        tokio::spawn(from_peers(peers, inputs.clone()));
-        tokio::spawn(from_worker(noted, inputs.clone()));
+        tokio::spawn(forward_messages(peers, inputs.clone()));
+        tokio::spawn(forward_transitions(transitions, inputs.clone()));
         let end = self.end.clone();
-        let state = State::new(self, platform, link, inputs, reads);
-        serve(state, taken, asked, end).await;
+        let state = State::new(self, platform, link, inputs, enable_reads);
+        serve(state, input_queue, dump_requests, end).await;
         Ok(())
     }
 }
@@ -108,35 +108,35 @@
 async fn serve(
     mut state: State,
     mut inputs: mpsc::Receiver<Input>,
-    mut asked: mpsc::Receiver<oneshot::Sender<String>>,
+    mut dump_requests: mpsc::Receiver<oneshot::Sender<String>>,
     end: CancellationToken,
 ) {
-    let mut step = tokio::time::interval(STEP);
+    let mut step = tokio::time::interval(STEP_INTERVAL);
     step.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             biased;
             () = end.cancelled() => break,
             _ = step.tick() => state.step(),
-            Some(input) = inputs.recv() => state.input(input),
-            Some(reply) = asked.recv() => {
+            Some(input) = inputs.recv() => state.handle_input(input),
+            Some(reply) = dump_requests.recv() => {
                 // Whoever asked has gone if nobody takes it.
                 let _ = reply.send(state.dump());
             }
         }
     }
-    state.quit();
+    state.announce_exit();
 }
 
-async fn from_worker(mut noted: mpsc::Receiver<Transition>, inputs: Inputs) {
-    while let Some(note) = noted.recv().await {
-        if inputs.send(Input::Note(note)).await.is_err() {
+async fn forward_transitions(mut transitions: mpsc::Receiver<Transition>, inputs: InputSender) {
+    while let Some(transition) = transitions.recv().await {
+        if inputs.send(Input::Transition(transition)).await.is_err() {
             return;
         }
     }
 }
 
-async fn from_peers(mut peers: mpsc::Receiver<Inbound>, inputs: Inputs) {
+async fn forward_messages(mut peers: mpsc::Receiver<Inbound>, inputs: InputSender) {
     while let Some(inbound) = peers.recv().await {
         if inputs.send(Input::Peer(inbound)).await.is_err() {
             return;
--- a/crates/node/src/hosted/control/readers.rs
+++ b/crates/node/src/hosted/control/assignment.rs
@@ -17,40 +17,40 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Nodes of a zone that read the store, at the least: one may be cut off or stopped.
-const READERS: usize = 2;
+const MIN_READERS: usize = 2;
 /// Nodes of a zone for which one reads.
-const READS_FOR: usize = 16;
+const NODES_PER_READER: usize = 16;
 /// How long a node that has started beside others, or was suspected, does not read for them.
-const STARTING: Duration = Duration::from_secs(3);
+const READER_WARMUP: Duration = Duration::from_secs(3);
 /// Time from this node's own start in which it finds the nodes that were there before it or started
 /// with it.
-const FINDING: Duration = Duration::from_millis(2500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(2500);
 /// Engines that one node asks before another one shares in it.
-pub const ASKED: usize = 48;
+pub const ENGINES_PER_POLLER: usize = 48;
 
 /// Endpoints for which one node gives orders before another one shares in it.
-pub const ORDERS_FOR: usize = 256;
+pub const ENDPOINTS_PER_ORDERER: usize = 256;
 
 /// Engines by availability zone.
-pub type Engines<'a> = BTreeMap<&'a str, usize>;
+pub type EngineCounts<'a> = BTreeMap<&'a str, usize>;
 
 /// One of `of` equal parts of some endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Share {
-    number: usize,
-    of: usize,
+struct Shard {
+    index: usize,
+    count: usize,
 }
 
-impl Share {
-    fn holds(&self, run: &Run) -> bool {
+impl Shard {
+    fn contains(&self, run: &Run) -> bool {
         let hash = xxh3_64(run.id.as_bytes());
-        hash % self.of as u64 == self.number as u64
+        hash % self.count as u64 == self.index as u64
     }
 }
 
 /// This node's part, and whom it asks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct Assignment {
     /// Whether it reads the store.
     pub reads: bool,
     /// Readers of its zone, itself left out, in the order in which it prefers them. The others of the
@@ -59,22 +59,22 @@
     /// The nodes that ask the engines, itself left out.
     pub pollers: Vec<SocketAddr>,
     /// Its shares in asking the engines of zones.
-    shares: BTreeMap<String, Share>,
+    poll_shards: BTreeMap<String, Shard>,
     /// Whether it is the first node of all, which alone moves endpoints that hold layers: two nodes
     /// that do so could each move one of the last two copies of a layer.
     pub first: bool,
     /// Its share in giving orders to endpoints that hold nothing.
-    orders: Option<Share>,
+    order_shard: Option<Shard>,
 }
 
-impl Part {
+impl Assignment {
     /// The part of the node `me` in `zone` at `now`, among the nodes that take new work.
     pub fn of<'a>(
         now: Now,
         me: Id,
         zone: &str,
         open: impl Iterator<Item = &'a Peer>,
-        engines: &Engines<'_>,
+        engines: &EngineCounts<'_>,
     ) -> Self {
         let mut open: Vec<&Peer> = open.collect();
         open.sort_by_key(|p| p.id);
@@ -82,53 +82,56 @@
             let others = peers.iter().filter(|p| p.id != me);
             others.map(|p| p.identity.addr).collect()
         };
-        let near = of_zone(&open, zone, usize::MAX);
-        let own = reading(now, &near);
-        let place = near.iter().position(|p| p.id == me).unwrap_or_default();
+        let local = first_in_zone(&open, zone, usize::MAX);
+        let local_readers = select_readers(now, &local);
+        let position = local.iter().position(|p| p.id == me).unwrap_or_default();
         let mut pollers: Vec<&Peer> = Vec::new();
-        let mut shares = BTreeMap::new();
-        for (&zone, &count) in engines {
-            let most = count.div_ceil(ASKED).max(1);
-            let mut asking = of_zone(&open, zone, most);
-            if asking.is_empty() {
+        let mut poll_shards = BTreeMap::new();
+        for (&zone, &engine_count) in engines {
+            let limit = engine_count.div_ceil(ENGINES_PER_POLLER).max(1);
+            let mut zone_pollers = first_in_zone(&open, zone, limit);
+            if zone_pollers.is_empty() {
                 // No node is near them: the first of all asks.
-                asking = open.first().copied().into_iter().collect();
+                zone_pollers = open.first().copied().into_iter().collect();
             }
-            if let Some(number) = asking.iter().position(|p| p.id == me) {
-                let of = asking.len();
-                shares.insert(zone.to_owned(), Share { number, of });
+            if let Some(index) = zone_pollers.iter().position(|p| p.id == me) {
+                let count = zone_pollers.len();
+                poll_shards.insert(zone.to_owned(), Shard { index, count });
             }
-            pollers.extend(asking);
+            pollers.extend(zone_pollers);
         }
         pollers.sort_by_key(|p| p.id);
         pollers.dedup_by_key(|p| p.id);
         Self {
-            reads: own.iter().any(|p| p.id == me) || own.is_empty(),
-            readers: preferred(others(&own), place),
+            reads: local_readers.iter().any(|p| p.id == me) || local_readers.is_empty(),
+            readers: rotate_readers(others(&local_readers), position),
             pollers: others(&pollers),
-            shares,
+            poll_shards,
             first: open.first().is_some_and(|p| p.id == me),
-            orders: ordering(me, &open, engines),
+            order_shard: order_shard(me, &open, engines),
         }
     }
 
     /// Whether it asks an engine of `zone`.
-    pub fn asks(&self, zone: &str, run: &Run) -> bool {
-        let Some(share) = self.shares.get(zone) else {
+    pub fn polls(&self, zone: &str, run: &Run) -> bool {
+        let Some(shard) = self.poll_shards.get(zone) else {
             return false;
         };
-        share.holds(run)
+        shard.contains(run)
     }
 
     /// Whether it gives orders to any endpoint.
-    pub fn orders(&self) -> bool {
-        self.first || self.orders.is_some()
+    pub fn gives_orders(&self) -> bool {
+        self.first || self.order_shard.is_some()
     }
 
     /// Whether it gives an order to an endpoint that holds these layers.
-    pub fn orders_to(&self, run: &Run, held: Span) -> bool {
+    pub fn may_order(&self, run: &Run, held: Span) -> bool {
         match held.is_empty() {
-            true => self.orders.as_ref().is_some_and(|share| share.holds(run)),
+            true => self
+                .order_shard
+                .as_ref()
+                .is_some_and(|shard| shard.contains(run)),
             false => self.first,
         }
     }
@@ -136,33 +139,37 @@
 
 /// The nodes of a zone that read the store: the first of those that have not just started, or of all if
 /// there is no other.
-fn reading<'a>(now: Now, near: &[&'a Peer]) -> Vec<&'a Peer> {
-    let most = near.len().div_ceil(READS_FOR).max(READERS);
-    let starts = |p: &Peer| p.state_since > FINDING && now.saturating_sub(p.state_since) < STARTING;
-    let (starting, ready): (Vec<&Peer>, Vec<&Peer>) = near.iter().partition(|p| starts(p));
+fn select_readers<'a>(now: Now, local: &[&'a Peer]) -> Vec<&'a Peer> {
+    let limit = local.len().div_ceil(NODES_PER_READER).max(MIN_READERS);
+    let is_starting = |p: &Peer| {
+        p.state_since > DISCOVERY_TIME && now.saturating_sub(p.state_since) < READER_WARMUP
+    };
+    let (starting, ready): (Vec<&Peer>, Vec<&Peer>) = local.iter().partition(|p| is_starting(p));
     let readers = if ready.is_empty() { starting } else { ready };
-    readers.into_iter().take(most).collect()
+    readers.into_iter().take(limit).collect()
 }
 
 /// The share of a node in giving orders.
-fn ordering(me: Id, open: &[&Peer], engines: &Engines<'_>) -> Option<Share> {
+fn order_shard(me: Id, open: &[&Peer], engines: &EngineCounts<'_>) -> Option<Shard> {
     let endpoints: usize = engines.values().sum();
-    let of = endpoints.div_ceil(ORDERS_FOR).clamp(1, open.len().max(1));
-    let number = open.iter().take(of).position(|p| p.id == me)?;
-    Some(Share { number, of })
+    let count = endpoints
+        .div_ceil(ENDPOINTS_PER_ORDERER)
+        .clamp(1, open.len().max(1));
+    let index = open.iter().take(count).position(|p| p.id == me)?;
+    Some(Shard { index, count })
 }
 
 /// The readers in the order of the node at a place of its zone.
-fn preferred(mut readers: Vec<SocketAddr>, place: usize) -> Vec<SocketAddr> {
+fn rotate_readers(mut readers: Vec<SocketAddr>, position: usize) -> Vec<SocketAddr> {
     if !readers.is_empty() {
-        let first = place % readers.len();
+        let first = position % readers.len();
         readers.rotate_left(first);
     }
     readers
 }
 
 /// The first nodes of a zone, `most` at the most.
-fn of_zone<'a>(open: &[&'a Peer], zone: &str, most: usize) -> Vec<&'a Peer> {
+fn first_in_zone<'a>(open: &[&'a Peer], zone: &str, limit: usize) -> Vec<&'a Peer> {
     let own = open.iter().copied().filter(|p| p.identity.zone == zone);
-    own.take(most).collect()
+    own.take(limit).collect()
 }
--- a/crates/node/src/hosted/control/copy.rs
+++ b/crates/node/src/hosted/control/copy.rs
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest copy that is read.
-const LONGEST: usize = 4 << 20;
+const MAX_ENCODED_BYTES: usize = 4 << 20;
 /// Bytes of a copy from which on the rest waits for the next ask.
-pub const CHUNK: usize = 48 << 10;
+pub const CHUNK_BYTES: usize = 48 << 10;
 
 #[derive(Serialize, Deserialize)]
 struct Raw {
@@ -32,33 +32,33 @@
 
 /// A chunk of a table's changes, and what the node that gives it says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copy {
+pub struct Response {
     /// The changes in this chunk; maybe none.
     pub page: Page,
     /// Whether the node that gives them can read the store.
-    pub fresh: bool,
+    pub up_to_date: bool,
     /// Whether more chunks follow.
     pub more: bool,
 }
 
-impl From<&Copy> for Raw {
-    fn from(copy: &Copy) -> Self {
-        let rows = copy.page.records.iter().map(|r| Row {
+impl From<&Response> for Raw {
+    fn from(response: &Response) -> Self {
+        let rows = response.page.records.iter().map(|r| Row {
             key: r.key.clone(),
             value: r.value.as_ref().map(|v| v.to_vec()),
             offset: r.offset,
         });
         Self {
             records: rows.collect(),
-            next: copy.page.next_offset,
-            whole: copy.page.complete,
-            fresh: copy.fresh,
-            more: copy.more,
+            next: response.page.next_offset,
+            whole: response.page.complete,
+            fresh: response.up_to_date,
+            more: response.more,
         }
     }
 }
 
-impl From<Raw> for Copy {
+impl From<Raw> for Response {
     fn from(raw: Raw) -> Self {
         let records = raw.records.into_iter().map(|r| Record {
             key: r.key,
@@ -71,21 +71,21 @@
                 next_offset: raw.next,
                 complete: raw.whole,
             },
-            fresh: raw.fresh,
+            up_to_date: raw.fresh,
             more: raw.more,
         }
     }
 }
 
 /// The bytes of a copy.
-pub fn encode(copy: &Copy) -> Result<Vec<u8>> {
+pub fn encode(response: &Response) -> Result<Vec<u8>> {
     let config = bincode::config::standard();
-    Ok(bincode::serde::encode_to_vec(Raw::from(copy), config)?)
+    Ok(bincode::serde::encode_to_vec(Raw::from(response), config)?)
 }
 
 /// Reads the bytes of a copy.
-pub fn decode(bytes: &[u8]) -> Result<Copy> {
-    let config = bincode::config::standard().with_limit::<LONGEST>();
+pub fn decode(bytes: &[u8]) -> Result<Response> {
+    let config = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
     let (raw, used): (Raw, usize) = bincode::serde::decode_from_slice(bytes, config)?;
     ensure!(used == bytes.len(), "trailing bytes");
     Ok(raw.into())
@@ -102,7 +102,7 @@
 
 /// What a node asks a peer for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Request {
     /// Changes of a table from an offset on.
     Changes(Table),
     /// The next chunk of all keys of a table, those that changed at an offset or later.
@@ -111,9 +111,9 @@
     Loads(Scope),
 }
 
-impl Ask {
+impl Request {
     /// Its word in metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Changes(Table::Operator) | Self::Keys(Table::Operator) => "operator",
             Self::Changes(Table::Endpoints) | Self::Keys(Table::Endpoints) => "endpoints",
@@ -122,20 +122,20 @@
     }
 }
 
-impl From<Ask> for u8 {
-    fn from(ask: Ask) -> Self {
-        match ask {
-            Ask::Changes(Table::Operator) => 0,
-            Ask::Changes(Table::Endpoints) => 1,
-            Ask::Loads(Scope::All) => 2,
-            Ask::Loads(Scope::Own) => 3,
-            Ask::Keys(Table::Operator) => 4,
-            Ask::Keys(Table::Endpoints) => 5,
+impl From<Request> for u8 {
+    fn from(request: Request) -> Self {
+        match request {
+            Request::Changes(Table::Operator) => 0,
+            Request::Changes(Table::Endpoints) => 1,
+            Request::Loads(Scope::All) => 2,
+            Request::Loads(Scope::Own) => 3,
+            Request::Keys(Table::Operator) => 4,
+            Request::Keys(Table::Endpoints) => 5,
         }
     }
 }
 
-impl TryFrom<u8> for Ask {
+impl TryFrom<u8> for Request {
     type Error = eyre::Report;
 
     fn try_from(number: u8) -> Result<Self> {
--- a/crates/node/src/hosted/control/accused.rs
+++ b/crates/node/src/hosted/control/failures.rs
@@ -11,19 +11,19 @@
 use tokio::time::Instant;
 
 /// Nodes that have to agree, if there are so many.
-const AGREE: usize = 2;
+const FAILURE_QUORUM: usize = 2;
 /// Time after which an endpoint that stays accused counts as lost: longer than one that fails a
 /// part of its requests stays accused by chance.
-const LOST: Duration = Duration::from_millis(1500);
+const LOST_AFTER: Duration = Duration::from_millis(1500);
 
 /// The accused endpoints, as texts of their runs.
 #[derive(Clone, Debug, Default)]
-pub struct Accused {
-    now: Arc<BTreeSet<String>>,
+pub struct Failures {
+    current: Arc<BTreeSet<String>>,
     since: BTreeMap<String, Instant>,
 }
 
-impl Accused {
+impl Failures {
     /// Takes in what the nodes say, and which engines did not report when asked; whether it is
     /// different now.
     ///
@@ -31,36 +31,38 @@
     /// it is silent: were it let go when the accusations run out, every node would try it again.
     pub fn update(
         &mut self,
-        at: Instant,
+        now: Instant,
         elapsed: Duration,
         group: &Group,
-        silent: &BTreeSet<String>,
+        unresponsive: &BTreeSet<String>,
     ) -> bool {
-        let agree = AGREE.min(group.accepting().count().max(1));
-        let mut accused = group.ejected_by(elapsed, agree);
-        let alone = group.ejected_by(elapsed, 1);
-        let kept = silent
+        let quorum = FAILURE_QUORUM.min(group.accepting().count().max(1));
+        let mut failing = group.ejected_by(elapsed, quorum);
+        let reported = group.ejected_by(elapsed, 1);
+        let kept = unresponsive
             .iter()
-            .filter(|run| alone.contains(*run) || self.now.contains(*run));
-        accused.extend(kept.cloned());
-        self.since.retain(|run, _| accused.contains(run));
-        for run in &accused {
-            self.since.entry(run.clone()).or_insert(at);
+            .filter(|run| reported.contains(*run) || self.current.contains(*run));
+        failing.extend(kept.cloned());
+        self.since.retain(|run, _| failing.contains(run));
+        for run in &failing {
+            self.since.entry(run.clone()).or_insert(now);
         }
-        if *self.now == accused {
+        if *self.current == failing {
             return false;
         }
-        self.now = Arc::new(accused);
+        self.current = Arc::new(failing);
         true
     }
 
     /// Those that are accused now.
-    pub fn now(&self) -> Arc<BTreeSet<String>> {
-        self.now.clone()
+    pub fn current(&self) -> Arc<BTreeSet<String>> {
+        self.current.clone()
     }
 
     /// Whether an endpoint counts as lost.
-    pub fn lost(&self, at: Instant, run: &str) -> bool {
-        self.since.get(run).is_some_and(|&since| at >= since + LOST)
+    pub fn is_lost(&self, now: Instant, run: &str) -> bool {
+        self.since
+            .get(run)
+            .is_some_and(|&since| now >= since + LOST_AFTER)
     }
 }
--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -1,6 +1,6 @@
 //! What tasks tell control.
 
-use super::copy::Ask;
+use super::copy::Request;
 use adapter::report::Report;
 use adapter::store::Table;
 use catalog::endpoint::Run;
@@ -12,18 +12,18 @@
 use wire::peer::Inbound;
 
 /// Inputs that may wait.
-pub const INPUTS: usize = 1024;
+pub const INPUT_QUEUE_LEN: usize = 1024;
 
 /// Where tasks put inputs.
-pub type Inputs = mpsc::Sender<Input>;
+pub type InputSender = mpsc::Sender<Input>;
 
 /// What came of an order.
 #[derive(Clone, Debug)]
-pub struct Ordered {
+pub struct Attempt {
     /// The endpoint's report just before; nothing if it did not answer.
     pub report: Option<Report>,
     /// What came of it.
-    pub given: Outcome,
+    pub outcome: Outcome,
 }
 
 /// An input.
@@ -32,17 +32,17 @@
     /// The store was read.
     Page(Table, Page),
     /// The store could not be read.
-    Unread(Table, String),
+    ReadFailed(Table, String),
     /// A peer answered an ask.
-    Answered(Ask, SocketAddr, Vec<u8>),
+    Response(Request, SocketAddr, Vec<u8>),
     /// A peer did not answer an ask, and why.
-    Unanswered(Ask, SocketAddr, String),
+    RequestFailed(Request, SocketAddr, String),
     /// An engine was asked for its report; nothing if it did not answer.
     Report(Run, Option<Report>),
     /// The worker found something out about an endpoint.
-    Note(Transition),
+    Transition(Transition),
     /// A message of a peer.
     Peer(Inbound),
     /// An order was given, or found not to fit.
-    Ordered(Order, Ordered),
+    OrderEnded(Order, Attempt),
 }
--- a/crates/node/src/hosted/control/loads.rs
+++ b/crates/node/src/hosted/control/loads.rs
@@ -5,7 +5,7 @@
 //! each engine would cost the number of nodes times as many questions. A node that takes answers
 //! again gets those that the giver learned since: all of 3,000 engines' would be 180 KB each time.
 
-use super::copy::{CHUNK, Scope};
+use super::copy::{CHUNK_BYTES, Scope};
 use adapter::report::Report;
 use catalog::Endpoint;
 use catalog::endpoint::Span;
@@ -18,22 +18,22 @@
 use tokio::time::Instant;
 
 /// Part of an engine's room from which it is asked often.
-const BUSY: f32 = 0.3;
+const BUSY_UTILIZATION: f32 = 0.3;
 /// Time between two questions to a busy engine: twice what its report lags behind.
-const OFTEN: Duration = Duration::from_millis(400);
+const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between two questions to any other.
-const SELDOM: Duration = Duration::from_millis(1500);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1500);
 /// Time after which a report is forgotten.
-const KEEP: Duration = Duration::from_secs(4);
+const REPORT_TTL: Duration = Duration::from_secs(4);
 /// Age up to which a report goes before the endpoint's own row, which is written every second or
 /// so and read about as often.
-const FRESH: Duration = Duration::from_millis(1500);
+const MAX_OVERLAY_AGE: Duration = Duration::from_millis(1500);
 /// Bytes of a report between nodes, about.
-const REPORT: usize = 40;
+const ENCODED_REPORT_BYTES: usize = 40;
 /// Reports that a peer gets at once.
-const ROWS: usize = CHUNK / REPORT;
+const MAX_RESPONSE_ROWS: usize = CHUNK_BYTES / ENCODED_REPORT_BYTES;
 /// Longest list that is read.
-const LONGEST: usize = 4 << 20;
+const MAX_ENCODED_BYTES: usize = 4 << 20;
 
 /// What is kept of a report, as nodes also send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
 
 /// How far a peer's list is known, and when that was learned.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerProgress {
     last: u64,
     at: Instant,
 }
@@ -100,36 +100,36 @@
     rows: BTreeMap<String, Row>,
     /// Number of the last change.
     last: u64,
-    heard: BTreeMap<(SocketAddr, Scope), Heard>,
+    progress: BTreeMap<(SocketAddr, Scope), PeerProgress>,
     /// When each run was last asked by this node.
-    asked: BTreeMap<String, Instant>,
+    last_polls: BTreeMap<String, Instant>,
     /// How often in a row each run did not answer this node, and when it last did not.
-    missed: BTreeMap<String, Missed>,
+    misses: BTreeMap<String, Misses>,
     /// Runs that other nodes found silent, and until when that counts.
-    told: BTreeMap<String, Instant>,
+    reported_unresponsive: BTreeMap<String, Instant>,
 }
 
 /// Questions that were not answered.
 #[derive(Clone, Copy, Debug)]
-struct Missed {
+struct Misses {
     count: u32,
     at: Instant,
 }
 
 /// Questions in a row without an answer from which an engine counts as silent. One may be lost.
-const SILENT: u32 = 2;
+const UNRESPONSIVE_MISSES: u32 = 2;
 /// How long it counts that another node found an engine silent.
-const TOLD: Duration = Duration::from_millis(2500);
+const UNRESPONSIVE_TTL: Duration = Duration::from_millis(2500);
 
 impl Loads {
     /// Takes a report in that was just given.
-    pub fn reported(&mut self, now: Instant, run: &str, report: &Report) {
-        self.keep(run.to_owned(), now, true, Figures::from(report));
-        self.missed.remove(run);
-        self.told.remove(run);
+    pub fn record(&mut self, now: Instant, run: &str, report: &Report) {
+        self.insert(run.to_owned(), now, true, Figures::from(report));
+        self.misses.remove(run);
+        self.reported_unresponsive.remove(run);
     }
 
-    fn keep(&mut self, run: String, at: Instant, own: bool, figures: Figures) {
+    fn insert(&mut self, run: String, at: Instant, own: bool, figures: Figures) {
         self.last += 1;
         let number = self.last;
         let row = Row {
@@ -142,45 +142,57 @@
     }
 
     /// The last change of a scope of a peer's list that is known here.
-    pub fn heard(&self, peer: SocketAddr, scope: Scope) -> u64 {
-        self.heard.get(&(peer, scope)).map_or(0, |h| h.last)
+    pub fn known_change(&self, peer: SocketAddr, scope: Scope) -> u64 {
+        self.progress.get(&(peer, scope)).map_or(0, |h| h.last)
     }
 
     /// An engine did not answer this node.
-    pub fn missed(&mut self, now: Instant, run: &str) {
-        let missed = self.missed.entry(run.to_owned());
-        let missed = missed.or_insert(Missed { count: 0, at: now });
-        missed.count += 1;
-        missed.at = now;
+    pub fn record_miss(&mut self, now: Instant, run: &str) {
+        let misses = self.misses.entry(run.to_owned());
+        let misses = misses.or_insert(Misses { count: 0, at: now });
+        misses.count += 1;
+        misses.at = now;
     }
 
     /// Runs that do not answer.
-    pub fn silent(&self) -> BTreeSet<String> {
-        let own = self.missed.iter().filter(|(_, m)| m.count >= SILENT);
+    pub fn unresponsive(&self) -> BTreeSet<String> {
+        let own = self
+            .misses
+            .iter()
+            .filter(|(_, m)| m.count >= UNRESPONSIVE_MISSES);
         let own = own.map(|(run, _)| run.clone());
-        own.chain(self.told.keys().cloned()).collect()
+        own.chain(self.reported_unresponsive.keys().cloned())
+            .collect()
     }
 
     /// Whether a run should be asked now; if so, it counts as asked.
     pub fn due(&mut self, now: Instant, run: &str) -> bool {
         let figures = self.rows.get(run).map(|r| r.figures);
-        let busy = figures.is_some_and(|f| f.used > f.room * BUSY);
-        let doubted = busy || self.missed.contains_key(run);
-        let period = if doubted { OFTEN } else { SELDOM };
-        let due = self.asked.get(run).is_none_or(|&at| now >= at + period);
+        let busy = figures.is_some_and(|f| f.used > f.room * BUSY_UTILIZATION);
+        let frequent = busy || self.misses.contains_key(run);
+        let period = if frequent {
+            BUSY_POLL_INTERVAL
+        } else {
+            IDLE_POLL_INTERVAL
+        };
+        let due = self
+            .last_polls
+            .get(run)
+            .is_none_or(|&at| now >= at + period);
         if due {
-            self.asked.insert(run.to_owned(), now);
+            self.last_polls.insert(run.to_owned(), now);
         }
         due
     }
 
     /// Forgets what is old.
     pub fn expire(&mut self, now: Instant) {
-        self.rows.retain(|_, row| now < row.at + KEEP);
-        self.asked.retain(|_, at| now < *at + KEEP);
-        self.missed.retain(|_, missed| now < missed.at + KEEP);
-        self.told.retain(|_, until| now < *until);
-        self.heard.retain(|_, heard| now < heard.at + KEEP);
+        self.rows.retain(|_, row| now < row.at + REPORT_TTL);
+        self.last_polls.retain(|_, at| now < *at + REPORT_TTL);
+        self.misses.retain(|_, misses| now < misses.at + REPORT_TTL);
+        self.reported_unresponsive.retain(|_, until| now < *until);
+        self.progress
+            .retain(|_, progress| now < progress.at + REPORT_TTL);
     }
 
     /// The oldest reports for a peer that knows the changes up to `known`, in about [`CHUNK`] bytes,
@@ -193,26 +205,29 @@
     /// are next asked, at most [`SELDOM`] later.
     pub fn encode(&self, now: Instant, scope: Scope, known: u64) -> Result<Vec<u8>> {
         let known = if known > self.last { 0 } else { known };
-        let given = |row: &Row| row.number > known && (row.own || scope == Scope::All);
-        let rows = self.rows.iter().filter(|(_, row)| given(row));
+        let included = |row: &Row| row.number > known && (row.own || scope == Scope::All);
+        let rows = self.rows.iter().filter(|(_, row)| included(row));
         let mut rows: Vec<(&String, &Row)> = rows.collect();
         rows.sort_unstable_by_key(|(_, row)| row.number);
-        let last = match rows.get(ROWS) {
-            Some(_) => rows[ROWS - 1].1.number,
+        let last = match rows.get(MAX_RESPONSE_ROWS) {
+            Some(_) => rows[MAX_RESPONSE_ROWS - 1].1.number,
             None => self.last,
         };
-        let rows = rows.into_iter().take(ROWS).map(|(run, row)| Raw {
-            run: run.clone(),
-            age_ms: (now - row.at).as_millis() as u32,
-            figures: Some(row.figures),
-        });
-        let silent = self.silent().into_iter().map(|run| Raw {
+        let rows = rows
+            .into_iter()
+            .take(MAX_RESPONSE_ROWS)
+            .map(|(run, row)| Raw {
+                run: run.clone(),
+                age_ms: (now - row.at).as_millis() as u32,
+                figures: Some(row.figures),
+            });
+        let unresponsive = self.unresponsive().into_iter().map(|run| Raw {
             run,
             age_ms: 0,
             figures: None,
         });
         let changes = Changes {
-            rows: rows.chain(silent).collect(),
+            rows: rows.chain(unresponsive).collect(),
             last,
         };
         let config = bincode::config::standard();
@@ -220,24 +235,26 @@
     }
 
     /// Takes a peer's reports in; whether any is new.
-    pub fn take(
+    pub fn merge(
         &mut self,
         now: Instant,
         peer: SocketAddr,
         scope: Scope,
         bytes: &[u8],
     ) -> Result<bool> {
-        let config = bincode::config::standard().with_limit::<LONGEST>();
+        let config = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
         let (changes, used): (Changes, usize) = bincode::serde::decode_from_slice(bytes, config)?;
         ensure!(used == bytes.len(), "trailing bytes");
         let last = changes.last;
-        self.heard.insert((peer, scope), Heard { last, at: now });
+        self.progress
+            .insert((peer, scope), PeerProgress { last, at: now });
         let mut new = false;
         for raw in changes.rows {
             let Some(figures) = raw.figures else {
                 // Only what this node did not hear itself of late is taken.
-                if !self.asked.contains_key(&raw.run) {
-                    self.told.insert(raw.run, now + TOLD);
+                if !self.last_polls.contains_key(&raw.run) {
+                    self.reported_unresponsive
+                        .insert(raw.run, now + UNRESPONSIVE_TTL);
                 }
                 continue;
             };
@@ -245,12 +262,13 @@
             let Some(at) = at else {
                 continue;
             };
-            let known = self.rows.get(&raw.run);
-            if known.is_some_and(|k| k.at + SAME >= at) || now >= at + KEEP {
+            let existing = self.rows.get(&raw.run);
+            if existing.is_some_and(|k| k.at + DUPLICATE_TOLERANCE >= at) || now >= at + REPORT_TTL
+            {
                 continue;
             }
             new = true;
-            self.keep(raw.run, at, false, figures);
+            self.insert(raw.run, at, false, figures);
         }
         Ok(new)
     }
@@ -272,7 +290,7 @@
     pub fn overlay(&self, now: Instant, endpoint: &Endpoint) -> Endpoint {
         let mut endpoint = endpoint.clone();
         let row = self.rows.get(&endpoint.run.to_string());
-        if let Some(row) = row.filter(|r| now < r.at + FRESH) {
+        if let Some(row) = row.filter(|r| now < r.at + MAX_OVERLAY_AGE) {
             let Figures { from, to, .. } = row.figures;
             endpoint.span = Span { from, to };
         }
@@ -281,4 +299,4 @@
 }
 
 /// Two copies of one report differ by the time that they were on their way.
-const SAME: Duration = Duration::from_millis(50);
+const DUPLICATE_TOLERANCE: Duration = Duration::from_millis(50);
--- a/crates/node/src/hosted/control/pulls.rs
+++ b/crates/node/src/hosted/control/pulls.rs
@@ -10,8 +10,8 @@
 //! The operator's table is small, and is asked for from a few readers in turn, by readers too: one
 //! that is short of processor reads the store late and still answers, and nobody can tell.
 
-use super::copy::{Ask, Copy, Scope};
-use super::readers::Part;
+use super::assignment::Assignment;
+use super::copy::{Request, Response, Scope};
 use adapter::store::Table;
 use catalog::source::{Offset, Page};
 use std::collections::BTreeMap;
@@ -20,32 +20,32 @@
 use tokio::time::Instant;
 
 /// How often copies and loads are taken from peers.
-pub const PULL: Duration = Duration::from_millis(350);
+pub const PULL_INTERVAL: Duration = Duration::from_millis(350);
 /// How long a peer that failed is left alone if there is another one.
-const AVOID: Duration = Duration::from_secs(2);
+const FAILED_PEER_COOLDOWN: Duration = Duration::from_secs(2);
 
 /// Readers that are asked for the operator's table, in turn.
 const OPERATOR_READERS: usize = 3;
 /// Asks for the operator's table that may be under way.
-const OPERATOR_ASKS: usize = 2;
+const MAX_OPERATOR_REQUESTS: usize = 2;
 /// Nodes that a reader asks for their loads at once. The others have their turn in the next pulls.
-const POLLERS: usize = 16;
+const POLLERS_PER_PULL: usize = 16;
 
 /// Asks that are under way, readers to avoid, and tables that are gathered chunk by chunk.
 #[derive(Debug, Default)]
 pub struct Pulls {
     /// When peers were last asked.
-    pulled: Option<Instant>,
+    last_pull: Option<Instant>,
     /// How often that was.
     turn: usize,
-    flying: Vec<(Ask, SocketAddr)>,
+    in_flight: Vec<(Request, SocketAddr)>,
     avoid: BTreeMap<SocketAddr, Instant>,
-    gathered: Vec<Gathered>,
+    partial: Vec<PartialTable>,
 }
 
 /// The keys of a table that one peer has given so far.
 #[derive(Debug)]
-struct Gathered {
+struct PartialTable {
     peer: SocketAddr,
     table: Table,
     page: Page,
@@ -53,40 +53,46 @@
 
 /// What to do with an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Take the page; no chunk follows it.
-    Take(Page),
+    Apply(Page),
     /// Take the page, and ask the same peer for what follows it.
-    TakeAndAsk(Page),
+    ApplyAndContinue(Page),
     /// Ask the same peer for the keys that changed at this offset or later.
-    Gather(Offset),
+    FetchKeys(Offset),
 }
 
 impl Pulls {
     /// What a node asks which peer now; each of it counts as under way. A reader takes the loads that
     /// others asked engines for, any other node takes all from its reader.
-    pub fn due(&mut self, now: Instant, part: &Part) -> Vec<(Ask, SocketAddr)> {
-        if self.pulled.is_some_and(|at| now < at + PULL) {
+    pub fn due(&mut self, now: Instant, assignment: &Assignment) -> Vec<(Request, SocketAddr)> {
+        if self.last_pull.is_some_and(|at| now < at + PULL_INTERVAL) {
             return Vec::new();
         }
-        self.pulled = Some(now);
+        self.last_pull = Some(now);
         self.turn = self.turn.wrapping_add(1);
         let mut due = Vec::new();
-        if let Some(operator_reader) = self.operator_reader(now, &part.readers) {
-            due.push((Ask::Changes(Table::Operator), operator_reader));
+        if let Some(operator_reader) = self.operator_reader(now, &assignment.readers) {
+            due.push((Request::Changes(Table::Operator), operator_reader));
         }
-        if part.reads {
-            let own = Ask::Loads(Scope::Own);
-            due.extend(self.pollers(&part.pollers).map(|poller| (own, poller)));
-        } else if let Some(reader) = self.reader(now, &part.readers) {
-            let asks = [Ask::Changes(Table::Endpoints), Ask::Loads(Scope::All)];
-            due.extend(asks.map(|ask| (ask, reader)));
+        if assignment.reads {
+            let own = Request::Loads(Scope::Own);
+            due.extend(
+                self.pollers(&assignment.pollers)
+                    .map(|poller| (own, poller)),
+            );
+        } else if let Some(reader) = self.preferred_reader(now, &assignment.readers) {
+            let requests = [
+                Request::Changes(Table::Endpoints),
+                Request::Loads(Scope::All),
+            ];
+            due.extend(requests.map(|request| (request, reader)));
         }
         // Each poller has loads of its own, while all readers have the same tables.
-        due.retain(|&(ask, peer)| match ask {
-            Ask::Loads(_) => self.begin(ask, peer, usize::MAX),
-            Ask::Changes(Table::Operator) => self.begin(ask, peer, OPERATOR_ASKS),
-            _ => self.begin(ask, peer, 1),
+        due.retain(|&(request, peer)| match request {
+            Request::Loads(_) => self.begin(request, peer, usize::MAX),
+            Request::Changes(Table::Operator) => self.begin(request, peer, MAX_OPERATOR_REQUESTS),
+            _ => self.begin(request, peer, 1),
         });
         due
     }
@@ -97,21 +103,25 @@
         let start = self.turn % few.len().max(1);
         let (before, after) = few.split_at(start.min(few.len()));
         let mut order = after.iter().chain(before);
-        let good = order.clone().find(|reader| !self.avoided(now, reader));
-        good.or(order.next()).copied()
+        let healthy = order.clone().find(|reader| !self.avoided(now, reader));
+        healthy.or(order.next()).copied()
     }
 
     /// The nodes whose turn it is to be asked for the loads that they asked engines for.
     fn pollers(&self, all: &[SocketAddr]) -> impl Iterator<Item = SocketAddr> {
-        let start = (self.turn * POLLERS) % all.len().max(1);
-        let turn = all.iter().cycle().skip(start).take(POLLERS.min(all.len()));
+        let start = (self.turn * POLLERS_PER_PULL) % all.len().max(1);
+        let turn = all
+            .iter()
+            .cycle()
+            .skip(start)
+            .take(POLLERS_PER_PULL.min(all.len()));
         turn.copied()
     }
 
     /// The reader to ask: the first that did not fail of late, or the first of all.
-    fn reader(&self, now: Instant, readers: &[SocketAddr]) -> Option<SocketAddr> {
-        let good = readers.iter().find(|reader| !self.avoided(now, reader));
-        good.or(readers.first()).copied()
+    fn preferred_reader(&self, now: Instant, readers: &[SocketAddr]) -> Option<SocketAddr> {
+        let healthy = readers.iter().find(|reader| !self.avoided(now, reader));
+        healthy.or(readers.first()).copied()
     }
 
     fn avoided(&self, now: Instant, peer: &SocketAddr) -> bool {
@@ -119,72 +129,78 @@
     }
 
     /// A peer did not answer, or can't read the store; whether that was not known yet.
-    pub fn failed(&mut self, now: Instant, peer: SocketAddr) -> bool {
+    pub fn mark_failed(&mut self, now: Instant, peer: SocketAddr) -> bool {
         self.avoid.retain(|_, until| now < *until);
-        self.avoid.insert(peer, now + AVOID).is_none()
+        self.avoid
+            .insert(peer, now + FAILED_PEER_COOLDOWN)
+            .is_none()
     }
 
     /// Begins an ask unless it is under way, or `most` of its kind are. The chunks of a table count
     /// as one kind.
-    pub fn begin(&mut self, ask: Ask, peer: SocketAddr, most: usize) -> bool {
-        let kind = self.flying.iter().filter(|(a, _)| same_kind(*a, ask));
-        let room = kind.clone().count() < most && !kind.clone().any(|(_, p)| *p == peer);
-        if room {
-            self.flying.push((ask, peer));
+    pub fn begin(&mut self, request: Request, peer: SocketAddr, limit: usize) -> bool {
+        let kind = self
+            .in_flight
+            .iter()
+            .filter(|(other, _)| same_kind(*other, request));
+        let allowed = kind.clone().count() < limit && !kind.clone().any(|(_, p)| *p == peer);
+        if allowed {
+            self.in_flight.push((request, peer));
         }
-        room
+        allowed
     }
 
     /// An ask ended, with or without an answer. What was gathered is of no use without the rest.
-    pub fn ended(&mut self, ask: Ask, peer: SocketAddr, answered: bool) {
-        self.flying.retain(|flying| *flying != (ask, peer));
-        if let Ask::Keys(table) = ask
-            && !answered
+    pub fn finish(&mut self, request: Request, peer: SocketAddr, succeeded: bool) {
+        self.in_flight
+            .retain(|in_flight| *in_flight != (request, peer));
+        if let Request::Keys(table) = request
+            && !succeeded
         {
-            self.gathered.retain(|g| (g.peer, g.table) != (peer, table));
+            self.partial.retain(|g| (g.peer, g.table) != (peer, table));
         }
     }
 
     /// Finds what to do with a chunk that a peer gave.
-    pub fn gather(&mut self, peer: SocketAddr, table: Table, copy: Copy) -> Next {
-        let before = self.gathered.iter();
+    pub fn handle_chunk(&mut self, peer: SocketAddr, table: Table, response: Response) -> Action {
+        let before = self.partial.iter();
         let before = before
             .map(|g| (g.peer, g.table))
             .position(|at| at == (peer, table));
-        let before = before.map(|place| self.gathered.swap_remove(place).page);
-        if !copy.page.complete {
-            return match copy.more {
-                true => Next::TakeAndAsk(copy.page),
-                false => Next::Take(copy.page),
+        let before = before.map(|index| self.partial.swap_remove(index).page);
+        if !response.page.complete {
+            return match response.more {
+                true => Action::ApplyAndContinue(response.page),
+                false => Action::Apply(response.page),
             };
         }
         let page = match before {
-            Some(before) => joined(before, copy.page),
-            None => copy.page,
+            Some(before) => join_chunks(before, response.page),
+            None => response.page,
         };
         let last = page.records.last().map(|r| r.offset);
         match last {
-            Some(last) if copy.more => {
-                self.gathered.push(Gathered { peer, table, page });
-                Next::Gather(last + 1)
+            Some(last) if response.more => {
+                self.partial.push(PartialTable { peer, table, page });
+                Action::FetchKeys(last + 1)
             }
-            _ => Next::Take(page),
+            _ => Action::Apply(page),
         }
     }
 }
 
 /// Two chunks of all keys. The whole is known only as far as the chunk that is known least far: the
 /// peer may have started anew between them.
-fn joined(mut page: Page, chunk: Page) -> Page {
+fn join_chunks(mut page: Page, chunk: Page) -> Page {
     page.next_offset = page.next_offset.min(chunk.next_offset);
     page.records.extend(chunk.records);
     page
 }
 
-fn same_kind(a: Ask, b: Ask) -> bool {
-    let table = |ask| match ask {
-        Ask::Changes(table) | Ask::Keys(table) => Some(table),
-        Ask::Loads(_) => None,
+fn same_kind(a: Request, b: Request) -> bool {
+    let table = |request| match request {
+        Request::Changes(table) | Request::Keys(table) => Some(table),
+        Request::Loads(_) => None,
     };
     a == b || (table(a).is_some() && table(a) == table(b))
 }
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -1,6 +1,6 @@
 //! Follows one table of the store.
 
-use super::input::{Input, Inputs};
+use super::input::{Input, InputSender};
 use adapter::Platform;
 use adapter::store::{Changes, Table};
 use catalog::source::{Offset, Page};
@@ -13,20 +13,20 @@
 
 /// How long the store may hold a read of the operator's table back. Long, since each read is
 /// paid for; not so long that a silent store is noticed late.
-const WAIT: Duration = Duration::from_millis(1500);
+const OPERATOR_LONG_POLL: Duration = Duration::from_millis(1500);
 /// Pause between two reads of the endpoints' table, which changes all the time. A leaving
 /// endpoint must get no new work after two seconds, a read may take most of another.
-const PAUSE: Duration = Duration::from_millis(800);
+const ENDPOINTS_READ_PAUSE: Duration = Duration::from_millis(800);
 /// Pause between two reads of the operator's table, so that quick changes share a read.
-const SHORT_PAUSE: Duration = Duration::from_millis(50);
+const OPERATOR_READ_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after a failed read.
-const FAILED: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Reads a table and its changes while `reads` holds, until the inputs are closed.
 pub async fn follow(
     platform: Arc<Platform>,
     table: Table,
-    inputs: Inputs,
+    inputs: InputSender,
     mut reads: watch::Receiver<bool>,
     metrics: Metrics,
 ) {
@@ -35,9 +35,9 @@
         if reads.wait_for(|reads| *reads).await.is_err() {
             return;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let result = read(&platform, table, from).await;
-        metrics.record_store_read(name(table), result.is_ok(), begun.elapsed());
+        metrics.record_store_read(label(table), result.is_ok(), started.elapsed());
         let (input, pause) = match result {
             Ok(Some(page)) => {
                 from = Some(page.next_offset);
@@ -47,7 +47,10 @@
                 from = None;
                 (None, Duration::ZERO)
             }
-            Err(error) => (Some(Input::Unread(table, error.to_string())), FAILED),
+            Err(error) => (
+                Some(Input::ReadFailed(table, error.to_string())),
+                RETRY_PAUSE,
+            ),
         };
         if let Some(input) = input
             && inputs.send(input).await.is_err()
@@ -65,7 +68,7 @@
         return store.read_all(table).await.map(Some);
     };
     let wait = match table {
-        Table::Operator => WAIT,
+        Table::Operator => OPERATOR_LONG_POLL,
         Table::Endpoints => Duration::ZERO,
     };
     Ok(match store.read_changes(table, from, wait).await? {
@@ -76,13 +79,13 @@
 
 fn pause(table: Table) -> Duration {
     match table {
-        Table::Operator => SHORT_PAUSE,
-        Table::Endpoints => PAUSE,
+        Table::Operator => OPERATOR_READ_PAUSE,
+        Table::Endpoints => ENDPOINTS_READ_PAUSE,
     }
 }
 
 /// The word for a table in logs and metrics.
-pub fn name(table: Table) -> &'static str {
+pub fn label(table: Table) -> &'static str {
     match table {
         Table::Operator => "operator",
         Table::Endpoints => "endpoints",
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -1,18 +1,18 @@
 //! What control believes, and what each input does to it.
 
+mod exchange;
 mod peers;
-mod share;
 
-use super::accused::Accused;
-use super::input::{Input, Inputs};
+use super::assignment::Assignment;
+use super::failures::Failures;
+use super::input::{Input, InputSender};
 use super::loads::Loads;
 use super::orders::Orders;
-use super::pace::Pace;
 use super::pulls::Pulls;
 use super::reader;
-use super::readers::Part;
 use super::tables::Tables;
-use super::{Control, STEP};
+use super::throttle::Throttle;
+use super::{Control, STEP_INTERVAL};
 use crate::hosted::settings::Settings;
 use adapter::Platform;
 use adapter::report::Control as Engine;
@@ -22,7 +22,7 @@
 use gate::metrics::Metrics;
 use gate::view::{SharedView, View};
 use journal::Journal;
-use journal::event::Event as Told;
+use journal::event::Event as JournalEvent;
 use member::action::Action;
 use member::event::Event;
 use member::group::Group;
@@ -40,37 +40,37 @@
 use wire::peer::Link;
 
 /// How often a peer is asked for its copy while the store can't be read.
-const COPY: Duration = Duration::from_millis(300);
+const COPY_INTERVAL: Duration = Duration::from_millis(300);
 /// Rest after planning orders, in lengths of the planning, and its bound.
-const PLAN_RESTS: u32 = 9;
-const PLAN_REST: Duration = Duration::from_secs(2);
+const PLAN_REST_FACTOR: u32 = 9;
+const MAX_PLAN_REST: Duration = Duration::from_secs(2);
 /// Rest after publishing a view, in lengths of the publishing, and its bound.
-const VIEW_RESTS: u32 = 4;
-const VIEW_REST: Duration = Duration::from_millis(400);
+const VIEW_REST_FACTOR: u32 = 4;
+const MAX_VIEW_REST: Duration = Duration::from_millis(400);
 /// How often the metrics of what is believed are set.
-const MEASURE: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without an up-to-date copy after which a node reads the store by itself: three pulls.
-const UNHEARD: Duration = Duration::from_millis(1000);
+const COPY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time from the start after which a node asks its peers for a catalog that the store has not given.
-const UNANSWERED: Duration = Duration::from_millis(700);
+const FIRST_CATALOG_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a finding of one node counts: until the endpoint has been tried again a few times.
-const ACCUSED: Duration = Duration::from_millis(2500);
+const FAILURE_REPORT_TTL: Duration = Duration::from_millis(2500);
 /// How long it counts that an endpoint is about to give up its layers: until what it reports of its new
 /// ones is with all nodes.
-const MOVING: Duration = Duration::from_secs(3);
+const MOVE_NOTICE_TTL: Duration = Duration::from_secs(3);
 /// Endpoints for which a node that has just started takes another one to choose as well. Without it,
 /// nodes that start together all take the cheapest chain, each as if it were alone.
-const ENDPOINTS_FOR: usize = 2;
+const ENDPOINTS_PER_CHOOSER: usize = 2;
 /// Peers that are asked at once: one of them may be turned away as well.
-const ASKED: usize = 2;
+const PEERS_PER_COPY: usize = 2;
 
 /// How one table of the store can be read.
 #[derive(Clone, Debug, Default)]
-struct Reading {
+struct TableStatus {
     /// Since when it can't.
-    lost: Option<Instant>,
+    unreadable_since: Option<Instant>,
     /// When it was last known to be up to date.
-    known: Option<Instant>,
+    current_at: Option<Instant>,
 }
 
 /// The state of control.
@@ -78,40 +78,40 @@
     settings: Settings,
     incarnation: u64,
     platform: Arc<Platform>,
-    board: SharedView,
+    shared_view: SharedView,
     journal: Journal,
     link: Link,
-    inputs: Inputs,
+    inputs: InputSender,
     leave: CancellationToken,
     start: Instant,
     group: Group,
     actions: Vec<Action>,
     tables: Tables,
-    accused: Accused,
+    failures: Failures,
     orders: Orders,
-    operator: Reading,
-    endpoints: Reading,
+    operator: TableStatus,
+    endpoints: TableStatus,
     /// Whether the tasks that read the store do so.
     reads: watch::Sender<bool>,
-    part: Part,
+    assignment: Assignment,
     pulls: Pulls,
     loads: Loads,
     /// Clients of engines that this node asks.
     engines: BTreeMap<SocketAddr, Arc<Engine>>,
     /// When a peer last gave a copy that was up to date.
-    heard: Instant,
-    copied: Instant,
-    measured: Instant,
+    copy_received: Instant,
+    last_copy_request: Instant,
+    metrics_updated: Instant,
     metrics: Metrics,
     leaving: bool,
-    planning: Pace,
-    publishing: Pace,
+    planning: Throttle,
+    publishing: Throttle,
     /// Whether something changed that the worker must know.
     dirty: bool,
     /// Whether the worker must know it at once: a catalog, or that the node leaves.
     urgent: bool,
     /// Whether loads changed; they are published by step, since reports come one by one.
-    reported: bool,
+    loads_changed: bool,
 }
 
 impl State {
@@ -120,7 +120,7 @@
         control: Control,
         platform: Arc<Platform>,
         link: Link,
-        inputs: Inputs,
+        inputs: InputSender,
         reads: watch::Sender<bool>,
     ) -> Self {
         let settings = control.settings;
@@ -135,58 +135,62 @@
         let mut state = Self {
             incarnation: control.incarnation,
             platform,
-            board: control.board,
+            shared_view: control.shared_view,
             link,
             leave: control.leave,
             start: Instant::now(),
             group,
             actions: Vec::new(),
             tables: Tables::new(control.journal.clone()),
-            accused: Accused::default(),
+            failures: Failures::default(),
             orders: Orders::new(control.journal.clone(), inputs.clone(), settings.heartbeat),
             inputs,
             journal: control.journal,
-            operator: Reading::default(),
-            endpoints: Reading::default(),
+            operator: TableStatus::default(),
+            endpoints: TableStatus::default(),
             reads,
-            part: Part::default(),
+            assignment: Assignment::default(),
             pulls: Pulls::default(),
             loads: Loads::default(),
             engines: BTreeMap::new(),
-            heard: Instant::now(),
-            copied: Instant::now(),
-            measured: Instant::now(),
+            copy_received: Instant::now(),
+            last_copy_request: Instant::now(),
+            metrics_updated: Instant::now(),
             metrics: control.metrics,
             leaving: false,
-            planning: Pace::new(PLAN_RESTS, PLAN_REST),
-            publishing: Pace::new(VIEW_RESTS, VIEW_REST),
+            planning: Throttle::new(PLAN_REST_FACTOR, MAX_PLAN_REST),
+            publishing: Throttle::new(VIEW_REST_FACTOR, MAX_VIEW_REST),
             dirty: false,
             urgent: false,
-            reported: false,
+            loads_changed: false,
             settings,
         };
         let callers = Observation::Callers {
             addr: state.settings.callers,
             tls: false,
         };
-        state.handle(Event::Publish(vec![callers]));
+        state.handle_event(Event::Publish(vec![callers]));
         let seeds = state.seeds();
-        state.handle(Event::Listed(seeds));
+        state.handle_event(Event::Listed(seeds));
         state
     }
 
     /// Takes an input.
-    pub fn input(&mut self, input: Input) {
+    pub fn handle_input(&mut self, input: Input) {
         let now = Instant::now();
         match input {
-            Input::Page(table, page) => self.page(now, table, page),
-            Input::Unread(table, why) => self.unread(now, table, &why),
-            Input::Answered(ask, peer, bytes) => self.answered(now, ask, peer, &bytes),
-            Input::Unanswered(ask, peer, why) => self.unanswered(now, ask, peer, why),
-            Input::Report(run, report) => self.take_report(now, run, report),
-            Input::Note(note) => self.note(note),
-            Input::Peer(inbound) => self.inbound(inbound),
-            Input::Ordered(order, ordered) => self.orders.ordered(now, order, &ordered),
+            Input::Page(table, page) => self.apply_read(now, table, page),
+            Input::ReadFailed(table, reason) => self.record_read_failure(now, table, &reason),
+            Input::Response(request, peer, bytes) => {
+                self.handle_response(now, request, peer, &bytes)
+            }
+            Input::RequestFailed(request, peer, reason) => {
+                self.handle_request_failure(now, request, peer, reason)
+            }
+            Input::Report(run, report) => self.handle_report(now, run, report),
+            Input::Transition(transition) => self.publish_transition(transition),
+            Input::Peer(inbound) => self.handle_inbound(inbound),
+            Input::OrderEnded(order, attempt) => self.orders.finish(now, order, &attempt),
         }
         self.publish();
     }
@@ -197,33 +201,33 @@
         if self.leave.is_cancelled() && !self.leaving {
             self.leaving = true;
             self.urgent = true;
-            self.handle(Event::Publish(vec![Observation::Leaving]));
+            self.handle_event(Event::Publish(vec![Observation::Leaving]));
         }
-        self.handle(Event::Tick);
+        self.handle_event(Event::Tick);
         self.dirty |= self.tables.expire(now);
-        self.dirty |= self.accuse(now);
-        self.share(now);
+        self.dirty |= self.update_failures(now);
+        self.update_assignment(now);
         self.pull(now);
-        self.measure(now);
-        self.copy(now);
-        self.poll(now);
-        self.order(now);
-        self.dirty |= std::mem::take(&mut self.reported);
+        self.update_metrics(now);
+        self.copy_from_peers(now);
+        self.poll_engines(now);
+        self.give_orders(now);
+        self.dirty |= std::mem::take(&mut self.loads_changed);
         self.publish();
     }
 
     /// The text for the dump.
     pub fn dump(&self) -> String {
         let version = self.tables.catalog().map_or(0, |c| c.version);
-        let mut text = format!("catalog {version}\npart {:?}\n", self.part);
+        let mut text = format!("catalog {version}\npart {:?}\n", self.assignment);
         for table in [Table::Operator, Table::Endpoints] {
-            let (name, next) = (reader::name(table), self.tables.next(table));
+            let (name, next) = (reader::label(table), self.tables.next_offset(table));
             text.push_str(&format!("table {name} known up to {next}\n"));
         }
         for peer in self.group.roster().iter() {
             text.push_str(&format!("node {peer}\n"));
         }
-        for run in self.accused.now().iter() {
+        for run in self.failures.current().iter() {
             text.push_str(&format!("accused {run}\n"));
         }
         text.push_str(&format!("link {}\n", self.link.counters()));
@@ -231,24 +235,25 @@
     }
 
     /// Tells peers that this node is gone.
-    pub fn quit(&mut self) {
-        self.handle(Event::Quit);
+    pub fn announce_exit(&mut self) {
+        self.handle_event(Event::Quit);
     }
 
     /// Finds the accused anew; whether they are different now.
-    fn accuse(&mut self, now: Instant) -> bool {
-        let silent = self.loads.silent();
+    fn update_failures(&mut self, now: Instant) -> bool {
+        let unresponsive = self.loads.unresponsive();
         let elapsed = self.start.elapsed();
-        self.accused.update(now, elapsed, &self.group, &silent)
+        self.failures
+            .update(now, elapsed, &self.group, &unresponsive)
     }
 
     /// Tells the other nodes what the worker found out.
-    fn note(&mut self, note: Transition) {
-        let (run, ejected) = match &note {
+    fn publish_transition(&mut self, transition: Transition) {
+        let (run, ejected) = match &transition {
             Transition::Down(run) => (run, true),
             Transition::Up(run) => (run, false),
         };
-        self.journal.record(Told::Endpoint {
+        self.journal.record(JournalEvent::Endpoint {
             run: run.to_string(),
             state: if ejected {
                 "fails here"
@@ -256,38 +261,38 @@
                 "does well here"
             }
             .to_owned(),
-            offset: self.tables.next(Table::Endpoints),
+            offset: self.tables.next_offset(Table::Endpoints),
         });
         let body = Observation::Endpoint {
             name: run.to_string(),
             ejected,
-            ttl: ACCUSED,
+            ttl: FAILURE_REPORT_TTL,
         };
-        self.handle(Event::Publish(vec![body]));
+        self.handle_event(Event::Publish(vec![body]));
         self.dirty = true;
     }
 
-    fn page(&mut self, now: Instant, table: Table, page: Page) {
-        let reading = self.reading(table);
-        let lost = reading.lost.take();
-        let first = reading.known.replace(now).is_none();
+    fn apply_read(&mut self, now: Instant, table: Table, page: Page) {
+        let status = self.status(table);
+        let unreadable_since = status.unreadable_since.take();
+        let first = status.current_at.replace(now).is_none();
         if table == Table::Endpoints {
-            self.tables.read(now);
+            self.tables.record_read(now);
         }
-        if lost.is_some() || first {
-            let away = lost.map_or(Duration::ZERO, |at| now - at);
-            self.journal.record(Told::Dependency {
-                name: table_name(table),
+        if unreadable_since.is_some() || first {
+            let outage = unreadable_since.map_or(Duration::ZERO, |at| now - at);
+            self.journal.record(JournalEvent::Dependency {
+                name: dependency_name(table),
                 up: true,
-                detail: format!("away for {} ms", away.as_millis()),
+                detail: format!("away for {} ms", outage.as_millis()),
             });
         }
-        self.take_page(table, page, "store");
+        self.apply_page(table, page, "store");
     }
 
     /// Takes changes of a table in.
-    fn take_page(&mut self, table: Table, page: Page, source: &'static str) {
-        let changed = self.tables.take(&self.platform, table, page, source);
+    fn apply_page(&mut self, table: Table, page: Page, source: &'static str) {
+        let changed = self.tables.apply(&self.platform, table, page, source);
         match table {
             Table::Operator => self.urgent |= changed,
             Table::Endpoints => self.dirty |= changed,
@@ -295,38 +300,38 @@
     }
 
     /// Tells the metrics what is believed and how old that is.
-    fn measure(&mut self, now: Instant) {
-        if now < self.measured + MEASURE {
+    fn update_metrics(&mut self, now: Instant) {
+        if now < self.metrics_updated + METRICS_INTERVAL {
             return;
         }
-        self.measured = now;
+        self.metrics_updated = now;
         let version = self.tables.catalog().map_or(0, |c| c.version);
         let endpoints = self.tables.endpoints().count() as u64;
         for table in [Table::Operator, Table::Endpoints] {
-            let known = self.reading(table).known;
-            let age = known.map_or(self.start.elapsed(), |at| now - at);
+            let current_at = self.status(table).current_at;
+            let age = current_at.map_or(self.start.elapsed(), |at| now - at);
             self.metrics
-                .record_view(version, endpoints, reader::name(table), age);
+                .record_view(version, endpoints, reader::label(table), age);
         }
     }
 
-    fn unread(&mut self, now: Instant, table: Table, why: &str) {
+    fn record_read_failure(&mut self, now: Instant, table: Table, reason: &str) {
         if table == Table::Endpoints {
-            self.tables.unread(now);
+            self.tables.record_read_failure(now);
         }
-        let reading = self.reading(table);
-        if reading.lost.is_some() {
+        let status = self.status(table);
+        if status.unreadable_since.is_some() {
             return;
         }
-        reading.lost = Some(now);
-        self.journal.record(Told::Dependency {
-            name: table_name(table),
+        status.unreadable_since = Some(now);
+        self.journal.record(JournalEvent::Dependency {
+            name: dependency_name(table),
             up: false,
-            detail: why.to_owned(),
+            detail: reason.to_owned(),
         });
     }
 
-    fn reading(&mut self, table: Table) -> &mut Reading {
+    fn status(&mut self, table: Table) -> &mut TableStatus {
         match table {
             Table::Operator => &mut self.operator,
             Table::Endpoints => &mut self.endpoints,
@@ -339,35 +344,36 @@
     }
 
     /// Gives orders if that is this node's part.
-    fn order(&mut self, now: Instant) {
-        if self.leaving || !self.settled() || !self.part.orders() {
+    fn give_orders(&mut self, now: Instant) {
+        if self.leaving || !self.settled() || !self.assignment.gives_orders() {
             return;
         }
         if !self.planning.due(now) {
-            return self.orders.give_planned(now);
+            return self.orders.send_planned(now);
         }
         let Some(catalog) = self.tables.catalog() else {
             return;
         };
-        let accused = &self.accused;
-        let living = self.tables.endpoints();
-        let living = living.filter(|e| !accused.lost(now, &e.run.to_string()));
-        let living: Vec<Endpoint> = living.map(|e| self.loads.overlay(now, e)).collect();
-        self.orders.step(now, &self.part, catalog, living.iter());
-        self.planning.ran(now, Instant::now());
-        self.announce();
+        let failures = &self.failures;
+        let live = self.tables.endpoints();
+        let live = live.filter(|e| !failures.is_lost(now, &e.run.to_string()));
+        let live: Vec<Endpoint> = live.map(|e| self.loads.overlay(now, e)).collect();
+        self.orders
+            .step(now, &self.assignment, catalog, live.iter());
+        self.planning.record_run(now, Instant::now());
+        self.announce_moves();
     }
 
     /// Tells the other nodes which endpoints are about to give up layers.
-    fn announce(&mut self) {
+    fn announce_moves(&mut self) {
         let moving = self.orders.take_moving().into_iter();
         let moving = moving.map(|run| Observation::Releasing {
             name: run.to_string(),
-            ttl: MOVING,
+            ttl: MOVE_NOTICE_TTL,
         });
         let moving: Vec<Observation> = moving.collect();
         if !moving.is_empty() {
-            self.handle(Event::Publish(moving));
+            self.handle_event(Event::Publish(moving));
             self.dirty = true;
         }
     }
@@ -380,38 +386,38 @@
             return;
         }
         (self.dirty, self.urgent) = (false, false);
-        self.accuse(now);
+        self.update_failures(now);
         let Some(catalog) = self.tables.catalog() else {
             return;
         };
-        let nodes = self.nodes();
+        let nodes = self.caller_addrs();
         let endpoints = self.tables.endpoints();
         let endpoints: Vec<Endpoint> = endpoints.map(|e| self.loads.overlay(now, e)).collect();
         let selecting_nodes = match self.settled() {
             true => nodes.len(),
-            false => endpoints.len() / ENDPOINTS_FOR,
+            false => endpoints.len() / ENDPOINTS_PER_CHOOSER,
         };
         let view = View {
             fleet: Fleet {
                 catalog: catalog.clone(),
                 endpoints: Arc::new(endpoints),
                 loads: Arc::new(self.loads.view(now, self.start)),
-                reported_failed: self.accused.now(),
+                reported_failed: self.failures.current(),
                 releasing: Arc::new(self.group.releasing(self.start.elapsed())),
                 nodes: nodes.len().max(1),
                 selecting_nodes,
-                budget_nodes: self.sharers(),
+                budget_nodes: self.budget_sharers(),
             },
             nodes,
             leaving: self.leaving,
         };
-        self.board.store(Some(Arc::new(view)));
-        self.publishing.ran(now, Instant::now());
+        self.shared_view.store(Some(Arc::new(view)));
+        self.publishing.record_run(now, Instant::now());
     }
 }
 
-fn table_name(table: Table) -> String {
-    format!("store, table {}", reader::name(table))
+fn dependency_name(table: Table) -> String {
+    format!("store, table {}", reader::label(table))
 }
 
-const _: () = assert!(STEP.as_millis() <= member::event::TICK.as_millis());
+const _: () = assert!(STEP_INTERVAL.as_millis() <= member::event::TICK.as_millis());
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -1,7 +1,7 @@
 //! The other nodes: their messages, who of them lives, and where callers reach them.
 
 use super::State;
-use journal::event::Event as Told;
+use journal::event::Event as JournalEvent;
 use member::action::Action;
 use member::event::Event;
 use member::item::{Key, Observation};
@@ -11,15 +11,17 @@
 use wire::peer::Inbound;
 
 impl State {
-    pub(super) fn inbound(&mut self, inbound: Inbound) {
+    pub(super) fn handle_inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.handle(Event::Received { from, message }),
+            Inbound::Member { from, message } => {
+                self.handle_event(Event::Received { from, message })
+            }
             // Heads belong to nodes that read signed bundles from a log.
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
             }
             Inbound::Copy { ask, reply } => {
-                let _ = reply.send(self.offer(ask));
+                let _ = reply.send(self.serve_copy(ask));
             }
             Inbound::Status { reply } => {
                 let _ = reply.send(Status {
@@ -31,29 +33,29 @@
             }
             Inbound::Unreached(addr) => {
                 let peers = self.group.roster().iter();
-                let gone: Vec<_> = peers
+                let unreachable: Vec<_> = peers
                     .filter(|p| p.identity.addr == addr)
                     .map(|p| p.id)
                     .collect();
-                for peer in gone {
-                    self.handle(Event::ConnectFailed(peer));
+                for peer in unreachable {
+                    self.handle_event(Event::ConnectFailed(peer));
                 }
             }
         }
     }
 
     /// Gives the group an event and does what it asks for.
-    pub(super) fn handle(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         let now = self.start.elapsed();
         let mut actions = std::mem::take(&mut self.actions);
         self.group.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.apply_action(action);
         }
         self.actions = actions;
     }
 
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
                 // A full queue is counted by the link; gossip repeats itself.
@@ -64,7 +66,7 @@
                 let row = self.group.roster().get(peer);
                 let name = row.map_or("?", |p| p.identity.name.as_str()).to_owned();
                 let state = format!("{state:?}");
-                self.journal.record(Told::Node { name, state });
+                self.journal.record(JournalEvent::Node { name, state });
             }
             Action::Learned(_) => self.dirty = true,
             Action::FetchHead { .. } => {}
@@ -87,7 +89,7 @@
     }
 
     /// Where callers reach the nodes that take new work.
-    pub(super) fn nodes(&self) -> Vec<SocketAddr> {
+    pub(super) fn caller_addrs(&self) -> Vec<SocketAddr> {
         let me = self.group.me();
         let peers = self.group.accepting().filter(|p| p.id != me);
         let callers = peers.filter_map(|p| {
@@ -102,7 +104,7 @@
     }
 
     /// Nodes that the budget for further attempts is shared with.
-    pub(super) fn sharers(&self) -> usize {
+    pub(super) fn budget_sharers(&self) -> usize {
         let peers = self.group.roster().iter();
         peers
             .filter(|p| p.state != member::peer::State::Left)
--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -17,14 +17,14 @@
 use tokio::time::Instant;
 
 /// Time after the store came back in which rows that lapsed are written again.
-const REWRITTEN: Duration = Duration::from_millis(3200);
+const ROW_REWRITE_WINDOW: Duration = Duration::from_millis(3200);
 
 /// An endpoint, and what is known of its row.
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     endpoint: Endpoint,
     /// Until when it is kept although its row is gone.
-    lapsed: Option<Instant>,
+    kept_until: Option<Instant>,
 }
 
 /// The decoded tables.
@@ -33,11 +33,11 @@
     operator: source::Table,
     endpoints: source::Table,
     catalog: Option<Arc<Catalog>>,
-    known: BTreeMap<String, Known>,
+    entries: BTreeMap<String, Entry>,
     /// When reading the endpoints' table last failed.
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
     /// When it succeeded again after that.
-    regained: Option<Instant>,
+    recovered_at: Option<Instant>,
 }
 
 impl Tables {
@@ -48,9 +48,9 @@
             operator: source::Table::default(),
             endpoints: source::Table::default(),
             catalog: None,
-            known: BTreeMap::new(),
-            failed: None,
-            regained: None,
+            entries: BTreeMap::new(),
+            failed_at: None,
+            recovered_at: None,
         }
     }
 
@@ -61,7 +61,7 @@
 
     /// The endpoints that may be used or are leaving.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.known.values().map(|k| &k.endpoint)
+        self.entries.values().map(|k| &k.endpoint)
     }
 
     /// The copy of a table.
@@ -73,25 +73,25 @@
     }
 
     /// Offset of the next change of a table.
-    pub fn next(&self, table: Table) -> Offset {
+    pub fn next_offset(&self, table: Table) -> Offset {
         self.copy(table).next_offset()
     }
 
     /// The endpoints' table could not be read.
-    pub fn unread(&mut self, now: Instant) {
-        self.failed = Some(now);
-        self.regained = None;
+    pub fn record_read_failure(&mut self, now: Instant) {
+        self.failed_at = Some(now);
+        self.recovered_at = None;
     }
 
     /// The endpoints' table was read.
-    pub fn read(&mut self, now: Instant) {
-        if self.failed.take().is_some() {
-            self.regained = Some(now);
+    pub fn record_read(&mut self, now: Instant) {
+        if self.failed_at.take().is_some() {
+            self.recovered_at = Some(now);
         }
     }
 
     /// Takes changes in; whether anything that workers know is different now.
-    pub fn take(
+    pub fn apply(
         &mut self,
         platform: &Platform,
         table: Table,
@@ -101,22 +101,23 @@
         match table {
             Table::Operator => {
                 let changed = self.operator.apply(page);
-                changed.iter().any(|k| k == adapter::CATALOG_KEY) && self.adopt(platform, source)
+                changed.iter().any(|k| k == adapter::CATALOG_KEY)
+                    && self.adopt_catalog(platform, source)
             }
             Table::Endpoints => {
                 let next = page.next_offset;
                 let changed = self.endpoints.apply(page);
-                let mut any = false;
+                let mut any_changed = false;
                 for key in changed {
-                    any |= self.update(platform, &key, next);
+                    any_changed |= self.update_endpoint(platform, &key, next);
                 }
-                any
+                any_changed
             }
         }
     }
 
     /// Puts the operator's newest catalog in force, unless it is older than the one there is.
-    fn adopt(&mut self, platform: &Platform, source: &'static str) -> bool {
+    fn adopt_catalog(&mut self, platform: &Platform, source: &'static str) -> bool {
         let Some(value) = self.operator.get(adapter::CATALOG_KEY) else {
             return false;
         };
@@ -146,74 +147,76 @@
     }
 
     /// Takes in the row of one endpoint.
-    fn update(&mut self, platform: &Platform, key: &str, offset: Offset) -> bool {
+    fn update_endpoint(&mut self, platform: &Platform, key: &str, offset: Offset) -> bool {
         let Some(value) = self.endpoints.get(key) else {
-            return self.gone(key, offset);
+            return self.remove_endpoint(key, offset);
         };
         let decoded = platform.decode_endpoint(key, value);
         let state = match &decoded {
             Ok(e) => format!("{:?} at {} layers {}", e.state, e.addr, e.span),
             Err(why) => format!("unusable row: {why}"),
         };
-        let same = match (&decoded, self.known.get(key)) {
-            (Ok(new), Some(known)) => known.lapsed.is_none() && *new == known.endpoint,
+        let same = match (&decoded, self.entries.get(key)) {
+            (Ok(new), Some(entry)) => entry.kept_until.is_none() && *new == entry.endpoint,
             (Err(_), None) => true,
             _ => false,
         };
         match decoded {
             Ok(endpoint) => {
-                let known = Known {
+                let entry = Entry {
                     endpoint,
-                    lapsed: None,
+                    kept_until: None,
                 };
-                self.known.insert(key.to_owned(), known);
+                self.entries.insert(key.to_owned(), entry);
             }
             Err(_) => {
-                self.known.remove(key);
+                self.entries.remove(key);
             }
         }
         if !same {
-            self.tell(key, state, offset);
+            self.log_endpoint(key, state, offset);
         }
         !same
     }
 
-    fn gone(&mut self, key: &str, offset: Offset) -> bool {
-        let Some(known) = self.known.get_mut(key) else {
+    fn remove_endpoint(&mut self, key: &str, offset: Offset) -> bool {
+        let Some(entry) = self.entries.get_mut(key) else {
             return false;
         };
         let now = Instant::now();
-        let away = self.failed.is_some();
-        let back = self.regained.is_some_and(|at| now < at + REWRITTEN);
-        if (away || back) && known.endpoint.state == State::Ready {
-            known.lapsed = Some(now + REWRITTEN);
-            self.tell(
+        let unreadable = self.failed_at.is_some();
+        let recovering = self
+            .recovered_at
+            .is_some_and(|at| now < at + ROW_REWRITE_WINDOW);
+        if (unreadable || recovering) && entry.endpoint.state == State::Ready {
+            entry.kept_until = Some(now + ROW_REWRITE_WINDOW);
+            self.log_endpoint(
                 key,
                 "row lapsed while the store was away".to_owned(),
                 offset,
             );
             return false;
         }
-        self.known.remove(key);
-        self.tell(key, "gone".to_owned(), offset);
+        self.entries.remove(key);
+        self.log_endpoint(key, "gone".to_owned(), offset);
         true
     }
 
     /// Drops endpoints whose row lapsed and was not written again; whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        if self.failed.is_some() {
+        if self.failed_at.is_some() {
             return false;
         }
-        let over = |k: &Known| k.lapsed.is_some_and(|until| now >= until);
+        let expired = |k: &Entry| k.kept_until.is_some_and(|until| now >= until);
         let gone: Vec<String> = self
-            .known
+            .entries
             .iter()
-            .filter(|(_, k)| over(k))
+            .filter(|(_, k)| expired(k))
             .map(|(key, _)| key.clone())
             .collect();
         for key in &gone {
-            self.known.remove(key);
-            self.tell(
+            self.entries.remove(key);
+            self.log_endpoint(
                 key,
                 "gone: its row was not written again".to_owned(),
                 self.endpoints.next_offset(),
@@ -222,8 +225,8 @@
         !gone.is_empty()
     }
 
-    fn tell(&self, key: &str, state: String, offset: Offset) {
-        let run = self.known.get(key);
+    fn log_endpoint(&self, key: &str, state: String, offset: Offset) {
+        let run = self.entries.get(key);
         let run = run.map_or_else(|| key.to_owned(), |k| k.endpoint.run.to_string());
         self.journal.record(Event::Endpoint { run, state, offset });
     }
--- a/crates/node/src/hosted/control/pace.rs
+++ b/crates/node/src/hosted/control/throttle.rs
@@ -9,20 +9,20 @@
 
 /// When a task may run again.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct Throttle {
     /// Time without the task after each run, in lengths of that run.
-    rests: u32,
+    rest_factor: u32,
     /// Longest time without the task.
-    most: Duration,
+    max_rest: Duration,
     next: Option<Instant>,
 }
 
-impl Pace {
+impl Throttle {
     /// A task that rests for `rests` times as long as it ran, and for `most` at the most.
-    pub fn new(rests: u32, most: Duration) -> Self {
+    pub fn new(rest_factor: u32, max_rest: Duration) -> Self {
         Self {
-            rests,
-            most,
+            rest_factor,
+            max_rest,
             next: None,
         }
     }
@@ -33,8 +33,8 @@
     }
 
     /// The task ran from `begun` to `ended`.
-    pub fn ran(&mut self, begun: Instant, ended: Instant) {
-        let rest = (ended - begun).saturating_mul(self.rests);
-        self.next = Some(ended + rest.min(self.most));
+    pub fn record_run(&mut self, begun: Instant, ended: Instant) {
+        let rest = (ended - begun).saturating_mul(self.rest_factor);
+        self.next = Some(ended + rest.min(self.max_rest));
     }
 }
--- a/crates/node/tests/copies.rs
+++ b/crates/node/tests/copies.rs
@@ -14,69 +14,81 @@
 #[path = "support/spread.rs"]
 mod spread;
 
-use spread::{Fleet, LOADED, ms};
+use spread::{Fleet, LOAD_END, ms};
 use std::time::Duration;
 
 /// Time in which an operator's change must be in force on all nodes.
-const IN_FORCE: Duration = Duration::from_secs(3);
+const CATALOG_DEADLINE: Duration = Duration::from_secs(3);
 /// Time after which nodes that all started anew must serve.
-const RECOVERED: Duration = Duration::from_secs(15);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Nodes and endpoints.
 const NODES: usize = 300;
 const ENDPOINTS: usize = 3001;
 
 // Guards against catalogs that wait behind rows of endpoints on the links of readers.
 #[test]
-fn a_catalog_is_in_force_on_300_nodes_in_time() {
+fn a_catalog_reaches_300_nodes_in_time() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 1);
     let mut slowest = Duration::ZERO;
     for at in [0, 3100, 6200, 10_500] {
         fleet.run_until(ms(at));
         fleet.publish();
-        fleet.run_until(ms(at) + IN_FORCE);
-        slowest = slowest.max(fleet.in_force());
+        fleet.run_until(ms(at) + CATALOG_DEADLINE);
+        slowest = slowest.max(fleet.catalog_latency());
     }
-    assert!(slowest <= IN_FORCE, "{slowest:?}; {}", fleet.traffic());
-    assert!(fleet.behind() == 0, "{} nodes lack rows", fleet.behind());
+    assert!(
+        slowest <= CATALOG_DEADLINE,
+        "{slowest:?}; {}",
+        fleet.traffic()
+    );
+    assert!(
+        fleet.nodes_missing_rows() == 0,
+        "{} nodes lack rows",
+        fleet.nodes_missing_rows()
+    );
 }
 
 // Guards against nodes that keep an old catalog because their reader, short of processor, reads the
 // store late and does not know it: 3 of 7 readers of a zone did, and their askers with them.
 #[test]
-fn a_reader_that_is_stuck_keeps_nobody_on_an_old_catalog() {
+fn a_stale_reader_does_not_delay_a_catalog() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 3);
     fleet.publish();
     fleet.run_until(ms(3000));
-    fleet.stick();
+    fleet.make_readers_stale();
     fleet.publish();
-    fleet.run_until(ms(3000) + IN_FORCE);
-    assert!(fleet.in_force() <= IN_FORCE, "{:?}", fleet.in_force());
+    fleet.run_until(ms(3000) + CATALOG_DEADLINE);
+    assert!(
+        fleet.catalog_latency() <= CATALOG_DEADLINE,
+        "{:?}",
+        fleet.catalog_latency()
+    );
 }
 
 // Guards against nodes that know no endpoints for long after all of them started anew, since whole
 // tables do not fit through the links of readers in the time that an ask may take.
 #[test]
-fn all_nodes_know_all_endpoints_soon_after_they_started_anew() {
+fn all_nodes_know_all_endpoints_soon_after_a_restart() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 2);
     fleet.publish();
-    fleet.run_until(LOADED);
-    fleet.start_anew();
-    fleet.run_until(LOADED + RECOVERED);
+    fleet.run_until(LOAD_END);
+    fleet.restart_all();
+    fleet.run_until(LOAD_END + RECOVERY_TIMEOUT);
     assert!(
-        fleet.behind() == 0,
+        fleet.nodes_missing_rows() == 0,
         "{} nodes lack rows; {}",
-        fleet.behind(),
+        fleet.nodes_missing_rows(),
         fleet.traffic()
     );
 }
 
 /// Time in which the word that an endpoint leaves must be with all nodes.
-const LEAVING: Duration = Duration::from_millis(2500);
+const REMOVAL_DEADLINE: Duration = Duration::from_millis(2500);
 
 // Guards against requests to an endpoint seconds after it said that it leaves, by nodes whose reader
 // lost power: their asks for rows waited until their time limit, and no other reader was asked.
 #[test]
-fn a_leaving_endpoint_is_known_everywhere_in_time_when_a_reader_dies() {
+fn a_leaving_endpoint_is_known_everywhere_in_time_when_a_reader_fails() {
     for seed in 10..12 {
         let mut fleet = Fleet::new(NODES, ENDPOINTS, seed);
         fleet.publish();
@@ -88,16 +100,19 @@
             }
         }
         fleet.run_until(ms(27_000));
-        let (time, node) = fleet.slowest_leave();
+        let (time, node) = fleet.slowest_removal();
         println!("seed {seed}: {time:?} on node {node}; {}", fleet.traffic());
-        assert!(time <= LEAVING, "seed {seed}: {time:?} on node {node}");
+        assert!(
+            time <= REMOVAL_DEADLINE,
+            "seed {seed}: {time:?} on node {node}"
+        );
     }
 }
 
 // Guards against a zone that learns nothing new for seconds, since all its readers have just started
 // and have no tables yet, while those that read before them stopped at once.
 #[test]
-fn a_leaving_endpoint_is_known_everywhere_in_time_when_readers_start_anew() {
+fn a_leaving_endpoint_is_known_everywhere_in_time_when_readers_restart() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 20);
     fleet.publish();
     fleet.run_until(ms(9000));
@@ -108,7 +123,7 @@
         fleet.leave();
     }
     fleet.run_until(ms(22_000));
-    let (time, node) = fleet.slowest_leave();
+    let (time, node) = fleet.slowest_removal();
     println!("{time:?} on node {node}; {}", fleet.traffic());
-    assert!(time <= LEAVING, "{time:?} on node {node}");
+    assert!(time <= REMOVAL_DEADLINE, "{time:?} on node {node}");
 }
--- a/crates/node/tests/copy.rs
+++ b/crates/node/tests/copy.rs
@@ -2,9 +2,9 @@
 
 use adapter::store::Table as Kind;
 use catalog::source::{Page, Record, Table};
-use node::hosted::control::copy::{Ask, Copy, decode, encode};
-use node::hosted::control::pulls::{Next, PULL, Pulls};
-use node::hosted::control::readers::Part;
+use node::hosted::control::assignment::Assignment;
+use node::hosted::control::copy::{Request, Response, decode, encode};
+use node::hosted::control::pulls::{Action, PULL_INTERVAL, Pulls};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 // A peer gives all keys in place of changes, and whoever takes them must know that: what they do
 // not name is gone.
 #[test]
-fn a_copy_arrives_as_it_was_given() {
+fn a_response_survives_encoding() {
     let record = |key: &str, value: Option<&[u8]>, offset| Record {
         key: key.to_owned(),
         value: value.map(Into::into),
@@ -22,21 +22,21 @@
     };
     for whole in [true, false] {
         let records = vec![record("a", Some(b"1"), 3), record("b", None, 4)];
-        let copy = Copy {
+        let response = Response {
             page: Page {
                 records,
                 next_offset: 5,
                 complete: whole,
             },
-            fresh: true,
+            up_to_date: true,
             more: !whole,
         };
-        assert_eq!(decode(&encode(&copy).unwrap()).unwrap(), copy);
+        assert_eq!(decode(&encode(&response).unwrap()).unwrap(), response);
     }
 }
 
 /// Bytes of a chunk: a few records.
-const CHUNK: usize = 100;
+const CHUNK_BYTES: usize = 100;
 
 /// A change of one of a few keys, written or removed.
 fn change(random: &mut ChaCha8Rng, offset: u64) -> Page {
@@ -50,7 +50,7 @@
 }
 
 /// A copy of the store's table by a node that just started: it knows no removals.
-fn anew(store: &Table) -> Table {
+fn restarted(store: &Table) -> Table {
     let mut table = Table::default();
     let records = store.iter().map(|(key, value)| Record {
         key: key.to_owned(),
@@ -72,14 +72,14 @@
 // Guards against endpoints that stay after they are gone, or are missing, because a table changed, or
 // its giver started anew, between the parts in which it was copied.
 #[test]
-fn a_table_that_is_copied_in_parts_ends_up_whole() {
-    let giver_addr: SocketAddr = ([10, 0, 0, 1], 80).into();
+fn a_table_copied_in_chunks_is_complete() {
+    let source_addr: SocketAddr = ([10, 0, 0, 1], 80).into();
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let (mut store, mut giver, mut taker) =
+        let (mut store, mut source, mut replica) =
             (Table::default(), Table::default(), Table::default());
         let mut pulls = Pulls::default();
-        let mut ask = (Ask::Changes(Kind::Endpoints), 0);
+        let mut request = (Request::Changes(Kind::Endpoints), 0);
         for step in 0..300 {
             if step < 200 {
                 for _ in 0..random.random_range(0..4) {
@@ -87,83 +87,83 @@
                 }
             }
             if step < 200 && random.random_bool(0.03) {
-                giver = anew(&store);
+                source = restarted(&store);
             }
-            giver.apply(store.since(giver.next_offset()));
-            let part = match ask.0 {
-                Ask::Keys(_) => giver.keys(ask.1, CHUNK),
-                _ => giver.changes(ask.1, CHUNK),
+            source.apply(store.since(source.next_offset()));
+            let chunk = match request.0 {
+                Request::Keys(_) => source.keys(request.1, CHUNK_BYTES),
+                _ => source.changes(request.1, CHUNK_BYTES),
             };
-            let copy = Copy {
-                page: part.page,
-                fresh: true,
-                more: part.more,
+            let response = Response {
+                page: chunk.page,
+                up_to_date: true,
+                more: chunk.more,
             };
-            let next = pulls.gather(giver_addr, Kind::Endpoints, copy);
-            ask = match next {
-                Next::Take(page) | Next::TakeAndAsk(page) => {
-                    taker.apply(page);
-                    (Ask::Changes(Kind::Endpoints), taker.next_offset())
+            let next = pulls.handle_chunk(source_addr, Kind::Endpoints, response);
+            request = match next {
+                Action::Apply(page) | Action::ApplyAndContinue(page) => {
+                    replica.apply(page);
+                    (Request::Changes(Kind::Endpoints), replica.next_offset())
                 }
-                Next::Gather(from) => (Ask::Keys(Kind::Endpoints), from),
+                Action::FetchKeys(from) => (Request::Keys(Kind::Endpoints), from),
             };
         }
-        assert_eq!(rows(&taker), rows(&store), "seed {seed}");
+        assert_eq!(rows(&replica), rows(&store), "seed {seed}");
     }
 }
 
 // Guards against asks that pile up behind a slow link, and against a reader that failed being asked
 // again and again while another one is well.
 #[test]
-fn a_late_answer_is_not_asked_for_again() {
+fn a_request_in_flight_is_not_repeated() {
     let at = |last: u8| SocketAddr::from(([10, 0, 0, last], 80));
-    let table = Ask::Changes(Kind::Endpoints);
+    let table = Request::Changes(Kind::Endpoints);
     let mut pulls = Pulls::default();
     assert!(pulls.begin(table, at(1), 1));
     assert!(!pulls.begin(table, at(1), 1), "it is under way");
     assert!(!pulls.begin(table, at(2), 1), "so is as much as may be");
     assert!(
-        !pulls.begin(Ask::Keys(Kind::Endpoints), at(2), 1),
+        !pulls.begin(Request::Keys(Kind::Endpoints), at(2), 1),
         "its parts count"
     );
     assert!(
-        pulls.begin(Ask::Changes(Kind::Operator), at(1), 1),
+        pulls.begin(Request::Changes(Kind::Operator), at(1), 1),
         "another table"
     );
-    pulls.ended(table, at(1), false);
+    pulls.finish(table, at(1), false);
     assert!(pulls.begin(table, at(2), 1));
 
-    let mut part = Part::default();
-    part.readers = vec![at(1), at(2)];
+    let mut assignment = Assignment::default();
+    assignment.readers = vec![at(1), at(2)];
     let now = Instant::now();
     let mut pulls = Pulls::default();
     let asked = |pulls: &mut Pulls, now| {
-        let due = pulls.due(now, &part);
+        let due = pulls.due(now, &assignment);
         due.iter().find(|due| due.0 == table).map(|due| due.1)
     };
     assert_eq!(asked(&mut pulls, now), Some(at(1)));
-    pulls.ended(table, at(1), false);
-    pulls.failed(now, at(1));
-    assert_eq!(asked(&mut pulls, now + PULL), Some(at(2)));
-    pulls.ended(table, at(2), true);
-    assert_eq!(asked(&mut pulls, now + PULL * 10), Some(at(1)));
+    pulls.finish(table, at(1), false);
+    pulls.mark_failed(now, at(1));
+    assert_eq!(asked(&mut pulls, now + PULL_INTERVAL), Some(at(2)));
+    pulls.finish(table, at(2), true);
+    assert_eq!(asked(&mut pulls, now + PULL_INTERVAL * 10), Some(at(1)));
 }
 
 // Guards against loads of some engines that a reader never hears of, since it asks those that know
 // them in turns.
 #[test]
-fn each_node_that_asks_engines_has_its_turn() {
+fn each_poller_is_pulled_from_in_turn() {
     let at = |last: u8| SocketAddr::from(([10, 0, 0, last], 80));
-    let mut part = Part::default();
-    part.reads = true;
+    let mut assignment = Assignment::default();
+    assignment.reads = true;
     for count in [1, 16, 17, 63] {
-        part.pollers = (0..count).map(at).collect();
+        assignment.pollers = (0..count).map(at).collect();
         let mut pulls = Pulls::default();
         let start = Instant::now();
         let mut asked = BTreeSet::new();
         for pull in 0..4 {
-            for (ask, peer) in pulls.due(start + PULL * pull, &part) {
-                pulls.ended(ask, peer, true);
+            for (request, peer) in pulls.due(start + PULL_INTERVAL * pull, &assignment) {
+                pulls.finish(request, peer, true);
                 asked.insert(peer);
             }
         }
--- a/crates/node/tests/orders.rs
+++ b/crates/node/tests/orders.rs
@@ -7,9 +7,9 @@
 use journal::Journal;
 use member::identity::Identity;
 use member::peer::Peer;
+use node::hosted::control::assignment::{Assignment, ENDPOINTS_PER_ORDERER, EngineCounts};
 use node::hosted::control::input::Input;
-use node::hosted::control::orders::{ANNOUNCED, GIVEN, Orders};
-use node::hosted::control::readers::{Engines, ORDERS_FOR, Part};
+use node::hosted::control::orders::{MAX_CONCURRENT_ORDERS, MOVE_NOTICE, Orders};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,20 +47,20 @@
 }
 
 /// The parts of all nodes of a zone.
-fn parts(nodes: usize) -> Vec<Part> {
+fn assignments(nodes: usize) -> Vec<Assignment> {
     let peers: Vec<Peer> = (0..nodes).map(node).collect();
-    let engines = Engines::from([("a", ENDPOINTS)]);
-    let part = |p: &Peer| Part::of(Duration::ZERO, p.id, "a", peers.iter(), &engines);
-    peers.iter().map(part).collect()
+    let engines = EngineCounts::from([("a", ENDPOINTS)]);
+    let assign = |p: &Peer| Assignment::of(Duration::ZERO, p.id, "a", peers.iter(), &engines);
+    peers.iter().map(assign).collect()
 }
 
 /// The part of a node that is alone.
-fn alone() -> Part {
-    parts(1).remove(0)
+fn sole_assignment() -> Assignment {
+    assignments(1).remove(0)
 }
 
 /// Keeps connections open, never answers on them, and counts them.
-async fn silent(listener: TcpListener, count: Arc<AtomicUsize>) {
+async fn unresponsive(listener: TcpListener, count: Arc<AtomicUsize>) {
     let mut kept = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
         kept.push(stream);
@@ -72,50 +72,55 @@
 // begins all orders together is done with none before they time out, and begins them all again.
 // So only so many are begun at once; the next ones follow as these end.
 #[tokio::test]
-async fn a_large_fleet_is_given_its_orders_a_few_at_a_time() {
+async fn concurrent_orders_are_bounded() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let count = Arc::new(AtomicUsize::new(0));
-    let accepts = tokio::spawn(silent(listener, count.clone()));
+    let accepts = tokio::spawn(unresponsive(listener, count.clone()));
     let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|n| empty(n, addr)).collect();
     let (journal, _lines) = Journal::new(1024);
-    let (inputs, mut taken) = mpsc::channel(ENDPOINTS);
+    let (inputs, mut ended) = mpsc::channel(ENDPOINTS);
     let mut orders = Orders::new(journal, inputs, Duration::ZERO);
-    let (part, catalog) = (alone(), catalog());
-    orders.step(Instant::now(), &part, &catalog, endpoints.iter());
-    orders.step(Instant::now(), &part, &catalog, endpoints.iter());
-    let first = taken.recv().await;
-    assert_eq!(count.load(Ordering::Relaxed), GIVEN);
-    let Some(Input::Ordered(order, ordered)) = first else {
+    let (assignment, catalog) = (sole_assignment(), catalog());
+    orders.step(Instant::now(), &assignment, &catalog, endpoints.iter());
+    orders.step(Instant::now(), &assignment, &catalog, endpoints.iter());
+    let first = ended.recv().await;
+    assert_eq!(count.load(Ordering::Relaxed), MAX_CONCURRENT_ORDERS);
+    let Some(Input::OrderEnded(order, attempt)) = first else {
         panic!("an order ends, answered or not");
     };
-    assert_eq!(orders.giving(), GIVEN);
-    orders.ordered(Instant::now(), order, &ordered);
-    assert_eq!(orders.giving(), GIVEN - 1);
-    orders.step(Instant::now(), &part, &catalog, endpoints.iter());
-    assert_eq!(orders.giving(), GIVEN);
+    assert_eq!(orders.in_flight(), MAX_CONCURRENT_ORDERS);
+    orders.finish(Instant::now(), order, &attempt);
+    assert_eq!(orders.in_flight(), MAX_CONCURRENT_ORDERS - 1);
+    orders.step(Instant::now(), &assignment, &catalog, endpoints.iter());
+    assert_eq!(orders.in_flight(), MAX_CONCURRENT_ORDERS);
     accepts.abort();
 }
 
 // Guards against a fleet that stays empty for minutes: planning for 3,000 endpoints is costly and
 // rests in between, so what one plan holds must be given without another one.
 #[tokio::test]
-async fn one_plan_is_given_to_its_end() {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|n| empty(n, nobody)).collect();
+async fn one_plan_is_carried_out_completely() {
+    let closed = SocketAddr::from(([127, 0, 0, 1], 1));
+    let endpoints: Vec<Endpoint> = (0..ENDPOINTS).map(|n| empty(n, closed)).collect();
     let (journal, _lines) = Journal::new(1024);
-    let (inputs, mut taken) = mpsc::channel(ENDPOINTS);
+    let (inputs, mut ended) = mpsc::channel(ENDPOINTS);
     let mut orders = Orders::new(journal, inputs, Duration::ZERO);
-    orders.step(Instant::now(), &alone(), &catalog(), endpoints.iter());
+    orders.step(
+        Instant::now(),
+        &sole_assignment(),
+        &catalog(),
+        endpoints.iter(),
+    );
     let mut given = BTreeSet::new();
-    while orders.giving() > 0 {
-        let Some(Input::Ordered(order, ordered)) = taken.recv().await else {
+    while orders.in_flight() > 0 {
+        let Some(Input::OrderEnded(order, attempt)) = ended.recv().await else {
             panic!("an order ends, answered or not");
         };
         given.insert(order.run.clone());
-        orders.ordered(Instant::now(), order, &ordered);
-        orders.give_planned(Instant::now());
-        assert!(orders.giving() <= GIVEN);
+        orders.finish(Instant::now(), order, &attempt);
+        orders.send_planned(Instant::now());
+        assert!(orders.in_flight() <= MAX_CONCURRENT_ORDERS);
     }
     assert_eq!(given.len(), ENDPOINTS);
 }
@@ -124,19 +129,21 @@
 // fifty orders a second, and before 2,980 endpoints 565 had theirs after 14 s. It also guards against
 // two nodes that move endpoints which hold layers: each could move one of the last two copies.
 #[test]
-fn a_large_fleet_is_given_its_orders_by_several_nodes() {
+fn orders_to_a_large_fleet_are_shared_by_several_nodes() {
     let runs: Vec<Run> = (0..ENDPOINTS)
         .map(|n| empty(n, ([127, 0, 0, 1], 1).into()).run)
         .collect();
     for nodes in [1, 2, 40] {
-        let parts = parts(nodes);
-        let givers = parts.iter().filter(|p| p.orders()).count();
-        assert_eq!(givers, ENDPOINTS.div_ceil(ORDERS_FOR).min(nodes));
+        let assignments = assignments(nodes);
+        let givers = assignments.iter().filter(|p| p.gives_orders()).count();
+        assert_eq!(givers, ENDPOINTS.div_ceil(ENDPOINTS_PER_ORDERER).min(nodes));
         for run in &runs {
-            let fill = parts.iter().filter(|p| p.orders_to(run, Span::default()));
+            let fill = assignments
+                .iter()
+                .filter(|p| p.may_order(run, Span::default()));
             assert_eq!(fill.count(), 1, "{nodes} nodes, {run}");
             let held = Span { from: 0, to: 4 };
-            let mut moves = parts.iter().filter(|p| p.orders_to(run, held));
+            let mut moves = assignments.iter().filter(|p| p.may_order(run, held));
             assert!(
                 moves.next().is_some_and(|p| p.first),
                 "{nodes} nodes, {run}"
@@ -147,11 +154,11 @@
 }
 
 /// Endpoints of which none holds the last layers, and two hold the first ones.
-fn with_a_hole() -> Vec<Endpoint> {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
+fn with_missing_layers() -> Vec<Endpoint> {
+    let closed = SocketAddr::from(([127, 0, 0, 1], 1));
     let holds = |(number, (from, to))| Endpoint {
         span: Span { from, to },
-        ..empty(number, nobody)
+        ..empty(number, closed)
     };
     let spans = [(0, 2), (0, 2), (2, 4), (4, 6)];
     spans.into_iter().enumerate().map(holds).collect()
@@ -162,29 +169,39 @@
     let (journal, _lines) = Journal::new(64);
     let (inputs, _taken) = mpsc::channel(64);
     let mut orders = Orders::new(journal, inputs, Duration::ZERO);
-    orders.step(start, &alone(), &catalog(), endpoints.iter());
+    orders.step(start, &sole_assignment(), &catalog(), endpoints.iter());
     let moving = orders.take_moving();
     assert_eq!(moving.len(), 1, "{moving:?}");
-    assert_eq!(orders.giving(), 0);
+    assert_eq!(orders.in_flight(), 0);
     orders
 }
 
 // Guards against a move that takes a zone's last copy of a layer, since the other one died between the
 // announcement and the order.
 #[tokio::test(start_paused = true)]
-async fn a_move_is_dropped_that_would_take_a_last_copy() {
-    let endpoints = with_a_hole();
+async fn a_move_that_would_remove_a_last_copy_is_dropped() {
+    let endpoints = with_missing_layers();
     let start = Instant::now();
     let mut orders = announced(start, &endpoints);
     let left = endpoints.iter().skip(1);
-    orders.step(start + ANNOUNCED / 2, &alone(), &catalog(), left.clone());
+    orders.step(
+        start + MOVE_NOTICE / 2,
+        &sole_assignment(),
+        &catalog(),
+        left.clone(),
+    );
     let left = endpoints.iter().take(1).chain(endpoints.iter().skip(2));
     let mut other = announced(start, &endpoints);
-    other.step(start + ANNOUNCED / 2, &alone(), &catalog(), left);
+    other.step(
+        start + MOVE_NOTICE / 2,
+        &sole_assignment(),
+        &catalog(),
+        left,
+    );
     // Whichever of the two was to be moved, it stays once the other one is gone.
     for orders in [&mut orders, &mut other] {
-        orders.give_planned(start + ANNOUNCED * 2);
-        assert_eq!(orders.giving(), 0);
+        orders.send_planned(start + MOVE_NOTICE * 2);
+        assert_eq!(orders.in_flight(), 0);
     }
 }
 
@@ -193,10 +210,10 @@
 // and the order is given once they know.
 #[tokio::test(start_paused = true)]
 async fn a_move_is_announced_before_it_is_ordered() {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
+    let closed = SocketAddr::from(([127, 0, 0, 1], 1));
     let holds = |number: usize, from, to| Endpoint {
         span: Span { from, to },
-        ..empty(number, nobody)
+        ..empty(number, closed)
     };
     // The last layers are held by none, the first ones twice.
     let endpoints = [
@@ -208,15 +225,20 @@
     let (journal, _lines) = Journal::new(64);
     let (inputs, _taken) = mpsc::channel(64);
     let mut orders = Orders::new(journal, inputs, Duration::ZERO);
-    let (part, catalog) = (alone(), catalog());
+    let (assignment, catalog) = (sole_assignment(), catalog());
     let start = Instant::now();
-    orders.step(start, &part, &catalog, endpoints.iter());
+    orders.step(start, &assignment, &catalog, endpoints.iter());
     let moving = orders.take_moving();
     assert_eq!(moving.len(), 1, "{moving:?}");
-    assert_eq!(orders.giving(), 0);
+    assert_eq!(orders.in_flight(), 0);
     // A plan made meanwhile counts the move as given.
-    orders.step(start + ANNOUNCED / 2, &part, &catalog, endpoints.iter());
-    assert_eq!((orders.take_moving().len(), orders.giving()), (0, 0));
-    orders.give_planned(start + ANNOUNCED);
-    assert_eq!(orders.giving(), 1);
+    orders.step(
+        start + MOVE_NOTICE / 2,
+        &assignment,
+        &catalog,
+        endpoints.iter(),
+    );
+    assert_eq!((orders.take_moving().len(), orders.in_flight()), (0, 0));
+    orders.send_planned(start + MOVE_NOTICE);
+    assert_eq!(orders.in_flight(), 1);
 }
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -1,25 +1,25 @@
 //! How much of control's time a recurring task takes.
 
-use node::hosted::control::pace::Pace;
+use node::hosted::control::throttle::Throttle;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// How often control looks whether the task is due.
-const STEP: Duration = Duration::from_millis(100);
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs of a task that takes `cost` each time, in `time`, and the share of the time that they took.
-fn play(mut pace: Pace, cost: Duration, time: Duration) -> (u32, f64) {
+fn simulate(mut throttle: Throttle, cost: Duration, time: Duration) -> (u32, f64) {
     let start = Instant::now();
     let mut now = start;
     let mut runs = 0;
     while now < start + time {
-        if !pace.due(now) {
-            now += STEP;
+        if !throttle.due(now) {
+            now += STEP_INTERVAL;
             continue;
         }
-        let begun = now;
+        let started = now;
         now += cost;
-        pace.ran(begun, now);
+        throttle.record_run(started, now);
         runs += 1;
     }
     (
@@ -33,8 +33,8 @@
 #[test]
 fn a_costly_task_leaves_most_of_the_time_to_others() {
     let minute = Duration::from_secs(60);
-    let pace = Pace::new(9, minute);
-    let (runs, share) = play(pace, Duration::from_millis(300), minute);
+    let throttle = Throttle::new(9, minute);
+    let (runs, share) = simulate(throttle, Duration::from_millis(300), minute);
     assert!(runs >= 15 && share <= 0.1, "{runs} runs, {share}");
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn the_rest_is_bounded() {
     let minute = Duration::from_secs(60);
-    let pace = Pace::new(9, Duration::from_secs(2));
-    let (runs, _) = play(pace, Duration::from_secs(1), minute);
+    let throttle = Throttle::new(9, Duration::from_secs(2));
+    let (runs, _) = simulate(throttle, Duration::from_secs(1), minute);
     assert!(runs >= 19, "{runs} runs");
 }
 
@@ -52,6 +52,6 @@
 fn a_cheap_task_runs_in_each_step() {
     let minute = Duration::from_secs(60);
     let cost = Duration::from_millis(2);
-    let (runs, _) = play(Pace::new(9, Duration::from_secs(2)), cost, minute);
+    let (runs, _) = simulate(Throttle::new(9, Duration::from_secs(2)), cost, minute);
     assert!(runs >= 580, "{runs} runs");
 }
--- a/crates/node/tests/support/spread.rs
+++ b/crates/node/tests/support/spread.rs
@@ -8,13 +8,13 @@
 use super::report::report;
 use adapter::store::Table as Kind;
 use catalog::source::{Page, Table};
-use faults::Leaving;
-use layout::{asked, identity, part, record, run, whole};
+use faults::LeavingEndpoint;
+use layout::{assignment, identity, polled_engines, record, run, whole};
 use member::peer::Peer;
-use node::hosted::control::copy::{self, Ask, CHUNK, Copy};
+use node::hosted::control::assignment::Assignment;
+use node::hosted::control::copy::{self, CHUNK_BYTES, Request, Response};
 use node::hosted::control::loads::Loads;
-use node::hosted::control::pulls::{Next, Pulls};
-use node::hosted::control::readers::Part;
+use node::hosted::control::pulls::{Action, Pulls};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -24,32 +24,32 @@
 use tokio::time::Instant;
 
 /// Bytes a second of a small node's link, either way.
-const LINK: f64 = 2.5e6;
+const LINK_BYTES_PER_SECOND: f64 = 2.5e6;
 /// Time on the way, and to decide.
-const DELAY: Duration = ms(2);
+const LINK_DELAY: Duration = ms(2);
 /// How long a connection may leave a frame unconfirmed before it is sent over a new one.
-const SILENT: Duration = ms(500);
+const FRAME_TIMEOUT: Duration = ms(500);
 /// How often a frame is sent at most.
-const TRIES: u32 = 2;
+const MAX_SENDS: u32 = 2;
 /// How long an ask may take.
-const ASK: Duration = ms(2000);
+const REQUEST_TIMEOUT: Duration = ms(2000);
 /// How long it takes until an ask to a node without power has failed.
-const FAILS: Duration = ms(1000);
+const CONNECT_TIMEOUT: Duration = ms(1000);
 /// Bytes of an ask with its headers.
-const ASK_BYTES: usize = 80;
+const REQUEST_BYTES: usize = 80;
 /// How often control looks whether anything is due.
-const STEP: Duration = ms(100);
+const STEP_INTERVAL: Duration = ms(100);
 /// How often a reader reads the endpoints' table.
-const READ: Duration = ms(850);
+const READ_INTERVAL: Duration = ms(850);
 /// How long it takes until a reader has a new catalog.
-const TOLD: Duration = ms(60);
+const CATALOG_DELAY: Duration = ms(60);
 /// How often an engine is asked for its load.
-const POLL: Duration = ms(1500);
+const POLL_INTERVAL: Duration = ms(1500);
 /// Bytes of an endpoint's row, and of a catalog.
-const ROW: usize = 200;
-const CATALOG: usize = 20_000;
+const ROW_BYTES: usize = 200;
+const CATALOG_BYTES: usize = 20_000;
 /// Until when rows come and change while a fleet is loaded.
-pub const LOADED: Duration = ms(5000);
+pub const LOAD_END: Duration = ms(5000);
 
 /// Milliseconds.
 pub const fn ms(n: u64) -> Duration {
@@ -57,34 +57,34 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Step(usize),
     Read(usize),
-    Told(usize),
+    CatalogRead(usize),
     Row(usize),
     /// Nodes find their parts anew.
-    Divide,
+    Reassign,
     /// A node starts anew.
     Start(usize),
     /// A node that has started has read whole tables.
-    Whole(usize),
-    Ask {
+    FullRead(usize),
+    Request {
         to: usize,
         by: usize,
         call: u64,
-        ask: u8,
+        request: u8,
         from: u64,
     },
-    Answer {
+    Response {
         to: usize,
         call: u64,
         bytes: Vec<u8>,
     },
-    Again {
+    Resend {
         by: usize,
         to: usize,
-        tries: u32,
-        message: Box<Due>,
+        sends: u32,
+        message: Box<Event>,
     },
     Expire {
         by: usize,
@@ -93,26 +93,26 @@
 }
 
 struct Node {
-    part: Part,
+    assignment: Assignment,
     pulls: Pulls,
     operator: Table,
     endpoints: Table,
     loads: Loads,
-    calls: HashMap<u64, (Ask, SocketAddr)>,
+    calls: HashMap<u64, (Request, SocketAddr)>,
     /// When the link is free to send, and to receive.
-    up: Duration,
-    down: Duration,
+    uplink_free_at: Duration,
+    downlink_free_at: Duration,
     sent: u64,
     engines: Vec<usize>,
-    polled: Duration,
+    last_poll: Duration,
     /// Whether it no longer gets the operator's table from the store, and does not know.
-    stuck: bool,
+    stale_operator: bool,
     /// Whether it runs.
-    runs: bool,
+    running: bool,
     /// When it started.
     started: Duration,
     /// Whether it has read whole tables since it started.
-    fresh: bool,
+    has_full_tables: bool,
 }
 
 impl Node {
@@ -135,12 +135,12 @@
     engines: usize,
     operator: Table,
     endpoints: Table,
-    due: BinaryHeap<Reverse<(Duration, u64, Due)>>,
+    events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     count: u64,
-    unanswered: u64,
+    timed_out: u64,
     published: Duration,
-    reached: BTreeMap<usize, Duration>,
-    leaving: Vec<Leaving>,
+    catalog_reached: BTreeMap<usize, Duration>,
+    leaving: Vec<LeavingEndpoint>,
     random: ChaCha8Rng,
 }
 
@@ -152,23 +152,23 @@
             .map(|n| Peer::new(identity(n), Duration::ZERO))
             .collect();
         let node = |peer: &Peer| {
-            let part = part(Duration::ZERO, peer, peers.iter(), endpoints);
+            let assignment = assignment(Duration::ZERO, peer, peers.iter(), endpoints);
             Node {
-                engines: asked(&part, endpoints),
-                part,
+                engines: polled_engines(&assignment, endpoints),
+                assignment,
                 pulls: Pulls::default(),
                 operator: Table::default(),
                 endpoints: Table::default(),
                 loads: Loads::default(),
                 calls: HashMap::new(),
-                up: Duration::ZERO,
-                down: Duration::ZERO,
+                uplink_free_at: Duration::ZERO,
+                downlink_free_at: Duration::ZERO,
                 sent: 0,
-                polled: Duration::ZERO,
-                stuck: false,
-                runs: true,
+                last_poll: Duration::ZERO,
+                stale_operator: false,
+                running: true,
                 started: Duration::ZERO,
-                fresh: true,
+                has_full_tables: true,
             }
         };
         let mut fleet = Self {
@@ -179,26 +179,26 @@
             engines: endpoints,
             operator: Table::default(),
             endpoints: Table::default(),
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             count: 0,
-            unanswered: 0,
+            timed_out: 0,
             published: Duration::ZERO,
-            reached: BTreeMap::new(),
+            catalog_reached: BTreeMap::new(),
             leaving: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for number in 0..nodes {
-            let at = fleet.draw(STEP);
-            fleet.later(at, Due::Step(number));
-            if fleet.nodes[number].part.reads {
-                let at = fleet.draw(READ);
-                fleet.later(at, Due::Read(number));
+            let at = fleet.draw(STEP_INTERVAL);
+            fleet.schedule(at, Event::Step(number));
+            if fleet.nodes[number].assignment.reads {
+                let at = fleet.draw(READ_INTERVAL);
+                fleet.schedule(at, Event::Read(number));
             }
         }
         for number in 0..endpoints {
-            for until in [ms(1200), LOADED] {
+            for until in [ms(1200), LOAD_END] {
                 let at = fleet.draw(until);
-                fleet.later(at, Due::Row(number));
+                fleet.schedule(at, Event::Row(number));
             }
         }
         fleet
@@ -208,26 +208,31 @@
     pub fn publish(&mut self) {
         let offset = self.operator.next_offset();
         self.operator
-            .apply(record("catalog".to_owned(), CATALOG, offset));
+            .apply(record("catalog".to_owned(), CATALOG_BYTES, offset));
         self.published = self.now;
-        self.reached.clear();
-        let readers = (0..self.nodes.len()).filter(|&n| self.nodes[n].part.reads);
+        self.catalog_reached.clear();
+        let readers = (0..self.nodes.len()).filter(|&n| self.nodes[n].assignment.reads);
         for reader in readers.collect::<Vec<_>>() {
-            self.later(TOLD, Due::Told(reader));
+            self.schedule(CATALOG_DELAY, Event::CatalogRead(reader));
         }
     }
 
     /// How long the newest catalog took to be in force on all nodes.
-    pub fn in_force(&self) -> Duration {
-        if self.reached.len() < self.nodes.len() {
+    pub fn catalog_latency(&self) -> Duration {
+        if self.catalog_reached.len() < self.nodes.len() {
             return Duration::MAX;
         }
-        let last = self.reached.values().max().copied().unwrap_or_default();
+        let last = self
+            .catalog_reached
+            .values()
+            .max()
+            .copied()
+            .unwrap_or_default();
         last - self.published
     }
 
     /// Nodes that lack rows of the endpoints' table.
-    pub fn behind(&self) -> usize {
+    pub fn nodes_missing_rows(&self) -> usize {
         let rows = self.endpoints.iter().count();
         let lacks = |n: &&Node| n.endpoints.iter().count() < rows;
         self.nodes.iter().filter(lacks).count()
@@ -240,72 +245,73 @@
         let busiest = self.nodes.iter().map(rate).fold(0.0, f64::max);
         format!(
             "busiest node {busiest:.2} MB/s, {} asks without an answer",
-            self.unanswered
+            self.timed_out
         )
     }
 
     /// Plays on until a time.
     pub fn run_until(&mut self, until: Duration) {
-        while let Some(Reverse((at, _, _))) = self.due.peek()
+        while let Some(Reverse((at, _, _))) = self.events.peek()
             && *at <= until
         {
-            let Some(Reverse((at, _, due))) = self.due.pop() else {
+            let Some(Reverse((at, _, event))) = self.events.pop() else {
                 return;
             };
             self.now = at;
-            self.play(due);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn play(&mut self, due: Due) {
-        match due {
-            Due::Step(number) => self.step(number),
-            Due::Read(number) => {
-                if !self.nodes[number].runs || !self.nodes[number].part.reads {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Step(number) => self.step(number),
+            Event::Read(number) => {
+                if !self.nodes[number].running || !self.nodes[number].assignment.reads {
                     return;
                 }
                 let page = self
                     .endpoints
                     .since(self.nodes[number].endpoints.next_offset());
-                self.take(number, Kind::Endpoints, page);
-                self.later(READ, Due::Read(number));
+                self.apply(number, Kind::Endpoints, page);
+                self.schedule(READ_INTERVAL, Event::Read(number));
             }
-            Due::Divide => self.divide(),
-            Due::Start(number) => self.start(number),
-            Due::Whole(number) => {
+            Event::Reassign => self.reassign(),
+            Event::Start(number) => self.start(number),
+            Event::FullRead(number) => {
                 let (operator, endpoints) = (whole(&self.operator), whole(&self.endpoints));
-                self.nodes[number].fresh = true;
-                self.take(number, Kind::Operator, operator);
-                self.take(number, Kind::Endpoints, endpoints);
-                self.later(READ, Due::Read(number));
+                self.nodes[number].has_full_tables = true;
+                self.apply(number, Kind::Operator, operator);
+                self.apply(number, Kind::Endpoints, endpoints);
+                self.schedule(READ_INTERVAL, Event::Read(number));
             }
-            Due::Told(number) if self.nodes[number].stuck => {}
-            Due::Told(number) => {
+            Event::CatalogRead(number) if self.nodes[number].stale_operator => {}
+            Event::CatalogRead(number) => {
                 let page = self
                     .operator
                     .since(self.nodes[number].operator.next_offset());
-                self.take(number, Kind::Operator, page);
+                self.apply(number, Kind::Operator, page);
             }
-            Due::Row(number) => {
+            Event::Row(number) => {
                 let offset = self.endpoints.next_offset();
-                self.endpoints.apply(record(run(number).id, ROW, offset));
+                self.endpoints
+                    .apply(record(run(number).id, ROW_BYTES, offset));
             }
-            Due::Ask {
+            Event::Request {
                 to,
                 by,
                 call,
-                ask,
+                request,
                 from,
             } => {
-                if !self.nodes[to].runs {
+                if !self.nodes[to].running {
                     return;
                 }
-                let bytes = self.give(to, ask, from);
+                let bytes = self.serve(to, request, from);
                 self.send(
                     to,
                     by,
-                    Due::Answer {
+                    Event::Response {
                         to: by,
                         call,
                         bytes,
@@ -313,24 +319,24 @@
                     0,
                 );
             }
-            Due::Answer { to, call, bytes } => {
-                if let Some((ask, peer)) = self.nodes[to].calls.remove(&call) {
-                    self.answered(to, ask, peer, &bytes);
+            Event::Response { to, call, bytes } => {
+                if let Some((request, peer)) = self.nodes[to].calls.remove(&call) {
+                    self.handle_response(to, request, peer, &bytes);
                 }
             }
-            Due::Again {
+            Event::Resend {
                 by,
                 to,
-                tries,
+                sends,
                 message,
-            } => self.send(by, to, *message, tries),
-            Due::Expire { by, call } => {
+            } => self.send(by, to, *message, sends),
+            Event::Expire { by, call } => {
                 let now = self.start + self.now;
                 let node = &mut self.nodes[by];
-                if let Some((ask, peer)) = node.calls.remove(&call) {
-                    node.pulls.ended(ask, peer, false);
-                    node.pulls.failed(now, peer);
-                    self.unanswered += 1;
+                if let Some((request, peer)) = node.calls.remove(&call) {
+                    node.pulls.finish(request, peer, false);
+                    node.pulls.mark_failed(now, peer);
+                    self.timed_out += 1;
                 }
             }
         }
@@ -339,103 +345,109 @@
     fn step(&mut self, number: usize) {
         let now = self.start + self.now;
         let node = &mut self.nodes[number];
-        if !node.runs {
+        if !node.running {
             return;
         }
-        if self.now >= node.polled + POLL {
-            node.polled = self.now;
+        if self.now >= node.last_poll + POLL_INTERVAL {
+            node.last_poll = self.now;
             for &engine in &node.engines {
                 let used = self.random.random_range(0.0..900.0);
                 node.loads
-                    .reported(now, &run(engine).to_string(), &report(used));
+                    .record(now, &run(engine).to_string(), &report(used));
             }
         }
         node.loads.expire(now);
-        for (ask, peer) in node.pulls.due(now, &node.part) {
-            self.ask(number, ask, peer, None);
+        for (request, peer) in node.pulls.due(now, &node.assignment) {
+            self.request(number, request, peer, None);
         }
-        self.later(STEP, Due::Step(number));
+        self.schedule(STEP_INTERVAL, Event::Step(number));
     }
 
-    fn ask(&mut self, by: usize, ask: Ask, peer: SocketAddr, from: Option<u64>) {
+    fn request(&mut self, by: usize, request: Request, peer: SocketAddr, from: Option<u64>) {
         let to = self.peers.iter().position(|p| p.identity.addr == peer);
         let to = to.expect("a peer");
         self.count += 1;
         let call = self.count;
         let node = &mut self.nodes[by];
-        node.calls.insert(call, (ask, peer));
-        let from = from.unwrap_or_else(|| match ask {
-            Ask::Changes(Kind::Operator) | Ask::Keys(Kind::Operator) => node.operator.next_offset(),
-            Ask::Changes(Kind::Endpoints) | Ask::Keys(Kind::Endpoints) => {
+        node.calls.insert(call, (request, peer));
+        let from = from.unwrap_or_else(|| match request {
+            Request::Changes(Kind::Operator) | Request::Keys(Kind::Operator) => {
+                node.operator.next_offset()
+            }
+            Request::Changes(Kind::Endpoints) | Request::Keys(Kind::Endpoints) => {
                 node.endpoints.next_offset()
             }
-            Ask::Loads(scope) => node.loads.heard(peer, scope),
+            Request::Loads(scope) => node.loads.known_change(peer, scope),
         });
-        let ask = ask.into();
-        let message = Due::Ask {
+        let request = request.into();
+        let message = Event::Request {
             to,
             by,
             call,
-            ask,
+            request,
             from,
         };
-        let limit = if self.nodes[to].runs { ASK } else { FAILS };
-        self.later(limit, Due::Expire { by, call });
+        let limit = if self.nodes[to].running {
+            REQUEST_TIMEOUT
+        } else {
+            CONNECT_TIMEOUT
+        };
+        self.schedule(limit, Event::Expire { by, call });
         self.send(by, to, message, 0);
     }
 
     /// What a node gives, as `State::offer` does.
-    fn give(&mut self, by: usize, ask: u8, from: u64) -> Vec<u8> {
+    fn serve(&mut self, by: usize, request: u8, from: u64) -> Vec<u8> {
         let now = self.start + self.now;
         let node = &self.nodes[by];
         let table = |kind| match kind {
             Kind::Operator => &node.operator,
             Kind::Endpoints => &node.endpoints,
         };
-        let chunk = match Ask::try_from(ask).expect("an ask") {
-            Ask::Changes(kind) => table(kind).changes(from, CHUNK),
-            Ask::Keys(kind) => table(kind).keys(from, CHUNK),
-            Ask::Loads(scope) => return node.loads.encode(now, scope, from).expect("encodes"),
+        let chunk = match Request::try_from(request).expect("an ask") {
+            Request::Changes(kind) => table(kind).changes(from, CHUNK_BYTES),
+            Request::Keys(kind) => table(kind).keys(from, CHUNK_BYTES),
+            Request::Loads(scope) => return node.loads.encode(now, scope, from).expect("encodes"),
         };
-        let copy = Copy {
+        let response = Response {
             page: chunk.page,
-            fresh: node.part.reads && node.fresh,
+            up_to_date: node.assignment.reads && node.has_full_tables,
             more: chunk.more,
         };
-        copy::encode(&copy).expect("encodes")
+        copy::encode(&response).expect("encodes")
     }
 
-    fn answered(&mut self, by: usize, ask: Ask, peer: SocketAddr, bytes: &[u8]) {
+    fn handle_response(&mut self, by: usize, request: Request, peer: SocketAddr, bytes: &[u8]) {
         let now = self.start + self.now;
         let node = &mut self.nodes[by];
-        node.pulls.ended(ask, peer, true);
-        let kind = match ask {
-            Ask::Changes(kind) | Ask::Keys(kind) => kind,
-            Ask::Loads(scope) => {
-                node.loads.take(now, peer, scope, bytes).expect("decodes");
+        node.pulls.finish(request, peer, true);
+        let kind = match request {
+            Request::Changes(kind) | Request::Keys(kind) => kind,
+            Request::Loads(scope) => {
+                node.loads.merge(now, peer, scope, bytes).expect("decodes");
                 return;
             }
         };
-        let copy = copy::decode(bytes).expect("decodes");
-        if !copy.fresh {
-            node.pulls.failed(now, peer);
+        let response = copy::decode(bytes).expect("decodes");
+        if !response.up_to_date {
+            node.pulls.mark_failed(now, peer);
         }
-        let (page, more) = match node.pulls.gather(peer, kind, copy) {
-            Next::Take(page) => (Some(page), None),
-            Next::TakeAndAsk(page) => (Some(page), Some((Ask::Changes(kind), None))),
-            Next::Gather(from) => (None, Some((Ask::Keys(kind), Some(from)))),
+        let (page, more) = match node.pulls.handle_chunk(peer, kind, response) {
+            Action::Apply(page) => (Some(page), None),
+            Action::ApplyAndContinue(page) => (Some(page), Some((Request::Changes(kind), None))),
+            Action::FetchKeys(from) => (None, Some((Request::Keys(kind), Some(from)))),
         };
         if let Some(page) = page {
-            self.take(by, kind, page);
+            self.apply(by, kind, page);
         }
-        if let Some((ask, from)) = more
-            && self.nodes[by].pulls.begin(ask, peer, 1)
+        if let Some((request, from)) = more
+            && self.nodes[by].pulls.begin(request, peer, 1)
         {
-            self.ask(by, ask, peer, from);
+            self.request(by, request, peer, from);
         }
     }
 
-    fn take(&mut self, number: usize, kind: Kind, page: Page) {
+    fn apply(&mut self, number: usize, kind: Kind, page: Page) {
         let node = &mut self.nodes[number];
         match kind {
             Kind::Endpoints => {
@@ -448,48 +460,49 @@
             Kind::Operator => {
                 node.operator.apply(page);
                 if node.operator.next_offset() == self.operator.next_offset() {
-                    self.reached.entry(number).or_insert(self.now);
+                    self.catalog_reached.entry(number).or_insert(self.now);
                 }
             }
         }
     }
 
     /// Sends over the links of both ends, one frame after another.
-    fn send(&mut self, by: usize, to: usize, message: Due, tries: u32) {
+    fn send(&mut self, by: usize, to: usize, message: Event, sends: u32) {
         let bytes = match &message {
-            Due::Answer { bytes, .. } => bytes.len() + ASK_BYTES,
-            _ => ASK_BYTES,
+            Event::Response { bytes, .. } => bytes.len() + REQUEST_BYTES,
+            _ => REQUEST_BYTES,
         };
-        let time = Duration::from_secs_f64(bytes as f64 / LINK);
-        let left = self.nodes[by].up.max(self.now) + time;
-        self.nodes[by].up = left;
+        let time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_SECOND);
+        let departure = self.nodes[by].uplink_free_at.max(self.now) + time;
+        self.nodes[by].uplink_free_at = departure;
         self.nodes[by].sent += bytes as u64;
-        let came = self.nodes[to].down.max(left + DELAY) + time;
-        self.nodes[to].down = came;
-        if came - self.now <= SILENT {
-            return self.later(came - self.now, message);
+        let arrival = self.nodes[to].downlink_free_at.max(departure + LINK_DELAY) + time;
+        self.nodes[to].downlink_free_at = arrival;
+        if arrival - self.now <= FRAME_TIMEOUT {
+            return self.schedule(arrival - self.now, message);
         }
-        if tries + 1 < TRIES {
+        if sends + 1 < MAX_SENDS {
             let message = Box::new(message);
-            let tries = tries + 1;
-            self.later(
-                SILENT,
-                Due::Again {
+            let sends = sends + 1;
+            self.schedule(
+                FRAME_TIMEOUT,
+                Event::Resend {
                     by,
                     to,
-                    tries,
+                    sends,
                     message,
                 },
             );
         }
     }
 
-    fn later(&mut self, after: Duration, due: Due) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.count += 1;
-        self.due.push(Reverse((self.now + after, self.count, due)));
+        self.events
+            .push(Reverse((self.now + after, self.count, event)));
     }
 
-    fn draw(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.random.random_range(0.0..1.0))
+    fn draw(&mut self, limit: Duration) -> Duration {
+        limit.mul_f64(self.random.random_range(0.0..1.0))
     }
 }
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -4,7 +4,7 @@
 use catalog::source::{Page, Record, Table};
 use member::identity::Identity;
 use member::peer::Peer;
-use node::hosted::control::readers::{Engines, Part};
+use node::hosted::control::assignment::{Assignment, EngineCounts};
 use std::time::Duration;
 
 pub(super) fn identity(number: usize) -> Identity {
@@ -25,21 +25,21 @@
 }
 
 /// The part of a node among those that are open, before endpoints spread over the zones.
-pub(super) fn part<'a>(
+pub(super) fn assignment<'a>(
     now: Duration,
     peer: &Peer,
     open: impl Iterator<Item = &'a Peer>,
     endpoints: usize,
-) -> Part {
+) -> Assignment {
     let third = endpoints / 3;
-    let engines = Engines::from([("a", third), ("b", third), ("c", endpoints - 2 * third)]);
-    Part::of(now, peer.id, &peer.identity.zone, open, &engines)
+    let engines = EngineCounts::from([("a", third), ("b", third), ("c", endpoints - 2 * third)]);
+    Assignment::of(now, peer.id, &peer.identity.zone, open, &engines)
 }
 
 /// The endpoints that a node asks for their load.
-pub(super) fn asked(part: &Part, endpoints: usize) -> Vec<usize> {
+pub(super) fn polled_engines(assignment: &Assignment, endpoints: usize) -> Vec<usize> {
     let zone = |n: usize| ["a", "b", "c"][n % 3];
-    let own = (0..endpoints).filter(|&n| part.asks(zone(n), &run(n)));
+    let own = (0..endpoints).filter(|&n| assignment.polls(zone(n), &run(n)));
     own.collect()
 }
 
