--- a/crates/node/src/gauges.rs
+++ b/crates/node/src/gauges.rs
@@ -10,12 +10,12 @@
         let reports = reports.clone();
         let builder = meter.u64_observable_gauge(format!("wigeonshelf_route_{name}"));
         builder
-            .with_callback(move |observer| observer.observe(sum(&reports, row), &[]))
+            .with_callback(move |observer| observer.observe(total(&reports, row), &[]))
             .build();
     }
 }
 
-fn sum(reports: &[Reports], row: usize) -> u64 {
+fn total(reports: &[Reports], row: usize) -> u64 {
     let values = reports.iter().map(|r| r.load().rows()[row].1);
     values.sum()
 }
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -30,34 +30,34 @@
 use tokio_util::sync::CancellationToken;
 
 /// Part of the grace time in which new requests are still served.
-const SERVE_PART: f64 = 0.38;
+const SERVE_FRACTION: f64 = 0.38;
 /// Part of the grace time after which what is in flight is broken off.
-const FINISH_PART: f64 = 0.94;
+const ABORT_FRACTION: f64 = 0.94;
 /// How often the end of what is in flight is looked for.
-const LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest time that the last lines may take.
-const LAST_LINES: Duration = Duration::from_millis(300);
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often idle connections are looked at.
-const TIDY: Duration = Duration::from_secs(1);
+const TIDY_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the settings file is looked at: it may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Findings about endpoints that may wait for control.
-const NOTES: usize = 256;
+const TRANSITION_QUEUE_LEN: usize = 256;
 /// Questions for a dump that may wait.
-const DUMPS: usize = 4;
+const DUMP_QUEUE_LEN: usize = 4;
 /// Connections that the listeners for short questions take.
-const SMALL: usize = 256;
+const MAX_AUXILIARY_CONNECTIONS: usize = 256;
 
 /// When the parts of a node end.
 #[derive(Clone, Debug, Default)]
-struct Ends {
+struct Shutdown {
     leave: CancellationToken,
     /// New requests are refused.
     close: CancellationToken,
     serving: Stop,
     control: CancellationToken,
     /// Requests in flight, for the thread that waits for their end.
-    flying: Arc<AtomicU64>,
+    in_flight: Arc<AtomicU64>,
 }
 
 /// Runs a node until a signal ends it.
@@ -69,12 +69,12 @@
         node: settings.name.clone(),
         callers: settings.callers.to_string(),
     });
-    let ends = Ends::default();
-    let board = SharedView::default();
+    let shutdown = Shutdown::default();
+    let shared_view = SharedView::default();
     let incarnation = incarnation();
     let seed = seed(&settings.name, incarnation);
-    let (notes, noted) = mpsc::channel(NOTES);
-    let (dumps, asked) = mpsc::channel(DUMPS);
+    let (transitions, transition_queue) = mpsc::channel(TRANSITION_QUEUE_LEN);
+    let (dumps, dump_queue) = mpsc::channel(DUMP_QUEUE_LEN);
     let registry = Registry::new();
     // Held until the end: the instruments work as long as it does.
     let provider = provider(&registry)?;
@@ -83,44 +83,45 @@
         metrics: metrics.clone(),
         dumps,
         dialect: Headers::default(),
-        shared_view: board.clone(),
+        shared_view: shared_view.clone(),
         journal: journal.clone(),
         allowance: settings.allowance,
         seed,
-        transitions: notes,
+        transitions,
     };
-    let worker = start_worker(&settings, parts, &ends)?;
+    let worker = start_worker(&settings, parts, &shutdown)?;
     let control = Control {
         settings: settings.clone(),
         incarnation,
         seed,
-        board,
+        shared_view,
         journal: journal.clone(),
         metrics,
-        leave: ends.leave.clone(),
-        end: ends.control.clone(),
+        leave: shutdown.leave.clone(),
+        end: shutdown.control.clone(),
     };
     let builder = std::thread::Builder::new().name("control".to_owned());
-    let control = builder.spawn(move || runtime()?.block_on(control.run(noted, asked)))?;
-    let watched = Watched {
+    let control =
+        builder.spawn(move || runtime()?.block_on(control.run(transition_queue, dump_queue)))?;
+    let watch = SettingsWatch {
         file: file.to_owned(),
         settings,
         journal: journal.clone(),
     };
-    let result = runtime()?.block_on(until_end(watched, &ends));
+    let result = runtime()?.block_on(run_until_signal(watch, &shutdown));
     for thread in [worker, control] {
         thread
             .join()
             .map_err(|_| eyre::eyre!("a thread panicked"))??;
     }
     journal.record(Event::Stop { reason: "ended" });
-    writer.finish(LAST_LINES);
+    writer.finish(LOG_FLUSH_TIMEOUT);
     result
 }
 
 type Thread = std::thread::JoinHandle<Result<()>>;
 
-fn start_worker(settings: &Settings, parts: Parts<Headers>, ends: &Ends) -> Result<Thread> {
+fn start_worker(settings: &Settings, parts: Parts<Headers>, shutdown: &Shutdown) -> Result<Thread> {
     let mut listeners = vec![(bind(settings.callers)?, Port::Callers, settings.connections)];
     for (addr, port) in [
         (settings.addresses, Port::Addresses),
@@ -128,43 +129,45 @@
         (settings.metrics, Port::Metrics),
     ] {
         if let Some(addr) = addr {
-            listeners.push((bind(addr)?, port, SMALL));
+            listeners.push((bind(addr)?, port, MAX_AUXILIARY_CONNECTIONS));
         }
     }
-    let ends = ends.clone();
+    let shutdown = shutdown.clone();
     let builder = std::thread::Builder::new().name("worker".to_owned());
     Ok(builder.spawn(move || {
         let local = LocalSet::new();
         let worker = Worker::new(parts);
-        local.block_on(&runtime()?, serve(worker, listeners, ends))
+        local.block_on(&runtime()?, serve(worker, listeners, shutdown))
     })?)
 }
 
 async fn serve(
     worker: Rc<Worker<Headers>>,
     listeners: Vec<(std::net::TcpListener, Port, usize)>,
-    ends: Ends,
+    shutdown: Shutdown,
 ) -> Result<()> {
     for (listener, port, connections) in listeners {
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        let stop = ends.serving.clone();
+        let stop = shutdown.serving.clone();
         let running = listener::run(worker.clone(), listener, port, connections, stop);
         tokio::task::spawn_local(running);
     }
-    let mut tidy = tokio::time::interval(TIDY);
+    let mut tidy_tick = tokio::time::interval(TIDY_INTERVAL);
     loop {
         tokio::select! {
-            () = ends.serving.kill.cancelled() => return Ok(()),
-            () = ends.close.cancelled() => break,
-            _ = tidy.tick() => worker.prune(),
+            () = shutdown.serving.kill.cancelled() => return Ok(()),
+            () = shutdown.close.cancelled() => break,
+            _ = tidy_tick.tick() => worker.prune(),
         }
     }
     worker.close();
     loop {
-        ends.flying.store(worker.in_flight(), Ordering::Relaxed);
+        shutdown
+            .in_flight
+            .store(worker.in_flight(), Ordering::Relaxed);
         tokio::select! {
-            () = ends.serving.kill.cancelled() => return Ok(()),
-            () = tokio::time::sleep(LOOK) => {}
+            () = shutdown.serving.kill.cancelled() => return Ok(()),
+            () = tokio::time::sleep(DRAIN_POLL_INTERVAL) => {}
         }
     }
 }
@@ -173,60 +176,60 @@
     entry::listener::open(addr).wrap_err_with(|| format!("listener {addr}"))
 }
 
-struct Watched {
+struct SettingsWatch {
     file: PathBuf,
     settings: Settings,
     journal: Journal,
 }
 
 /// Waits for the signal to end, then leaves.
-async fn until_end(mut watched: Watched, ends: &Ends) -> Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
-    let mut hup = signal(SignalKind::hangup())?;
-    let mut look = tokio::time::interval(SETTINGS_LOOK);
+async fn run_until_signal(mut watch: SettingsWatch, shutdown: &Shutdown) -> Result<()> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    let mut hangup = signal(SignalKind::hangup())?;
+    let mut poll = tokio::time::interval(SETTINGS_POLL_INTERVAL);
     loop {
         tokio::select! {
-            _ = term.recv() => break,
-            _ = int.recv() => break,
-            _ = hup.recv() => watched.reload(true),
-            _ = look.tick() => watched.reload(false),
+            _ = terminate.recv() => break,
+            _ = interrupt.recv() => break,
+            _ = hangup.recv() => watch.reload(true),
+            _ = poll.tick() => watch.reload(false),
         }
     }
-    leave(&watched, ends, &mut term).await;
+    leave(&watch, shutdown, &mut terminate).await;
     Ok(())
 }
 
-async fn leave(watched: &Watched, ends: &Ends, term: &mut Signal) {
-    let grace = watched.settings.grace;
-    let begun = tokio::time::Instant::now();
-    watched.journal.record(Event::Stop {
+async fn leave(watch: &SettingsWatch, shutdown: &Shutdown, terminate: &mut Signal) {
+    let grace = watch.settings.grace;
+    let started = tokio::time::Instant::now();
+    watch.journal.record(Event::Stop {
         reason: "signal to end",
     });
-    ends.leave.cancel();
+    shutdown.leave.cancel();
     tokio::select! {
-        () = tokio::time::sleep(grace.mul_f64(SERVE_PART)) => {}
-        _ = term.recv() => {}
+        () = tokio::time::sleep(grace.mul_f64(SERVE_FRACTION)) => {}
+        _ = terminate.recv() => {}
     }
-    ends.flying.store(u64::MAX, Ordering::Relaxed);
-    ends.close.cancel();
-    ends.serving.drain.cancel();
-    let finish = begun + grace.mul_f64(FINISH_PART);
-    while ends.flying.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < finish {
-        tokio::time::sleep(LOOK).await;
+    shutdown.in_flight.store(u64::MAX, Ordering::Relaxed);
+    shutdown.close.cancel();
+    shutdown.serving.drain.cancel();
+    let deadline = started + grace.mul_f64(ABORT_FRACTION);
+    while shutdown.in_flight.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < deadline {
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     // The last answers are in the kernel's hands by then, or in a moment.
-    tokio::time::sleep(LOOK).await;
-    ends.control.cancel();
-    ends.serving.kill.cancel();
+    tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+    shutdown.control.cancel();
+    shutdown.serving.kill.cancel();
 }
 
-impl Watched {
+impl SettingsWatch {
     /// Reads the settings again if the file changed; `asked` if a signal asked for it.
-    fn reload(&mut self, asked: bool) {
+    fn reload(&mut self, signalled: bool) {
         let outcome = match settings::load(&self.file) {
             Ok(new) if format!("{new:?}") == format!("{:?}", self.settings) => {
-                if !asked {
+                if !signalled {
                     return;
                 }
                 "nothing changed".to_owned()
--- a/crates/node/src/hosted/settings.rs
+++ b/crates/node/src/hosted/settings.rs
@@ -25,15 +25,15 @@
 ];
 
 /// Descriptors that are kept for other uses than callers' connections: endpoints, peers, store.
-const RESERVED: usize = 1200;
+const RESERVED_DESCRIPTORS: usize = 1200;
 /// Callers' connections at the least.
-const LEAST_CONNECTIONS: usize = 256;
+const MIN_CONNECTIONS: usize = 256;
 /// Time from the signal to end until the process is killed, unless set.
-const GRACE: Duration = Duration::from_secs(8);
+const DEFAULT_GRACE: Duration = Duration::from_secs(8);
 /// How often endpoints write their row, unless set.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+const DEFAULT_HEARTBEAT: Duration = Duration::from_secs(1);
 /// Descriptors, unless set: the usual limit of a process.
-const DESCRIPTORS: usize = 4096;
+const DEFAULT_DESCRIPTORS: usize = 4096;
 
 /// Checked settings.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
 }
 
 /// Whether the settings in `file` are those of a node on a platform's store.
-pub fn hosted(file: &Path) -> bool {
+pub fn is_hosted(file: &Path) -> bool {
     let content = std::fs::read_to_string(file).unwrap_or_default();
     content.lines().any(|line| line.trim() == "[store]")
 }
@@ -107,10 +107,10 @@
 
 fn settings(text: &Text, findings: &mut Vec<Finding>) -> Option<Settings> {
     let mut node = Section::new(text, NODE);
-    let own_name = node.required("name", name, findings);
+    let node_name = node.required("name", name, findings);
     let zone = node.required("zone", name, findings);
     let region = node.required("region", name, findings);
-    let grace = node.or("grace", GRACE, limit, findings);
+    let grace = node.or("grace", DEFAULT_GRACE, limit, findings);
     node.finish(findings);
     let callers = listen(text, CALLERS, findings);
     let addresses = listen(text, ADDRESSES, findings);
@@ -127,17 +127,17 @@
     peers.finish(findings);
     let mut store = Section::new(text, STORE);
     let address = store.required("address", addr, findings);
-    let heartbeat = store.or("heartbeat", HEARTBEAT, limit, findings);
+    let heartbeat = store.or("heartbeat", DEFAULT_HEARTBEAT, limit, findings);
     store.finish(findings);
     let allowance = allowance(text, findings);
     let mut limits = Section::new(text, LIMITS);
-    let descriptors = limits.or("descriptors", DESCRIPTORS, value::count, findings);
+    let descriptors = limits.or("descriptors", DEFAULT_DESCRIPTORS, value::count, findings);
     limits.finish(findings);
     let mut logging = Section::new(text, LOGGING);
     let level = logging.or("level", log::LevelFilter::Info, level, findings);
     logging.finish(findings);
     Some(Settings {
-        name: own_name?,
+        name: node_name?,
         zone: zone?,
         region: region?,
         callers: callers?,
@@ -150,7 +150,9 @@
         store: address?,
         heartbeat,
         allowance,
-        connections: descriptors.saturating_sub(RESERVED).max(LEAST_CONNECTIONS),
+        connections: descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTIONS),
         grace,
         level,
     })
@@ -164,16 +166,16 @@
 }
 
 fn allowance(text: &Text, findings: &mut Vec<Finding>) -> Allowance {
-    let usual = Allowance {
+    let default = Allowance {
         ratio: 0.1,
         slack: 50.0,
         window: Duration::from_secs(10),
     };
     let mut retries = Section::new(text, RETRIES);
     let allowance = Allowance {
-        ratio: retries.or("ratio", usual.ratio, value::fraction, findings),
-        slack: retries.or("slack", usual.slack, value::fraction, findings),
-        window: retries.or("window", usual.window, time, findings),
+        ratio: retries.or("ratio", default.ratio, value::fraction, findings),
+        slack: retries.or("slack", default.slack, value::fraction, findings),
+        window: retries.or("window", default.window, time, findings),
     };
     retries.finish(findings);
     allowance
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -10,21 +10,21 @@
 use log4rs::encode::pattern::PatternEncoder;
 
 /// Name of the one appender.
-const MAIN: &str = "main";
+const APPENDER_NAME: &str = "main";
 /// Form of a text line.
-const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%Z)(utc)} {l} {t} {m}{n}";
+const TEXT_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%Z)(utc)} {l} {t} {m}{n}";
 
 /// Starts logging for the whole process.
 pub fn start(logging: &Logging) -> eyre::Result<()> {
-    let appender = Appender::builder().build(MAIN, appender(logging)?);
-    let root = Root::builder().appender(MAIN).build(logging.level);
+    let appender = Appender::builder().build(APPENDER_NAME, build_appender(logging)?);
+    let root = Root::builder().appender(APPENDER_NAME).build(logging.level);
     let config = Config::builder().appender(appender).build(root)?;
     log4rs::init_config(config)?;
     Ok(())
 }
 
-fn appender(logging: &Logging) -> eyre::Result<Box<dyn Append>> {
-    let encoder = encoder(logging.format);
+fn build_appender(logging: &Logging) -> eyre::Result<Box<dyn Append>> {
+    let encoder = build_encoder(logging.format);
     Ok(match &logging.file {
         Some(path) => Box::new(FileAppender::builder().encoder(encoder).build(path)?),
         None => {
@@ -34,9 +34,9 @@
     })
 }
 
-fn encoder(format: Format) -> Box<dyn Encode> {
+fn build_encoder(format: Format) -> Box<dyn Encode> {
     match format {
-        Format::Text => Box::new(PatternEncoder::new(PATTERN)),
+        Format::Text => Box::new(PatternEncoder::new(TEXT_PATTERN)),
         Format::Json => Box::new(JsonEncoder::new()),
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -81,7 +81,7 @@
 /// The settings file, if it is one of a node on a platform's store.
 fn hosted_file(matches: &ArgMatches) -> Option<PathBuf> {
     let file = matches.get_one::<PathBuf>(CONFIG)?;
-    hosted::settings::hosted(file).then(|| file.clone())
+    hosted::settings::is_hosted(file).then(|| file.clone())
 }
 
 fn load_hosted(file: &Path) -> std::result::Result<hosted::settings::Settings, ExitCode> {
--- a/crates/node/tests/binary.rs
+++ b/crates/node/tests/binary.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// Longest time for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// How often it is looked for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn wigeonshelf(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn wrong_command_lines_are_told_with_code_2() {
+fn invalid_command_lines_exit_with_code_2() {
     let lines: [&[&str]; 5] = [
         &[],
         &["check"],
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn good_settings_are_told_so() {
+fn valid_settings_pass_the_check() {
     let output = wigeonshelf(&["check", "--config", "good.ini"]);
     assert!(output.status.success(), "{output:?}");
     assert!(text(&output.stdout).contains("entry-1") && output.stderr.is_empty());
@@ -69,7 +69,7 @@
 // An operator sees every finding in one run, with its place, and nothing was started: with the
 // same faults `check` and a start say the same.
 #[test]
-fn every_finding_is_told_and_nothing_is_started() {
+fn every_finding_is_reported_and_nothing_is_started() {
     let case = include_str!("cases/faults.ini");
     let expected: Vec<&str> = case
         .lines()
@@ -116,7 +116,7 @@
 }
 
 /// The address that follows `word` in a line.
-fn after(line: &str, word: &str) -> SocketAddr {
+fn addr_after(line: &str, word: &str) -> SocketAddr {
     let rest = line.split(word).nth(1).expect("the word");
     let addr = rest.trim().split(',').next().expect("an address");
     addr.parse().expect("an address")
@@ -136,11 +136,11 @@
         std::thread::spawn(move || lines.count());
         let node = Self {
             child,
-            admin: after(&line, "admin on "),
-            callers: after(&line, "callers on "),
+            admin: addr_after(&line, "admin on "),
+            callers: addr_after(&line, "callers on "),
             file,
         };
-        wait("healthz answers", || {
+        wait_until("healthz answers", || {
             node.get(node.admin, "/healthz")
                 .starts_with("HTTP/1.1 200 ")
         });
@@ -151,7 +151,7 @@
     fn get(&self, addr: SocketAddr, path: &str) -> String {
         let mut answer = Vec::new();
         if let Ok(mut stream) = TcpStream::connect(addr) {
-            let _ = stream.set_read_timeout(Some(PATIENCE));
+            let _ = stream.set_read_timeout(Some(TIMEOUT));
             let _ = write!(
                 stream,
                 "GET {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n"
@@ -167,14 +167,14 @@
         assert!(status.expect("kill runs").success());
     }
 
-    fn ended(&mut self) -> Option<ExitStatus> {
+    fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("a status")
     }
 
     /// Waits for its end; the exit code.
-    fn end(&mut self) -> Option<i32> {
-        wait("the node ends", || self.ended().is_some());
-        self.ended().and_then(|s| s.code())
+    fn wait_for_exit(&mut self) -> Option<i32> {
+        wait_until("the node ends", || self.exit_status().is_some());
+        self.exit_status().and_then(|s| s.code())
     }
 }
 
@@ -187,11 +187,11 @@
     }
 }
 
-fn wait(what: &str, mut test: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(what: &str, mut test: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
     while !test() {
         assert!(Instant::now() < end, "it did not come: {what}");
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -210,7 +210,7 @@
         "{refused}"
     );
     node.signal("TERM");
-    assert_eq!(node.end(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 // A caller with an old address answer is still served while the node drains; then it ends with 0.
@@ -219,16 +219,16 @@
     for signal in ["TERM", "INT"] {
         let mut node = Node::start(&format!("drains-{signal}"), "2s");
         node.signal(signal);
-        let told = |node: &Node| {
+        let leaving = |node: &Node| {
             node.get(node.admin, "/admin/v1/status")
                 .contains("\"leaving\":true")
         };
-        wait("the node says that it leaves", || told(&node));
+        wait_until("the node says that it leaves", || leaving(&node));
         assert!(
             node.get(node.callers, "/v1/addresses")
                 .starts_with("HTTP/1.1 503 ")
         );
-        assert_eq!(node.end(), Some(0));
+        assert_eq!(node.wait_for_exit(), Some(0));
     }
 }
 
@@ -237,37 +237,37 @@
 fn second_signal_ends_at_once() {
     let mut node = Node::start("at-once", "1h");
     node.signal("TERM");
-    let told = |node: &Node| {
+    let leaving = |node: &Node| {
         node.get(node.admin, "/admin/v1/status")
             .contains("\"leaving\":true")
     };
-    wait("the node says that it leaves", || told(&node));
-    assert!(node.ended().is_none());
+    wait_until("the node says that it leaves", || leaving(&node));
+    assert!(node.exit_status().is_none());
     node.signal("TERM");
-    assert_eq!(node.end(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 // A second process with the same port ends with code 1 and tells the listener. If the kernel let both
 // listen, each would get half of the callers' connections, and nobody would be told.
 #[test]
-fn taken_port_is_told() {
+fn port_in_use_is_reported() {
     let node = Node::start("first", "0s");
     let file = write("second", &settings("second", "0s", node.callers.port()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
     command.arg("--config").arg(&file).stderr(Stdio::piped());
     let mut second = command.spawn().expect("it starts");
-    let end = Instant::now() + PATIENCE / 3;
+    let end = Instant::now() + TIMEOUT / 3;
     while second.try_wait().expect("a status").is_none() {
         if Instant::now() > end {
             let _ = second.kill();
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let output = second.wait_with_output().expect("it ended");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
-    let told = text(&output.stderr);
+    let message = text(&output.stderr);
     assert!(
-        told.contains(&format!("callers' listener {}", node.callers)),
-        "{told}"
+        message.contains(&format!("callers' listener {}", node.callers)),
+        "{message}"
     );
 }
--- a/crates/node/tests/hosted.rs
+++ b/crates/node/tests/hosted.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Looks, 20 ms apart, before a state that should come is given up.
-const LOOKS: usize = 1500;
+const MAX_POLLS: usize = 1500;
 
 /// A running node.
 struct Node {
@@ -82,7 +82,7 @@
     done: impl Fn(&(StatusCode, String)) -> bool,
 ) -> (StatusCode, String) {
     let mut last = None;
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         last = ask(addr, "GET", path, "k1").await;
         if let Some(found) = last.clone().filter(&done) {
             return found;
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engines_are_filled_and_each_kind_of_request_is_served() {
+async fn engines_are_loaded_and_each_kind_of_request_is_served() {
     let store = Store::start().await;
     let (engines, app) = fleet(&store).await;
     let node = start("whole", store.addr, "");
@@ -150,11 +150,11 @@
 // can't read the store must not serve it for longer than the other, so it takes the version from
 // its peer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_the_store_turns_away_learns_versions_from_its_peer() {
+async fn a_node_refused_by_the_store_learns_versions_from_its_peer() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
     store.put_manifest(&manifest(1, "/safe/"));
-    let (door, shut) = store.second_address().await;
+    let (door, closed) = store.second_address().await;
     let first = start("first", store.addr, "");
     let second = start("second", door, &first.peers.to_string());
     for node in [&first, &second] {
@@ -168,7 +168,7 @@
         both,
     )
     .await;
-    *shut.lock().unwrap() = true;
+    *closed.lock().unwrap() = true;
     store.put_manifest(&manifest(2, "/other/"));
     until("version 2", second.callers, "/other/x", ok).await;
     let old = ask(second.callers, "GET", "/safe/x", "k1").await.unwrap();
@@ -177,7 +177,7 @@
 
 // The store is gone altogether. What is known stays in force, and requests are served.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_are_served_while_the_store_is_out() {
+async fn requests_are_served_during_a_store_outage() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
     store.put_manifest(&manifest(3, "/safe/"));
@@ -202,7 +202,7 @@
 // requests of each kind by the newest version again, also a node whose only seed is another that
 // was killed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nodes_that_were_killed_together_serve_again() {
+async fn nodes_killed_together_recover() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
     store.put_manifest(&manifest(1, "/safe/"));
@@ -216,10 +216,10 @@
     nodes.iter_mut().for_each(|n| n.process.kill());
     assert_eq!(ask(nodes[0].callers, "GET", "/chat/x", "k1").await, None);
     store.set_down(true);
-    nodes.iter_mut().for_each(|n| n.process.revive());
-    let away = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
+    nodes.iter_mut().for_each(|n| n.process.restart());
+    let unavailable = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
     for node in &nodes {
-        until("no catalog", node.callers, "/chat/x", away).await;
+        until("no catalog", node.callers, "/chat/x", unavailable).await;
     }
     store.set_down(false);
     for node in &nodes {
@@ -234,7 +234,7 @@
 // An endpoint says that it leaves while the store forgets its history. The node reads the whole
 // table anew, and sends nothing more to the endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_endpoint_gets_nothing_also_behind_a_compacted_log() {
+async fn a_leaving_endpoint_gets_no_requests_after_log_compaction() {
     let store = Store::start().await;
     let (_engines, app) = fleet(&store).await;
     let other = Engine::start_plain("other", &store).await;
@@ -246,28 +246,28 @@
     .await;
     other.drain();
     store.compact();
-    let mut quiet = 0;
-    for _ in 0..LOOKS {
+    let mut idle_rounds = 0;
+    for _ in 0..MAX_POLLS {
         let before = other.chains().len();
         for _ in 0..10 {
             until("an answer", node.callers, "/safe/x", ok).await;
         }
-        quiet = if other.chains().len() == before {
-            quiet + 1
+        idle_rounds = if other.chains().len() == before {
+            idle_rounds + 1
         } else {
             0
         };
-        if quiet == 3 {
+        if idle_rounds == 3 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(quiet, 3, "the leaving endpoint still gets requests");
+    assert_eq!(idle_rounds, 3, "the leaving endpoint still gets requests");
     assert!(!app.chains().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn signals_reload_and_end_a_node() {
+async fn signals_reload_and_stop_a_node() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
     store.put_manifest(&manifest(1, "/safe/"));
@@ -278,19 +278,19 @@
     assert!(node.process.signal("-HUP"));
     until("served after the reload", node.callers, "/safe/x", ok).await;
     assert!(node.process.signal("-TERM"));
-    let away = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
+    let unavailable = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
     until(
         "no longer ready",
         node.ready,
         Headers::default().ready_path(),
-        away,
+        unavailable,
     )
     .await;
     // Callers that still come are served at first.
     let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(answer.0, StatusCode::OK);
-    for _ in 0..LOOKS {
-        if let Some(status) = node.process.ended() {
+    for _ in 0..MAX_POLLS {
+        if let Some(status) = node.process.exit_status() {
             assert!(status.success(), "{status}");
             return;
         }
@@ -302,7 +302,7 @@
 // Tests run beside each other, and each starts nodes. Two nodes that are given one port are a test
 // that talks to another test's node, and fails once in many runs.
 #[test]
-fn no_two_nodes_are_given_one_address() {
+fn addresses_of_test_nodes_are_unique() {
     let mut given: Vec<_> = (0..2000).map(|_| address::unused()).collect();
     given.sort();
     given.dedup();
@@ -312,7 +312,7 @@
 // A caller complains. The operator reads the counters and the state where the settings say, and
 // finds what was served there; a path that is neither is not found.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn operators_read_counters_and_state_on_an_address_of_its_own() {
+async fn operators_read_metrics_and_dump_on_a_separate_address() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
     store.put_manifest(&manifest(1, "/safe/"));
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn every_finding_in_settings_is_told() {
+fn every_finding_in_settings_is_reported() {
     let content = "[node]\nname = a b\nzone = a\n[callers]\nlisten = here\n[peers]\nkey = 1\n\
                    [store]\naddress = 127.0.0.1:1\nheartbeat = 0s\n[retries]\nratio = -1\n[stray]\n";
     let file = process::settings(address::unused(), content);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn example_is_right() {
+fn example_is_valid() {
     let example = include_str!("../../../etc/node.ini");
     assert_eq!(found("node.ini", example), Vec::<String>::new());
 }
@@ -52,18 +52,18 @@
 // Garbage and mutated good settings lead to findings, never to a panic: an operator's slip must not
 // look like a fault of the program.
 #[test]
-fn garbage_never_panics() {
+fn malformed_settings_never_panic() {
     let good = include_str!("cases/good.ini");
-    let telling: Vec<char> = "[]=:;#\"'\\\n\r\t ä0-\u{0}9zs".chars().collect();
+    let alphabet: Vec<char> = "[]=:;#\"'\\\n\r\t ä0-\u{0}9zs".chars().collect();
     let mut state = 7_u64;
     // A linear congruential generator: the crate needs no other random numbers.
-    let mut draw = |most: usize| {
+    let mut draw = |limit: usize| {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (state >> 33) as usize % most
+        (state >> 33) as usize % limit
     };
-    let mut wrong = 0;
+    let mut rejected = 0;
     for _ in 0..5000 {
         let mut text: Vec<char> = good.chars().collect();
         for _ in 0..=draw(6) {
@@ -72,14 +72,14 @@
                 break;
             }
             match draw(4) {
-                0 => text.insert(at, telling[draw(telling.len())]),
+                0 => text.insert(at, alphabet[draw(alphabet.len())]),
                 1 => drop(text.remove(at)),
                 2 => text.truncate(at.max(1)),
-                _ => text[at] = telling[draw(telling.len())],
+                _ => text[at] = alphabet[draw(alphabet.len())],
             }
         }
         let text: String = text.into_iter().collect();
-        wrong += usize::from(!found("mutated.ini", &text).is_empty());
+        rejected += usize::from(!found("mutated.ini", &text).is_empty());
     }
-    assert!(wrong > 2500, "{wrong}");
+    assert!(rejected > 2500, "{rejected}");
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -41,9 +41,9 @@
 const NODES: usize = 3;
 /// Steps of a run; a fault may begin or end in each.
 const STEPS: usize = 30;
-const STEP: Duration = Duration::from_millis(150);
+const STEP_INTERVAL: Duration = Duration::from_millis(150);
 /// Looks, 20 ms apart, before a node counts as lost for good.
-const LOOKS: usize = 1500;
+const MAX_POLLS: usize = 1500;
 
 /// A node that is started again when it ends.
 struct Node {
@@ -78,9 +78,9 @@
         let _ = self.process.signal(name);
     }
 
-    fn revive(&mut self) {
-        if self.process.ended().is_some() {
-            self.process.revive();
+    fn restart_if_exited(&mut self) {
+        if self.process.exit_status().is_some() {
+            self.process.restart();
             self.run += 1;
         }
     }
@@ -88,11 +88,11 @@
 
 /// What callers saw.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     /// By id of an at-most-once request: its status.
-    once: BTreeMap<String, StatusCode>,
+    at_most_once: BTreeMap<String, StatusCode>,
     answered: usize,
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
 async fn ask(addr: SocketAddr, path: &str, id: &str) -> Option<Answer> {
@@ -111,7 +111,7 @@
     seed: u64,
     nodes: Vec<SocketAddr>,
     number: usize,
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observations>>,
     end: Arc<Mutex<bool>>,
 ) {
     let mut count = 0;
@@ -126,12 +126,14 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let mut seen = seen.lock().unwrap();
+        let mut observed = observed.lock().unwrap();
         match path {
             "/once/x" => {
-                seen.once.insert(id.clone(), got.status);
+                observed.at_most_once.insert(id.clone(), got.status);
                 if got.status == StatusCode::OK && got.complete && !got.body.ends_with(&id) {
-                    seen.wrong.push(format!("{id} got {:.60?}", got.body));
+                    observed
+                        .violations
+                        .push(format!("{id} got {:.60?}", got.body));
                 }
             }
             _ if got.status == StatusCode::OK => {
@@ -139,34 +141,35 @@
                 let ids: Vec<u64> = lines.filter_map(|n| n.parse().ok()).collect();
                 let expected: Vec<u64> = (1..=EVENTS).collect();
                 if !expected.starts_with(&ids) || (got.complete && ids != expected) {
-                    seen.wrong
+                    observed
+                        .violations
                         .push(format!("{id} got events {ids:?}, whole {}", got.complete));
                 }
             }
             _ => {}
         }
-        seen.answered += usize::from(got.status == StatusCode::OK);
+        observed.answered += usize::from(got.status == StatusCode::OK);
     }
 }
 
 /// Watches one node for an older version after a newer one. Version `n` has the route `/v{n}/`.
-async fn versions(
+async fn watch_versions(
     addr: SocketAddr,
     run: Arc<Mutex<u64>>,
     newest: Arc<Mutex<u64>>,
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<Observations>>,
     end: Arc<Mutex<bool>>,
 ) {
-    let (mut served, mut of) = (0, 0);
+    let (mut served, mut served_run) = (0, 0);
     while !*end.lock().unwrap() {
         let before = *run.lock().unwrap();
-        if before != of {
-            (served, of) = (0, before);
+        if before != served_run {
+            (served, served_run) = (0, before);
         }
         let newest = *newest.lock().unwrap();
         for version in served.max(1)..=newest {
             let got = ask(addr, &format!("/v{version}/x"), "v").await;
-            if *run.lock().unwrap() != of {
+            if *run.lock().unwrap() != served_run {
                 break;
             }
             let known = got.is_some_and(|g| {
@@ -179,10 +182,12 @@
         if served > 1 {
             let old = served - 1;
             let got = ask(addr, &format!("/v{old}/x"), "v").await;
-            if *run.lock().unwrap() == of && got.is_some_and(|g| g.status == StatusCode::OK) {
-                seen.lock()
+            if *run.lock().unwrap() == served_run && got.is_some_and(|g| g.status == StatusCode::OK)
+            {
+                observed
+                    .lock()
                     .unwrap()
-                    .wrong
+                    .violations
                     .push(format!("{addr} served {old} after {served}"));
             }
         }
@@ -191,34 +196,34 @@
 }
 
 /// The world of one run.
-struct World {
+struct Cluster {
     rng: StdRng,
     store: Store,
     /// By node: its way to the store.
-    doors: Vec<Proxy>,
+    store_proxies: Vec<Proxy>,
     /// By endpoint: the way to it.
-    ways: Vec<Proxy>,
+    endpoint_proxies: Vec<Proxy>,
     nodes: Vec<Node>,
     runs: Vec<Arc<Mutex<u64>>>,
     newest: Arc<Mutex<u64>>,
 }
 
-impl World {
+impl Cluster {
     /// Begins or ends a fault.
     fn step(&mut self) {
         let node = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..12) {
             0 => {
                 let fault = self.fault();
-                self.doors[node].set(fault);
+                self.store_proxies[node].set(fault);
             }
-            1 => self.doors[node].set(Mode::Pass),
+            1 => self.store_proxies[node].set(Mode::Pass),
             2 | 3 => {
-                let way = self.rng.random_range(0..self.ways.len());
+                let proxy = self.rng.random_range(0..self.endpoint_proxies.len());
                 let fault = self.fault();
-                self.ways[way].set(fault);
+                self.endpoint_proxies[proxy].set(fault);
             }
-            4 | 5 => self.ways.iter().for_each(|w| w.set(Mode::Pass)),
+            4 | 5 => self.endpoint_proxies.iter().for_each(|w| w.set(Mode::Pass)),
             6 => self.nodes[node].signal("-KILL"),
             7 => self.nodes[node].signal("-TERM"),
             8 => self.nodes[node].signal("-STOP"),
@@ -231,7 +236,7 @@
             _ => self.version(),
         }
         for (node, run) in self.nodes.iter_mut().zip(&self.runs) {
-            node.revive();
+            node.restart_if_exited();
             *run.lock().unwrap() = node.run;
         }
     }
@@ -256,13 +261,13 @@
     /// Ends all faults.
     fn heal(&mut self) {
         self.store.set_down(false);
-        self.doors
+        self.store_proxies
             .iter()
-            .chain(&self.ways)
+            .chain(&self.endpoint_proxies)
             .for_each(|p| p.set(Mode::Pass));
         self.nodes.iter().for_each(|n| n.signal("-CONT"));
         for (node, run) in self.nodes.iter_mut().zip(&self.runs) {
-            node.revive();
+            node.restart_if_exited();
             *run.lock().unwrap() = node.run;
         }
     }
@@ -278,71 +283,71 @@
     for number in 0..2 {
         engines.push(Engine::start_plain(&format!("p{number}"), &store).await);
     }
-    let mut ways = Vec::new();
+    let mut endpoint_proxies = Vec::new();
     for engine in &engines {
-        let way = Proxy::start(engine.addr).await;
-        engine.register_as(way.addr);
-        ways.push(way);
+        let proxy = Proxy::start(engine.addr).await;
+        engine.register_as(proxy.addr);
+        endpoint_proxies.push(proxy);
     }
     let ports: Vec<_> = (0..2 * NODES).map(|_| address::unused()).collect();
-    let (mut doors, mut nodes) = (Vec::new(), Vec::new());
+    let (mut store_proxies, mut nodes) = (Vec::new(), Vec::new());
     for number in 0..NODES {
-        let door = Proxy::start(store.addr).await;
-        nodes.push(Node::start(number, door.addr, &ports));
-        doors.push(door);
+        let proxy = Proxy::start(store.addr).await;
+        nodes.push(Node::start(number, proxy.addr, &ports));
+        store_proxies.push(proxy);
     }
     let addrs: Vec<SocketAddr> = nodes.iter().map(|n| n.callers).collect();
-    let seen: Arc<Mutex<Seen>> = Arc::default();
+    let observed: Arc<Mutex<Observations>> = Arc::default();
     let end: Arc<Mutex<bool>> = Arc::default();
     let newest = Arc::new(Mutex::new(1));
     let runs: Vec<_> = (0..NODES).map(|_| Arc::new(Mutex::new(1))).collect();
-    let mut world = World {
+    let mut cluster = Cluster {
         rng: StdRng::seed_from_u64(seed),
         store,
-        doors,
-        ways,
+        store_proxies,
+        endpoint_proxies,
         nodes,
         runs: runs.clone(),
         newest: newest.clone(),
     };
-    serve_again(&mut world, &addrs, seed).await;
+    wait_until_serving(&mut cluster, &addrs, seed).await;
     let mut tasks = Vec::new();
     for number in 0..6 {
         tasks.push(tokio::spawn(caller(
             seed,
             addrs.clone(),
             number,
-            seen.clone(),
+            observed.clone(),
             end.clone(),
         )));
     }
     for (addr, run) in addrs.iter().zip(runs) {
-        tasks.push(tokio::spawn(versions(
+        tasks.push(tokio::spawn(watch_versions(
             *addr,
             run,
             newest.clone(),
-            seen.clone(),
+            observed.clone(),
             end.clone(),
         )));
     }
     for _ in 0..STEPS {
-        tokio::time::sleep(STEP).await;
-        world.step();
+        tokio::time::sleep(STEP_INTERVAL).await;
+        cluster.step();
     }
-    world.heal();
+    cluster.heal();
     *end.lock().unwrap() = true;
     for task in tasks {
         let _ = tokio::time::timeout(Duration::from_secs(10), task).await;
     }
-    serve_again(&mut world, &addrs, seed).await;
-    check(seed, &seen.lock().unwrap(), &engines);
+    wait_until_serving(&mut cluster, &addrs, seed).await;
+    check_guarantees(seed, &observed.lock().unwrap(), &engines);
 }
 
 /// Waits until every node serves each kind of request.
-async fn serve_again(world: &mut World, addrs: &[SocketAddr], seed: u64) {
+async fn wait_until_serving(cluster: &mut Cluster, addrs: &[SocketAddr], seed: u64) {
     for addr in addrs {
         for path in ["/chat/x", "/once/x"] {
-            let mut looks = 0;
+            let mut polls = 0;
             loop {
                 let limit = Duration::from_secs(4);
                 let got = tokio::time::timeout(limit, ask(*addr, path, "again")).await;
@@ -353,40 +358,40 @@
                 {
                     break;
                 }
-                looks += 1;
+                polls += 1;
                 assert!(
-                    looks < LOOKS,
+                    polls < MAX_POLLS,
                     "seed {seed}: {addr} does not serve {path} again"
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                world.heal();
+                cluster.heal();
             }
         }
     }
 }
 
-fn check(seed: u64, seen: &Seen, engines: &[Engine]) {
+fn check_guarantees(seed: u64, observed: &Observations, engines: &[Engine]) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for id in engines.iter().flat_map(Engine::runs) {
         *runs.entry(id).or_default() += 1;
     }
-    let mut wrong = seen.wrong.clone();
-    for (id, status) in &seen.once {
+    let mut violations = observed.violations.clone();
+    for (id, status) in &observed.at_most_once {
         let count = runs.get(id).copied().unwrap_or(0);
         if count > 1 {
-            wrong.push(format!("{id} ran {count} times"));
+            violations.push(format!("{id} ran {count} times"));
         }
-        let promised = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-        if promised && count > 0 {
-            wrong.push(format!("{id} was told {status} and ran"));
+        let promised_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+        if promised_not_run && count > 0 {
+            violations.push(format!("{id} was told {status} and ran"));
         }
     }
-    let (once, answered) = (seen.once.len(), seen.answered);
+    let (once, answered) = (observed.at_most_once.len(), observed.answered);
     println!(
         "seed {seed}: {answered} answered, {once} at most once, {} wrong",
-        wrong.len()
+        violations.len()
     );
-    assert!(wrong.is_empty(), "seed {seed}: {wrong:#?}");
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
 }
 
 fn seeds() -> Vec<u64> {
@@ -399,7 +404,7 @@
 }
 
 #[test]
-fn promises_hold_under_faults() {
+fn guarantees_hold_under_faults() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
--- a/crates/node/tests/support/process.rs
+++ b/crates/node/tests/support/process.rs
@@ -38,7 +38,7 @@
     }
 
     /// Starts it again with the same settings.
-    pub fn revive(&mut self) {
+    pub fn restart(&mut self) {
         self.child = spawn(&self.file);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
