--- a/crates/catalog/src/checked.rs
+++ b/crates/catalog/src/checked.rs
@@ -1,4 +1,4 @@
-//! The checked catalog.
+//! Validation of raw tables, and the checked catalog with its lookups.
 
 use crate::finding::Finding;
 use crate::limits::Limits;
@@ -10,37 +10,38 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// What the operator has put in force.
+/// A validated version of the operator's configuration.
 ///
-/// Invariants: every prefix begins and ends with a slash; the routes of a host stand with the
-/// longest prefix first, so that the first that fits a path is the one that counts; every share
-/// names a service of this catalog and has a weight.
+/// Invariants: every path prefix begins and ends with a slash; the routes of a host are sorted by
+/// descending prefix length, so the first one that matches a path has the longest prefix; every
+/// share refers to a service of this catalog and has a non-zero weight.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Its number.
+    /// Version of the catalog.
     pub version: Version,
-    /// Routes.
+    /// Routes, indexed by [`RouteId`].
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services, indexed by [`ServiceId`].
     pub services: Vec<Service>,
-    /// Teams.
+    /// Teams, indexed by [`TeamId`].
     pub teams: Vec<Team>,
-    /// Whether requests carry a key.
+    /// Whether requests must carry a key, except on public routes.
     pub requires_key: bool,
-    /// Bounds of what callers send.
+    /// Limits on the connections and requests of callers.
     pub limits: Limits,
     hosts: HashMap<String, Vec<RouteId>>,
     keys: HashMap<String, TeamId>,
 }
 
 impl Catalog {
-    /// The route of a path on `host`, which may carry a port.
+    /// Returns the route with the longest prefix of `path` on `host`, which may include a port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let id = self.route_id(host, path)?;
         self.routes.get(id as usize)
     }
 
-    /// The id of that route.
+    /// Returns the id of the route with the longest prefix of `path` on `host`, which may include a
+    /// port.
     pub fn route_id(&self, host: &str, path: &str) -> Option<RouteId> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let rows = match self.hosts.get(name) {
@@ -51,17 +52,17 @@
         rows.iter().copied().find(matches)
     }
 
-    /// The team that holds `key`.
+    /// Returns the team that `key` belongs to.
     pub fn team(&self, key: &str) -> Option<&Team> {
         self.keys.get(key).map(|&id| &self.teams[id as usize])
     }
 
-    /// The service with this id.
+    /// Returns the service with this id.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
         self.services.get(id as usize)
     }
 
-    /// The id of the service called `name`.
+    /// Returns the id of the service called `name`.
     pub fn service_id(&self, name: &str) -> Option<ServiceId> {
         let index = self.services.iter().position(|s| s.name == name)?;
         u32::try_from(index).ok()
@@ -108,7 +109,10 @@
     let findings_before = findings.len();
     let mut report = |message: String| findings.push(Finding::new(location.clone(), message));
     if !raw.prefix.starts_with('/') || !raw.prefix.ends_with('/') {
-        report(format!("prefix {:?} has no slash at an end", raw.prefix));
+        report(format!(
+            "path prefix {:?} must begin and end with a slash",
+            raw.prefix
+        ));
     }
     let mut split = Vec::new();
     for share in &raw.split {
@@ -122,10 +126,10 @@
         }
     }
     if split.is_empty() {
-        report("no service takes its requests".to_owned());
+        report("no service of the catalog has a share with a weight above 0".to_owned());
     }
     if raw.timeout.is_zero() {
-        report("its timeout is 0".to_owned());
+        report("timeout must be above 0".to_owned());
     }
     (findings.len() == findings_before).then(|| Route {
         host: raw.host.to_ascii_lowercase(),
@@ -162,7 +166,10 @@
                 .is_some_and(|other| other != id)
             {
                 let location = format!("team {}", team.name);
-                findings.push(Finding::new(location, "shares a key with another team"));
+                findings.push(Finding::new(
+                    location,
+                    "key is already assigned to another team",
+                ));
             }
         }
         teams.push(Team {
--- a/crates/catalog/src/endpoint.rs
+++ b/crates/catalog/src/endpoint.rs
@@ -4,16 +4,17 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Milliseconds of Unix time at which a run of an endpoint began.
+/// Unix time in milliseconds.
 pub type UnixMillis = u64;
 
-/// One run of an endpoint. An endpoint may start again under its old name and at its old address,
-/// and then holds nothing of before; so its name alone does not say which run a belief is about.
+/// Identity of one run of an endpoint. An endpoint may restart under the same name and address and
+/// then holds none of its earlier state, so its name alone doesn't identify the run that a piece of
+/// information is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Run {
-    /// Its name.
+    /// Name of the endpoint.
     pub id: String,
-    /// When this run began; 0 if it does not say so.
+    /// Start time of the run; 0 if the endpoint doesn't report it.
     pub started_at: UnixMillis,
 }
 
@@ -23,16 +24,16 @@
     }
 }
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// About to shut down; accepts no new requests.
     Draining,
 }
 
-/// Layers from `from` up to, but without, `to`.
+/// Half-open range of layers, from `from` up to but not including `to`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span {
     /// First layer.
@@ -42,17 +43,17 @@
 }
 
 impl Span {
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn len(self) -> Layer {
         self.to.saturating_sub(self.from)
     }
 
-    /// Whether it holds no layer.
+    /// Returns whether the range is empty.
     pub fn is_empty(self) -> bool {
         self.to <= self.from
     }
 
-    /// Whether `layer` is one of them.
+    /// Returns whether `layer` is in the range.
     pub fn contains(self, layer: Layer) -> bool {
         self.from <= layer && layer < self.to
     }
@@ -64,23 +65,23 @@
     }
 }
 
-/// What an endpoint tells of itself.
+/// An endpoint, as registered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name and run.
+    /// Name and run.
     pub run: Run,
-    /// Name of its service.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// Kind of its accelerator, if it runs a model.
+    /// Kind of its accelerator; `None` if it runs no model.
     pub accelerator: Option<String>,
-    /// Layers that it holds.
+    /// Layers that it holds; empty if it runs no model.
     pub span: Span,
 }
--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -1,103 +1,105 @@
-//! What the endpoints of a model service can do.
+//! Performance model of the inference engines of a model service.
 
 use crate::Layer;
 use std::time::Duration;
 
-/// Requests of a batch that share a step, in estimates of work.
+/// Number of requests that are assumed to share one decode step when the cost of a request is
+/// estimated.
 const TYPICAL_BATCH_SIZE: f64 = 50.0;
 
-/// Layers of a model, and what it costs to run and to hold them.
+/// Size of a model, and the time and memory that its layers cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// Bytes of one layer's weights.
+    /// Size of one layer's weights, in bytes.
     pub layer_bytes: f64,
-    /// Bytes that one token of a request takes in memory at one layer.
+    /// Size of the KV cache of one token at one layer, in bytes.
     pub kv_bytes_per_token: f64,
-    /// Bytes that one token hands on from a stage to the next.
+    /// Size of the activations that a stage passes to the next one for each token, in bytes.
     pub activation_bytes: f64,
-    /// Time of one token step through all layers, at pace 1 and without requests.
+    /// Base time of one decode step through all layers, at step factor 1.
     pub step_time: Duration,
-    /// Added to a step by each request that writes.
+    /// Time that each decoding request adds to a step.
     pub step_time_per_request: Duration,
-    /// Added to a step by 1,000 tokens of context of requests that write.
+    /// Time that each 1,000 tokens of context of the decoding requests add to a step.
     pub step_time_per_1k_context: Duration,
-    /// Prompt tokens read in a second through all layers, at read pace 1.
+    /// Prompt tokens that are prefilled per second through all layers, at prefill factor 1.
     pub prefill_rate: f64,
-    /// Steps between two events.
+    /// Number of decode steps between two events of a response.
     pub steps_per_event: u32,
     /// Time to load all layers.
     pub load_time: Duration,
-    /// Loads at once from which each takes longer.
+    /// Number of concurrent loads beyond which each load takes longer.
     pub parallel_loads: usize,
-    /// Requests at once that one endpoint takes as the first of a chain.
+    /// Number of concurrent requests that one endpoint accepts as the head of a chain.
     pub slots: u32,
-    /// Bits a second between two availability zones, shared by all.
+    /// Bandwidth between two availability zones, in bits per second, shared by all traffic.
     pub inter_zone_bps: f64,
-    /// Kinds of accelerators.
+    /// Kinds of accelerators that endpoints of the service may have.
     pub accelerators: Vec<Accelerator>,
-    /// Usual size of requests.
+    /// Size of a typical request.
     pub typical_size: Size,
-    /// Delays between availability zones; 0 where none is given.
+    /// Delays between availability zones; a pair that is not listed has no delay.
     pub delays: Vec<Delay>,
 }
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accelerator {
-    /// Its name, by which endpoints tell theirs.
+    /// Name of the kind, which endpoints register with.
     pub name: String,
-    /// Its memory.
+    /// Memory, in bytes.
     pub memory_bytes: f64,
-    /// Factor on the time of steps.
+    /// Factor on the time of decode steps.
     pub step_factor: f64,
-    /// Factor on the time to read prompts.
+    /// Factor on the time of prefill.
     pub prefill_factor: f64,
 }
 
-/// Tokens of a request.
+/// Numbers of tokens of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub answer: u32,
 }
 
-/// One way between two availability zones.
+/// Network delay between two availability zones; the same in both directions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// One zone.
+    /// One of the two zones.
     pub from: String,
-    /// The other.
+    /// The other zone.
     pub to: String,
-    /// Time of one way.
+    /// One-way delay.
     pub delay: Duration,
 }
 
 impl Engine {
-    /// The accelerator called `name`.
+    /// Returns the accelerator kind called `name`.
     pub fn accelerator(&self, name: &str) -> Option<&Accelerator> {
         self.accelerators.iter().find(|a| a.name == name)
     }
 
-    /// Most layers that fit into `accelerator` with room for `tokens` tokens of requests through
-    /// all of them.
+    /// Returns the largest number of layers that fit into the memory of `accelerator` together with
+    /// the KV cache of `tokens` tokens at each of them.
     pub fn max_layers(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
         let bytes_per_layer = self.layer_bytes + tokens.max(0.0) * self.kv_bytes_per_token;
         let layers = (accelerator.memory_bytes / bytes_per_layer).floor();
         (layers.max(0.0) as Layer).min(self.layers)
     }
 
-    /// Room for requests, in tokens times layers, beside `held` layers.
+    /// Returns the KV cache capacity, in token-layers, that `accelerator` has left beside the
+    /// weights of `held` layers.
     pub fn kv_capacity(&self, accelerator: &Accelerator, held: Layer) -> f64 {
         let free_bytes = accelerator.memory_bytes - f64::from(held) * self.layer_bytes;
         (free_bytes / self.kv_bytes_per_token).max(0.0)
     }
 
-    /// Time for which one request of this size keeps one layer busy. Steps are shared by the
-    /// requests of a batch; those of [`TYPICAL_BATCH_SIZE`] requests are taken.
+    /// Returns the time for which one request of this size occupies one layer. The base time of a
+    /// step is divided among [`TYPICAL_BATCH_SIZE`] requests, since a batch shares each step.
     pub fn layer_busy_time(&self, accelerator: &Accelerator, size: Size) -> Duration {
         let context = f64::from(size.prompt) / 1000.0;
         let extra = self.step_time_per_request.as_secs_f64()
@@ -110,8 +112,9 @@
         Duration::try_from_secs_f64(per_layer).unwrap_or_default()
     }
 
-    /// Time that a usual request spends in a chain that is neither idle nor full: all its steps at
-    /// twice the pace of the fastest kind, since chains mix kinds.
+    /// Returns the time that a typical request spends in a chain under moderate load: the base time
+    /// of all its decode steps, at twice the step factor of the fastest accelerator kind, since
+    /// chains mix kinds.
     pub fn residence_time(&self) -> Duration {
         let factors = self.accelerators.iter().map(|a| a.step_factor);
         let fastest = factors.fold(f64::INFINITY, f64::min);
@@ -124,12 +127,12 @@
             .mul_f64(f64::from(self.typical_size.answer) * factor)
     }
 
-    /// Part of the model that `layers` are.
+    /// Returns the fraction of the model that `layers` layers make up.
     pub fn model_fraction(&self, layers: Layer) -> f64 {
         f64::from(layers) / f64::from(self.layers.max(1))
     }
 
-    /// Delay of one way between two availability zones.
+    /// Returns the one-way delay between two availability zones.
     pub fn delay(&self, a: &str, b: &str) -> Duration {
         if a == b {
             return Duration::ZERO;
--- a/crates/catalog/src/finding.rs
+++ b/crates/catalog/src/finding.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a catalog, with its place.
+//! Validation errors of a catalog.
 
 use std::fmt;
 
-/// A finding.
+/// A validation error and its location in the catalog.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Table and row, such as `route menu`.
+    /// Table and row that the finding is about, such as `route menu`.
     pub location: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding about `place`.
+    /// Creates a finding about the row at `location`.
     pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             location: location.into(),
--- a/crates/catalog/src/kind.rs
+++ b/crates/catalog/src/kind.rs
@@ -1,29 +1,29 @@
-//! What may be repeated.
+//! Kinds of requests, by whether a request may run more than once.
 
 use std::time::Duration;
 
-/// How a request of a route may be run.
+/// Execution semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// Runs once at most for each request of a caller.
+    /// Each request of a caller runs at most once.
     AtMostOnce,
-    /// Answers with a series of events.
+    /// The response is a stream of events.
     Stream(Stream),
 }
 
-/// An answer in events.
+/// Properties of a response that is a stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stream {
-    /// Whether another endpoint may go on after the last event that the caller has.
+    /// Whether another endpoint may resume the stream after the last event that the caller has.
     pub resumable: bool,
-    /// Longest pause between two events for which the answer is on time.
+    /// Longest pause between two events with which the response still counts as on time.
     pub pause: Option<Duration>,
 }
 
 impl Kind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may already have run may be sent again.
     pub fn repeatable(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The stream, if the answer is one.
+    /// Returns the properties of the stream, if the response is one.
     pub fn stream(self) -> Option<Stream> {
         match self {
             Self::Stream(stream) => Some(stream),
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,12 +1,14 @@
-//! What a node believes of the outside: the operator's catalog and the endpoints that registered.
+//! Data model of a node's configuration: the operator's catalog and the registered endpoints.
 //!
-//! Inputs are raw tables that an adapter has decoded ([`raw`]); outputs are the checked
-//! [`Catalog`] with its routes, services and teams, and [`endpoint::Endpoint`]s. No I/O, no clock.
+//! An adapter decodes raw tables ([`raw`]); this crate validates them and builds the checked
+//! [`Catalog`] of routes, services and teams. It also defines [`endpoint::Endpoint`]s and the
+//! replicated tables that both are read from ([`source`]). It does no I/O and reads no clock.
 //!
-//! Ids are indexes into one catalog's tables. Code that outlives a catalog matches rows by name.
+//! Ids are indexes into the tables of one catalog. Code that outlives a catalog must look up rows
+//! by name.
 //!
-//! Left to others: where the tables come from (`platform/`), which endpoint runs a request
-//! (`steer`), which layers an endpoint holds (`place`).
+//! Out of scope: reading the tables from the platform's store (`platform/`), selecting the endpoint
+//! of a request (`steer`), assigning layers to endpoints (`place`).
 
 pub mod checked;
 pub mod endpoint;
@@ -23,7 +25,7 @@
 pub use crate::checked::Catalog;
 pub use crate::endpoint::Endpoint;
 
-/// Number of a catalog; a higher one replaces a lower one.
+/// Version of a catalog; a higher version replaces a lower one.
 pub type Version = u64;
 /// Index of a route in its catalog.
 pub type RouteId = u32;
@@ -31,7 +33,7 @@
 pub type ServiceId = u32;
 /// Index of a team in its catalog.
 pub type TeamId = u32;
-/// Number of a model's layer, from 0.
+/// Index of a layer of a model, from 0; also a number of layers.
 pub type Layer = u32;
-/// Result of checking a catalog; every finding is told.
+/// Result of validating a catalog; the error lists every finding.
 pub type Result<T> = std::result::Result<T, Vec<finding::Finding>>;
--- a/crates/catalog/src/limits.rs
+++ b/crates/catalog/src/limits.rs
@@ -1,22 +1,22 @@
-//! Bounds of what callers may send.
+//! Limits on the connections and requests of callers.
 
 use std::time::Duration;
 
-/// Bounds of a caller's connection and requests.
+/// Limits on a caller's connection and its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's header section, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Longest time to receive a request's header section.
     pub head_time: Duration,
     /// Longest time that a connection may stay idle.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// Usual bounds of HTTP servers, in force until the operator says otherwise.
+    /// Usual limits of HTTP servers; they apply until the operator sets others.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/catalog/src/raw.rs
+++ b/crates/catalog/src/raw.rs
@@ -1,43 +1,43 @@
-//! Tables as an adapter decodes them, before they are checked.
+//! Tables as an adapter decodes them, before validation.
 
 use crate::Version;
 use crate::limits::Limits;
 use crate::service::Service;
 
-/// A route whose shares still name their services.
+/// A route whose shares refer to services by name.
 pub type Route = crate::route::Route<Share>;
 
-/// A catalog that has not been checked.
+/// The tables of a catalog that has not been validated.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
-    /// Its number.
+    /// Version of the catalog.
     pub version: Version,
-    /// Routes.
+    /// Routes, with shares that refer to services by name.
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services that the routes refer to.
     pub services: Vec<Service>,
-    /// Teams; nothing if no request carries a key.
+    /// Teams; `None` if requests need no key.
     pub teams: Option<Vec<Team>>,
-    /// Bounds of what callers send.
+    /// Limits on the connections and requests of callers.
     pub limits: Limits,
 }
 
-/// A named service's share of a route.
+/// Share of a route's requests that goes to a named service.
 #[derive(Clone, Debug)]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Its weight.
+    /// Weight relative to the other shares of the route; the service gets no requests if it is 0.
     pub weight: u32,
 }
 
-/// A team with its keys.
+/// A team and its keys.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Keys of its callers.
+    /// Keys that identify its callers.
     pub keys: Vec<String>,
-    /// Rank of its requests.
+    /// Priority of its requests, 0 is the highest; overrides the priority of the route.
     pub priority: Option<u8>,
 }
--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -1,45 +1,46 @@
-//! Routes.
+//! Routes: which services handle the requests of a host and path prefix.
 
 use crate::ServiceId;
 use crate::kind::Kind;
 use std::time::Duration;
 
-/// Where requests of one host and path prefix go.
+/// Rules for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route<S = Share> {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Host of the request, in lower case.
     pub host: String,
-    /// Prefix of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Execution semantics of the requests.
     pub kind: Kind,
-    /// Longest time that a request is kept waiting for its final answer.
+    /// Longest time until the final response of a request.
     pub timeout: Duration,
-    /// Time within which an answer, or its first event, is on time.
+    /// Time within which the response, or its first event, counts as on time.
     pub latency_target: Duration,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services that share the requests.
+    /// Services among which the requests are split.
     pub split: Vec<S>,
-    /// Endpoints that one request may be sent to.
+    /// Largest number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Id of the service.
     pub service: ServiceId,
-    /// Its weight among the shares; not 0.
+    /// Weight relative to the other shares of the route; not 0.
     pub weight: u32,
 }
 
 impl Route {
-    /// The service for a request whose draw, even over all numbers, is `draw`.
+    /// Selects the service for a request by weight; `draw` must be uniformly distributed over all
+    /// `u64` values. Returns `None` if the route has no shares.
     pub fn service(&self, draw: u64) -> Option<ServiceId> {
         let sum: u64 = self.split.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = draw.checked_rem(sum)?;
--- a/crates/catalog/src/service.rs
+++ b/crates/catalog/src/service.rs
@@ -1,14 +1,14 @@
-//! Services.
+//! Services that routes refer to.
 
 use crate::engine::Engine;
 
-/// A service: what answers requests of routes, by any of its endpoints.
+/// A service: a group of interchangeable endpoints that handle requests of routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, by which endpoints register.
+    /// Name, which endpoints register with.
     pub name: String,
-    /// Connections that one endpoint accepts from all callers.
+    /// Number of connections that one endpoint accepts in total.
     pub max_connections: usize,
-    /// What its model engine is like; nothing for a plain service.
+    /// Performance model of its engines; `None` for a service that runs no model.
     pub engine: Option<Engine>,
 }
--- a/crates/catalog/src/source.rs
+++ b/crates/catalog/src/source.rs
@@ -1,57 +1,59 @@
-//! Where the catalog and the endpoints come from: two tables that others write.
+//! Local copies of the two tables that hold the catalog and the endpoints; others write them.
 //!
-//! A table is the newest record of each key, together with the offset up to which it is known.
-//! Offsets order all changes of a table, so two copies of it can be compared: the one that is
-//! known further replaces the other, and a node that can't read the source takes a peer's copy.
+//! A copy holds the latest record of each key and the offset of the next change that it lacks.
+//! Offsets order all changes of a table, so two copies can be compared: the one with the higher
+//! offset replaces the other. A node that can't read the source takes over a peer's copy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Place of a change in its table.
+/// Position of a change in the sequence of all changes of its table.
 pub type Offset = u64;
 
 /// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The key.
+    /// Key that changed.
     pub key: String,
-    /// Its value; nothing if the key was removed.
+    /// New value; `None` if the key was removed.
     pub value: Option<Arc<[u8]>>,
-    /// Place of the change.
+    /// Offset of the change.
     pub offset: Offset,
 }
 
 impl Record {
-    /// About how many bytes it takes between nodes.
+    /// Returns the approximate size of the record in a message between nodes, in bytes.
     fn size(&self) -> usize {
         size_of::<Offset>() + self.key.len() + self.value.as_ref().map_or(0, |v| v.len())
     }
 }
 
-/// Changes of a table.
+/// A batch of changes of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The changes in order.
+    /// Changes in the order of their offsets, or the latest record of each key if `complete`.
     pub records: Vec<Record>,
-    /// Offset of the next change that is not in here.
+    /// Offset of the first change after this batch.
     pub next_offset: Offset,
-    /// Whether these are all keys that there are, and not only changes.
+    /// Whether the records are all keys of the table rather than recent changes only.
     pub complete: bool,
 }
 
-/// A chunk of what a table has for a peer.
+/// One of several messages that bring a peer's copy up to date.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chunk {
-    /// The records of this chunk. Their `next` is where the peer's copy ends once it has them.
+    /// Records of this chunk. The peer's copy ends at the page's `next_offset` once it has applied
+    /// them.
     pub page: Page,
     /// Whether more chunks follow.
     pub more: bool,
 }
 
-/// A copy of a table.
+/// Local copy of a table.
 ///
-/// Invariant: of each change from `kept` on that is not superseded, the rows have its record, removals
-/// too. Before it removals may be missing, since a page of all keys does not name what was removed.
+/// Invariant: `rows` holds the latest record of each key that changed at or after `history_start`,
+/// removals included. Earlier removals may be missing, since a complete page lists only keys that
+/// still exist.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Record>,
@@ -60,8 +62,8 @@
 }
 
 impl Table {
-    /// Takes changes in; returns the keys that are different now. A page that is older than the
-    /// table changes nothing.
+    /// Applies a page and returns the keys whose records changed. A page that is older than the
+    /// table has no effect.
     pub fn apply(&mut self, page: Page) -> Vec<String> {
         if page.next_offset < self.next_offset
             || (page.next_offset == self.next_offset && !page.complete)
@@ -98,30 +100,31 @@
         changed
     }
 
-    /// The value of `key`.
+    /// Returns the value of `key`.
     pub fn get(&self, key: &str) -> Option<&Arc<[u8]>> {
         self.rows.get(key)?.value.as_ref()
     }
 
-    /// All keys with a value.
+    /// Returns all keys that have a value, with their values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Arc<[u8]>)> {
         let rows = self.rows.values();
         rows.filter_map(|r| Some((r.key.as_str(), r.value.as_ref()?)))
     }
 
-    /// Offset of the next change that is not known.
+    /// Returns the offset of the next change that the copy lacks.
     pub fn next_offset(&self) -> Offset {
         self.next_offset
     }
 
-    /// All that [`Table::changes`] gives, in one page.
+    /// Returns everything that [`Table::changes`] returns, as one page.
     pub fn since(&self, from: Offset) -> Page {
         self.changes(from, usize::MAX).page
     }
 
-    /// The oldest changes from `from` on, for a peer whose copy ends there, in at most about `max_bytes`
-    /// bytes; the first chunk of all keys if not all of these changes are kept. Given as changes,
-    /// they would leave the peer with endpoints that are gone.
+    /// Returns the oldest changes from `from` on, for a peer whose copy ends there, limited to
+    /// about `max_bytes` bytes. If `from` is before the start of the history, returns the first
+    /// chunk of all keys instead: changes alone would lack earlier removals, and the peer would
+    /// keep endpoints that no longer exist.
     pub fn changes(&self, from: Offset, max_bytes: usize) -> Chunk {
         if from < self.history_start {
             return self.keys(0, max_bytes);
@@ -140,9 +143,9 @@
         Chunk { page, more }
     }
 
-    /// The keys that last changed at `from` or later, the oldest first, in at most about `max_bytes`
-    /// bytes. A key that changes while its peer gathers the chunks comes again in a later one, or
-    /// among the changes from the first chunk's `next` on.
+    /// Returns the existing keys that last changed at `from` or later, oldest change first, limited
+    /// to about `max_bytes` bytes. A key that changes while the peer collects the chunks is sent
+    /// again in a later chunk, or among the changes from the first chunk's `next_offset` on.
     pub fn keys(&self, from: Offset, max_bytes: usize) -> Chunk {
         let present = self.rows.values().filter(|r| r.value.is_some());
         let wanted = present.filter(|r| r.offset >= from);
@@ -156,8 +159,9 @@
     }
 }
 
-/// The oldest of some records in about `max_bytes` bytes, and whether some are left over. Records of
-/// one offset stay together, since a peer goes on behind the last offset that it has.
+/// Returns the oldest of `records` up to about `max_bytes` bytes, and whether some are left over.
+/// Records with the same offset are never split, since a peer continues after the last offset that
+/// it received.
 fn oldest_records(mut records: Vec<&Record>, max_bytes: usize) -> (Vec<Record>, bool) {
     records.sort_unstable_by_key(|r| r.offset);
     let mut bytes = 0;
--- a/crates/catalog/src/team.rs
+++ b/crates/catalog/src/team.rs
@@ -1,10 +1,10 @@
-//! Teams.
+//! Teams of callers.
 
-/// A team.
+/// A team, identified by the keys that its callers send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Its name, told to endpoints.
+    /// Name, which is passed on to endpoints.
     pub name: String,
-    /// Rank of its requests, 0 first; goes before that of the route.
+    /// Priority of its requests, 0 is the highest; overrides the priority of the route.
     pub priority: Option<u8>,
 }
