--- a/crates/place/tests/plan.rs
+++ b/crates/place/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Which layers endpoints are ordered to hold.
+//! Orders for the layers that endpoints hold.
 
 use catalog::Layer;
 use catalog::endpoint::{Run, Span};
@@ -19,7 +19,7 @@
     }
 }
 
-/// An engine of 80 layers of 1.75 GB on three kinds, as the users rent them.
+/// An engine with 80 layers of 1.75 GB on three kinds of accelerators, as in production.
 fn engine() -> Engine {
     Engine {
         layers: 80,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Endpoints of a zone: so many of each kind.
+/// Endpoints of a zone, by their number for each kind of accelerator.
 fn zone(name: &str, a100: u16, v100: u16, l4: u16) -> Vec<Holder> {
     holders(name, &[("a100", a100), ("v100", v100), ("l4", l4)])
 }
@@ -95,7 +95,8 @@
     copies(holders, Some(zone)).iter().all(|&n| n > 0)
 }
 
-/// Fails if an endpoint holds more than its memory does: an engine crashes on such an order.
+/// Fails if an endpoint holds more layers than fit into its memory: an engine crashes on such an
+/// order.
 fn assert_fits(engine: &Engine, holders: &[Holder]) {
     for holder in holders {
         let kind = engine.accelerator(&holder.kind).unwrap();
@@ -128,7 +129,7 @@
     assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
-/// A fleet of 93 endpoints in three zones that differ in what they have.
+/// A fleet of 93 endpoints in three zones with different accelerators.
 fn large_fleet() -> Vec<Holder> {
     [
         zone("a", 2, 24, 9),
@@ -138,9 +139,9 @@
     .concat()
 }
 
-// A zone has layers for three whole covers, but some layers are held once and others five times.
-// Requests of the zone meet at the endpoint that holds a layer alone, it is full while the rest
-// idle, and its death leaves a hole. Copies are spread evenly within each zone.
+// Guards against uneven copies in a zone with layers for three replica sets, where some layers have
+// one copy and others five. The only holder of a layer receives all requests of the zone and is
+// full while the rest idle, and its death leaves a gap.
 #[test]
 fn copies_are_spread_evenly_within_a_zone() {
     let engine = engine();
@@ -155,8 +156,8 @@
     }
 }
 
-/// An engine on smaller accelerators: each zone of [`small_fleet`] has memory for 1.7 to 2 covers when
-/// nothing is kept for requests.
+/// An engine on smaller accelerators: each zone of [`small_fleet`] has memory for 1.7 to 2 replica
+/// sets if no capacity is kept for requests.
 fn small_engine() -> Engine {
     Engine {
         kv_bytes_per_token: 5325.0,
@@ -188,11 +189,12 @@
     .concat()
 }
 
-// Load: 75 requests of usual size in flight in each of three zones that fit 1.7 covers. One small
-// endpoint dies for good. With room kept for 150 requests, a zone had second copies of 5 layers
-// only, no endpoint could be spared, and for the rest of the day each request of the zone went to
-// another zone and back. Grounds: the least spare copies that close any hole of one of the
-// smallest kind are as many layers as that kind holds.
+// Guards against a zone that cannot close a gap: each of three zones has memory for 1.7 replica
+// sets and 75 requests of typical size in flight, and one small endpoint is lost. If capacity for
+// 150 requests were kept, the zone would have second copies of only 5 layers, no endpoint could be
+// moved, and each request of the zone would pass through another zone and back. To close any gap of
+// an endpoint of the smallest kind, the spare copies must be at least as many layers as that kind
+// holds.
 #[test]
 fn a_zone_with_little_memory_recovers_from_the_loss_of_a_small_endpoint() {
     let engine = small_engine();
@@ -216,11 +218,12 @@
     }
 }
 
-// Load: 200 requests of usual size in flight in each zone, on a calm day. A zone with memory for two
-// and more covers has second copies anyway. With room for 100 requests a cover its endpoints held
-// more layers than second copies need, the fast ones, at which most chains meet, were full, and
-// requests went to other zones. Aim: each endpoint has room for three quarters of the requests, as
-// long as half of the layers are held twice.
+// Guards against full fast endpoints in a zone with memory for two or more replica sets and 200
+// requests of typical size in flight, without faults. Such a zone has second copies anyway. If
+// capacity for only 100 requests were kept, its endpoints would hold more layers than second copies
+// need, the fast ones, which most chains use, would be full, and requests would go to other zones.
+// Each endpoint must have capacity for three quarters of the requests, while at least half of the
+// layers have two copies.
 #[test]
 fn a_zone_with_memory_for_several_replica_sets_keeps_capacity_for_requests() {
     let engine = engine();
@@ -251,8 +254,8 @@
     assert_eq!(a, b);
 }
 
-// An endpoint crashes and starts again empty. Only it gets an order, and it gets back what is
-// missing: each further load would take an endpoint out of use for seconds.
+// An endpoint crashes and restarts empty. It gets back the missing layers, since each load of
+// another endpoint would take that one out of service for seconds.
 #[test]
 fn a_restarted_endpoint_fills_its_own_gap() {
     let mut holders = placed_fleet();
@@ -269,12 +272,13 @@
     );
 }
 
-// An endpoint is gone for good. Without a repair, every request of its zone would go to another
-// zone and back for the rest of the day. Spare copies move; nothing that is held once does.
+// An endpoint is lost. Without a repair, every request of its zone would pass through another zone
+// and back. Only endpoints whose layers all have a second copy are moved.
 #[test]
 fn a_zone_that_lost_an_endpoint_is_repaired_by_redundant_copies() {
     let mut holders = placed_fleet();
-    // One that holds a layer alone: the loss of a spare copy leaves nothing to repair.
+    // Remove an endpoint that is the only holder of a layer: the loss of a redundant copy needs no
+    // repair.
     let own = copies(&holders, Some("a"));
     let alone = |h: &Holder| (h.span.from..h.span.to).any(|l| own[l as usize] == 1);
     let needed = |h: &Holder| h.zone == "a" && h.kind == "v100" && alone(h);
@@ -293,9 +297,9 @@
     assert_eq!(plan::next_orders(&engine(), &holders), []);
 }
 
-// Endpoints die, come back, arrive and leave at random, and orders are carried out at once, late
-// or not at all. Whatever happens, no order asks for more than memory holds, none moves the last
-// copy of a layer in its zone, and once all is calm the fleet holds every layer.
+// Endpoints die, restart, join and leave at random, and orders are carried out at once, late or not
+// at all. No order may exceed the memory of an endpoint or move the last copy of a layer in its
+// zone, and once no more faults occur the fleet must hold every layer.
 #[test]
 fn random_failures_end_in_a_complete_replica_set() {
     let engine = engine();
@@ -344,7 +348,7 @@
     }
 }
 
-/// An endpoint takes an order only if it is still what the order was planned for.
+/// Applies an order if the endpoint is still in the state that the order was planned for.
 fn apply_order(holders: &mut [Holder], order: &Order) {
     let found = holders.iter_mut().find(|h| h.run == order.run);
     if let Some(holder) = found.filter(|h| h.span == order.held) {
@@ -359,9 +363,9 @@
     assert!(own[span].iter().all(|&n| n >= 2), "{order:?}");
 }
 
-/// Room of the scarcest layer, in tokens.
+/// Returns the capacity of the layer with the least, in tokens.
 fn bottleneck(engine: &Engine, holders: &[Holder]) -> f64 {
-    let room = |layer: Layer| -> f64 {
+    let capacity = |layer: Layer| -> f64 {
         let own = holders.iter().filter(|h| h.span.contains(layer));
         own.map(|h| {
             let kind = engine.accelerator(&h.kind).unwrap();
@@ -369,11 +373,12 @@
         })
         .sum()
     };
-    (0..engine.layers).map(room).fold(f64::MAX, f64::min)
+    (0..engine.layers).map(capacity).fold(f64::MAX, f64::min)
 }
 
-// The baseline is a random plan: each endpoint holds as many layers as leave the same room, from a
-// random layer on. What counts is the room of the scarcest layer, since requests take all layers.
+// The baseline is the best of many random plans, in which each endpoint holds as many layers as
+// leave the same capacity, starting at a random layer. Requests pass through all layers, so plans
+// are compared by the layer with the least capacity.
 #[test]
 fn the_plan_leaves_more_capacity_than_random_plans() {
     let engine = engine();
@@ -399,8 +404,8 @@
     assert!(planned > best, "{planned} against {best}");
 }
 
-// A plan is made on a small instance every tenth of a second while anything is missing. At the
-// size to design for, 4,700 endpoints in 18 zones, it must not take the instance for seconds.
+// While layers are missing, a small instance plans ten times a second. A plan for the maximum
+// supported size of 4,700 endpoints in 18 zones must not occupy it for seconds.
 #[test]
 fn thousands_of_endpoints_are_planned() {
     let zones = (0..18).map(|z| format!("z{z}"));
--- a/crates/steer/src/health.rs
+++ b/crates/steer/src/health.rs
@@ -26,7 +26,7 @@
     /// The head of the chain reported the endpoint as missing: it is dead, about to leave, or short
     /// of memory, and the head cannot tell which.
     Missing,
-    /// Another process runs at the address of the endpoint, or the endpoint does not hold the
+    /// Another run or process answers at the address of the endpoint, or the endpoint does not hold the
     /// expected layers.
     Misdirected,
     /// No connection, a broken connection, an invalid answer, or no answer in time.
--- a/crates/steer/tests/budget.rs
+++ b/crates/steer/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Further attempts stay a part of the first ones, over all nodes and any window.
+//! Retries stay within their share of the requests, over all nodes and in any window.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,8 +12,9 @@
 };
 const NODES: usize = 4;
 
-// A zone is lost and every request fails at first. Were each node to send each again, what is
-// left would get twice the load. Whatever the nodes ask for, each window holds the bound.
+// After the loss of a zone, every request fails at first. If each node retried every request, the
+// remaining endpoints would receive twice the load. Whatever the nodes attempt, the limit must hold
+// in each window.
 #[test]
 fn no_window_exceeds_the_allowed_retries() {
     for seed in 0..20 {
@@ -46,18 +47,18 @@
 fn the_budget_is_replenished_over_time() {
     let mut budget = Budget::default();
     let mut granted = 0;
-    // A node knows the others after its first window; before that it takes less.
+    // A node knows the other nodes after its first window; before that it takes fewer retries.
     while budget.try_retry(Duration::from_secs(20), &ALLOWANCE, 1) {
         granted += 1;
     }
-    // Four fifths of the fixed part; what is kept back is for nodes that start anew.
+    // Four fifths of the fixed part; the rest is reserved for nodes that restart.
     assert_eq!(granted, 32);
     assert!(!budget.try_retry(Duration::from_secs(29), &ALLOWANCE, 1));
     assert!(budget.try_retry(Duration::from_secs(32), &ALLOWANCE, 1));
 }
 
-// All nodes lose power and start again together. None knows another one yet, so each would take the
-// whole fixed part of the budget for itself, while every request fails at first.
+// All nodes restart at the same time. None of them knows another one yet, so each would take the
+// whole fixed part of the budget while every request fails at first.
 #[test]
 fn nodes_that_start_together_do_not_each_take_the_whole_budget() {
     let mut granted = 0;
@@ -70,17 +71,17 @@
     assert!(f64::from(granted) <= ALLOWANCE.slack, "{granted} granted");
 }
 
-/// Nodes, requests a second in all and the fixed part of the budget, as three deployments have them.
+/// Nodes, total requests per second and fixed part of the budget of three deployments.
 const DEPLOYMENTS: [(usize, usize, f64); 3] = [(8, 75, 200.0), (67, 235, 318.0), (195, 530, 574.0)];
 
-// Stages die, and all nodes use up what further attempts they have. Then all lose power and start
-// again: they neither know each other yet nor what they used before. Callers must not find more
-// load on what is left than the operator allows in any window, also in the one across the restart.
+// Stages die and all nodes use up their retries. Then all nodes restart, and know neither each
+// other nor the retries that they used before. The retries must stay within the allowance in any
+// window, including the one across the restart.
 #[test]
 fn nodes_that_restart_after_using_their_budget_stay_within_it() {
     for (nodes, rate, slack) in DEPLOYMENTS {
         let allowance = Allowance { slack, ..ALLOWANCE };
-        // The window ends a second after the restart.
+        // The window ends one second after the restart.
         let before = allowance.window - Duration::from_secs(1);
         let old = count_retries(
             &allowance,
@@ -108,8 +109,8 @@
     }
 }
 
-/// Further attempts that `nodes` nodes take which know of `known`, from `start` on for `time`, with
-/// `rate` first attempts a second in all.
+/// Returns the number of retries that `nodes` nodes, each of which knows of `known` nodes, take
+/// from `start` on for `time` at a total of `rate` requests per second.
 fn count_retries(
     allowance: &Allowance,
     nodes: usize,
--- a/crates/steer/tests/chain.rs
+++ b/crates/steer/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains: every layer once and in order, within the room that endpoints have.
+//! Chains run every layer once and in order, within the capacity of endpoints.
 
 mod support;
 
@@ -17,7 +17,7 @@
 
 const MODEL: u32 = 0;
 
-/// Fails unless the stages run every layer once and in order, no endpoint twice.
+/// Fails unless the stages run every layer once and in order, each on a different endpoint.
 fn assert_complete(target: &Target) {
     let mut next = 0;
     let mut seen = BTreeSet::new();
@@ -56,7 +56,7 @@
     };
     assert_eq!(short(&mut selector(gap), 100), Shortage::Layers);
     assert_eq!(short(&mut selector(Vec::new()), 100), Shortage::Endpoints);
-    // 8 layers leave 2 GB, which hold 2,000 tokens times layers: 250 tokens.
+    // 8 layers leave 2 GB, which hold 2,000 token-layers: 250 tokens.
     let mut full = selector(vec![endpoint(1, "a", "fast", 0, 8)]);
     full.select(ms(0), MODEL, &need(200), &[]).unwrap();
     assert_eq!(short(&mut full, 200), Shortage::Capacity);
@@ -79,8 +79,8 @@
     );
 }
 
-// Activations between availability zones go over a pipe that all share; chains that cross without
-// need fill it, and every answer on it is late.
+// Activations between availability zones share one link. Chains that cross zones without need fill
+// it, and every answer that crosses it is delayed.
 #[test]
 fn a_chain_stays_in_one_zone_if_possible() {
     let rows = vec![
@@ -104,8 +104,8 @@
     }
 }
 
-// Only a chain over both zones is left. Callers get it until the pipe is used up, then an honest
-// refusal at once: one more request on a full pipe would make all of them late.
+// Only a chain over both zones remains. Callers get it until the link is used up, and then an
+// immediate refusal: one more request on a full link would delay all of them.
 #[test]
 fn a_link_is_not_filled_beyond_its_capacity() {
     let rows = vec![
@@ -122,14 +122,14 @@
         sent += 1;
         assert!(sent < 1000, "the pipe has no bound");
     };
-    // 1,000 tokens of 10 kB are 80 Mbit; the pipe takes 1 Gbit/s, and two seconds are counted.
+    // 1,000 tokens of 10 kB are 80 Mbit; the link carries 1 Gbit/s, and two seconds are counted.
     assert_eq!((refused, sent), (Shortage::Capacity, 19));
     assert!(selector.select(ms(4000), MODEL, &need(1000), &[]).is_ok());
 }
 
-// An answer over the pipe is silent, and it is asked again and again whether it could go on
-// elsewhere. Counted as requests over the pipe, the questions alone would fill it, and the next
-// callers would be refused although nothing crosses.
+// While an answer that crosses zones is idle, the node checks repeatedly whether another chain
+// could take over. If the checks counted as traffic, they would fill the link, and further callers
+// would be refused although nothing crosses it.
 #[test]
 fn checking_for_a_chain_reserves_nothing() {
     let rows = vec![
@@ -162,8 +162,8 @@
     assert!(selector.select(ms(500), MODEL, &need(50), &[]).is_err());
 }
 
-// A caller's answer stalls because a stage died. The rest of the chain keeps its memory, so only
-// that stage is replaced; the head stays, since the request is there.
+// An answer stalls because a stage died. The other stages keep its state in memory, so only the
+// dead stage is replaced. The head stays, since it holds the request.
 #[test]
 fn a_reroute_replaces_only_the_dead_stage() {
     let rows = vec![
@@ -183,7 +183,7 @@
     assert_complete(&target);
     assert!(target.stages.iter().all(|s| s.addr != dead));
     assert_eq!(target.head().run.id, "e1");
-    // The head can't be replaced, and what nobody else holds neither.
+    // Neither the head nor a stage whose layers no other endpoint holds can be replaced.
     let head = target.head().addr;
     assert!(
         selector
@@ -254,7 +254,7 @@
         endpoint(3, "a", "slow", 4, 6),
     ];
     let mut selector = selector(rows);
-    // 4 layers leave 6 GB, which hold 6,000 tokens times layers: half of it is taken here.
+    // 4 layers leave 6 GB, which hold 6,000 token-layers: half of them are taken here.
     selector.select(ms(0), MODEL, &need(750), &[]).unwrap();
     let scarcity = selector.scarcity(ms(0), MODEL);
     assert_eq!((scarcity.known, scarcity.available), (3, 3));
@@ -267,9 +267,9 @@
     );
 }
 
-// Callers wait for their first event at a fast endpoint that has memory to spare: it begins a
-// bounded number of chains at once, and the others queue. Its report says so, and requests begin
-// elsewhere; as a later stage of a chain it is used as before.
+// Guards against callers that wait for their first event at a fast endpoint with free memory: it
+// begins a limited number of chains at once, and further requests queue. Its report shows the
+// queue, so other endpoints become heads; as a later stage the endpoint is used as before.
 #[test]
 fn a_head_with_a_queue_is_avoided() {
     let fast = endpoint(0, "a", "fast", 0, 4);
@@ -291,9 +291,9 @@
     assert_eq!(begin(50), slow.run);
 }
 
-// An endpoint refuses a request for want of memory although its last report, a second old, says
-// that a third is free. The refusal is newer than the report: the next request does not go there,
-// or it would be refused as well and use up an attempt more.
+// An endpoint refuses a request for lack of memory although its last report, one second old, shows
+// that a third is free. The refusal is newer than the report, so the next request avoids the
+// endpoint; otherwise it would be refused as well and cost a retry.
 #[test]
 fn a_refusal_for_lack_of_memory_overrides_an_older_report() {
     let (fast, slow) = (
@@ -316,15 +316,15 @@
         Outcome::Missing,
         Some(fast.addr),
     );
-    // It is full, and did not fail.
+    // The endpoint counts as full and not as failed.
     assert_eq!(selector.rows()[0].health.failures(), 0);
     let next = selector.select(ms(1130), MODEL, &need(200), &[]).unwrap();
     assert_eq!(next.head().run, slow.run);
 }
 
-// Guards against callers that are refused for want of room by nodes that have just started: a guess how
-// many others choose beside them was taken for requests that these hold, and 162 callers of seven nodes
-// were refused within a second after all had started anew.
+// Guards against refusals for lack of capacity by recently started nodes. If the assumed number of
+// nodes that select by the same reports were taken for nodes with requests in flight, seven nodes
+// that all restart would refuse 162 callers within a second.
 #[test]
 fn assumed_nodes_occupy_no_capacity() {
     let row = endpoint(1, "a", "fast", 0, 8);
--- a/crates/steer/tests/depart.rs
+++ b/crates/steer/tests/depart.rs
@@ -1,7 +1,7 @@
-//! Stages that will not serve to the end of an answer.
+//! Stages that will not serve until the end of an answer.
 //!
-//! The pattern: a chain of three stages is under way; one endpoint leaves, is replaced by its
-//! operator, or is ordered to hold other layers, and serves what passes through it for a while.
+//! A chain of three stages is in flight. One endpoint drains, is replaced by its operator, or is
+//! ordered to hold other layers, and keeps serving the requests that pass through it for a while.
 
 mod support;
 
@@ -29,7 +29,7 @@
     (selector, target)
 }
 
-/// What departs once the endpoints are as `change` makes them.
+/// Returns the index of the departing stage after `change` to the endpoints.
 fn departs(change: impl Fn(&mut Vec<Endpoint>)) -> Option<usize> {
     let (mut selector, target) = in_flight();
     let mut rows = rows();
@@ -47,19 +47,20 @@
         departs(|rows| rows[1].span = Span { from: 4, to: 8 }),
         Some(1)
     );
-    // It has started anew at its address, and holds nothing of before.
+    // The endpoint restarted at its address, and holds nothing from before.
     assert_eq!(departs(|rows| rows[2].run.started_at = 2), Some(2));
 }
 
-// More layers than before take nothing from an answer; and the head is where the request is, so
-// that it can't be moved.
+// An endpoint that loads additional layers keeps serving the answer. The head holds the request, so
+// it cannot be replaced.
 #[test]
 fn a_stage_with_more_layers_and_the_head_do_not_depart() {
     assert_eq!(departs(|rows| rows[1].span = Span { from: 2, to: 7 }), None);
     assert_eq!(departs(|rows| rows[0].state = State::Draining), None);
 }
 
-// Guards against requests that are sent to an endpoint which is about to give up its layers, and refused.
+// Guards against requests that are sent to an endpoint about to release its layers, which then
+// refuses them.
 #[test]
 fn an_endpoint_about_to_release_its_layers_departs_and_gets_no_new_requests() {
     let (mut selector, target) = in_flight();
--- a/crates/steer/tests/detour.rs
+++ b/crates/steer/tests/detour.rs
@@ -1,9 +1,9 @@
-//! Many nodes that move their requests away from one dead stage at once.
+//! Many nodes that reroute their requests around one dead stage at the same time.
 //!
-//! The pattern: an endpoint of a chain dies with 250 requests of 84 nodes on it. Five others hold
-//! its layers, one of them on a fast accelerator. The new stages read all tokens of the requests
-//! again. Grounds for the figures: requests, nodes, tokens and accelerators are those of a grown
-//! deployment of the users in the second after a crash.
+//! An endpoint dies with 250 requests of 84 nodes in flight. Five other endpoints hold its layers,
+//! one of them on a fast accelerator. The new stages prefill all tokens of the requests again. The
+//! numbers of requests, nodes and tokens and the kinds of accelerators are those of a large
+//! deployment in the second after a crash.
 
 mod support;
 
@@ -20,14 +20,14 @@
 };
 
 const NODES: usize = 84;
-/// Requests that each node has on the endpoint.
+/// Requests that each node has in flight at the endpoint.
 const REQUESTS_PER_NODE: usize = 3;
-/// Layers of the dead stage, of eight.
+/// Layers of the dead stage, out of eight.
 const LOST_LAYERS: u32 = 2;
-/// Requests that an endpoint has room for.
+/// Number of requests that an endpoint has capacity for.
 const CAPACITY_REQUESTS: usize = 400;
-/// Largest part by which the time of the endpoint that reads longest may be over the even share.
-/// A node knows only in thought what the others do, so it is not 1.
+/// Maximum ratio of the longest prefill time of an endpoint to the time of an even distribution. It
+/// exceeds 1 because a node only simulates what the other nodes do.
 const MAX_IMBALANCE: f64 = 1.35;
 
 /// A chain of four stages.
@@ -39,7 +39,7 @@
     (0..4).map(one).collect()
 }
 
-/// Those that hold the layers of the second stage too.
+/// Further endpoints that hold the layers of the second stage.
 fn holders() -> Vec<Endpoint> {
     let kind = |n| if n == 10 { "fast" } else { "slow" };
     (10..15)
@@ -47,9 +47,9 @@
         .collect()
 }
 
-// Callers wait for answers whose chain lost a stage. Every node replaces the stage in the requests
-// that it has, by the same report of the other holders. If they all take the cheapest one, it reads
-// their tokens one request after the other, and callers leave before theirs is through.
+// Every node replaces the dead stage in its requests by the same reports of the other holders. If
+// all nodes took the cheapest one, it would prefill their tokens one request after the other, and
+// callers would leave before their answers continue.
 #[test]
 fn rerouted_requests_are_spread_over_all_holders_of_the_layers() {
     let base = Fleet {
@@ -110,9 +110,9 @@
     );
 }
 
-// A caller waits for an answer whose chain lost a stage. The faster of two holders of its layers is
-// in another zone: all tokens so far would go there and back over the pipe that zones share, one
-// request after the other. The holder nearby is slower, and its callers wait for less.
+// The faster of two holders of the lost layers is in another zone: all tokens so far would cross
+// the link between the zones and back, one request after the other. The slower holder in the same
+// zone delays its callers less.
 #[test]
 fn a_stage_is_replaced_in_the_zone_of_its_neighbors() {
     let rows = vec![
@@ -125,7 +125,7 @@
     let need = support::need(200);
     for last in [true, false] {
         let mut rows = rows.clone();
-        // The stage that is lost is the last one of its chain, or not.
+        // The lost stage is the last one of its chain, or an inner one.
         if last {
             rows.remove(2);
             rows.iter_mut()
@@ -142,8 +142,8 @@
     }
 }
 
-// Guards against room that nothing uses: a change of stages that a head refuses left its new stages
-// held beside the old ones.
+// Guards against a leak of reserved capacity: if the head refuses a reroute, the new stages must
+// not stay reserved beside the old ones.
 #[test]
 fn a_reroute_that_the_head_refuses_reserves_nothing() {
     let mut rows = chain();
--- a/crates/steer/tests/health.rs
+++ b/crates/steer/tests/health.rs
@@ -1,4 +1,4 @@
-//! When an endpoint is left out, for how long, and whom that is told.
+//! Ejection of endpoints, its duration, and the health transitions that are published.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const PLAIN: u32 = 1;
 
-/// When an endpoint is used again that fails each time it is tried, from 0 on.
+/// Returns the times at which an endpoint that always fails is retried, starting at 0.
 fn retry_times(count: usize) -> Vec<u64> {
     let mut health = Health::default();
     let mut now = 0;
@@ -32,8 +32,8 @@
     assert_eq!(retry_times(6), [300, 900, 2100, 4500, 8500, 12500]);
 }
 
-// An endpoint crashes under a hundred requests. Each of them fails; counted one by one they would
-// keep the endpoint out for the longest time, although it is back after a moment.
+// An endpoint crashes with a hundred requests in flight, all of which fail. If each of them
+// counted, the endpoint would be ejected for the maximum time although it recovers at once.
 #[test]
 fn requests_that_break_off_together_count_as_one_failure() {
     let mut health = Health::default();
@@ -60,8 +60,9 @@
     assert_eq!(health.failures(), 0);
 }
 
-// Other nodes should not learn of a dead endpoint by an attempt each. One failure may be the
-// request's or this node's own, so the second in a row is told, and the recovery after it.
+// Other nodes should not spend an attempt each to detect a dead endpoint. A single failure may be
+// due to the request or to this node, so the second consecutive failure is published, and then the
+// recovery.
 #[test]
 fn the_second_consecutive_failure_is_published() {
     let mut selector = selector(vec![plain(1)]);
@@ -93,18 +94,19 @@
     assert_eq!(other.unwrap().head().run.id, "e3");
 }
 
-// A stage dies while two thirds of its memory is in use. Heads refuse callers and name it, as they
-// do for one that is full. It was tried again each 120 ms by each node and no node was told, until
-// its row lapsed after three heartbeats. It has stopped reporting, which one that is full has not.
+// A stage dies with two thirds of its memory in use. Heads refuse requests and report it as
+// missing, as they do for a full endpoint. Guards against nodes that retry it every 120 ms without
+// publishing it, until its registration expires after three heartbeats. Unlike a full endpoint, it
+// has stopped sending load reports.
 #[test]
 fn a_missing_endpoint_that_stops_reporting_is_published_as_down() {
-    // Told again while it lasts, since what one node tells counts for a while only.
+    // The transition is published repeatedly, since what a node publishes expires.
     let mut published = reported_missing_for_two_seconds(None);
     published.dedup();
     assert_eq!(published, vec![Transition::Down(dead().run)]);
 }
 
-// The same with an engine that is alive and full: it is never blamed, however often it refuses.
+// The same with a live, full engine: however often it refuses, it never counts as failed.
 #[test]
 fn a_missing_endpoint_that_keeps_reporting_is_full() {
     assert_eq!(reported_missing_for_two_seconds(Some(ms(400))), vec![]);
@@ -114,11 +116,11 @@
     endpoint(1, "a", "slow", 0, LAYERS)
 }
 
-/// What a node tells when one endpoint is named in each request to it for two seconds, while it
-/// goes on to report every so often.
+/// Returns the transitions that a node publishes in two seconds if each request to an endpoint
+/// reports it as missing, while the endpoint sends load reports at an interval.
 fn reported_missing_for_two_seconds(reports: Option<Duration>) -> Vec<Transition> {
     let run = dead().run.to_string();
-    // Room is 2 GB beside 8 layers, 2000 in tokens times layers.
+    // 2 GB remain beside 8 layers: 2,000 token-layers.
     let view = |stamp: u64| Fleet {
         loads: Arc::new([(run.clone(), load(stamp, 1300.0, 0, Duration::ZERO))].into()),
         ..fleet(vec![dead()], 1)
@@ -140,8 +142,8 @@
     transitions
 }
 
-// Guards against sends to a dead stage by nodes that have not met it: a head's word that its chain waits
-// for the stage was told only once it had been given a second time, 0.3 s later.
+// Guards against requests to a dead stage from nodes that have not met it yet. A head's report that
+// its chain waits for the stage is published at once: waiting for a second report would take 0.3 s.
 #[test]
 fn a_stage_that_a_head_waits_for_is_published_at_once() {
     let mut selector = selector(vec![endpoint(1, "a", "fast", 0, LAYERS)]);
--- a/crates/steer/tests/herd.rs
+++ b/crates/steer/tests/herd.rs
@@ -1,9 +1,9 @@
-//! Many nodes that choose by the same late reports.
+//! Many nodes that select by the same delayed reports.
 //!
-//! The pattern: 84 nodes with 300 requests a second in all, before twelve chains of four stages in
-//! three zones, three of them on fast endpoints; each 400 ms all learn how full the endpoints were
-//! 200 ms ago. Grounds for the figures: nodes, requests, stay, places and the age of reports are
-//! those of a grown deployment of the users, at a quarter of the places that it has.
+//! 84 nodes with 300 requests per second in total use twelve chains of four stages in three zones,
+//! three of the chains on fast endpoints. Every 400 ms, all nodes receive the load of the endpoints
+//! as of 300 ms before. The numbers of nodes and requests, the residence time, the capacity and the
+//! age of reports are those of a large deployment, at a quarter of its capacity.
 
 mod support;
 
@@ -22,30 +22,30 @@
 
 const NODES: usize = 84;
 const ENDPOINTS: u8 = 48;
-/// Requests that fit into an endpoint.
+/// Number of requests that an endpoint has capacity for.
 const CAPACITY_REQUESTS: usize = 150;
-/// Layers of an endpoint.
+/// Number of layers that an endpoint holds.
 const LAYERS_HELD: u32 = 2;
-/// A step of the clock.
+/// Duration of a simulation step.
 const STEP: Duration = Duration::from_millis(10);
 /// Steps between two reports.
 const REPORT_INTERVAL: usize = 40;
-/// Steps that a report takes to the nodes.
+/// Steps until a report reaches the nodes.
 const REPORT_DELAY: usize = 30;
-/// Steps of the whole run: 20 s.
+/// Steps of a whole run: 20 s.
 const STEPS: usize = 2000;
-/// Requests that start in a step: half of the places are taken on average.
+/// Requests that start per step: half of the capacity is in use on average.
 const STARTS: usize = 6;
-/// Steps that a request lasts.
+/// Steps from the start of a request to its end.
 const REQUEST_STEPS: usize = 150;
 
-/// What happened.
+/// Counts of the outcomes of requests.
 #[derive(Debug, Default)]
 struct Outcomes {
     sent: usize,
-    /// Requests that an endpoint refused since it had no room left.
+    /// Requests that an endpoint refused for lack of capacity.
     refused: usize,
-    /// Requests for which a node found no chain with room.
+    /// Requests for which a node found no chain with enough capacity.
     short: usize,
 }
 
@@ -60,27 +60,27 @@
     (0..ENDPOINTS).map(one).collect()
 }
 
-/// A request that runs.
+/// A request in flight.
 struct Running {
     end: usize,
     node: usize,
     target: Target,
 }
 
-/// The endpoints as they are.
+/// Actual state of the endpoints.
 struct World {
-    /// Memory in use by run, in tokens times layers.
+    /// Memory in use by run, in token-layers.
     used: BTreeMap<String, f64>,
     running: VecDeque<Running>,
 }
 
 impl World {
-    /// An endpoint of the chain that has no room for the prompt.
+    /// Returns the address of an endpoint of the chain that has no capacity for the prompt.
     fn full(&self, target: &Target) -> Option<SocketAddr> {
         let prompt = f64::from(TYPICAL_SIZE.prompt) * f64::from(LAYERS_HELD);
-        let room = CAPACITY_REQUESTS as f64 * tokens() * f64::from(LAYERS_HELD);
+        let capacity = CAPACITY_REQUESTS as f64 * tokens() * f64::from(LAYERS_HELD);
         let used = |s: &Stage| self.used.get(&s.run.to_string()).copied().unwrap_or(0.0);
-        let full = target.stages.iter().find(|s| used(s) + prompt > room);
+        let full = target.stages.iter().find(|s| used(s) + prompt > capacity);
         full.map(|s| s.addr)
     }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A step: answers grow, and those that are whole give their memory back.
+    /// Advances by one step: answers grow, and completed ones release their memory.
     fn step(&mut self, step: usize, nodes: &mut [Selector], now: Duration) {
         let mut running = std::mem::take(&mut self.running);
         while running.front().is_some_and(|r| r.end <= step) {
@@ -105,7 +105,7 @@
         self.running = running;
     }
 
-    /// What the endpoints report now.
+    /// Returns the reports that the endpoints send now.
     fn loads(&self, base: &Fleet, step: usize) -> BTreeMap<String, Load> {
         let report = |run: String| {
             let used = self.used.get(&run).copied().unwrap_or(0.0);
@@ -116,7 +116,8 @@
     }
 }
 
-/// Runs nodes with `starts` requests in each step; `seed` gives the seed of each node's draws.
+/// Runs nodes with `starts` requests in each step; `seed` returns the seed of each node's random
+/// draws.
 fn run(starts: impl Fn(usize) -> usize, seed: impl Fn(usize) -> u64) -> Outcomes {
     let allowance = Allowance {
         ratio: 0.2,
@@ -180,32 +181,32 @@
     outcomes
 }
 
-// Callers are refused while half of the memory is free: all nodes read the same report, take the
-// cheapest chains, and fill them before the next report. With chance of each node's own in the
-// prices, and with the requests that the others have sent meanwhile placed in thought, fewer
-// requests meet a full endpoint. The baseline is the same load with the same chance everywhere, so
-// that the nodes agree in their choice.
+// Guards against refusals while half of the memory is free: by the same report, all nodes select
+// the cheapest chains and fill them before the next report. Random factors on prices, and the
+// simulated placement of other nodes' requests, make fewer requests meet a full endpoint. The
+// baseline is the same load with the same random factors at all nodes, so that they agree in their
+// selection.
 #[test]
 fn nodes_do_not_all_select_the_same_chain() {
     let (agreed, own) = (run(|_| STARTS, |_| 0), run(|_| STARTS, |node| node as u64));
     println!("agreed {agreed:?}, by own chance {own:?}");
     assert_eq!(agreed.short, own.short);
-    // With chance alone 1047 of 11820 were refused.
+    // With random factors only, 1,047 of 11,820 requests are refused.
     assert!(own.refused * 20 < own.sent, "{own:?}");
     assert!(own.refused * 4 < agreed.refused, "{agreed:?} {own:?}");
 }
 
-/// Requests that start in a step when all callers come back: with half of the places taken in this
-/// time, half are left free.
+/// Requests that start per step when all callers return: with half of the capacity in use by then,
+/// half is left free.
 const RETURNS: usize = 18;
-/// Steps in which they come back: half a second.
+/// Steps within which callers return: half a second.
 const RETURN_STEPS: usize = 50;
 
-// All nodes lost power and start anew. Callers come back within half a second, five times as many
-// as usual, and are refused though places are free: a node that has just begun to count takes the
-// others to send next to nothing, finds the fast endpoints empty by a report of half a second ago,
-// and so do all. Load: 900 requests in half a second before 1,800 places. Aim: no more than one in
-// twenty meets a full endpoint, as on any other day.
+// All nodes restart, and callers return within half a second at five times the usual rate. Guards
+// against refusals while capacity is free: a node that has just begun to count requests would
+// assume that the other nodes send almost none, find the fast endpoints empty in a report that is
+// half a second old, and so would all others. 900 requests arrive in half a second for a capacity
+// of 1,800; no more than one in twenty may meet a full endpoint, as under normal load.
 #[test]
 fn callers_that_return_at_once_are_spread() {
     // Nodes know a catalog after the first report.
--- a/crates/steer/tests/shortlist.rs
+++ b/crates/steer/tests/shortlist.rs
@@ -1,8 +1,8 @@
-//! Choices among hundreds of endpoints for each layer.
+//! Selection among hundreds of endpoints for each layer.
 //!
-//! The pattern: 300 nodes before 3,000 endpoints in three zones, each with an eighth of a processor
-//! and two or three requests a second. A search that looks at every endpoint takes 40 ms of a whole
-//! processor, so a request waited a third of a second for its choice.
+//! 300 nodes use 3,000 endpoints in three zones; each node has an eighth of a processor and two or
+//! three requests per second. A search over every endpoint takes 40 ms of a whole processor, so
+//! that a request would wait a third of a second for its selection.
 
 mod support;
 
@@ -15,11 +15,11 @@
 use steer::shortlist::{self, HOLDERS_PER_LAYER, Holder};
 use support::{LAYERS, endpoint, ms, need, selector};
 
-/// Layers of the users' model.
+/// Number of layers of a production model.
 const MODEL: u32 = 80;
 const ZONES: usize = 3;
 
-/// Holders of a zone's layers as a plan lays them out: rows of equal spans from layer 0 on.
+/// Returns holders of layers in [`ZONES`] zones, with spans of several lengths that overlap.
 fn holders(count: usize, rng: &mut ChaCha8Rng) -> Vec<Holder> {
     let holder = |n: usize| {
         let len = [7, 8, 11, 30][rng.random_range(0..4)];
@@ -36,7 +36,7 @@
     (0..count).map(holder).collect()
 }
 
-/// How many of these hold each layer in each zone.
+/// Returns the number of holders of each layer in each zone.
 fn count_holders(holders: impl Iterator<Item = Holder>) -> BTreeMap<(usize, u32), u32> {
     let mut held = BTreeMap::new();
     for holder in holders {
@@ -47,7 +47,8 @@
     held
 }
 
-// Guards against choices whose cost grows with the fleet, and against layers that are left out.
+// Guards against a search time that grows with the fleet, and against layers that are left out of
+// the sample.
 #[test]
 fn a_search_examines_a_few_holders_of_each_layer() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -66,12 +67,12 @@
         }
         sizes.push(few.len());
     }
-    // Each one drawn holds at least seven layers, one of which had too few holders before it.
+    // Each sampled holder has at least seven layers, one of which had too few holders before it.
     let bound = ZONES * (MODEL * HOLDERS_PER_LAYER) as usize / 4;
     assert!(sizes.iter().all(|&n| n <= bound), "{sizes:?}");
 }
 
-// Guards against a change of choice on small fleets, where every holder counts.
+// Guards against a changed selection in small fleets, where every holder counts.
 #[test]
 fn a_small_fleet_is_examined_completely() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
@@ -80,7 +81,7 @@
     assert_eq!(few.len(), all.len());
 }
 
-// Guards against spans that an endpoint reports wrongly.
+// Guards against invalid spans in the reports of endpoints.
 #[test]
 fn spans_beyond_the_model_are_ignored() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -92,7 +93,7 @@
     assert_eq!(shortlist::sample(&mut rng, MODEL, &all), [0]);
 }
 
-/// Many endpoints of one zone, each with half of the layers.
+/// Endpoints of one zone, each of which holds half of the layers.
 fn half_model_endpoints(count: u16) -> Vec<Endpoint> {
     let one = |n: u16| {
         let from = u32::from(n % 2) * LAYERS / 2;
@@ -108,14 +109,14 @@
     (0..count).map(one).collect()
 }
 
-/// Heads of so many chains, one chosen after the other.
+/// Returns the heads of `chains` chains that are selected one after the other.
 fn heads(selector: &mut Selector, chains: usize) -> BTreeSet<Run> {
     let chosen = (0..chains).map(|_| selector.select(ms(0), 0, &need(100), &[]));
     let chosen = chosen.map(|target| target.expect("there is room").stages[0].run.clone());
     chosen.collect()
 }
 
-// Guards against nodes that keep to the endpoints of one draw while hundreds of others idle.
+// Guards against nodes that keep using the endpoints of one sample while hundreds of others idle.
 #[test]
 fn each_request_examines_a_new_sample() {
     let mut selector = selector(half_model_endpoints(400));
@@ -123,11 +124,10 @@
     assert!(heads.len() >= 60, "{} heads of 200", heads.len());
 }
 
-// Guards against callers that are refused for want of room while an endpoint that was not looked at
-// has some.
+// Guards against refusals for lack of capacity while an endpoint outside of the sample has some.
 #[test]
 fn all_endpoints_are_examined_before_a_refusal() {
-    // Each holds four layers, with room for 1,500 tokens: one request of this size.
+    // Each endpoint holds four layers and has capacity for 1,500 tokens: one request of this size.
     let mut selector = selector(half_model_endpoints(120));
     for _ in 0..60 {
         let found = selector.select(ms(0), 0, &need(1000), &[]);
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet for the tests of the choice.
+//! A small fleet for the tests of the selection.
 #![allow(dead_code)]
 
 use catalog::endpoint::{Endpoint, Run, Span, State};
@@ -15,17 +15,17 @@
 use steer::load::Load;
 use steer::{Fleet, Selector};
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: Layer = 8;
 
-/// An allowance that no test uses up by accident.
+/// An allowance that no test uses up unintentionally.
 pub const ALLOWANCE: Allowance = Allowance {
     ratio: 0.2,
     slack: 100.0,
     window: Duration::from_secs(10),
 };
 
-/// An engine with 8 layers of 1 GB; a token takes 1 MB a layer.
+/// An engine with 8 layers of 1 GB, where a token takes 1 MB at each layer.
 pub fn engine() -> Engine {
     Engine {
         layers: LAYERS,
@@ -67,24 +67,24 @@
     }
 }
 
-/// A usual request of the users: its prompt, and its answer.
+/// Typical size of a production request.
 pub const TYPICAL_SIZE: Size = Size {
     prompt: 775,
     answer: 214,
 };
 
-/// Tokens of such a request in all.
+/// Returns the total tokens of a request of [`TYPICAL_SIZE`].
 pub fn tokens() -> f64 {
     f64::from(TYPICAL_SIZE.prompt + TYPICAL_SIZE.answer)
 }
 
-/// Factor on the time to read prompts, by the kind of the users' accelerators.
+/// Returns the factor on prefill time for a kind of accelerator.
 pub fn prefill_factor(kind: &str) -> f64 {
     if kind == "fast" { 3.2 } else { 7.9 }
 }
 
-/// The users' model, in eight parts instead of eighty layers, on accelerators that have room for
-/// `requests` requests beside `held` parts.
+/// Returns an engine with the size of a production model, in 8 layers instead of 80, on
+/// accelerators with capacity for `requests` requests beside `held` layers.
 pub fn large_engine(held: Layer, requests: usize) -> Engine {
     let (layer, token) = (17.5e9, 61_500.0);
     let bytes = f64::from(held) * (layer + requests as f64 * tokens() * token);
@@ -112,7 +112,7 @@
     catalog_with(engine())
 }
 
-/// The same with another engine.
+/// A catalog like [`catalog`] with another engine.
 pub fn catalog_with(engine: Engine) -> Arc<Catalog> {
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
@@ -174,7 +174,7 @@
     }
 }
 
-/// A fleet of these endpoints as one of `nodes` nodes sees it.
+/// A fleet of these endpoints as seen by one of `nodes` nodes.
 pub fn fleet(endpoints: Vec<Endpoint>, nodes: usize) -> Fleet {
     Fleet {
         catalog: catalog(),
@@ -185,7 +185,7 @@
     }
 }
 
-/// A worker of one node that knows these endpoints.
+/// A selector of a single node that knows these endpoints.
 pub fn selector(endpoints: Vec<Endpoint>) -> Selector {
     let mut selector = Selector::new(1, ALLOWANCE);
     selector.update_fleet(Duration::ZERO, fleet(endpoints, 1));
@@ -203,7 +203,7 @@
     }
 }
 
-/// A report of `used` room and `queued` requests that was `age` old when it was published.
+/// A report of `used` token-layers and `queued` requests that was `age` old when it was published.
 pub fn load(stamp: u64, used: f64, queued: u32, age: Duration) -> Load {
     Load {
         stamp,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Milliseconds since the start.
+/// Time in milliseconds since the start.
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
