--- a/crates/member/examples/limits.rs
+++ b/crates/member/examples/limits.rs
@@ -8,9 +8,9 @@
 #[path = "../tests/support/net.rs"]
 mod net;
 
-use fleet::{Fleet, Way};
+use fleet::{Fleet, Policy};
 use member::settings::Settings;
-use net::{Faults, Net, QUIET, ms, print_all};
+use net::{Faults, NO_FAULTS, Net, ms, run_and_print};
 use std::time::Duration;
 
 const SECOND: Duration = ms(1000);
@@ -28,19 +28,19 @@
     Killed,
 }
 
-fn run(size: (usize, usize, usize), case: Case, way: Way) -> String {
+fn run(size: (usize, usize, usize), case: Case, way: Policy) -> String {
     let (nodes, zones, teams) = size;
     let mut net = Net::new(nodes, zones, 11, Settings::default());
     let mut fleet = Fleet::new(nodes, teams, 21, way);
     fleet.run(&mut net, SECOND * 40);
-    fleet.clear();
+    fleet.clear_samples();
     let start = net.now;
     let region = if nodes == 8 { "z1" } else { "r1" };
     let steps = if nodes > 100 { 3 } else { 6 };
     for step in 0..steps {
-        fleet.shift();
+        fleet.change_demand();
         match (case, step) {
-            (Case::Parted, 1) => net.part(1, |i| i.zone == region || i.region == region),
+            (Case::Parted, 1) => net.partition(1, |i| i.zone == region || i.region == region),
             (Case::Parted, 2) => net.heal(),
             (Case::Restarted, _) => {
                 let restarted: Vec<usize> = (0..nodes).filter(|i| i % 8 == step as usize).collect();
@@ -56,30 +56,30 @@
             }
             (Case::Lossy, _) => {
                 net.faults = Faults {
-                    loss: 0.01,
-                    ..QUIET
+                    loss_ratio: 0.01,
+                    ..NO_FAULTS
                 }
             }
             (Case::Late, _) => {
                 net.faults = Faults {
-                    loss: 0.3,
-                    twice: 0.0,
-                    delay: ms(250),
+                    loss_ratio: 0.3,
+                    duplicate_ratio: 0.0,
+                    max_delay: ms(250),
                 }
             }
             (Case::Killed, 1) => (0..nodes / 8).for_each(|i| net.kill(i * 8)),
-            _ => net.faults = QUIET,
+            _ => net.faults = NO_FAULTS,
         }
         let to = start + SECOND * 30 * (step + 1);
         fleet.run(&mut net, to);
     }
-    let sum = fleet.sum();
+    let sum = fleet.summary();
     format!(
         "| {nodes} | {way:?} | {case:?} | {:.1}% | {:.2}% | {:.1}% | {:.1}% |",
-        sum.worst * 100.0,
-        sum.above * 100.0,
-        sum.mean * 100.0,
-        sum.used * 100.0,
+        sum.max_overshoot * 100.0,
+        sum.time_above * 100.0,
+        sum.mean_sum * 100.0,
+        sum.served * 100.0,
     )
 }
 
@@ -95,11 +95,11 @@
     let mut jobs: Vec<Job> = Vec::new();
     for size in SIZES {
         for case in [Quiet, Parted, Restarted, Paused, Lossy, Late, Killed] {
-            jobs.push(Box::new(move || run(size, case, Way::Window)));
+            jobs.push(Box::new(move || run(size, case, Policy::Window)));
         }
-        for way in [Way::Equal, Way::Now] {
+        for way in [Policy::Equal, Policy::Now] {
             jobs.push(Box::new(move || run(size, Quiet, way)));
         }
     }
-    print_all(jobs);
+    run_and_print(jobs);
 }
--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -15,7 +15,7 @@
 use member::peer::State;
 use member::settings::Settings;
 use member::team::{self, Teams};
-use net::{Faults, Net, QUIET, ms, print_all};
+use net::{Faults, NO_FAULTS, Net, ms, run_and_print};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
@@ -24,31 +24,31 @@
 /// Nodes and availability zones.
 const SIZES: [(usize, usize); 3] = [(8, 3), (64, 6), (370, 18)];
 /// Length and MAC of a frame, and the header of an HTTP/2 DATA frame.
-const FRAME: usize = 4 + 16 + 9;
+const FRAME_OVERHEAD_BYTES: usize = 4 + 16 + 9;
 /// Headers of IP and TCP with time stamps, for each 1,448 bytes.
-const PACKET: usize = 52;
-const SEGMENT: usize = 1_448;
+const PACKET_OVERHEAD_BYTES: usize = 52;
+const SEGMENT_BYTES: usize = 1_448;
 /// A ping and its pong, half of both for each side.
-const PONG: usize = 17;
+const PING_BYTES: usize = 17;
 /// Teams at full size.
 const TEAMS: usize = 470;
 
 /// Deaths and publications that are measured.
-fn deaths(size: (usize, usize)) -> usize {
+fn repetitions(size: (usize, usize)) -> usize {
     if size.0 > 100 { 4 } else { 10 }
 }
 
-fn weigh(message: &Message) -> usize {
+fn message_bytes(message: &Message) -> usize {
     let frame = wire::frame::Frame::send(message.clone());
-    let bytes = frame.encode().expect("encodes").len() + FRAME + PONG;
-    bytes + PACKET * (1 + bytes.div_ceil(SEGMENT))
+    let bytes = frame.encode().expect("encodes").len() + FRAME_OVERHEAD_BYTES + PING_BYTES;
+    bytes + PACKET_OVERHEAD_BYTES * (1 + bytes.div_ceil(SEGMENT_BYTES))
 }
 
-fn joined(size: (usize, usize), seed: u64) -> Net {
+fn joined_net(size: (usize, usize), seed: u64) -> Net {
     let mut net = Net::new(size.0, size.1, seed, Settings::default());
     net.run(SECOND * 25);
-    assert!(net.whole(), "{} nodes join", size.0);
-    net.changes.clear();
+    assert!(net.all_up(), "{} nodes join", size.0);
+    net.state_changes.clear();
     net
 }
 
@@ -61,16 +61,16 @@
 }
 
 /// Time from a death to the first suspicion, and to the judgement at all others.
-fn detection(size: (usize, usize)) -> String {
-    let mut net = joined(size, 1);
+fn detection_time(size: (usize, usize)) -> String {
+    let mut net = joined_net(size, 1);
     let (mut first, mut all) = (Vec::new(), Vec::new());
-    for round in 0..deaths(size) {
+    for round in 0..repetitions(size) {
         let victim = round * 7 % size.0;
         let (start, id) = (net.now, net.id(victim));
         net.kill(victim);
         net.run(net.now + SECOND * 25);
         let of = |s: State| {
-            net.changes
+            net.state_changes
                 .iter()
                 .filter(move |c| c.peer == id && c.state == s && c.at >= start)
         };
@@ -78,7 +78,7 @@
         all.extend(of(State::Dead).map(|c| c.at - start).max());
         net.start(victim);
         net.run(net.now + SECOND * 15);
-        assert!(net.whole(), "victim returns");
+        assert!(net.all_up(), "victim returns");
     }
     let (a, b) = (quantile(&mut first, 0.5), quantile(&mut first, 1.0));
     let (c, d) = (quantile(&mut all, 0.5), quantile(&mut all, 1.0));
@@ -86,13 +86,16 @@
 }
 
 /// Time from a publication to the last node, for a head, an urgent item and a demand.
-fn spread(size: (usize, usize), loss: f64) -> String {
-    let mut net = joined(size, 2);
-    net.faults = Faults { loss, ..QUIET };
+fn spread_time(size: (usize, usize), loss: f64) -> String {
+    let mut net = joined_net(size, 2);
+    net.faults = Faults {
+        loss_ratio: loss,
+        ..NO_FAULTS
+    };
     let (mut heads, mut urgent, mut plain) = (Vec::new(), Vec::new(), Vec::new());
-    for round in 0..deaths(size) as u64 {
+    for round in 0..repetitions(size) as u64 {
         let (start, origin) = (net.now, round as usize * 3 % size.0);
-        net.adopt(
+        net.set_head(
             origin,
             Head {
                 number: round + 1,
@@ -146,14 +149,14 @@
 type Fault = fn(&mut Net, u32);
 
 /// Nodes that live and were judged dead although they answer.
-fn accusations(size: (usize, usize), name: &str, fault: Fault) -> String {
+fn false_accusations(size: (usize, usize), name: &str, fault: Fault) -> String {
     let minutes = if size.0 > 100 { 2 } else { 15 };
-    let mut net = joined(size, 3);
+    let mut net = joined_net(size, 3);
     for minute in 0..minutes {
         fault(&mut net, minute);
         net.run(net.now + SECOND * 60);
     }
-    let of = |s: State| net.changes.iter().filter(|c| c.state == s).count();
+    let of = |s: State| net.state_changes.iter().filter(|c| c.state == s).count();
     let hours = size.0 as f64 * f64::from(minutes) / 60.0;
     let (suspect, parted) = (of(State::Suspect), of(State::Parted));
     let dead = net.reported(State::Dead, ms(0)).len();
@@ -167,8 +170,8 @@
 
 fn lossy(net: &mut Net, _: u32) {
     net.faults = Faults {
-        loss: 0.01,
-        ..QUIET
+        loss_ratio: 0.01,
+        ..NO_FAULTS
     };
 }
 
@@ -183,7 +186,7 @@
 fn parting(net: &mut Net, minute: u32) {
     let region = if net.nodes.len() == 8 { "z1" } else { "r1" };
     match minute {
-        0 => net.part(1, |i| i.region == region || i.zone == region),
+        0 => net.partition(1, |i| i.region == region || i.zone == region),
         _ => net.heal(),
     }
 }
@@ -236,7 +239,7 @@
     }
 
     /// Changes the demand of some teams at a node.
-    fn drift(&mut self, node: usize) {
+    fn change_some(&mut self, node: usize) {
         for _ in 0..10 {
             let t = self.rng.random_range(0..TEAMS);
             let nodes = self.demands.len() as f64;
@@ -252,7 +255,7 @@
 /// Bytes, messages and processor time per node and second, with the demand of 470 teams
 /// changing at every node all the time.
 fn cost(size: (usize, usize), seconds: u32) -> String {
-    let mut net = joined(size, 4);
+    let mut net = joined_net(size, 4);
     let mut load = Load::new(size.0);
     let mut teams: Vec<Teams> = (0..size.0)
         .map(|_| Teams::new(team::Settings::default()))
@@ -266,7 +269,7 @@
                 return;
             }
             next[index] = net.now + SECOND;
-            load.drift(index);
+            load.change_some(index);
             let now = net.now;
             let begun = Instant::now();
             let Some(group) = net.group(index) else {
@@ -278,7 +281,7 @@
         });
     };
     run(&mut net, SECOND * 35);
-    net.weigh = Some(weigh);
+    net.message_bytes = Some(message_bytes);
     let begun = Instant::now();
     run(&mut net, SECOND * seconds);
     let wall = begun.elapsed();
@@ -323,16 +326,16 @@
         "| nodes | first suspicion, median | worst | judged dead everywhere, median | worst |"
     );
     println!("|---|---|---|---|---|");
-    print_all(SIZES.map(|s| job(move || detection(s))).into());
+    run_and_print(SIZES.map(|s| job(move || detection_time(s))).into());
     println!("\nSpread to the last node, seconds, median / worst of 10 (4 at 370 nodes)\n");
     println!("| nodes | loss | head in force | urgent item | load or demand |");
     println!("|---|---|---|---|---|");
     let lossy = SIZES
         .iter()
         .flat_map(|s| [0.0, 0.01].map(|loss| (*s, loss)));
-    print_all(
+    run_and_print(
         lossy
-            .map(|(s, loss)| job(move || spread(s, loss)))
+            .map(|(s, loss)| job(move || spread_time(s, loss)))
             .collect(),
     );
     println!("\nFalse accusations\n");
@@ -341,9 +344,9 @@
     );
     println!("|---|---|---|---|---|---|");
     let faults = SIZES.iter().flat_map(|s| FAULTS.map(|f| (*s, f)));
-    print_all(
+    run_and_print(
         faults
-            .map(|(s, (name, f))| job(move || accusations(s, name, f)))
+            .map(|(s, (name, f))| job(move || false_accusations(s, name, f)))
             .collect(),
     );
     println!("\nCost per node and second with 470 teams' demand changing\n");
--- a/crates/member/tests/failure.rs
+++ b/crates/member/tests/failure.rs
@@ -8,26 +8,26 @@
 use member::item::{Key, Observation};
 use member::peer::State;
 use member::settings::Settings;
-use net::{Faults, Net, QUIET, ms};
+use net::{Faults, NO_FAULTS, Net, ms};
 use std::collections::BTreeMap;
 
 const SECOND: std::time::Duration = ms(1000);
 
-fn joined(n: usize, zones: usize, seed: u64) -> Net {
+fn joined_net(n: usize, zones: usize, seed: u64) -> Net {
     let mut net = Net::new(n, zones, seed, Settings::default());
     net.run(SECOND * 12);
     net.verify();
-    assert!(net.whole(), "{n} nodes join");
-    net.changes.clear();
+    assert!(net.all_up(), "{n} nodes join");
+    net.state_changes.clear();
     net
 }
 
 #[test]
 fn nodes_join_and_stay() {
-    let mut net = joined(8, 3, 1);
+    let mut net = joined_net(8, 3, 1);
     net.run(SECOND * 120);
-    assert!(net.whole());
-    assert!(net.changes.is_empty(), "{:?}", net.changes);
+    assert!(net.all_up());
+    assert!(net.state_changes.is_empty(), "{:?}", net.state_changes);
 }
 
 /// All nodes lose power and start together; each knows the addresses of three of them and nobody else.
@@ -44,7 +44,7 @@
             net.nodes[at].listed = false;
         }
         net.run(ms(750));
-        assert!(net.whole(), "{nodes} nodes, seed {seed}");
+        assert!(net.all_up(), "{nodes} nodes, seed {seed}");
     }
 }
 
@@ -89,7 +89,7 @@
 /// parted, by every node. It stays in the roster while the list names it, and goes when not.
 #[test]
 fn killed_node_is_dead_then_removed() {
-    let mut net = joined(8, 3, 2);
+    let mut net = joined_net(8, 3, 2);
     net.kill(5);
     net.run(SECOND * 24);
     let live = || (0..8).filter(|i| *i != 5);
@@ -108,14 +108,14 @@
 /// The instance list shows a change only after a minute. A node that it does not name yet, or no
 /// longer, answers its peers: callers must not lose it, so the list alone removes nobody.
 #[test]
-fn late_list_removes_nobody() {
-    let mut net = joined(8, 3, 3);
-    net.lag = SECOND * 60;
+fn delayed_list_removes_no_node() {
+    let mut net = joined_net(8, 3, 3);
+    net.list_delay = SECOND * 60;
     net.nodes[2].listed = false;
     let new = net.add("node-8", "z1", "r0");
     net.nodes[new].listed = false;
     net.run(SECOND * 300);
-    assert!(net.whole());
+    assert!(net.all_up());
     assert!(net.reported(State::Left, ms(0)).is_empty());
 }
 
@@ -123,8 +123,8 @@
 /// long. Its own timers have all run out when it wakes, before it reads the answers that lie in
 /// its sockets: it must blame nobody. Its peers suspect it and take that back.
 #[test]
-fn paused_node_accuses_nobody() {
-    let mut net = joined(8, 3, 4);
+fn paused_node_suspects_no_peer() {
+    let mut net = joined_net(8, 3, 4);
     let mut pauses = Vec::new();
     for round in 0..20 {
         let paused = round % 8;
@@ -133,21 +133,25 @@
         net.run(net.now + SECOND * 8);
         net.verify();
     }
-    for change in net.changes.iter().filter(|c| c.state == State::Suspect) {
+    for change in net
+        .state_changes
+        .iter()
+        .filter(|c| c.state == State::Suspect)
+    {
         let during = |(id, at): &(u64, member::Now)| {
             *id == change.peer && (*at..*at + SECOND * 4).contains(&change.at)
         };
         assert!(pauses.iter().any(during), "{change:?}");
     }
     assert!(net.reported(State::Dead, ms(0)).is_empty());
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 /// A node is stopped for 30 seconds: its peers call it dead, rightly so, as it answers nobody.
 /// When it goes on it is the same run, so it refutes, and everyone takes it back within seconds.
 #[test]
-fn long_pause_ends_in_return() {
-    let mut net = joined(8, 3, 5);
+fn node_returns_after_a_long_pause() {
+    let mut net = joined_net(8, 3, 5);
     net.pause(6, SECOND * 30);
     net.run(net.now + SECOND * 29);
     assert!(
@@ -157,7 +161,7 @@
     );
     net.run(net.now + SECOND * 15);
     net.verify();
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 /// An availability zone loses its way to the others, while its callers still reach it. Both
@@ -165,8 +169,8 @@
 /// hour they join, and all is as before within seconds.
 #[test]
 fn parted_zone_is_not_dead() {
-    let mut net = joined(8, 3, 6);
-    net.part(1, |i| i.zone == "z1");
+    let mut net = joined_net(8, 3, 6);
+    net.partition(1, |i| i.zone == "z1");
     net.run(net.now + SECOND * 3600);
     net.verify();
     let other = |a: usize, b: usize| net.nodes[a].side != net.nodes[b].side;
@@ -181,21 +185,21 @@
     assert!(net.reported(State::Dead, ms(0)).is_empty());
     net.heal();
     net.run(net.now + SECOND * 30);
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 // Guards against nodes of a zone that has joined again and is left out by some for half a minute.
 #[test]
-fn a_zone_that_joins_again_is_whole_soon() {
+fn a_rejoined_zone_is_up_within_a_bounded_time() {
     const WHOLE: std::time::Duration = ms(20_000);
     for (seed, away) in [(8, 12), (8, 30), (9, 12), (9, 30)] {
         let mut net = Net::new(195, 5, seed, Settings::default());
         net.run(SECOND * 20);
-        net.part(1, |i| i.zone == "z4");
+        net.partition(1, |i| i.zone == "z4");
         net.run(net.now + SECOND * away);
         net.heal();
         let healed = net.now;
-        while !net.whole() && net.now < healed + SECOND * 60 {
+        while !net.all_up() && net.now < healed + SECOND * 60 {
             net.run(net.now + SECOND);
         }
         let time = net.now - healed;
@@ -208,8 +212,8 @@
 /// A region of 3 zones parts from the rest, at 54 nodes in 6 zones. Nobody is judged dead.
 #[test]
 fn parted_region_is_not_dead() {
-    let mut net = joined(54, 6, 7);
-    net.part(1, |i| i.region == "r1");
+    let mut net = joined_net(54, 6, 7);
+    net.partition(1, |i| i.region == "r1");
     net.run(net.now + SECOND * 60);
     net.verify();
     assert!(net.reported(State::Dead, ms(0)).is_empty());
@@ -218,14 +222,14 @@
     assert!(parted.values().all(|by| by.len() == 27));
     net.heal();
     net.run(net.now + SECOND * 40);
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 /// A node in a zone with others is cut off alone, while it still serves callers. It must not call
 /// the whole group dead; the group calls it dead. Both are right again soon after.
 #[test]
-fn lone_node_blames_itself() {
-    let mut net = joined(8, 3, 8);
+fn isolated_node_judges_the_group_parted() {
+    let mut net = joined_net(8, 3, 8);
     net.nodes[0].side = 1;
     net.run(net.now + SECOND * 40);
     assert!((1..8).all(|of| net.state(0, of) == Some(State::Parted)));
@@ -233,16 +237,16 @@
     net.heal();
     net.run(net.now + SECOND * 30);
     net.verify();
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 /// One message in a hundred is lost for ten minutes. Helpers' probes make up for it.
 #[test]
-fn loss_kills_nobody() {
-    let mut net = joined(8, 3, 9);
+fn message_loss_makes_no_node_dead() {
+    let mut net = joined_net(8, 3, 9);
     net.faults = Faults {
-        loss: 0.01,
-        ..QUIET
+        loss_ratio: 0.01,
+        ..NO_FAULTS
     };
     net.run(net.now + SECOND * 600);
     net.verify();
@@ -254,11 +258,11 @@
 /// an old run must not undo a new one, and no node is called dead.
 #[test]
 fn reordered_and_repeated_messages_do_no_harm() {
-    let mut net = joined(8, 3, 10);
+    let mut net = joined_net(8, 3, 10);
     net.faults = Faults {
-        loss: 0.0,
-        twice: 0.2,
-        delay: ms(250),
+        loss_ratio: 0.0,
+        duplicate_ratio: 0.2,
+        max_delay: ms(250),
     };
     net.run(net.now + SECOND * 20);
     net.kill(3);
@@ -279,7 +283,7 @@
 /// one does not know of it; what the new one publishes counts though its numbers start again.
 #[test]
 fn restart_is_a_new_run() {
-    let mut net = joined(8, 3, 11);
+    let mut net = joined_net(8, 3, 11);
     net.event(4, Event::Publish(vec![Observation::Leaving]));
     net.run(net.now + SECOND * 5);
     let open = |net: &Net, by: usize| {
@@ -300,7 +304,7 @@
 /// run do not bring it back.
 #[test]
 fn leaving_spreads_at_once() {
-    let mut net = joined(54, 6, 12);
+    let mut net = joined_net(54, 6, 12);
     net.event(7, Event::Quit);
     net.kill(7);
     net.nodes[7].listed = false;
@@ -324,18 +328,18 @@
 /// that side has it soon, the parted zone keeps the one it has, and catches up after.
 #[test]
 fn head_spreads_and_never_goes_back() {
-    let mut net = joined(54, 6, 13);
+    let mut net = joined_net(54, 6, 13);
     net.faults = Faults {
-        loss: 0.05,
-        ..QUIET
+        loss_ratio: 0.05,
+        ..NO_FAULTS
     };
     let head = |number| Head {
         number,
         digest: [number as u8; 32],
     };
-    (0..54).for_each(|i| net.adopt(i, head(4)));
-    net.part(1, |i| i.zone == "z2");
-    net.adopt(0, head(5));
+    (0..54).for_each(|i| net.set_head(i, head(4)));
+    net.partition(1, |i| i.zone == "z2");
+    net.set_head(0, head(5));
     net.run(net.now + SECOND * 3);
     let on = |net: &Net, side, number| {
         (0..54)
@@ -343,7 +347,7 @@
             .all(|i| net.head(i) == number)
     };
     assert!(on(&net, 0, 5) && on(&net, 1, 4));
-    net.adopt(1, head(3));
+    net.set_head(1, head(3));
     net.heal();
     net.run(net.now + SECOND * 15);
     assert!((0..54).all(|i| net.head(i) == 5));
@@ -352,16 +356,19 @@
 /// Urgent observations are sent on at once, but one in three messages is lost. The exchange of
 /// digests brings the rest, to nodes that start later too.
 #[test]
-fn missed_items_arrive_anyway() {
-    let mut net = joined(54, 6, 14);
-    net.faults = Faults { loss: 0.3, ..QUIET };
+fn exchange_delivers_missed_items() {
+    let mut net = joined_net(54, 6, 14);
+    net.faults = Faults {
+        loss_ratio: 0.3,
+        ..NO_FAULTS
+    };
     let body = |n: u64| Observation::Condemned {
         fingerprint: n,
         ttl: SECOND * 3600,
     };
     (0..54).for_each(|i| net.event(i, Event::Publish(vec![body(i as u64)])));
     net.run(net.now + SECOND * 15);
-    net.faults = QUIET;
+    net.faults = NO_FAULTS;
     let late = net.add("late", "z0", "r0");
     net.run(net.now + SECOND * 20);
     net.verify();
@@ -379,7 +386,7 @@
 /// reach the new one, which must not answer for it.
 #[test]
 fn reused_address_is_another_node() {
-    let mut net = joined(8, 3, 15);
+    let mut net = joined_net(8, 3, 15);
     net.kill(2);
     net.nodes[2].identity.name = "replacement".into();
     net.start(2);
@@ -388,14 +395,14 @@
     let old = member::identity::id("node-2");
     let knows = |by: usize| net.group(by).is_some_and(|g| g.roster().get(old).is_some());
     assert!((0..8).all(|by| !knows(by)));
-    assert!(net.whole());
+    assert!(net.all_up());
 }
 
 /// An endpoint dies, and each node that had work there sees it. One item tells all the others;
 /// those that see it later publish none. It stops to count by itself if nobody renews it.
 #[test]
-fn one_observation_is_told_once_and_expires() {
-    let mut net = joined(8, 3, 16);
+fn one_observation_is_published_once_and_expires() {
+    let mut net = joined_net(8, 3, 16);
     let body = Observation::Endpoint {
         name: "e-1".into(),
         ejected: true,
@@ -425,9 +432,9 @@
 /// Two zones part for so long that the list of each side drops the other one, and both sides
 /// remove it. When the list names all again they find each other, as the same runs.
 #[test]
-fn removed_while_parted_finds_back() {
-    let mut net = joined(8, 3, 17);
-    net.part(1, |i| i.zone == "z1");
+fn nodes_removed_while_parted_rejoin() {
+    let mut net = joined_net(8, 3, 17);
+    net.partition(1, |i| i.zone == "z1");
     let far: Vec<usize> = (0..8).filter(|i| net.nodes[*i].side == 1).collect();
     far.iter().for_each(|i| net.nodes[*i].listed = false);
     net.run(net.now + SECOND * 120);
@@ -436,5 +443,5 @@
     net.heal();
     net.run(net.now + SECOND * 40);
     net.verify();
-    assert!(net.whole());
+    assert!(net.all_up());
 }
--- a/crates/member/tests/naming.rs
+++ b/crates/member/tests/naming.rs
@@ -8,7 +8,7 @@
 use member::item::Observation;
 use member::peer::State;
 use member::settings::Settings;
-use net::{Faults, Net, QUIET, ms};
+use net::{Faults, NO_FAULTS, Net, ms};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,32 +16,32 @@
 
 const SECOND: Duration = ms(1000);
 /// Longest time that any node may name another one that is gone.
-const NAMED: Duration = ms(2500);
+const MAX_OFFERED_TIME: Duration = ms(2500);
 /// How long a death is watched.
-const WATCHED: Duration = ms(12_000);
+const OBSERVED_TIME: Duration = ms(12_000);
 /// Availability zones.
 const ZONES: usize = 5;
 
 /// A group that has run for a while.
-fn calm(nodes: usize, seed: u64) -> Net {
+fn settled_net(nodes: usize, seed: u64) -> Net {
     let mut net = Net::new(nodes, ZONES, seed, Settings::default());
     net.run(SECOND * 20);
-    assert!(net.whole(), "{nodes} nodes join, seed {seed}");
+    assert!(net.all_up(), "{nodes} nodes join, seed {seed}");
     net
 }
 
 /// Whether `by` names `of` to callers.
-fn names(net: &Net, by: usize, of: usize) -> bool {
+fn offers(net: &Net, by: usize, of: usize) -> bool {
     let group = net.group(by);
     group.is_some_and(|g| g.roster().get(net.id(of)).is_some_and(|p| p.accepts_work()))
 }
 
 /// Runs for `time`. How long after now any node still named one of `gone`, and which did so last.
-fn named(net: &mut Net, gone: &[usize], time: Duration) -> (Duration, usize) {
+fn offered_time(net: &mut Net, gone: &[usize], time: Duration) -> (Duration, usize) {
     let from = net.now;
     let mut last = (Now::ZERO, 0);
     net.run_with(from + time, |net, by| {
-        if gone.iter().any(|of| names(net, by, *of)) {
+        if gone.iter().any(|of| offers(net, by, *of)) {
             last = (net.now - from, by);
         }
     });
@@ -57,18 +57,18 @@
 }
 
 /// Kills nodes one after the other in several groups. The deaths after which one was named too long.
-fn deaths(nodes: usize, seeds: std::ops::Range<u64>, kills: usize) -> Vec<String> {
+fn late_deaths(nodes: usize, seeds: std::ops::Range<u64>, kills: usize) -> Vec<String> {
     let mut late = Vec::new();
     for seed in seeds {
-        let mut net = calm(nodes, seed);
+        let mut net = settled_net(nodes, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         for of in draw(&mut random, nodes, kills) {
             net.run(net.now + ms(random.random_range(0..1000)));
             net.kill(of);
-            let (time, by) = named(&mut net, &[of], WATCHED);
+            let (time, by) = offered_time(&mut net, &[of], OBSERVED_TIME);
             let case = format!("{nodes} nodes, seed {seed}: {of} named for {time:?}, last by {by}");
             println!("{case}");
-            late.extend((time > NAMED).then_some(case));
+            late.extend((time > MAX_OFFERED_TIME).then_some(case));
         }
         net.verify();
     }
@@ -81,7 +81,7 @@
     let cases = [(8, 200..206, 5), (67, 210..214, 6), (195, 220..226, 10)];
     let late: Vec<String> = cases
         .into_iter()
-        .flat_map(|(nodes, seeds, kills)| deaths(nodes, seeds, kills))
+        .flat_map(|(nodes, seeds, kills)| late_deaths(nodes, seeds, kills))
         .collect();
     assert!(late.is_empty(), "{late:#?}");
 }
@@ -90,13 +90,16 @@
 #[test]
 fn nodes_that_die_together_are_named_for_a_bounded_time() {
     for seed in 230..234 {
-        let mut net = calm(195, seed);
+        let mut net = settled_net(195, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let gone = draw(&mut random, 195, 20);
         gone.iter().for_each(|of| net.kill(*of));
-        let (time, by) = named(&mut net, &gone, WATCHED);
+        let (time, by) = offered_time(&mut net, &gone, OBSERVED_TIME);
         println!("seed {seed}: named for {time:?}, last by {by}");
-        assert!(time <= NAMED, "seed {seed}: {time:?}, last by {by}");
+        assert!(
+            time <= MAX_OFFERED_TIME,
+            "seed {seed}: {time:?}, last by {by}"
+        );
         net.verify();
     }
 }
@@ -105,7 +108,7 @@
 #[test]
 fn a_node_that_starts_names_no_dead_one() {
     for (nodes, seed) in [(8, 240), (67, 241), (195, 242), (195, 243)] {
-        let mut net = calm(nodes, seed);
+        let mut net = settled_net(nodes, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let drawn = draw(&mut random, nodes, 4);
         let (dead, started) = (drawn[0], &drawn[1..]);
@@ -116,15 +119,15 @@
             net.run(net.now + ms(800));
             net.start(*of);
         }
-        let (time, by) = named(&mut net, &[dead], SECOND * 25);
+        let (time, by) = offered_time(&mut net, &[dead], SECOND * 25);
         println!("{nodes} nodes, seed {seed}: named for {time:?}, last by {by}");
         assert!(
-            time <= NAMED,
+            time <= MAX_OFFERED_TIME,
             "{nodes} nodes, seed {seed}: {time:?}, by {by}"
         );
         for of in started {
             let up = net.nodes.len() - 1;
-            let open = (0..nodes).filter(|n| names(&net, *of, *n)).count();
+            let open = (0..nodes).filter(|n| offers(&net, *of, *n)).count();
             assert_eq!(open, up, "{of} names all that live");
             assert!(net.state(*of, dead) != Some(State::Up));
         }
@@ -133,9 +136,12 @@
 }
 
 /// A group whose messages get lost now and then.
-fn lossy(nodes: usize, seed: u64, loss: f64) -> (Net, ChaCha8Rng) {
-    let mut net = calm(nodes, seed);
-    net.faults = Faults { loss, ..QUIET };
+fn lossy_net(nodes: usize, seed: u64, loss: f64) -> (Net, ChaCha8Rng) {
+    let mut net = settled_net(nodes, seed);
+    net.faults = Faults {
+        loss_ratio: loss,
+        ..NO_FAULTS
+    };
     (net, ChaCha8Rng::seed_from_u64(seed))
 }
 
@@ -143,12 +149,15 @@
 #[test]
 fn a_dead_node_is_named_for_a_bounded_time_while_messages_get_lost() {
     for seed in 250..253 {
-        let (mut net, mut random) = lossy(195, seed, 0.02);
+        let (mut net, mut random) = lossy_net(195, seed, 0.02);
         for of in draw(&mut random, 195, 5) {
             net.kill(of);
-            let (time, by) = named(&mut net, &[of], WATCHED);
+            let (time, by) = offered_time(&mut net, &[of], OBSERVED_TIME);
             println!("seed {seed}: {of} named for {time:?}, last by {by}");
-            assert!(time <= NAMED, "seed {seed}: {time:?}, last by {by}");
+            assert!(
+                time <= MAX_OFFERED_TIME,
+                "seed {seed}: {time:?}, last by {by}"
+            );
         }
         net.verify();
     }
@@ -158,7 +167,7 @@
 #[test]
 fn a_node_that_is_cut_off_or_frozen_is_named_for_a_bounded_time() {
     for seed in 260..264 {
-        let (mut net, mut random) = lossy(195, seed, 0.0);
+        let (mut net, mut random) = lossy_net(195, seed, 0.0);
         let drawn = draw(&mut random, 195, 2);
         let (cut, frozen) = (drawn[0], drawn[1]);
         net.nodes[cut].side = 1;
@@ -167,16 +176,16 @@
         let from = net.now;
         let mut last = (Now::ZERO, 0, 0);
         net.run_with(from + watched, |net, by| {
-            let gone = [cut, frozen].into_iter().find(|of| names(net, by, *of));
+            let gone = [cut, frozen].into_iter().find(|of| offers(net, by, *of));
             if let Some(of) = gone.filter(|of| *of != by && by != cut) {
                 last = (net.now - from, by, of);
             }
         });
         println!("seed {seed}: cut {cut}, frozen {frozen}: {last:?}");
-        assert!(last.0 <= NAMED, "seed {seed}: {last:?}");
+        assert!(last.0 <= MAX_OFFERED_TIME, "seed {seed}: {last:?}");
         net.heal();
         net.run(net.now + SECOND * 15);
-        assert!(net.whole(), "seed {seed}: both are back");
+        assert!(net.all_up(), "seed {seed}: both are back");
         net.verify();
     }
 }
@@ -185,16 +194,22 @@
 #[test]
 fn a_node_that_leaves_is_named_for_a_bounded_time_while_messages_get_lost() {
     for seed in 270..276 {
-        let (mut net, mut random) = lossy(195, seed, 0.05);
+        let (mut net, mut random) = lossy_net(195, seed, 0.05);
         for of in draw(&mut random, 195, 4) {
             net.event(of, Event::Publish(vec![Observation::Leaving]));
-            let (time, by) = named(&mut net, &[of], SECOND * 5);
+            let (time, by) = offered_time(&mut net, &[of], SECOND * 5);
             println!("seed {seed}: {of} named for {time:?}, last by {by}");
-            assert!(time <= NAMED, "seed {seed}: {time:?}, last by {by}");
+            assert!(
+                time <= MAX_OFFERED_TIME,
+                "seed {seed}: {time:?}, last by {by}"
+            );
             net.event(of, Event::Quit);
             net.kill(of);
-            let (time, by) = named(&mut net, &[of], SECOND * 5);
-            assert!(time <= NAMED, "seed {seed}: {time:?}, last by {by}");
+            let (time, by) = offered_time(&mut net, &[of], SECOND * 5);
+            assert!(
+                time <= MAX_OFFERED_TIME,
+                "seed {seed}: {time:?}, last by {by}"
+            );
         }
         net.verify();
     }
@@ -205,7 +220,7 @@
 #[test]
 fn a_node_that_starts_beside_one_that_was_cut_off_names_all_that_live() {
     for (nodes, seed) in [(8, 280), (67, 281), (67, 282), (195, 283)] {
-        let mut net = calm(nodes, seed);
+        let mut net = settled_net(nodes, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let drawn = draw(&mut random, nodes, 2);
         let (cut, started) = (drawn[0], drawn[1]);
@@ -215,7 +230,7 @@
         net.heal();
         net.start(started);
         let from = net.now;
-        let all = |net: &Net| (0..nodes).all(|of| of == cut || names(net, started, of));
+        let all = |net: &Net| (0..nodes).all(|of| of == cut || offers(net, started, of));
         while !all(&net) && net.now < from + SECOND * 60 {
             net.run(net.now + ms(100));
         }
--- a/crates/member/tests/random.rs
+++ b/crates/member/tests/random.rs
@@ -6,7 +6,7 @@
 #[path = "support/net.rs"]
 mod net;
 
-use fleet::{Fleet, Way};
+use fleet::{Fleet, Policy};
 use member::Now;
 use member::event::Event;
 use member::head::Head;
@@ -15,7 +15,7 @@
 use member::peer::State;
 use member::settings::Settings;
 use member::team;
-use net::{Faults, Net, QUIET, ms};
+use net::{Faults, NO_FAULTS, Net, ms};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -25,8 +25,8 @@
 struct Run {
     net: Net,
     rng: ChaCha8Rng,
-    heads: Vec<u64>,
-    top: u64,
+    last_heads: Vec<u64>,
+    highest_head: u64,
 }
 
 impl Run {
@@ -35,8 +35,8 @@
         Self {
             net,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            heads: vec![0; nodes],
-            top: 0,
+            last_heads: vec![0; nodes],
+            highest_head: 0,
         }
     }
 
@@ -47,11 +47,11 @@
         match self.rng.random_range(0..9) {
             0 => {
                 self.net.kill(index);
-                self.heads[index] = 0;
+                self.last_heads[index] = 0;
             }
             1 => {
                 self.net.start(index);
-                self.heads[index] = 0;
+                self.last_heads[index] = 0;
             }
             2 => {
                 let time = ms(self.rng.random_range(200..20_000));
@@ -59,24 +59,24 @@
             }
             3 => {
                 let zone = self.net.nodes[index].identity.zone.clone();
-                self.net.part(1, |i| i.zone == zone);
+                self.net.partition(1, |i| i.zone == zone);
             }
             4 => self.net.heal(),
             5 => {
                 let delay = ms(self.rng.random_range(2..400));
                 self.net.faults = Faults {
-                    loss: 0.05,
-                    twice: 0.1,
-                    delay,
+                    loss_ratio: 0.05,
+                    duplicate_ratio: 0.1,
+                    max_delay: delay,
                 };
             }
             6 => {
-                self.top += 1;
-                let digest = [self.top as u8; 32];
-                self.net.adopt(
+                self.highest_head += 1;
+                let digest = [self.highest_head as u8; 32];
+                self.net.set_head(
                     index,
                     Head {
-                        number: self.top,
+                        number: self.highest_head,
                         digest,
                     },
                 );
@@ -97,11 +97,11 @@
         for index in 0..self.net.nodes.len() {
             let head = self.net.head(index);
             assert!(
-                head >= self.heads[index],
+                head >= self.last_heads[index],
                 "head of {index} at {:?}",
                 self.net.now
             );
-            self.heads[index] = head;
+            self.last_heads[index] = head;
         }
         self.net.verify();
     }
@@ -109,17 +109,17 @@
     /// Ends all faults and waits until the nodes agree.
     fn settle(&mut self, time: Now) {
         self.net.heal();
-        self.net.faults = QUIET;
+        self.net.faults = NO_FAULTS;
         for index in 0..self.net.nodes.len() {
             self.net.nodes[index].listed = true;
             if self.net.group(index).is_none() {
                 self.net.start(index);
-                self.heads[index] = 0;
+                self.last_heads[index] = 0;
             }
         }
         self.net.run(self.net.now + time);
         self.check();
-        assert!(self.net.whole(), "the nodes agree on who lives");
+        assert!(self.net.all_up(), "the nodes agree on who lives");
         let top = (0..self.net.nodes.len()).map(|i| self.net.head(i)).max();
         assert!(
             (0..self.net.nodes.len()).all(|i| Some(self.net.head(i)) == top),
@@ -176,9 +176,9 @@
 fn full_size_agrees_after_a_parted_zone() {
     let mut run = Run::new(370, 18, 8);
     run.net.run(SECOND * 20);
-    assert!(run.net.whole());
-    run.net.part(1, |i| i.zone == "z4");
-    run.net.adopt(
+    assert!(run.net.all_up());
+    run.net.partition(1, |i| i.zone == "z4");
+    run.net.set_head(
         1,
         Head {
             number: 1,
@@ -192,18 +192,18 @@
 }
 
 /// The largest sum of shares while nodes restart, pause and lose messages.
-fn worst_share(settings: team::Settings, seed: u64) -> f64 {
+fn max_share_sum(settings: team::Settings, seed: u64) -> f64 {
     let mut net = Net::new(8, 3, seed, Settings::default());
-    let mut fleet = Fleet::new(8, 6, seed, Way::Window);
-    fleet.set(&settings);
+    let mut fleet = Fleet::new(8, 6, seed, Policy::Window);
+    fleet.reset_with(&settings);
     fleet.run(&mut net, SECOND * 20);
-    fleet.clear();
+    fleet.clear_samples();
     net.faults = Faults {
-        loss: 0.01,
-        ..QUIET
+        loss_ratio: 0.01,
+        ..NO_FAULTS
     };
     for step in 0..6 {
-        fleet.shift();
+        fleet.change_demand();
         let index = step * 3 % 8;
         match step % 2 {
             0 => net.pause(index, SECOND * 4),
@@ -216,7 +216,7 @@
         let to = net.now + SECOND * 20;
         fleet.run(&mut net, to);
     }
-    fleet.worst()
+    fleet.max_share_sum()
 }
 
 /// Teams are served by eight nodes whose shares must not add up to more than the limit, whoever
@@ -224,37 +224,37 @@
 #[test]
 fn shares_never_exceed_the_limit() {
     for seed in 1..=4 {
-        let worst = worst_share(team::Settings::default(), seed);
+        let worst = max_share_sum(team::Settings::default(), seed);
         assert!(worst <= 1.0 + 1e-9, "seed {seed}: {worst}");
     }
 }
 
 /// The check above bites: without the window, demand counts before the others know of it.
 #[test]
-fn shares_without_a_window_are_caught() {
+fn shares_without_a_window_are_detected() {
     let broken = team::Settings {
         small_group_window_steps: 1,
         ..team::Settings::default()
     };
-    assert!(worst_share(broken, 1) > 1.05);
+    assert!(max_share_sum(broken, 1) > 1.05);
 }
 
 /// Suspicions of nodes that were not paused, in a run where one node after another pauses.
-fn accused(settings: Settings) -> usize {
+fn false_suspicions(settings: Settings) -> usize {
     let mut net = Net::new(8, 3, 21, settings);
     net.faults = Faults {
-        delay: ms(150),
-        ..QUIET
+        max_delay: ms(150),
+        ..NO_FAULTS
     };
     net.run(SECOND * 12);
-    net.changes.clear();
+    net.state_changes.clear();
     let mut wrong = 0;
     for round in 0..16 {
         let paused = net.id(round % 8);
         net.pause(round % 8, SECOND * 3);
         net.run(net.now + SECOND * 8);
         wrong += net
-            .changes
+            .state_changes
             .drain(..)
             .filter(|c| c.state == State::Suspect && c.peer != paused)
             .count();
@@ -264,10 +264,10 @@
 
 /// A paused node blames nobody; without the check for its own pause it does, and that is caught.
 #[test]
-fn pauses_unnoticed_are_caught() {
-    assert_eq!(accused(Settings::default()), 0);
+fn unnoticed_pauses_are_detected() {
+    assert_eq!(false_suspicions(Settings::default()), 0);
     assert!(
-        accused(Settings {
+        false_suspicions(Settings {
             pause_threshold: SECOND * 3600,
             ..Settings::default()
         }) > 0
@@ -275,7 +275,7 @@
 }
 
 /// Nodes judged dead although they only paused for two seconds.
-fn hasty(settings: Settings) -> usize {
+fn false_deaths(settings: Settings) -> usize {
     let mut net = Net::new(8, 3, 22, settings);
     net.run(SECOND * 12);
     for round in 0..16 {
@@ -287,8 +287,8 @@
 
 /// Two seconds of silence kill nobody; without time to answer and to refute they do, and that is caught.
 #[test]
-fn haste_is_caught() {
-    assert_eq!(hasty(Settings::default()), 0);
+fn short_timeouts_are_detected() {
+    assert_eq!(false_deaths(Settings::default()), 0);
     let short = ms(100);
     let broken = Settings {
         direct_probe_timeout: short,
@@ -296,11 +296,11 @@
         suspicion_timeout: short,
         ..Settings::default()
     };
-    assert!(hasty(broken) > 0);
+    assert!(false_deaths(broken) > 0);
 }
 
 /// Whether a node that left is back after a message that was on its way for three seconds.
-fn revenant(settings: Settings) -> bool {
+fn delayed_update_restores_node(settings: Settings) -> bool {
     let mut net = Net::new(8, 3, 23, settings);
     net.run(SECOND * 12);
     let group = net.group(1).expect("runs");
@@ -336,9 +336,9 @@
 
 /// A late message does not bring back a node that left; if its run is not remembered it does.
 #[test]
-fn forgotten_graves_are_caught() {
-    assert!(!revenant(Settings::default()));
-    assert!(revenant(Settings {
+fn missing_tombstones_are_detected() {
+    assert!(!delayed_update_restores_node(Settings::default()));
+    assert!(delayed_update_restores_node(Settings {
         tombstone_retention: ms(0),
         ..Settings::default()
     }));
--- a/crates/member/tests/support/fleet.rs
+++ b/crates/member/tests/support/fleet.rs
@@ -13,7 +13,7 @@
 
 /// How shares are computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Policy {
     /// As the crate does.
     Window,
     /// The limit over the number of nodes, whatever the demand.
@@ -24,15 +24,15 @@
 
 /// What a run came to. Parts of the limits.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sum {
+pub struct Summary {
     /// Largest sum of shares above a limit.
-    pub worst: f64,
+    pub max_overshoot: f64,
     /// Part of the samples above the limit.
-    pub above: f64,
+    pub time_above: f64,
     /// Mean sum of shares.
-    pub mean: f64,
+    pub mean_sum: f64,
     /// What the shares let through of what the limits allow of the demand.
-    pub used: f64,
+    pub served: f64,
 }
 
 /// Teams on all nodes.
@@ -41,18 +41,18 @@
     pub limits: Vec<Limit>,
     /// Demand by node and team.
     pub demands: Vec<Vec<Demand>>,
-    way: Way,
+    policy: Policy,
     settings: Settings,
     teams: Vec<Teams>,
     shares: Vec<Vec<Share>>,
-    next: Vec<Now>,
+    next_step: Vec<Now>,
     rng: ChaCha8Rng,
     samples: Vec<(f64, f64, f64)>,
 }
 
 impl Fleet {
     /// `teams` teams, with a demand that is moved by [`Fleet::shift`].
-    pub fn new(nodes: usize, teams: usize, seed: u64, way: Way) -> Self {
+    pub fn new(nodes: usize, teams: usize, seed: u64, way: Policy) -> Self {
         let limit = |t: usize| {
             let rate = 100.0 * (1 + t % 5) as f64;
             Limit {
@@ -64,23 +64,23 @@
         let mut fleet = Self {
             limits: (0..teams).map(limit).collect(),
             demands: vec![vec![Demand::default(); teams]; nodes],
-            way,
+            policy: way,
             settings: Settings::default(),
             teams: (0..nodes)
                 .map(|_| Teams::new(Settings::default()))
                 .collect(),
             shares: vec![vec![Share::default(); teams]; nodes],
-            next: vec![Now::ZERO; nodes],
+            next_step: vec![Now::ZERO; nodes],
             rng: ChaCha8Rng::seed_from_u64(seed),
             samples: Vec::new(),
         };
-        fleet.shift();
+        fleet.change_demand();
         fleet
     }
 
     /// Moves the demand: each team asks for 0.3 to 3 times its limit, at a random part of the
     /// nodes, sometimes at a single one.
-    pub fn shift(&mut self) {
+    pub fn change_demand(&mut self) {
         let nodes = self.demands.len();
         for (row, limit) in self.limits.iter().enumerate() {
             let total = limit.rate * self.rng.random_range(0.3..3.0);
@@ -107,7 +107,7 @@
     }
 
     /// Starts all shares anew with other settings.
-    pub fn set(&mut self, settings: &Settings) {
+    pub fn reset_with(&mut self, settings: &Settings) {
         self.settings = settings.clone();
         self.teams
             .iter_mut()
@@ -121,7 +121,7 @@
     }
 
     /// Forgets the samples.
-    pub fn clear(&mut self) {
+    pub fn clear_samples(&mut self) {
         self.samples.clear();
     }
 
@@ -136,25 +136,25 @@
     }
 
     fn step(&mut self, net: &mut Net, index: usize) {
-        if net.now < self.next[index] {
+        if net.now < self.next_step[index] {
             return;
         }
-        self.next[index] = net.now + ms(1000);
+        self.next_step[index] = net.now + ms(1000);
         let now = net.now.saturating_sub(net.nodes[index].started);
         let Some(group) = net.group(index) else {
             return;
         };
         let step = self.teams[index].step(now, group, &self.limits, &self.demands[index]);
-        let shares = match self.way {
-            Way::Window => step.shares,
-            Way::Equal => self.equal(group.node_count()),
-            Way::Now => self.at_once(group, index),
+        let shares = match self.policy {
+            Policy::Window => step.shares,
+            Policy::Equal => self.equal_shares(group.node_count()),
+            Policy::Now => self.immediate_shares(group, index),
         };
         self.shares[index] = shares;
         net.event(index, Event::Publish(step.publish));
     }
 
-    fn equal(&self, nodes: usize) -> Vec<Share> {
+    fn equal_shares(&self, nodes: usize) -> Vec<Share> {
         let part = |l: &Limit| Share {
             rate: l.rate / nodes as f64,
             in_flight: l.in_flight / nodes as f64,
@@ -162,7 +162,7 @@
         self.limits.iter().map(part).collect()
     }
 
-    fn at_once(&self, group: &member::group::Group, index: usize) -> Vec<Share> {
+    fn immediate_shares(&self, group: &member::group::Group, index: usize) -> Vec<Share> {
         let nodes = group.node_count();
         let row = |(row, limit): (usize, &Limit)| {
             let others = group.roster().iter().filter(|p| p.id != group.me());
@@ -195,7 +195,7 @@
     fn sample(&mut self, net: &Net) {
         for (row, limit) in self.limits.iter().enumerate() {
             // A paused process admits nothing.
-            let runs = |i: &usize| net.group(*i).is_some() && net.nodes[*i].paused <= net.now;
+            let runs = |i: &usize| net.group(*i).is_some() && net.nodes[*i].paused_until <= net.now;
             let live = (0..self.shares.len()).filter(runs);
             let (mut sum, mut slots, mut used, mut wanted) = (0.0, 0.0, 0.0, 0.0);
             for node in live {
@@ -217,19 +217,19 @@
     }
 
     /// The largest sum of shares of any team, as a part of its limit.
-    pub fn worst(&self) -> f64 {
+    pub fn max_share_sum(&self) -> f64 {
         self.samples.iter().map(|s| s.0).fold(0.0, f64::max)
     }
 
     /// What the samples come to.
-    pub fn sum(&self) -> Sum {
+    pub fn summary(&self) -> Summary {
         let n = self.samples.len().max(1) as f64;
         let above = self.samples.iter().filter(|s| s.0 > 1.0 + 1e-9).count() as f64;
-        Sum {
-            worst: (self.worst() - 1.0).max(0.0),
-            above: above / n,
-            mean: self.samples.iter().map(|s| s.0).sum::<f64>() / n,
-            used: self.samples.iter().map(|s| s.1).sum::<f64>() / n,
+        Summary {
+            max_overshoot: (self.max_share_sum() - 1.0).max(0.0),
+            time_above: above / n,
+            mean_sum: self.samples.iter().map(|s| s.0).sum::<f64>() / n,
+            served: self.samples.iter().map(|s| s.1).sum::<f64>() / n,
         }
     }
 }
--- a/crates/member/tests/support/net.rs
+++ b/crates/member/tests/support/net.rs
@@ -32,7 +32,7 @@
     /// When its process started.
     pub started: Now,
     /// Until when it is paused.
-    pub paused: Now,
+    pub paused_until: Now,
     /// On which side of a parted network it is.
     pub side: u8,
     /// Whether the instance list names it.
@@ -42,7 +42,7 @@
 
 /// A change of state that a node reported.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct StateChange {
     /// When.
     pub at: Now,
     /// Index of the node that reported it.
@@ -57,29 +57,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Part of the messages that is lost.
-    pub loss: f64,
+    pub loss_ratio: f64,
     /// Part of the messages that comes twice, the second time late.
-    pub twice: f64,
+    pub duplicate_ratio: f64,
     /// The latest that a message comes.
-    pub delay: Duration,
+    pub max_delay: Duration,
 }
 
 /// A quiet network.
-pub const QUIET: Faults = Faults {
-    loss: 0.0,
-    twice: 0.0,
-    delay: ms(2),
+pub const NO_FAULTS: Faults = Faults {
+    loss_ratio: 0.0,
+    duplicate_ratio: 0.0,
+    max_delay: ms(2),
 };
 
-struct Mail {
+struct Envelope {
     to: usize,
     from: SocketAddr,
     message: Message,
 }
 
-enum Due {
+enum Scheduled {
     Tick(usize),
-    Mail(Box<Mail>),
+    Mail(Box<Envelope>),
     Fetched(usize, Head),
     List,
 }
@@ -106,7 +106,7 @@
     /// What the network does.
     pub faults: Faults,
     /// Changes reported.
-    pub changes: Vec<Change>,
+    pub state_changes: Vec<StateChange>,
     /// Items learned, with when and by whom.
     pub learned: Vec<(Now, usize, Item)>,
     /// When each node had which head.
@@ -114,16 +114,16 @@
     /// Traffic; counted if `weigh` is set.
     pub traffic: Traffic,
     /// Weight of a message in bytes.
-    pub weigh: Option<fn(&Message) -> usize>,
+    pub message_bytes: Option<fn(&Message) -> usize>,
     /// How long after its publication a list shows a change.
-    pub lag: Duration,
+    pub list_delay: Duration,
     settings: Settings,
     rng: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(Now, u64)>>,
-    due: BTreeMap<u64, Due>,
-    count: u64,
+    scheduled: BTreeMap<u64, Scheduled>,
+    scheduled_count: u64,
     addrs: BTreeMap<SocketAddr, usize>,
-    past: VecDeque<(Now, Vec<Entry>)>,
+    lists: VecDeque<(Now, Vec<Entry>)>,
 }
 
 fn addr(n: usize) -> SocketAddr {
@@ -137,20 +137,20 @@
         let mut net = Self {
             now: Now::ZERO,
             nodes: Vec::new(),
-            faults: QUIET,
-            changes: Vec::new(),
+            faults: NO_FAULTS,
+            state_changes: Vec::new(),
             learned: Vec::new(),
             heads: Vec::new(),
             traffic: Traffic::default(),
-            weigh: None,
-            lag: ms(5_000),
+            message_bytes: None,
+            list_delay: ms(5_000),
             settings,
             rng,
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            count: 0,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
             addrs: BTreeMap::new(),
-            past: VecDeque::new(),
+            lists: VecDeque::new(),
         };
         for i in 0..n {
             let zone = i % zones;
@@ -160,8 +160,8 @@
                 &format!("r{}", zone / 3),
             );
         }
-        net.list();
-        net.at(ms(1000), Due::List);
+        net.read_list();
+        net.schedule(ms(1000), Scheduled::List);
         net
     }
 
@@ -180,7 +180,7 @@
             group: None,
             identity,
             started: self.now,
-            paused: Now::ZERO,
+            paused_until: Now::ZERO,
             side: 0,
             listed: true,
             inbox: VecDeque::new(),
@@ -191,7 +191,7 @@
         self.traffic.received.push(0);
         self.start(index);
         let offset = ms(self.rng.random_range(0..100));
-        self.at(self.now + offset, Due::Tick(index));
+        self.schedule(self.now + offset, Scheduled::Tick(index));
         index
     }
 
@@ -207,9 +207,9 @@
             seed,
             self.settings.clone(),
         ));
-        if !self.past.is_empty() {
+        if !self.lists.is_empty() {
             let list = self
-                .past
+                .lists
                 .front()
                 .map(|(_, l)| l.clone())
                 .unwrap_or_default();
@@ -224,11 +224,11 @@
 
     /// Stops a node's process for a while; messages wait in its sockets.
     pub fn pause(&mut self, index: usize, time: Duration) {
-        self.nodes[index].paused = self.now + time;
+        self.nodes[index].paused_until = self.now + time;
     }
 
     /// Puts the nodes that `test` names on another side.
-    pub fn part(&mut self, side: u8, test: impl Fn(&Identity) -> bool) {
+    pub fn partition(&mut self, side: u8, test: impl Fn(&Identity) -> bool) {
         self.nodes
             .iter_mut()
             .filter(|n| test(&n.identity))
@@ -249,7 +249,7 @@
             return;
         };
         group.handle(now, event, &mut out);
-        out.into_iter().for_each(|a| self.act(index, a));
+        out.into_iter().for_each(|a| self.perform(index, a));
     }
 
     /// Runs until `to`.
@@ -267,7 +267,7 @@
                 break;
             };
             self.now = at;
-            let Some(due) = self.due.remove(&number) else {
+            let Some(due) = self.scheduled.remove(&number) else {
                 continue;
             };
             if let Some(index) = self.step(due) {
@@ -277,18 +277,18 @@
         self.now = to;
     }
 
-    fn step(&mut self, due: Due) -> Option<usize> {
+    fn step(&mut self, due: Scheduled) -> Option<usize> {
         match due {
-            Due::Tick(index) => return self.tick(index),
-            Due::Mail(mail) => self.receive(*mail),
-            Due::Fetched(index, head) => self.adopt(index, head),
-            Due::List => self.list(),
+            Scheduled::Tick(index) => return self.tick(index),
+            Scheduled::Mail(mail) => self.receive(*mail),
+            Scheduled::Fetched(index, head) => self.set_head(index, head),
+            Scheduled::List => self.read_list(),
         }
         None
     }
 
     /// Gives a node a head, as control does once it has the record.
-    pub fn adopt(&mut self, index: usize, head: Head) {
+    pub fn set_head(&mut self, index: usize, head: Head) {
         let before = self.head(index);
         self.event(index, Event::Head(head));
         if before < head.number {
@@ -319,7 +319,7 @@
     }
 
     /// Whether all nodes that run see each other up.
-    pub fn whole(&self) -> bool {
+    pub fn all_up(&self) -> bool {
         let live: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.group(*i).is_some())
             .collect();
@@ -330,12 +330,12 @@
     }
 
     fn tick(&mut self, index: usize) -> Option<usize> {
-        let paused = self.nodes[index].paused;
+        let paused = self.nodes[index].paused_until;
         if paused > self.now {
-            self.at(paused, Due::Tick(index));
+            self.schedule(paused, Scheduled::Tick(index));
             return None;
         }
-        self.at(self.now + TICK, Due::Tick(index));
+        self.schedule(self.now + TICK, Scheduled::Tick(index));
         self.event(index, Event::Tick);
         while let Some((from, message)) = self.nodes[index].inbox.pop_front() {
             self.event(index, Event::Received { from, message });
@@ -343,11 +343,11 @@
         Some(index)
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send { to, message, .. } => self.send(index, to, message),
             Action::StateChanged { peer, state, .. } => {
-                self.changes.push(Change {
+                self.state_changes.push(StateChange {
                     at: self.now,
                     by: index,
                     peer,
@@ -362,7 +362,7 @@
                 let reach = self.reaches(index, from) && self.head(from) >= head.number;
                 if reach {
                     // A round trip for the record, and its check.
-                    self.at(self.now + ms(8), Due::Fetched(index, head));
+                    self.schedule(self.now + ms(8), Scheduled::Fetched(index, head));
                 }
             }
         }
@@ -376,26 +376,28 @@
         let Some(target) = self.addrs.get(&to).copied() else {
             return;
         };
-        self.weigh_message(index, target, &message);
-        if !self.reaches(index, target) || self.rng.random_bool(self.faults.loss) {
+        self.count_traffic(index, target, &message);
+        if !self.reaches(index, target) || self.rng.random_bool(self.faults.loss_ratio) {
             return;
         }
         let from = self.nodes[index].identity.addr;
-        let most = self.faults.delay.as_micros() as u64;
-        let twice = self.rng.random_bool(self.faults.twice);
+        let most = self.faults.max_delay.as_micros() as u64;
+        let twice = self.rng.random_bool(self.faults.duplicate_ratio);
         for _ in 0..1 + usize::from(twice) {
             let delay = Duration::from_micros(self.rng.random_range(500..most.max(501)));
-            let mail = Mail {
+            let mail = Envelope {
                 to: target,
                 from,
                 message: message.clone(),
             };
-            self.at(self.now + delay, Due::Mail(Box::new(mail)));
+            self.schedule(self.now + delay, Scheduled::Mail(Box::new(mail)));
         }
     }
 
-    fn weigh_message(&mut self, from: usize, to: usize, message: &Message) {
-        let Some(weigh) = self.weigh else { return };
+    fn count_traffic(&mut self, from: usize, to: usize, message: &Message) {
+        let Some(weigh) = self.message_bytes else {
+            return;
+        };
         let bytes = weigh(message) as u64;
         self.traffic.messages[from] += 1;
         self.traffic.sent[from] += bytes;
@@ -404,16 +406,16 @@
         *kind = (kind.0 + 1, kind.1 + bytes);
     }
 
-    fn receive(&mut self, mail: Mail) {
-        let Mail { to, from, message } = mail;
-        if self.nodes[to].paused > self.now {
+    fn receive(&mut self, mail: Envelope) {
+        let Envelope { to, from, message } = mail;
+        if self.nodes[to].paused_until > self.now {
             self.nodes[to].inbox.push_back((from, message));
             return;
         }
         self.event(to, Event::Received { from, message });
     }
 
-    fn list(&mut self) {
+    fn read_list(&mut self) {
         let entry = |n: &Node| Entry {
             name: n.identity.name.clone(),
             addr: n.identity.addr,
@@ -422,27 +424,27 @@
             state: ListedState::Live,
         };
         let entries: Vec<Entry> = self.nodes.iter().filter(|n| n.listed).map(entry).collect();
-        self.past.push_back((self.now, entries));
-        while self.past.len() > 1 && self.past[1].0 + self.lag <= self.now {
-            self.past.pop_front();
+        self.lists.push_back((self.now, entries));
+        while self.lists.len() > 1 && self.lists[1].0 + self.list_delay <= self.now {
+            self.lists.pop_front();
         }
         let shown = self
-            .past
+            .lists
             .front()
             .map(|(_, l)| l.clone())
             .unwrap_or_default();
         for index in 0..self.nodes.len() {
-            if self.nodes[index].paused <= self.now {
+            if self.nodes[index].paused_until <= self.now {
                 self.event(index, Event::Listed(shown.clone()));
             }
         }
-        self.at(self.now + ms(4_000), Due::List);
+        self.schedule(self.now + ms(4_000), Scheduled::List);
     }
 
-    fn at(&mut self, at: Now, due: Due) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count)));
-        self.due.insert(self.count, due);
+    fn schedule(&mut self, at: Now, due: Scheduled) {
+        self.scheduled_count += 1;
+        self.queue.push(Reverse((at, self.scheduled_count)));
+        self.scheduled.insert(self.scheduled_count, due);
     }
 
     /// Panics unless every core's invariants hold.
@@ -462,7 +464,7 @@
     pub fn reported(&self, state: State, from: Now) -> BTreeMap<Id, BTreeSet<usize>> {
         let mut by: BTreeMap<Id, BTreeSet<usize>> = BTreeMap::new();
         for change in self
-            .changes
+            .state_changes
             .iter()
             .filter(|c| c.state == state && c.at >= from)
         {
@@ -488,7 +490,7 @@
 }
 
 /// Runs jobs on a few threads and prints what each gives, in their order.
-pub fn print_all(jobs: Vec<Box<dyn FnOnce() -> String + Send>>) {
+pub fn run_and_print(jobs: Vec<Box<dyn FnOnce() -> String + Send>>) {
     const THREADS: usize = 3;
     let mut jobs: VecDeque<_> = jobs.into();
     while !jobs.is_empty() {
--- a/crates/slopes/src/membership.rs
+++ b/crates/slopes/src/membership.rs
@@ -133,15 +133,15 @@
         let time = SECOND * if size.0 < 32 { 40 } else { 8 };
         let per = 1.0 / (time.as_secs_f64() * x);
         quiet.add(x, clock::once(|| world.run(time, false)).0 * per);
-        world.net.weigh = Some(weigh);
+        world.net.message_bytes = Some(weigh);
         world.run(time, false);
         let sent = |net: &Net| net.traffic.sent.iter().sum::<u64>() as f64;
         let before = sent(&world.net);
         bare.add(x, before * per * 2.0 / 1e3);
-        world.net.weigh = None;
+        world.net.message_bytes = None;
         world.run(time, true);
         busy.add(x, clock::once(|| world.run(time, true)).0 * per);
-        world.net.weigh = Some(weigh);
+        world.net.message_bytes = Some(weigh);
         let count = |net: &Net| net.traffic.messages.iter().sum::<u64>() as f64;
         let (first, known) = (count(&world.net), world.net.learned.len());
         world.run(time, true);
@@ -259,7 +259,7 @@
         net.run(start + SECOND * 25);
         use member::peer::State;
         let of = |state: State| {
-            let changes = net.changes.iter();
+            let changes = net.state_changes.iter();
             let of = changes.filter(move |c| c.peer == id && c.state == state && c.at >= start);
             of.map(move |c| (c.at - start).as_secs_f64())
         };
@@ -285,7 +285,7 @@
         number: 1,
         digest: [1; 32],
     };
-    net.adopt(0, head);
+    net.set_head(0, head);
     let ejected = Observation::Endpoint {
         name: "endpoint-00001".to_owned(),
         ejected: true,
