--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -107,7 +107,7 @@
 }
 
 /// Returns the orders that can be sent now: one to each endpoint that holds nothing and, where a
-/// zone lacks layers, to endpoints of that zone whose layers all have a second copy there.
+/// zone lacks layers, to endpoints of that zone whose layers all have a second, loaded copy there.
 pub fn next_orders(engine: &Engine, holders: &[Holder]) -> Vec<Order> {
     let mut replicas = Replicas::count(engine, holders);
     let quotas = quota::per_zone(engine, holders);
--- a/crates/steer/src/health.rs
+++ b/crates/steer/src/health.rs
@@ -26,8 +26,8 @@
     /// The head of the chain reported the endpoint as missing: it is dead, about to leave, or short
     /// of memory, and the head cannot tell which.
     Missing,
-    /// Another run or process answers at the address of the endpoint, or the endpoint does not hold the
-    /// expected layers.
+    /// Another run or process answers at the address of the endpoint, or the endpoint does not hold
+    /// the expected layers.
     Misdirected,
     /// No connection, a broken connection, an invalid answer, or no answer in time.
     Failed,
