--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -77,10 +77,10 @@
 
     /// Returns the size and urgency by which a chain is selected.
     pub fn need(&self) -> Need {
-        let usual = self.service().engine.as_ref().map(|e| e.typical_size);
-        let usual = usual.unwrap_or_default();
-        let requested = self.info.size.unwrap_or(usual);
-        let expected = self.info.expected_output.unwrap_or(usual.answer);
+        let typical = self.service().engine.as_ref().map(|e| e.typical_size);
+        let typical = typical.unwrap_or_default();
+        let requested = self.info.size.unwrap_or(typical);
+        let expected = self.info.expected_output.unwrap_or(typical.answer);
         let expected = (f64::from(expected) * OUTPUT_LENGTH_MARGIN) as u32;
         Need {
             size: Size {
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -170,10 +170,10 @@
         let max_wait = timeout.map_or(MAX_CATALOG_WAIT, |t| {
             t.mul_f64(MAX_CATALOG_WAIT_FRACTION).min(MAX_CATALOG_WAIT)
         });
-        let until = (self.started_at + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
+        let deadline = (self.started_at + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
         loop {
             let view = self.view();
-            if view.is_some() || self.closing.get() || Instant::now() >= until {
+            if view.is_some() || self.closing.get() || Instant::now() >= deadline {
                 return view;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/gate/tests/stream.rs
+++ b/crates/gate/tests/stream.rs
@@ -230,7 +230,7 @@
 }
 
 // Guards against responses that stay on departing stages because the head rejects each replacement
-// of a single one while the other is missing. 1,800 orders a day were rejected this way, and the
+// of a single one while the other is missing. 1,800 orders of one day were rejected this way, and the
 // responses stalled in the end.
 #[test]
 fn two_stages_that_leave_together_are_both_replaced() {
