--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_counts() {
+fn a_path_gets_the_route_with_the_longest_prefix() {
     let routes = vec![
         route("short", "Menus.Example", "/a/", "menus"),
         route("long", "menus.example", "/a/b/", "sheets"),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_key_stands_for_its_team_alone() {
+fn a_key_identifies_its_team() {
     let catalog = Catalog::try_from(tables(Vec::new())).unwrap();
     assert!(catalog.requires_key);
     let name = |key| catalog.team(key).map(|t| t.name.as_str());
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn weights_share_the_requests() {
+fn requests_are_split_by_weight() {
     let mut split = route("split", "h", "/", "menus");
     split.split = vec![
         Share {
@@ -97,15 +97,15 @@
     ];
     let catalog = Catalog::try_from(tables(vec![split])).unwrap();
     let route = &catalog.routes[0];
-    let drawn: Vec<_> = (0..4).map(|draw| route.service(draw).unwrap()).collect();
-    assert_eq!(drawn, [0, 0, 0, 1]);
+    let selected: Vec<_> = (0..4).map(|draw| route.service(draw).unwrap()).collect();
+    assert_eq!(selected, [0, 0, 0, 1]);
 }
 
 // An operator sees all that is wrong with a catalog at once, and none of it comes into force: a
 // node that took the good half would refuse requests that the version before had served.
 #[test]
-fn every_finding_is_told_and_nothing_is_taken() {
-    let mut wrong = tables(vec![
+fn all_findings_are_reported_and_the_catalog_is_rejected() {
+    let mut invalid = tables(vec![
         route("slash", "h", "/a", "menus"),
         route("lost", "h", "/b/", "nowhere"),
         Route {
@@ -113,9 +113,9 @@
             ..route("hasty", "h", "/c/", "menus")
         },
     ]);
-    wrong.teams = Some(vec![team("north", &["k1"]), team("south", &["k1"])]);
-    let findings = Catalog::try_from(wrong).unwrap_err();
-    let places: Vec<_> = findings.iter().map(|f| f.location.as_str()).collect();
+    invalid.teams = Some(vec![team("north", &["k1"]), team("south", &["k1"])]);
+    let findings = Catalog::try_from(invalid).unwrap_err();
+    let locations: Vec<_> = findings.iter().map(|f| f.location.as_str()).collect();
     let expected = [
         "route slash",
         "route lost",
@@ -123,11 +123,11 @@
         "route hasty",
         "team south",
     ];
-    assert_eq!(places, expected, "{findings:?}");
+    assert_eq!(locations, expected, "{findings:?}");
 }
 
 #[test]
-fn what_may_be_repeated_follows_from_the_kind() {
+fn the_kind_decides_whether_a_request_is_repeatable() {
     let stream = |resumable| {
         Kind::Stream(Stream {
             resumable,
--- a/crates/catalog/tests/table.rs
+++ b/crates/catalog/tests/table.rs
@@ -10,11 +10,11 @@
     }
 }
 
-fn page(records: Vec<Record>, next: u64, whole: bool) -> Page {
+fn page(records: Vec<Record>, next_offset: u64, complete: bool) -> Page {
     Page {
         records,
-        next_offset: next,
-        complete: whole,
+        next_offset,
+        complete,
     }
 }
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_newest_value_of_a_key_counts() {
+fn a_later_record_replaces_an_earlier_one() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
     assert_eq!(table.apply(page(records, 2, true)), ["a", "b"]);
@@ -36,11 +36,11 @@
 // A node that was cut off asks a peer, and the peer's copy is behind its own: an endpoint that
 // left would come back, and requests would be sent to it. The copy that is known further stays.
 #[test]
-fn an_older_copy_changes_nothing() {
+fn an_older_page_has_no_effect() {
     let mut table = Table::default();
     table.apply(page(vec![record("a", None, 7)], 8, false));
-    let old = page(vec![record("a", Some("1"), 3)], 5, false);
-    assert_eq!(table.apply(old), Vec::<String>::new());
+    let older = page(vec![record("a", Some("1"), 3)], 5, false);
+    assert_eq!(table.apply(older), Vec::<String>::new());
     assert_eq!(table.next_offset(), 8);
     // The same row inside a newer copy is older than what is known, too.
     let newer = page(
@@ -55,7 +55,7 @@
 // The store forgot the changes while a node was away. The node reads all keys anew: those that
 // are missing were removed in the gap, and would otherwise stay for good.
 #[test]
-fn a_whole_table_removes_what_it_does_not_name() {
+fn a_complete_page_removes_keys_that_it_lacks() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
     table.apply(page(records, 2, true));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_peer_is_given_what_it_lacks_with_removals() {
+fn changes_for_a_peer_include_removals() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
     table.apply(page(records, 2, true));
@@ -81,18 +81,18 @@
 // copies from a peer that started after the endpoint's row was removed: the peer read the keys that
 // there are, and knows of no removal before. What it gives must not pass for all changes.
 #[test]
-fn a_peer_that_started_later_tells_what_was_removed_before() {
+fn a_copy_without_earlier_removals_sends_all_keys() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
     table.apply(page(records, 2, true));
-    let mut started = Table::default();
+    let mut later_copy = Table::default();
     // "a" was removed at 2, and nothing names it any more.
-    started.apply(page(vec![record("b", Some("1"), 1)], 3, true));
-    assert_eq!(table.apply(started.since(table.next_offset())), ["a"]);
+    later_copy.apply(page(vec![record("b", Some("1"), 1)], 3, true));
+    assert_eq!(table.apply(later_copy.since(table.next_offset())), ["a"]);
     assert_eq!(keys(&table), ["b"]);
     // From here on changes are enough again.
-    started.apply(page(vec![record("c", Some("1"), 3)], 4, false));
-    let changes = started.since(table.next_offset());
+    later_copy.apply(page(vec![record("c", Some("1"), 3)], 4, false));
+    let changes = later_copy.since(table.next_offset());
     assert_eq!((changes.complete, changes.records.len()), (false, 1));
     assert_eq!(table.apply(changes), ["c"]);
     assert_eq!(keys(&table), ["b", "c"]);
