--- a/crates/node/src/gauges.rs
+++ b/crates/node/src/gauges.rs
@@ -1,9 +1,10 @@
-//! The routers' counters and gauges on the metrics page, added up over the workers.
+//! Gauges of the routers on the metrics page, summed over the workers.
 
 use entry::core::Reports;
 use opentelemetry::metrics::Meter;
 
-/// Registers one gauge for each row of the routers' report.
+/// Registers one gauge for each row of the router report, named `wigeonshelf_route_` and the row's
+/// name.
 pub fn register(meter: &Meter, reports: Vec<Reports>) {
     let names = route::report::Report::default().rows();
     for (row, (name, _)) in names.into_iter().enumerate() {
--- a/crates/node/src/hosted.rs
+++ b/crates/node/src/hosted.rs
@@ -1,8 +1,9 @@
 //! A node on a platform that keeps the operator's catalog and the list of endpoints in a store.
 //!
-//! Nothing lasts on the node itself. [`control`] reads the store, or a peer's copy of it while the
-//! store turns this node away, and publishes what it knows to the request worker, a `gate::worker`.
-//! One node, the first of those that live, gives endpoints the orders to hold layers.
+//! The node itself stores nothing durably. [`control`] reads the store, or copies of its tables
+//! from a peer while the store refuses this node, and publishes a view to the request worker, a
+//! `gate::worker`. A few nodes, the first of those that are alive, order endpoints which layers to
+//! hold.
 
 pub mod control;
 pub mod process;
--- a/crates/node/src/hosted/control.rs
+++ b/crates/node/src/hosted/control.rs
@@ -1,7 +1,7 @@
-//! Control: what a node believes, and how it learns it.
+//! Control plane of a node: its view of catalog, endpoints and other nodes, and how it is updated.
 //!
-//! One thread with a current-thread runtime. [`state::State`] holds what is believed; tasks around
-//! it read the store and the peers and send it [`input::Input`]s.
+//! Control runs on one thread with a current-thread runtime. [`state::State`] holds the view;
+//! separate tasks read the store and request data from peers, and send [`input::Input`]s to it.
 
 pub mod assignment;
 pub mod copy;
@@ -32,38 +32,39 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{Inbound, Link, Setup};
 
-/// Messages of peers that may wait.
+/// Capacity of the queue of messages from peers.
 const INBOUND_QUEUE_LEN: usize = 1024;
-/// Peers that a node keeps a connection to: those that ask engines, those that take copies from it,
-/// and those that membership spoke to within the time that an unused connection stays open. With
-/// fewer, a reader before 3,000 endpoints closed connections that it needed again a third of a second later.
+/// Maximum number of connections to peers. It covers the nodes that poll engines, the nodes that
+/// copy tables from this one, and those that membership has contacted within the idle timeout of a
+/// connection. With a lower limit, a reader in a fleet of 3,000 endpoints closes connections that
+/// it needs again a third of a second later.
 const MAX_PEER_CONNECTIONS: usize = 256;
-/// How often control looks whether anything is due.
+/// Interval of control's periodic work.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What control is made of.
+/// Configuration and shared handles of control.
 pub struct Control {
     /// Settings of the node.
     pub settings: Settings,
-    /// Number of this run.
+    /// Incarnation number of this process.
     pub incarnation: u64,
-    /// Seed of its draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Where it publishes.
+    /// The view that control publishes to the worker.
     pub shared_view: SharedView,
-    /// Decisions are told here.
+    /// Log of decisions.
     pub journal: Journal,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The node begins to leave.
+    /// Cancelled when the node begins to drain.
     pub leave: CancellationToken,
-    /// Control ends.
+    /// Cancelled when control must stop.
     pub end: CancellationToken,
 }
 
 impl Control {
-    /// Runs until `end`; the worker tells through `noted` what it finds out about endpoints, and
-    /// asks through `asked` for control's part of a dump.
+    /// Runs until `end` is cancelled. The worker sends changes of endpoint health through
+    /// `transitions`, and requests control's section of a dump through `dump_requests`.
     pub async fn run(
         self,
         transitions: mpsc::Receiver<Transition>,
@@ -120,7 +121,7 @@
             _ = step.tick() => state.step(),
             Some(input) = inputs.recv() => state.handle_input(input),
             Some(reply) = dump_requests.recv() => {
-                // Whoever asked has gone if nobody takes it.
+                // Sending fails only if the requester has gone away.
                 let _ = reply.send(state.dump());
             }
         }
--- a/crates/node/src/hosted/control/assignment.rs
+++ b/crates/node/src/hosted/control/assignment.rs
@@ -1,11 +1,16 @@
-//! Which nodes read the store and ask the engines, for themselves and for the others.
+//! Assigns the duties that nodes perform for each other: reading the store, polling engines, giving
+//! orders.
 //!
-//! The first nodes of each availability zone read the store, one for sixteen and at least two; the
-//! others of the zone take copies from them. Calls to the store then grow slower than the nodes.
-//! A node that starts beside others reads only for itself at first: until it has read whole tables it
-//! has nothing to give, and those that took copies from the reader before it would learn nothing new.
-//! The engines of a zone are asked for their loads by its first nodes, each for a bounded number.
-//! The first nodes of all give orders to endpoints, each to a bounded number.
+//! Every node computes the assignment by itself from the list of live nodes, ordered by id.
+//!
+//! - The first nodes of each availability zone, one in sixteen but at least two, are readers of the
+//!   store; the other nodes of the zone copy its tables from them. The number of calls to the store
+//!   then grows more slowly than the number of nodes. A node that joins a running fleet reads only
+//!   for itself at first: it has no tables to serve until it has read them completely, and nodes
+//!   that switched to it from another reader would get no updates meanwhile.
+//! - The first nodes of each zone are pollers: they poll the engines of the zone for their loads,
+//!   each a bounded number.
+//! - The first nodes of the fleet give orders to endpoints, each to a bounded number.
 
 use catalog::endpoint::{Run, Span};
 use member::Now;
@@ -16,25 +21,26 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Nodes of a zone that read the store, at the least: one may be cut off or stopped.
+/// Minimum number of readers in a zone: one of them may be cut off or stopped.
 const MIN_READERS: usize = 2;
-/// Nodes of a zone for which one reads.
+/// Number of nodes of a zone per reader.
 const NODES_PER_READER: usize = 16;
-/// How long a node that has started beside others, or was suspected, does not read for them.
+/// Time for which a node is not a reader after it has joined a running fleet or was suspected of
+/// failure.
 const READER_WARMUP: Duration = Duration::from_secs(3);
-/// Time from this node's own start in which it finds the nodes that were there before it or started
-/// with it.
+/// Time after its own start within which this node discovers the nodes that are already running or
+/// started together with it.
 const DISCOVERY_TIME: Duration = Duration::from_millis(2500);
-/// Engines that one node asks before another one shares in it.
+/// Number of engines of a zone per poller.
 pub const ENGINES_PER_POLLER: usize = 48;
 
-/// Endpoints for which one node gives orders before another one shares in it.
+/// Number of endpoints per node that gives orders.
 pub const ENDPOINTS_PER_ORDERER: usize = 256;
 
-/// Engines by availability zone.
+/// Number of engines by availability zone.
 pub type EngineCounts<'a> = BTreeMap<&'a str, usize>;
 
-/// One of `of` equal parts of some endpoints.
+/// One of `count` shards of about equal size into which endpoints are split by a hash of their ids.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Shard {
     index: usize,
@@ -48,27 +54,28 @@
     }
 }
 
-/// This node's part, and whom it asks.
+/// The duties of this node, and the nodes that have duties for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Assignment {
-    /// Whether it reads the store.
+    /// Whether this node reads the store.
     pub reads: bool,
-    /// Readers of its zone, itself left out, in the order in which it prefers them. The others of the
-    /// zone begin with each reader in turn, so that all have as many askers, or one more.
+    /// The other readers of this node's zone, in order of preference. The order is rotated by the
+    /// position of the node in its zone, which spreads the nodes evenly over the readers.
     pub readers: Vec<SocketAddr>,
-    /// The nodes that ask the engines, itself left out.
+    /// The other nodes that poll engines, in all zones.
     pub pollers: Vec<SocketAddr>,
-    /// Its shares in asking the engines of zones.
+    /// This node's shards of the engines to poll, by zone.
     poll_shards: BTreeMap<String, Shard>,
-    /// Whether it is the first node of all, which alone moves endpoints that hold layers: two nodes
-    /// that do so could each move one of the last two copies of a layer.
+    /// Whether this node is the first of the fleet. Only the first node orders moves of endpoints
+    /// that hold layers: two nodes could each move one of the last two copies of a layer.
     pub first: bool,
-    /// Its share in giving orders to endpoints that hold nothing.
+    /// This node's shard of the endpoints without layers to give orders to.
     order_shard: Option<Shard>,
 }
 
 impl Assignment {
-    /// The part of the node `me` in `zone` at `now`, among the nodes that take new work.
+    /// Computes the assignment of the node `me` in `zone` at `now`, among the nodes that accept new
+    /// work.
     pub fn of<'a>(
         now: Now,
         me: Id,
@@ -91,7 +98,7 @@
             let limit = engine_count.div_ceil(ENGINES_PER_POLLER).max(1);
             let mut zone_pollers = first_in_zone(&open, zone, limit);
             if zone_pollers.is_empty() {
-                // No node is near them: the first of all asks.
+                // The zone has no node: the first node of the fleet polls its engines.
                 zone_pollers = open.first().copied().into_iter().collect();
             }
             if let Some(index) = zone_pollers.iter().position(|p| p.id == me) {
@@ -112,7 +119,7 @@
         }
     }
 
-    /// Whether it asks an engine of `zone`.
+    /// Returns whether this node polls an engine of `zone`.
     pub fn polls(&self, zone: &str, run: &Run) -> bool {
         let Some(shard) = self.poll_shards.get(zone) else {
             return false;
@@ -120,12 +127,12 @@
         shard.contains(run)
     }
 
-    /// Whether it gives orders to any endpoint.
+    /// Returns whether this node gives orders to any endpoint.
     pub fn gives_orders(&self) -> bool {
         self.first || self.order_shard.is_some()
     }
 
-    /// Whether it gives an order to an endpoint that holds these layers.
+    /// Returns whether this node gives orders to an endpoint that holds the layers `held`.
     pub fn may_order(&self, run: &Run, held: Span) -> bool {
         match held.is_empty() {
             true => self
@@ -137,8 +144,8 @@
     }
 }
 
-/// The nodes of a zone that read the store: the first of those that have not just started, or of all if
-/// there is no other.
+/// Selects the readers of a zone: the first of the nodes that have not recently started, or of all
+/// nodes if all have.
 fn select_readers<'a>(now: Now, local: &[&'a Peer]) -> Vec<&'a Peer> {
     let limit = local.len().div_ceil(NODES_PER_READER).max(MIN_READERS);
     let is_starting = |p: &Peer| {
@@ -149,7 +156,7 @@
     readers.into_iter().take(limit).collect()
 }
 
-/// The share of a node in giving orders.
+/// Computes the shard of a node among the endpoints without layers, if it gives orders at all.
 fn order_shard(me: Id, open: &[&Peer], engines: &EngineCounts<'_>) -> Option<Shard> {
     let endpoints: usize = engines.values().sum();
     let count = endpoints
@@ -159,7 +166,7 @@
     Some(Shard { index, count })
 }
 
-/// The readers in the order of the node at a place of its zone.
+/// Rotates the readers into the order of preference of the node at `position` in its zone.
 fn rotate_readers(mut readers: Vec<SocketAddr>, position: usize) -> Vec<SocketAddr> {
     if !readers.is_empty() {
         let first = position % readers.len();
@@ -168,7 +175,7 @@
     readers
 }
 
-/// The first nodes of a zone, `most` at the most.
+/// Returns the first nodes of a zone, at most `limit`.
 fn first_in_zone<'a>(open: &[&'a Peer], zone: &str, limit: usize) -> Vec<&'a Peer> {
     let own = open.iter().copied().filter(|p| p.identity.zone == zone);
     own.take(limit).collect()
--- a/crates/node/src/hosted/control/copy.rs
+++ b/crates/node/src/hosted/control/copy.rs
@@ -1,17 +1,18 @@
-//! What nodes ask each other for, and the changes of a table as they send them.
+//! Requests of nodes for copies of tables and for loads, and the encoding of copies.
 //!
-//! A copy comes in chunks of about [`CHUNK`] bytes. As one frame, a table of 3,000 endpoints takes a
-//! slow link for longer than a connection may leave a frame unconfirmed: it was sent again and again
-//! over new connections, and the operator's catalog waited behind it.
+//! A copy is transferred in chunks of about [`CHUNK_BYTES`]. As a single frame, a table of 3,000
+//! endpoints occupies a slow link for longer than the time after which an unacknowledged frame is
+//! resent over a new connection: it would be sent repeatedly, and the operator's catalog would wait
+//! behind it.
 
 use adapter::store::Table;
 use catalog::source::{Page, Record};
 use eyre::{Result, bail, ensure};
 use serde::{Deserialize, Serialize};
 
-/// Longest copy that is read.
+/// Maximum size of an encoded copy that is decoded.
 const MAX_ENCODED_BYTES: usize = 4 << 20;
-/// Bytes of a copy from which on the rest waits for the next ask.
+/// Approximate size of a chunk; the rest of a copy is left for the next request.
 pub const CHUNK_BYTES: usize = 48 << 10;
 
 #[derive(Serialize, Deserialize)]
@@ -30,12 +31,12 @@
     offset: u64,
 }
 
-/// A chunk of a table's changes, and what the node that gives it says of itself.
+/// A chunk of a table's changes, with the state of the node that sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The changes in this chunk; maybe none.
+    /// The changes in this chunk, which may be empty.
     pub page: Page,
-    /// Whether the node that gives them can read the store.
+    /// Whether the sender reads the store itself and its last read succeeded.
     pub up_to_date: bool,
     /// Whether more chunks follow.
     pub more: bool,
@@ -77,42 +78,48 @@
     }
 }
 
-/// The bytes of a copy.
+/// Encodes a chunk of a copy.
 pub fn encode(response: &Response) -> Result<Vec<u8>> {
     let config = bincode::config::standard();
     Ok(bincode::serde::encode_to_vec(Raw::from(response), config)?)
 }
 
-/// Reads the bytes of a copy.
+/// Decodes a chunk of a copy.
+///
+/// # Errors
+///
+/// Fails if the bytes are no chunk, exceed `MAX_ENCODED_BYTES` or have trailing bytes.
 pub fn decode(bytes: &[u8]) -> Result<Response> {
     let config = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
     let (raw, used): (Raw, usize) = bincode::serde::decode_from_slice(bytes, config)?;
-    ensure!(used == bytes.len(), "trailing bytes");
+    ensure!(used == bytes.len(), "trailing bytes after a copy");
     Ok(raw.into())
 }
 
-/// Which loads a node is asked for. They are no table of the store, and have numbers of their own.
+/// Selects the loads that a node is asked for. Loads are not a table of the store; their changes
+/// have numbers of the sending node instead of offsets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Those that it asked engines for itself.
+    /// Loads that the node polled from engines itself.
     Own,
-    /// All that it knows.
+    /// All loads that the node knows.
     All,
 }
 
-/// What a node asks a peer for.
+/// A request to a peer. A frame carries its number, see the conversions to and from `u8`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Changes of a table from an offset on.
+    /// The changes of a table from an offset on.
     Changes(Table),
-    /// The next chunk of all keys of a table, those that changed at an offset or later.
+    /// The next chunk of a transfer of all keys of a table: the keys whose last change is at an
+    /// offset or later.
     Keys(Table),
-    /// Loads of engines that changed after a number.
+    /// The loads of engines that changed after a change number.
     Loads(Scope),
 }
 
 impl Request {
-    /// Its word in metrics.
+    /// Returns the label of the request in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Changes(Table::Operator) | Self::Keys(Table::Operator) => "operator",
@@ -146,7 +153,7 @@
             3 => Self::Loads(Scope::Own),
             4 => Self::Keys(Table::Operator),
             5 => Self::Keys(Table::Endpoints),
-            _ => bail!("no ask has the number {number}"),
+            _ => bail!("unknown request number {number}"),
         })
     }
 }
--- a/crates/node/src/hosted/control/failures.rs
+++ b/crates/node/src/hosted/control/failures.rs
@@ -1,8 +1,9 @@
-//! Endpoints that several nodes found to fail.
+//! Endpoints that several nodes report as failing.
 //!
-//! A node that can't reach an endpoint may be cut off itself, so one accuser is not believed where
-//! there are others to ask. An endpoint that stays accused counts as lost when layers are placed:
-//! while the store is out its row does not lapse, and nothing else tells of its death.
+//! A node that can't reach an endpoint may be cut off itself, so a single failure report does not
+//! suffice where other nodes could confirm it. An endpoint that is reported for `LOST_AFTER` counts
+//! as lost when layers are placed: its row does not expire during a store outage, so that nothing
+//! else shows its death.
 
 use member::group::Group;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,13 +11,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Nodes that have to agree, if there are so many.
+/// Number of nodes that must report an endpoint before it counts as failing, limited by the number
+/// of nodes that accept new work.
 const FAILURE_QUORUM: usize = 2;
-/// Time after which an endpoint that stays accused counts as lost: longer than one that fails a
-/// part of its requests stays accused by chance.
+/// Time after which an endpoint that is continuously reported counts as lost. It exceeds the time
+/// for which an endpoint that fails only some of its requests is reported by chance.
 const LOST_AFTER: Duration = Duration::from_millis(1500);
 
-/// The accused endpoints, as texts of their runs.
+/// The failing endpoints, by the text form of their runs.
 #[derive(Clone, Debug, Default)]
 pub struct Failures {
     current: Arc<BTreeSet<String>>,
@@ -24,11 +26,12 @@
 }
 
 impl Failures {
-    /// Takes in what the nodes say, and which engines did not report when asked; whether it is
-    /// different now.
+    /// Recomputes the failing endpoints from the failure reports of all nodes and from the engines
+    /// that did not answer polls. Returns whether the set changed.
     ///
-    /// Silence is one voice beside those of the nodes. An endpoint that is accused stays so while
-    /// it is silent: were it let go when the accusations run out, every node would try it again.
+    /// An unanswered poll counts as one more failure report. An endpoint that is already failing
+    /// stays so while it is unresponsive: if it were released once the reports expire, every node
+    /// would send to it again.
     pub fn update(
         &mut self,
         now: Instant,
@@ -54,12 +57,12 @@
         true
     }
 
-    /// Those that are accused now.
+    /// Returns the endpoints that currently count as failing.
     pub fn current(&self) -> Arc<BTreeSet<String>> {
         self.current.clone()
     }
 
-    /// Whether an endpoint counts as lost.
+    /// Returns whether an endpoint has been failing for long enough to count as lost.
     pub fn is_lost(&self, now: Instant, run: &str) -> bool {
         self.since
             .get(run)
--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -1,4 +1,4 @@
-//! What tasks tell control.
+//! Inputs of the control state, sent by its tasks.
 
 use super::copy::Request;
 use adapter::report::Report;
@@ -11,38 +11,38 @@
 use tokio::sync::mpsc;
 use wire::peer::Inbound;
 
-/// Inputs that may wait.
+/// Capacity of the input queue.
 pub const INPUT_QUEUE_LEN: usize = 1024;
 
-/// Where tasks put inputs.
+/// Sending half of the input queue.
 pub type InputSender = mpsc::Sender<Input>;
 
-/// What came of an order.
+/// One attempt to give an order to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The endpoint's report just before; nothing if it did not answer.
+    /// The endpoint's status report from just before the order; `None` if it did not answer.
     pub report: Option<Report>,
-    /// What came of it.
+    /// How the attempt ended.
     pub outcome: Outcome,
 }
 
-/// An input.
+/// An input of the control state.
 #[derive(Debug)]
 pub enum Input {
-    /// The store was read.
+    /// A read of the store succeeded.
     Page(Table, Page),
-    /// The store could not be read.
+    /// A read of the store failed, with the error.
     ReadFailed(Table, String),
-    /// A peer answered an ask.
+    /// A peer answered a request, with the encoded response.
     Response(Request, SocketAddr, Vec<u8>),
-    /// A peer did not answer an ask, and why.
+    /// A request to a peer failed, with the error.
     RequestFailed(Request, SocketAddr, String),
-    /// An engine was asked for its report; nothing if it did not answer.
+    /// An engine was polled for its status report; `None` if it did not answer.
     Report(Run, Option<Report>),
-    /// The worker found something out about an endpoint.
+    /// The worker ejected an endpoint, or uses it again.
     Transition(Transition),
-    /// A message of a peer.
+    /// A message from a peer.
     Peer(Inbound),
-    /// An order was given, or found not to fit.
+    /// An attempt to give an order has ended.
     OrderEnded(Order, Attempt),
 }
--- a/crates/node/src/hosted/control/loads.rs
+++ b/crates/node/src/hosted/control/loads.rs
@@ -1,9 +1,10 @@
-//! Loads that engines report.
+//! Loads of engines, polled from the engines or copied from other nodes.
 //!
-//! Few nodes of each availability zone ask the engines of their zone, often where there is much
-//! under way and seldom where there is not; the others take the answers from them. Each node asking
-//! each engine would cost the number of nodes times as many questions. A node that takes answers
-//! again gets those that the giver learned since: all of 3,000 engines' would be 180 KB each time.
+//! A few nodes of each availability zone poll the engines of their zone, busy ones more often than
+//! idle ones; the other nodes copy the reports from them. If each node polled each engine, the
+//! number of polls would grow with the number of nodes. A node that requests loads again gets only
+//! the reports that the peer received since the previous request: those of 3,000 engines take 180
+//! KB.
 
 use super::copy::{CHUNK_BYTES, Scope};
 use adapter::report::Report;
@@ -17,25 +18,26 @@
 use steer::load::Load;
 use tokio::time::Instant;
 
-/// Part of an engine's room from which it is asked often.
+/// Fraction of an engine's KV capacity in use from which it is polled at `BUSY_POLL_INTERVAL`.
 const BUSY_UTILIZATION: f32 = 0.3;
-/// Time between two questions to a busy engine: twice what its report lags behind.
+/// Interval of polls of a busy engine: twice the time by which its report lags behind.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two questions to any other.
+/// Interval of polls of any other engine.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1500);
-/// Time after which a report is forgotten.
+/// Age at which a report is discarded.
 const REPORT_TTL: Duration = Duration::from_secs(4);
-/// Age up to which a report goes before the endpoint's own row, which is written every second or
-/// so and read about as often.
+/// Age up to which a report takes precedence over the endpoint's row in the store, which is written
+/// about once a second and read about as often.
 const MAX_OVERLAY_AGE: Duration = Duration::from_millis(1500);
-/// Bytes of a report between nodes, about.
+/// Approximate size of an encoded report.
 const ENCODED_REPORT_BYTES: usize = 40;
-/// Reports that a peer gets at once.
+/// Maximum number of reports in one response to a peer.
 const MAX_RESPONSE_ROWS: usize = CHUNK_BYTES / ENCODED_REPORT_BYTES;
-/// Longest list that is read.
+/// Maximum size of an encoded list of reports that is decoded.
 const MAX_ENCODED_BYTES: usize = 4 << 20;
 
-/// What is kept of a report, as nodes also send it to each other.
+/// The part of a report that is kept and sent between nodes: KV memory in use and its capacity,
+/// slowdown, number of queued requests, and the layers held (`from` inclusive, `to` exclusive).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Figures {
     used: f32,
@@ -59,38 +61,39 @@
     }
 }
 
-/// A report, and when it was given.
+/// A report with its origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Row {
     at: Instant,
-    /// Number of this change of the list.
+    /// Change number of the list at which the report was added.
     number: u64,
-    /// Whether this node asked the engine itself.
+    /// Whether this node polled the engine itself.
     own: bool,
     figures: Figures,
 }
 
-/// What a peer gets.
+/// Response to a peer that requests loads.
 #[derive(Serialize, Deserialize)]
 struct Changes {
     rows: Vec<Raw>,
-    /// Number of the last change among them.
+    /// Change number up to which the peer knows the list after applying `rows`.
     last: u64,
 }
 
-/// How far a peer's list is known, and when that was learned.
+/// Change number up to which the list of a peer is known here, and when it was last received.
 #[derive(Clone, Copy, Debug)]
 struct PeerProgress {
     last: u64,
     at: Instant,
 }
 
-/// A report between nodes. Clocks of nodes differ, so its age is sent and not its time.
+/// A report as sent between nodes. It carries its age instead of a time, since the clocks of nodes
+/// differ.
 #[derive(Serialize, Deserialize)]
 struct Raw {
     run: String,
     age_ms: u32,
-    /// Nothing if the run does not answer.
+    /// `None` if the run is unresponsive.
     figures: Option<Figures>,
 }
 
@@ -98,31 +101,32 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     rows: BTreeMap<String, Row>,
-    /// Number of the last change.
+    /// Number of the last change of `rows`.
     last: u64,
     progress: BTreeMap<(SocketAddr, Scope), PeerProgress>,
-    /// When each run was last asked by this node.
+    /// When this node last polled each run.
     last_polls: BTreeMap<String, Instant>,
-    /// How often in a row each run did not answer this node, and when it last did not.
+    /// Unanswered polls of each run since its last answer.
     misses: BTreeMap<String, Misses>,
-    /// Runs that other nodes found silent, and until when that counts.
+    /// Runs that other nodes found unresponsive, with the time at which this information expires.
     reported_unresponsive: BTreeMap<String, Instant>,
 }
 
-/// Questions that were not answered.
+/// Consecutive polls without an answer, and the time of the last one.
 #[derive(Clone, Copy, Debug)]
 struct Misses {
     count: u32,
     at: Instant,
 }
 
-/// Questions in a row without an answer from which an engine counts as silent. One may be lost.
+/// Number of consecutive unanswered polls from which an engine counts as unresponsive. A single one
+/// may have been lost.
 const UNRESPONSIVE_MISSES: u32 = 2;
-/// How long it counts that another node found an engine silent.
+/// Time for which an engine counts as unresponsive after another node reported it so.
 const UNRESPONSIVE_TTL: Duration = Duration::from_millis(2500);
 
 impl Loads {
-    /// Takes a report in that was just given.
+    /// Records a report that this node has just received from the engine itself.
     pub fn record(&mut self, now: Instant, run: &str, report: &Report) {
         self.insert(run.to_owned(), now, true, Figures::from(report));
         self.misses.remove(run);
@@ -141,12 +145,13 @@
         self.rows.insert(run, row);
     }
 
-    /// The last change of a scope of a peer's list that is known here.
+    /// Returns the change number up to which the list of a peer is known here in a scope; 0 if it
+    /// is unknown.
     pub fn known_change(&self, peer: SocketAddr, scope: Scope) -> u64 {
         self.progress.get(&(peer, scope)).map_or(0, |h| h.last)
     }
 
-    /// An engine did not answer this node.
+    /// Records that an engine did not answer a poll of this node.
     pub fn record_miss(&mut self, now: Instant, run: &str) {
         let misses = self.misses.entry(run.to_owned());
         let misses = misses.or_insert(Misses { count: 0, at: now });
@@ -154,7 +159,7 @@
         misses.at = now;
     }
 
-    /// Runs that do not answer.
+    /// Returns the runs that are unresponsive, as found by this node or reported by others.
     pub fn unresponsive(&self) -> BTreeSet<String> {
         let own = self
             .misses
@@ -165,7 +170,7 @@
             .collect()
     }
 
-    /// Whether a run should be asked now; if so, it counts as asked.
+    /// Returns whether a run is to be polled now; if so, records the poll.
     pub fn due(&mut self, now: Instant, run: &str) -> bool {
         let figures = self.rows.get(run).map(|r| r.figures);
         let busy = figures.is_some_and(|f| f.used > f.room * BUSY_UTILIZATION);
@@ -185,7 +190,7 @@
         due
     }
 
-    /// Forgets what is old.
+    /// Discards expired entries.
     pub fn expire(&mut self, now: Instant) {
         self.rows.retain(|_, row| now < row.at + REPORT_TTL);
         self.last_polls.retain(|_, at| now < *at + REPORT_TTL);
@@ -195,14 +200,14 @@
             .retain(|_, progress| now < progress.at + REPORT_TTL);
     }
 
-    /// The oldest reports for a peer that knows the changes up to `known`, in about [`CHUNK`] bytes,
-    /// and all silent runs; the peer gets the rest when it asks next. A peer that
-    /// asks several nodes takes from each what that one asked for itself: with all that each knows,
-    /// 21 nodes with 1,000 engines sent 6.5 MB a second between zones.
+    /// Encodes the unresponsive runs and the oldest reports that a peer lacks which knows the
+    /// changes up to `known`, in about [`CHUNK_BYTES`]; the peer gets the rest with its next
+    /// requests. A peer that requests loads from several nodes uses [`Scope::Own`]: with
+    /// [`Scope::All`], 21 nodes with 1,000 engines send 6.5 MB a second between zones.
     ///
-    /// A peer that knows of later changes than there are learned them before this node started
-    /// anew, and gets all. Were there as many again by then, it would miss some until the engines
-    /// are next asked, at most [`SELDOM`] later.
+    /// A peer with a `known` above the last change received it before this node restarted, and gets
+    /// all reports. If the list has already grown beyond `known` again, the peer misses some
+    /// reports until the engines are polled next, at most `IDLE_POLL_INTERVAL` later.
     pub fn encode(&self, now: Instant, scope: Scope, known: u64) -> Result<Vec<u8>> {
         let known = if known > self.last { 0 } else { known };
         let included = |row: &Row| row.number > known && (row.own || scope == Scope::All);
@@ -234,7 +239,7 @@
         Ok(bincode::serde::encode_to_vec(&changes, config)?)
     }
 
-    /// Takes a peer's reports in; whether any is new.
+    /// Merges an encoded list of reports from a peer. Returns whether any report is new.
     pub fn merge(
         &mut self,
         now: Instant,
@@ -244,14 +249,15 @@
     ) -> Result<bool> {
         let config = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
         let (changes, used): (Changes, usize) = bincode::serde::decode_from_slice(bytes, config)?;
-        ensure!(used == bytes.len(), "trailing bytes");
+        ensure!(used == bytes.len(), "trailing bytes after a list of loads");
         let last = changes.last;
         self.progress
             .insert((peer, scope), PeerProgress { last, at: now });
         let mut new = false;
         for raw in changes.rows {
             let Some(figures) = raw.figures else {
-                // Only what this node did not hear itself of late is taken.
+                // The peer's information counts only for runs that this node has not polled itself
+                // recently.
                 if !self.last_polls.contains_key(&raw.run) {
                     self.reported_unresponsive
                         .insert(raw.run, now + UNRESPONSIVE_TTL);
@@ -273,7 +279,7 @@
         Ok(new)
     }
 
-    /// What workers are told.
+    /// Returns the loads for the workers' view. `start` is the time from which stamps count.
     pub fn view(&self, now: Instant, start: Instant) -> BTreeMap<String, Load> {
         let load = |row: &Row| Load {
             stamp: (row.at - start).as_micros() as u64,
@@ -286,7 +292,8 @@
         rows.map(|(run, row)| (run.clone(), load(row))).collect()
     }
 
-    /// The endpoint with the layers that it reported, if that is newer than its row.
+    /// Returns the endpoint with the layers of its last report in place of those of its row, if the
+    /// report is recent.
     pub fn overlay(&self, now: Instant, endpoint: &Endpoint) -> Endpoint {
         let mut endpoint = endpoint.clone();
         let row = self.rows.get(&endpoint.run.to_string());
@@ -298,5 +305,6 @@
     }
 }
 
-/// Two copies of one report differ by the time that they were on their way.
+/// Time by which the estimated times of two copies of the same report may differ, because of the
+/// time that they take to arrive.
 const DUPLICATE_TOLERANCE: Duration = Duration::from_millis(50);
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -1,10 +1,11 @@
-//! Gives endpoints the orders to hold layers.
+//! Orders endpoints which layers to hold.
 //!
-//! Any number of nodes may believe that it is theirs to give orders: an endpoint takes an order
-//! only if it has accepted as many before as the order says, so of two orders one is refused, and
-//! one that arrives late changes nothing. That few nodes do so, the first of those that are known to
-//! live, saves orders; no lease is needed for it, and it goes on while the store is out. All of them
-//! plan for all endpoints, by the same rows, and each gives the orders of its own share.
+//! It is safe for any number of nodes to give orders. An order names the number of orders that the
+//! endpoint has accepted before, and the endpoint refuses it if that number differs: of two
+//! concurrent orders one is refused, and a late one has no effect. Only the first few of the nodes
+//! known to be alive give orders, to avoid redundant ones. This needs no lease and continues during
+//! a store outage. Each of them plans for all endpoints from the same rows, and sends the orders of
+//! its own shard.
 
 use super::assignment::Assignment;
 use super::input::{Attempt, Input, InputSender};
@@ -21,60 +22,64 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time beyond the load itself until a row must show the layers: a row is written every second or
-/// so, and read about as often.
+/// Time after loading within which an endpoint's row must show its new layers: a row is written
+/// about once a second and read about as often.
 const ROW_LAG: Duration = Duration::from_secs(4);
-/// Time after an order that was not taken until another is given: what is known of the endpoint
-/// is new by then.
+/// Delay after an order that was not accepted until the endpoint may get another one. Its state as
+/// known here is up to date again by then.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Orders that are being given at once, each on a connection of its own: a small node that begins too
-/// many has none of them answered in time.
+/// Maximum number of orders in flight, each on a connection of its own. On a small node, too many
+/// at once all time out.
 pub const MAX_CONCURRENT_ORDERS: usize = 24;
 
-/// Time between the announcement that an endpoint gives up layers and the order: what is announced is
-/// with all nodes by then, so that none sends requests there that would be refused.
+/// Time from the announcement that an endpoint is to release layers until its order is sent. The
+/// announcement has reached all nodes by then, so that none sends requests that the endpoint would
+/// refuse.
 pub const MOVE_NOTICE: Duration = Duration::from_millis(600);
 
-/// What is under way at an endpoint.
+/// Pending change at an endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
-    /// An order was given, or it reported these layers; its row will show them.
+    /// The endpoint was ordered to hold these layers, or reported them; its row is to show them by
+    /// `until`.
     Holds { span: Span, until: Instant },
-    /// It is left alone until then.
+    /// The endpoint gets no order until this time.
     Wait(Instant),
 }
 
-/// An order that waits to be given.
+/// A planned order that has not been sent yet.
 #[derive(Debug)]
 struct Planned {
     order: Order,
-    /// How long the layers take to load beside the others of the plan.
+    /// Expected time to load the layers concurrently with the other loads of the plan.
     load_time: Duration,
 }
 
-/// The orders of one node.
+/// Plans and sends the orders of one node.
 pub struct Orders {
     journal: Journal,
     inputs: InputSender,
     pending: BTreeMap<Run, Pending>,
-    /// Orders of the last plan that have not been given yet.
+    /// Orders of the last plan to endpoints without layers, not sent yet.
     planned: VecDeque<Planned>,
-    /// Orders to give up layers, in the order of their times.
+    /// Moves, which are orders to endpoints that hold layers, with the time at which each is sent,
+    /// in the order of these times.
     moves: VecDeque<(Instant, Planned)>,
-    /// Endpoints whose moves are to be announced.
+    /// Endpoints whose moves have not been announced yet.
     moving: Vec<Run>,
-    /// Orders that are being given.
+    /// Number of orders sent whose outcome is not known yet.
     in_flight: usize,
-    /// How long endpoints take to register that started together.
+    /// Time that endpoints which started together take to register.
     gather_time: Duration,
-    /// When an endpoint was last seen that had not been seen before.
+    /// When an endpoint was last seen for the first time.
     last_arrival: Instant,
     seen: BTreeSet<Run>,
 }
 
 impl Orders {
-    /// No order is under way.
+    /// Creates the state without any order. `gather_time` is the time within which endpoints that
+    /// started together register.
     pub fn new(journal: Journal, inputs: InputSender, gather_time: Duration) -> Self {
         Self {
             journal,
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Plans anew, and gives what orders of this node's part can be given now.
+    /// Makes a new plan, and sends those of this node's orders that can be sent now.
     pub fn step<'a>(
         &mut self,
         now: Instant,
@@ -117,8 +122,8 @@
         self.send_planned(now);
     }
 
-    /// Gives more of the orders that were planned last, as others end. An order that no longer fits
-    /// its endpoint is found out when it is given.
+    /// Sends further orders of the last plan, up to the limit of orders in flight. An order that no
+    /// longer matches the state of its endpoint is detected when it is sent.
     pub fn send_planned(&mut self, now: Instant) {
         while self.in_flight < MAX_CONCURRENT_ORDERS
             && let Some(Planned { order, load_time }) = self.pop_due(now)
@@ -128,15 +133,16 @@
         }
     }
 
-    /// The next order to give: a move whose time has come, or one to an endpoint that holds nothing.
+    /// Removes and returns the next order to send: a move that is due, or else an order to an
+    /// endpoint that holds no layers.
     fn pop_due(&mut self, now: Instant) -> Option<Planned> {
         let due = self.moves.pop_front_if(|(at, _)| *at <= now);
         due.map(|(_, planned)| planned)
             .or_else(|| self.planned.pop_front())
     }
 
-    /// Takes in what a plan orders. Moves wait until they are announced; the plans until then count
-    /// them as given.
+    /// Enqueues a planned order. A move is delayed by its announcement; plans made meanwhile count
+    /// it as sent.
     fn enqueue(&mut self, now: Instant, planned: Planned) {
         let Planned { order, load_time } = &planned;
         if order.held.is_empty() {
@@ -148,15 +154,15 @@
         self.moves.push_back((at, planned));
     }
 
-    /// Counts an order as given whose layers are loaded at `loaded`.
+    /// Records an order as pending whose layers will have been loaded at `loaded`.
     fn mark_pending(&mut self, order: &Order, loaded: Instant) {
         let (span, until) = (order.span, loaded + ROW_LAG);
         self.pending
             .insert(order.run.clone(), Pending::Holds { span, until });
     }
 
-    /// Drops moves that wait and are no longer this node's to order, or would now leave the endpoint's
-    /// zone without a layer: another holder may have died since they were planned.
+    /// Drops waiting moves that are no longer this node's to give, or that would now leave the
+    /// endpoint's zone without a layer because another holder has failed since they were planned.
     fn revalidate_moves(&mut self, assignment: &Assignment, engine: &Engine, holders: &[Holder]) {
         let pending = &mut self.pending;
         self.moves.retain(|(_, Planned { order, .. })| {
@@ -170,12 +176,13 @@
         });
     }
 
-    /// Endpoints that are about to give up layers, since the last call.
+    /// Removes and returns the endpoints whose moves were planned since the last call, for their
+    /// announcement.
     pub fn take_moving(&mut self) -> Vec<Run> {
         std::mem::take(&mut self.moving)
     }
 
-    /// Orders that are being given, and whose outcome is not known yet.
+    /// Returns the number of orders sent whose outcome is not known yet.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
@@ -203,8 +210,9 @@
             holders.push(holder);
         }
         self.revalidate_moves(assignment, engine, &holders);
-        // A fleet that holds nothing is planned as a whole, once all have registered: planned by
-        // ones and twos, the first take what the larger ones that follow should hold.
+        // A fleet without any layers is planned at once, after all its endpoints have registered.
+        // If it were planned in small groups, the first endpoints would get layers that larger
+        // ones, which register later, should hold.
         let all_empty = holders.iter().all(|h| h.span.is_empty());
         if all_empty && now < self.last_arrival + self.gather_time {
             return;
@@ -226,12 +234,12 @@
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
             let attempt = send(&order).await;
-            // Control has ended if nobody takes it.
+            // Sending fails only if control has ended.
             let _ = inputs.send(Input::OrderEnded(order, attempt)).await;
         });
     }
 
-    /// An order was given, or found not to fit.
+    /// Records the outcome of an order.
     pub fn finish(&mut self, now: Instant, order: Order, attempt: &Attempt) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let report = attempt.report.as_ref();
@@ -244,7 +252,7 @@
         });
         let pending = match (attempt.outcome, report) {
             (Outcome::Taken, _) => return,
-            // It holds something else than its row says.
+            // The endpoint holds other layers than its row says.
             (Outcome::Refused, Some(report)) if !report.busy && report.span != order.held => {
                 Pending::Holds {
                     span: report.span,
@@ -256,7 +264,8 @@
         self.pending.insert(order.run, pending);
     }
 
-    /// Forgets what is over, what its row shows by now, and runs that are gone.
+    /// Discards pending changes that have expired or that the row shows by now, and runs that are
+    /// gone.
     fn expire(&mut self, now: Instant, endpoints: &[&Endpoint]) {
         let spans: BTreeMap<&Run, Span> = endpoints.iter().map(|e| (&e.run, e.span)).collect();
         self.seen.retain(|run| spans.contains_key(run));
@@ -270,10 +279,11 @@
     }
 }
 
-/// Gives an order to an endpoint that still is what the order was planned for.
+/// Sends an order to an endpoint if it is still in the state that the order was planned for.
 ///
-/// Its row does not say how many orders it has accepted, and may be seconds old. So it is asked
-/// first, and the order carries the count from its report.
+/// The endpoint's row does not contain the number of orders that it has accepted, and may be
+/// seconds old. So the status report is fetched first, and the order carries the number from that
+/// report.
 async fn send(order: &Order) -> Attempt {
     let control = Control::new(order.addr);
     let Ok(report) = control.fetch_report().await else {
--- a/crates/node/src/hosted/control/pulls.rs
+++ b/crates/node/src/hosted/control/pulls.rs
@@ -1,14 +1,16 @@
-//! Which peers are asked for copies of tables and for loads, and what is gathered from their answers.
+//! Schedules requests to peers for copies of tables and for loads, and assembles their chunked
+//! responses.
 //!
-//! Each node takes rows of endpoints and loads from the reader of its zone that it prefers, and from
-//! the next one for a while if that one does not answer or can't read the store itself. Of each table
-//! at most a bounded number of asks is under way: an answer that is late is not asked for again
-//! meanwhile. Without these bounds each node asked any reader every third of a second. Readers of
-//! 100 nodes then sent the same rows several times over, filled their links, and new catalogs came
-//! seconds late.
+//! Each node copies the endpoints' table and the loads from its preferred reader, a node of its
+//! zone that reads the store, and fails over to the next one for a while if that one does not
+//! answer or can't read the store itself. The number of requests in flight for a table is bounded,
+//! so that a request whose response is late is not repeated. If each node sent a request to any
+//! reader every third of a second instead, the readers for 100 nodes would send the same rows
+//! several times over and fill their links, and new catalogs would arrive seconds late.
 //!
-//! The operator's table is small, and is asked for from a few readers in turn, by readers too: one
-//! that is short of processor reads the store late and still answers, and nobody can tell.
+//! The operator's table is small. It is requested from a few readers in turn, also by readers: one
+//! that is short of processor time reads the store late but still answers, which no other node can
+//! detect.
 
 use super::assignment::Assignment;
 use super::copy::{Request, Response, Scope};
@@ -19,31 +21,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often copies and loads are taken from peers.
+/// Interval at which copies and loads are requested from peers.
 pub const PULL_INTERVAL: Duration = Duration::from_millis(350);
-/// How long a peer that failed is left alone if there is another one.
+/// Time for which a peer that failed is avoided if there is another one.
 const FAILED_PEER_COOLDOWN: Duration = Duration::from_secs(2);
 
-/// Readers that are asked for the operator's table, in turn.
+/// Number of readers among which requests for the operator's table rotate.
 const OPERATOR_READERS: usize = 3;
-/// Asks for the operator's table that may be under way.
+/// Maximum number of requests for the operator's table in flight.
 const MAX_OPERATOR_REQUESTS: usize = 2;
-/// Nodes that a reader asks for their loads at once. The others have their turn in the next pulls.
+/// Number of pollers, nodes that poll engines, from which a reader requests loads in one pull. The
+/// others follow in the next pulls.
 const POLLERS_PER_PULL: usize = 16;
 
-/// Asks that are under way, readers to avoid, and tables that are gathered chunk by chunk.
+/// Requests in flight, peers to avoid, and tables that are being received chunk by chunk.
 #[derive(Debug, Default)]
 pub struct Pulls {
-    /// When peers were last asked.
+    /// Time of the last pull.
     last_pull: Option<Instant>,
-    /// How often that was.
+    /// Number of pulls so far.
     turn: usize,
     in_flight: Vec<(Request, SocketAddr)>,
     avoid: BTreeMap<SocketAddr, Instant>,
     partial: Vec<PartialTable>,
 }
 
-/// The keys of a table that one peer has given so far.
+/// The keys of a table that were received so far from one peer.
 #[derive(Debug)]
 struct PartialTable {
     peer: SocketAddr,
@@ -51,20 +54,21 @@
     page: Page,
 }
 
-/// What to do with an answer.
+/// What to do after a chunk was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Take the page; no chunk follows it.
+    /// Apply the page, which is the last one.
     Apply(Page),
-    /// Take the page, and ask the same peer for what follows it.
+    /// Apply the page, and request the changes that follow it from the same peer.
     ApplyAndContinue(Page),
-    /// Ask the same peer for the keys that changed at this offset or later.
+    /// Request from the same peer the keys that changed at this offset or later.
     FetchKeys(Offset),
 }
 
 impl Pulls {
-    /// What a node asks which peer now; each of it counts as under way. A reader takes the loads that
-    /// others asked engines for, any other node takes all from its reader.
+    /// Returns the requests to send now, each with its peer, and counts them as in flight. A reader
+    /// requests from pollers the loads that they polled themselves; any other node requests all
+    /// loads from its reader.
     pub fn due(&mut self, now: Instant, assignment: &Assignment) -> Vec<(Request, SocketAddr)> {
         if self.last_pull.is_some_and(|at| now < at + PULL_INTERVAL) {
             return Vec::new();
@@ -88,7 +92,8 @@
             ];
             due.extend(requests.map(|request| (request, reader)));
         }
-        // Each poller has loads of its own, while all readers have the same tables.
+        // Requests for loads aren't bounded: each poller has different loads, while all readers
+        // have the same tables.
         due.retain(|&(request, peer)| match request {
             Request::Loads(_) => self.begin(request, peer, usize::MAX),
             Request::Changes(Table::Operator) => self.begin(request, peer, MAX_OPERATOR_REQUESTS),
@@ -97,7 +102,7 @@
         due
     }
 
-    /// The reader to ask for the operator's table: one of the first few, in turn.
+    /// Selects the reader for a request for the operator's table: one of the first few, in turn.
     fn operator_reader(&self, now: Instant, readers: &[SocketAddr]) -> Option<SocketAddr> {
         let few = &readers[..readers.len().min(OPERATOR_READERS)];
         let start = self.turn % few.len().max(1);
@@ -107,7 +112,7 @@
         healthy.or(order.next()).copied()
     }
 
-    /// The nodes whose turn it is to be asked for the loads that they asked engines for.
+    /// Selects the pollers whose turn it is in this pull.
     fn pollers(&self, all: &[SocketAddr]) -> impl Iterator<Item = SocketAddr> {
         let start = (self.turn * POLLERS_PER_PULL) % all.len().max(1);
         let turn = all
@@ -118,7 +123,7 @@
         turn.copied()
     }
 
-    /// The reader to ask: the first that did not fail of late, or the first of all.
+    /// Selects the first reader that did not fail recently, or the first of all.
     fn preferred_reader(&self, now: Instant, readers: &[SocketAddr]) -> Option<SocketAddr> {
         let healthy = readers.iter().find(|reader| !self.avoided(now, reader));
         healthy.or(readers.first()).copied()
@@ -128,7 +133,8 @@
         self.avoid.get(peer).is_some_and(|&until| now < until)
     }
 
-    /// A peer did not answer, or can't read the store; whether that was not known yet.
+    /// Avoids a peer for a while that did not answer or can't read the store. Returns whether it
+    /// was not avoided before.
     pub fn mark_failed(&mut self, now: Instant, peer: SocketAddr) -> bool {
         self.avoid.retain(|_, until| now < *until);
         self.avoid
@@ -136,8 +142,9 @@
             .is_none()
     }
 
-    /// Begins an ask unless it is under way, or `most` of its kind are. The chunks of a table count
-    /// as one kind.
+    /// Counts a request as in flight, unless a request of its kind to the peer, or `limit` requests
+    /// of its kind, already are. All requests for one table are of one kind. Returns whether the
+    /// request may be sent.
     pub fn begin(&mut self, request: Request, peer: SocketAddr, limit: usize) -> bool {
         let kind = self
             .in_flight
@@ -150,7 +157,8 @@
         allowed
     }
 
-    /// An ask ended, with or without an answer. What was gathered is of no use without the rest.
+    /// Ends a request. If it failed in the middle of a transfer of all keys, the chunks received so
+    /// far are discarded, since they are of no use without the rest.
     pub fn finish(&mut self, request: Request, peer: SocketAddr, succeeded: bool) {
         self.in_flight
             .retain(|in_flight| *in_flight != (request, peer));
@@ -161,7 +169,7 @@
         }
     }
 
-    /// Finds what to do with a chunk that a peer gave.
+    /// Processes a chunk received from a peer, and returns what to do next.
     pub fn handle_chunk(&mut self, peer: SocketAddr, table: Table, response: Response) -> Action {
         let before = self.partial.iter();
         let before = before
@@ -189,8 +197,8 @@
     }
 }
 
-/// Two chunks of all keys. The whole is known only as far as the chunk that is known least far: the
-/// peer may have started anew between them.
+/// Joins two chunks of a transfer of all keys. The result is valid up to the lower of their
+/// offsets, since the peer may have restarted between them.
 fn join_chunks(mut page: Page, chunk: Page) -> Page {
     page.next_offset = page.next_offset.min(chunk.next_offset);
     page.records.extend(chunk.records);
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -1,4 +1,4 @@
-//! Follows one table of the store.
+//! Task that follows one table of the store.
 
 use super::input::{Input, InputSender};
 use adapter::Platform;
@@ -11,18 +11,21 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long the store may hold a read of the operator's table back. Long, since each read is
-/// paid for; not so long that a silent store is noticed late.
+/// How long the store may hold a read of the operator's table until there is a change (long
+/// polling). Each read is paid for, which favours a long wait; a longer one would delay the
+/// detection of a store that does not answer.
 const OPERATOR_LONG_POLL: Duration = Duration::from_millis(1500);
-/// Pause between two reads of the endpoints' table, which changes all the time. A leaving
-/// endpoint must get no new work after two seconds, a read may take most of another.
+/// Pause between two reads of the endpoints' table, which changes constantly. An endpoint that
+/// leaves must get no new work after two seconds, and a read itself may take most of a second.
 const ENDPOINTS_READ_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between two reads of the operator's table, so that quick changes share a read.
+/// Pause between two reads of the operator's table, so that changes in quick succession share one
+/// read.
 const OPERATOR_READ_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a failed read.
+/// Pause after a failed read, before it is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Reads a table and its changes while `reads` holds, until the inputs are closed.
+/// Reads a table and then its changes for as long as `reads` is true. Returns when the input queue
+/// is closed.
 pub async fn follow(
     platform: Arc<Platform>,
     table: Table,
@@ -61,7 +64,9 @@
     }
 }
 
-/// The whole table, or its changes from an offset on; nothing if these are lost.
+/// Reads the changes of a table from the offset `from` on, or the whole table if there is no
+/// offset. Returns `None` if the store has discarded those changes; the whole table must be read
+/// then.
 async fn read(platform: &Platform, table: Table, from: Option<Offset>) -> Result<Option<Page>> {
     let store = platform.store();
     let Some(from) = from else {
@@ -84,7 +89,7 @@
     }
 }
 
-/// The word for a table in logs and metrics.
+/// Returns the label of a table in logs and metrics.
 pub fn label(table: Table) -> &'static str {
     match table {
         Table::Operator => "operator",
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -1,4 +1,4 @@
-//! What control believes, and what each input does to it.
+//! State of control and its transitions on inputs and time.
 
 mod exchange;
 mod peers;
@@ -39,37 +39,40 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::Link;
 
-/// How often a peer is asked for its copy while the store can't be read.
+/// Interval of requests to peers for their copies while the store can't be read.
 const COPY_INTERVAL: Duration = Duration::from_millis(300);
-/// Rest after planning orders, in lengths of the planning, and its bound.
+/// Pause after planning orders, as a multiple of the planning time, and its upper bound.
 const PLAN_REST_FACTOR: u32 = 9;
 const MAX_PLAN_REST: Duration = Duration::from_secs(2);
-/// Rest after publishing a view, in lengths of the publishing, and its bound.
+/// Pause after publishing a view, as a multiple of the publishing time, and its upper bound.
 const VIEW_REST_FACTOR: u32 = 4;
 const MAX_VIEW_REST: Duration = Duration::from_millis(400);
-/// How often the metrics of what is believed are set.
+/// Interval at which the metrics of the view are updated.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without an up-to-date copy after which a node reads the store by itself: three pulls.
+/// Time without an up-to-date copy after which a node reads the store itself: about three pulls.
 const COPY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time from the start after which a node asks its peers for a catalog that the store has not given.
+/// Time after the start from which a node requests the catalog from its peers if it has got none
+/// from the store.
 const FIRST_CATALOG_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a finding of one node counts: until the endpoint has been tried again a few times.
+/// Lifetime of a failure report: long enough for the endpoint to be retried a few times.
 const FAILURE_REPORT_TTL: Duration = Duration::from_millis(2500);
-/// How long it counts that an endpoint is about to give up its layers: until what it reports of its new
-/// ones is with all nodes.
+/// Lifetime of the announcement that an endpoint is to release its layers: until its report of the
+/// new layers has reached all nodes.
 const MOVE_NOTICE_TTL: Duration = Duration::from_secs(3);
-/// Endpoints for which a node that has just started takes another one to choose as well. Without it,
-/// nodes that start together all take the cheapest chain, each as if it were alone.
+/// Number of endpoints per node that a recently started node assumes to select chains concurrently,
+/// until membership has settled. Without this assumption, nodes that start together all select the
+/// cheapest chain, each as if it were alone.
 const ENDPOINTS_PER_CHOOSER: usize = 2;
-/// Peers that are asked at once: one of them may be turned away as well.
+/// Number of peers from which copies are requested at once: the store may refuse one of them as
+/// well.
 const PEERS_PER_COPY: usize = 2;
 
-/// How one table of the store can be read.
+/// How well one table of the store can be read.
 #[derive(Clone, Debug, Default)]
 struct TableStatus {
-    /// Since when it can't.
+    /// Since when the table can't be read; `None` if the last read succeeded.
     unreadable_since: Option<Instant>,
-    /// When it was last known to be up to date.
+    /// When the copy of the table was last known to be up to date.
     current_at: Option<Instant>,
 }
 
@@ -91,14 +94,14 @@
     orders: Orders,
     operator: TableStatus,
     endpoints: TableStatus,
-    /// Whether the tasks that read the store do so.
+    /// Enables or suspends the tasks that read the store.
     reads: watch::Sender<bool>,
     assignment: Assignment,
     pulls: Pulls,
     loads: Loads,
-    /// Clients of engines that this node asks.
+    /// Clients of the engines that this node polls.
     engines: BTreeMap<SocketAddr, Arc<Engine>>,
-    /// When a peer last gave a copy that was up to date.
+    /// When an up-to-date copy was last received from a peer.
     copy_received: Instant,
     last_copy_request: Instant,
     metrics_updated: Instant,
@@ -106,16 +109,16 @@
     leaving: bool,
     planning: Throttle,
     publishing: Throttle,
-    /// Whether something changed that the worker must know.
+    /// Whether the view has changed since it was last published.
     dirty: bool,
-    /// Whether the worker must know it at once: a catalog, or that the node leaves.
+    /// Whether a change must be published at once: a new catalog, or the node's own drain.
     urgent: bool,
-    /// Whether loads changed; they are published by step, since reports come one by one.
+    /// Whether loads changed. They are published once per step, since reports arrive one by one.
     loads_changed: bool,
 }
 
 impl State {
-    /// The state before any input.
+    /// Creates the initial state, announces the address for callers and contacts the seeds.
     pub fn new(
         control: Control,
         platform: Arc<Platform>,
@@ -175,7 +178,7 @@
         state
     }
 
-    /// Takes an input.
+    /// Handles an input.
     pub fn handle_input(&mut self, input: Input) {
         let now = Instant::now();
         match input {
@@ -195,7 +198,7 @@
         self.publish();
     }
 
-    /// Time passed.
+    /// Does the periodic work; called every `STEP_INTERVAL`.
     pub fn step(&mut self) {
         let now = Instant::now();
         if self.leave.is_cancelled() && !self.leaving {
@@ -216,10 +219,10 @@
         self.publish();
     }
 
-    /// The text for the dump.
+    /// Returns control's section of the dump.
     pub fn dump(&self) -> String {
         let version = self.tables.catalog().map_or(0, |c| c.version);
-        let mut text = format!("catalog {version}\npart {:?}\n", self.assignment);
+        let mut text = format!("catalog {version}\nassignment {:?}\n", self.assignment);
         for table in [Table::Operator, Table::Endpoints] {
             let (name, next) = (reader::label(table), self.tables.next_offset(table));
             text.push_str(&format!("table {name} known up to {next}\n"));
@@ -228,18 +231,18 @@
             text.push_str(&format!("node {peer}\n"));
         }
         for run in self.failures.current().iter() {
-            text.push_str(&format!("accused {run}\n"));
+            text.push_str(&format!("failing {run}\n"));
         }
         text.push_str(&format!("link {}\n", self.link.counters()));
         text
     }
 
-    /// Tells peers that this node is gone.
+    /// Announces to the peers that this node has left.
     pub fn announce_exit(&mut self) {
         self.handle_event(Event::Quit);
     }
 
-    /// Finds the accused anew; whether they are different now.
+    /// Recomputes the endpoints that count as failing. Returns whether they changed.
     fn update_failures(&mut self, now: Instant) -> bool {
         let unresponsive = self.loads.unresponsive();
         let elapsed = self.start.elapsed();
@@ -247,7 +250,7 @@
             .update(now, elapsed, &self.group, &unresponsive)
     }
 
-    /// Tells the other nodes what the worker found out.
+    /// Publishes a change of endpoint health, as found by the worker, to the other nodes.
     fn publish_transition(&mut self, transition: Transition) {
         let (run, ejected) = match &transition {
             Transition::Down(run) => (run, true),
@@ -290,7 +293,7 @@
         self.apply_page(table, page, "store");
     }
 
-    /// Takes changes of a table in.
+    /// Applies changes of a table.
     fn apply_page(&mut self, table: Table, page: Page, source: &'static str) {
         let changed = self.tables.apply(&self.platform, table, page, source);
         match table {
@@ -299,7 +302,8 @@
         }
     }
 
-    /// Tells the metrics what is believed and how old that is.
+    /// Updates the metrics of the view: catalog version, number of endpoints, and age of each
+    /// table.
     fn update_metrics(&mut self, now: Instant) {
         if now < self.metrics_updated + METRICS_INTERVAL {
             return;
@@ -338,12 +342,13 @@
         }
     }
 
-    /// Whether this node's part among the others is known: it has not just started beside them.
+    /// Returns whether membership has settled since this node started, so that its assignment is
+    /// reliable.
     fn settled(&self) -> bool {
         self.group.is_settled(self.start.elapsed())
     }
 
-    /// Gives orders if that is this node's part.
+    /// Plans and sends orders to endpoints if this is one of the node's duties.
     fn give_orders(&mut self, now: Instant) {
         if self.leaving || !self.settled() || !self.assignment.gives_orders() {
             return;
@@ -364,7 +369,7 @@
         self.announce_moves();
     }
 
-    /// Tells the other nodes which endpoints are about to give up layers.
+    /// Announces to the other nodes which endpoints are to release layers.
     fn announce_moves(&mut self) {
         let moving = self.orders.take_moving().into_iter();
         let moving = moving.map(|run| Observation::Releasing {
@@ -378,7 +383,8 @@
         }
     }
 
-    /// Publishes a view if anything changed; what is not urgent may wait for a later step.
+    /// Publishes the view if it changed. A change that is not urgent may be delayed to a later
+    /// step.
     fn publish(&mut self) {
         let now = Instant::now();
         let due = self.dirty && self.publishing.due(now);
--- a/crates/node/src/hosted/control/state/exchange.rs
+++ b/crates/node/src/hosted/control/state/exchange.rs
@@ -1,4 +1,4 @@
-//! What nodes read and ask for each other: copies of the store's tables, and loads of engines.
+//! Exchange of table copies and engine loads with peers, and polls of engines.
 
 use super::super::assignment::{self, Assignment, EngineCounts};
 use super::super::copy::{self, CHUNK_BYTES, Request, Response};
@@ -19,7 +19,7 @@
 use wire::frame::CopyAsk;
 
 impl State {
-    /// Finds this node's part in reading the store and asking engines.
+    /// Recomputes this node's assignment, and starts or stops its reads of the store accordingly.
     pub(super) fn update_assignment(&mut self, now: Instant) {
         let (me, open) = (self.group.me(), self.group.accepting());
         let elapsed = self.start.elapsed();
@@ -30,13 +30,13 @@
             open,
             &self.engines_by_zone(),
         );
-        // A node whose readers don't answer, or can't read the store, tries it by itself.
+        // A node reads the store itself if it gets no up-to-date copy from the readers of its zone.
         let reads = self.assignment.reads || now >= self.copy_received + COPY_TIMEOUT;
         self.reads
             .send_if_modified(|r| std::mem::replace(r, reads) != reads);
     }
 
-    /// How many engines there are in each zone.
+    /// Counts the engines of each zone.
     fn engines_by_zone(&self) -> EngineCounts<'_> {
         let mut counts = EngineCounts::new();
         let engines = self.tables.endpoints().filter(|e| e.accelerator.is_some());
@@ -44,7 +44,7 @@
         counts
     }
 
-    /// Takes from peers what they read and ask for this node.
+    /// Requests copies and loads from the peers that provide them to this node.
     pub(super) fn pull(&mut self, now: Instant) {
         for (request, peer) in self.pulls.due(now, &self.assignment) {
             let from = match request {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A peer answered an ask.
+    /// Handles the response of a peer.
     pub(super) fn handle_response(
         &mut self,
         now: Instant,
@@ -67,16 +67,16 @@
         match request {
             Request::Changes(table) | Request::Keys(table) => match copy::decode(bytes) {
                 Ok(response) => self.handle_copy(now, table, peer, response),
-                Err(error) => log::warn!("a copy from {peer} can't be read: {error}"),
+                Err(error) => log::warn!("cannot decode a copy from peer {peer}: {error}"),
             },
             Request::Loads(scope) => match self.loads.merge(now, peer, scope, bytes) {
                 Ok(new) => self.loads_changed |= new,
-                Err(error) => log::warn!("a peer's loads can't be read: {error}"),
+                Err(error) => log::warn!("cannot decode loads from peer {peer}: {error}"),
             },
         }
     }
 
-    /// A peer did not answer an ask. It is asked again, or another one.
+    /// Handles a failed request to a peer. Later pulls retry it, with another peer if there is one.
     pub(super) fn handle_request_failure(
         &mut self,
         now: Instant,
@@ -95,7 +95,7 @@
         });
     }
 
-    /// A peer gave a chunk of a copy.
+    /// Handles a chunk of a copy from a peer.
     fn handle_copy(&mut self, now: Instant, table: Table, peer: SocketAddr, response: Response) {
         if response.up_to_date && !self.assignment.reads {
             self.copy_received = now;
@@ -122,14 +122,14 @@
         }
     }
 
-    /// Asks for more of a table, unless enough asks for it are under way.
+    /// Requests more of a table, unless enough requests for it are in flight.
     fn request_more(&mut self, request: Request, from: Offset, peer: SocketAddr) {
         if self.pulls.begin(request, peer, PEERS_PER_COPY) {
             self.send_request(request, from, peer);
         }
     }
 
-    /// Asks a peer; an input tells how that ended.
+    /// Sends a request to a peer in a task of its own, which sends its result as an input.
     fn send_request(&self, request: Request, from: Offset, peer: SocketAddr) {
         let table = request.into();
         let (link, inputs, metrics) =
@@ -147,19 +147,20 @@
                 Ok(None) => Input::RequestFailed(request, peer, "the peer has none".to_owned()),
                 Err(error) => Input::RequestFailed(request, peer, error.to_string()),
             };
-            // Control has ended if nobody takes it.
+            // Sending fails only if control has ended.
             let _ = inputs.send(input).await;
         });
     }
 
-    /// Asks the engines that are this node's to ask.
+    /// Polls the engines assigned to this node that are due.
     pub(super) fn poll_engines(&mut self, now: Instant) {
         self.loads.expire(now);
         if self.leaving || self.tables.catalog().is_none() {
             return;
         }
-        // Nodes that start together would each ask all engines, until they know each other. As many as
-        // any node asks later are asked at once.
+        // Nodes that start together would each poll all engines until they know each other. Before
+        // membership has settled, engines are polled only if they are no more than one node polls
+        // anyway.
         if !self.settled()
             && self.engines_by_zone().values().sum::<usize>() > assignment::ENGINES_PER_POLLER
         {
@@ -179,9 +180,9 @@
             let engine = engine.or_insert_with(|| Arc::new(Engine::new(endpoint.addr)));
             let (engine, inputs) = (engine.clone(), self.inputs.clone());
             tokio::spawn(async move {
-                // Silence is told by the missing report.
+                // The missing report of an unresponsive engine is an input too.
                 let report = engine.fetch_report().await.ok();
-                // Control has ended if nobody takes it.
+                // Sending fails only if control has ended.
                 let _ = inputs.send(Input::Report(endpoint.run, report)).await;
             });
         }
@@ -191,7 +192,7 @@
         let Some(report) = report else {
             return self.loads.record_miss(now, &run.to_string());
         };
-        // Another run has the address by now; its own row will tell of it.
+        // Another run has taken over the address, and has a row of its own.
         if report.is_from_another_run(&run) {
             return;
         }
@@ -199,14 +200,14 @@
         self.loads_changed = true;
     }
 
-    /// Asks peers for their copies while the store can't be read, and for the operator's alone while it
-    /// has not given a catalog yet.
+    /// Requests copies of both tables from random peers while the store can't be read, and of the
+    /// operator's table alone while no catalog is known some time after the start.
     pub(super) fn copy_from_peers(&mut self, now: Instant) {
         let unreadable =
             self.operator.unreadable_since.is_some() || self.endpoints.unreadable_since.is_some();
         let overdue = now >= self.start + FIRST_CATALOG_TIMEOUT && self.tables.catalog().is_none();
         let tables: &[Table] = match (unreadable, overdue) {
-            // One table that can't be read means that the other is about to be late as well.
+            // If one table can't be read, the other is likely to become stale as well.
             (true, _) => &[Table::Operator, Table::Endpoints],
             (false, true) => &[Table::Operator],
             (false, false) => return,
@@ -244,13 +245,13 @@
         match encoded {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                log::warn!("a copy can't be given: {error}");
+                log::warn!("cannot serve a request for a copy: {error}");
                 None
             }
         }
     }
 
-    /// A chunk of what this node has of a table, from an offset on.
+    /// Returns a chunk of this node's copy of a table, from an offset on.
     fn copy_chunk(&self, request: Request, table: Table, from: Offset) -> Response {
         let status = match table {
             Table::Operator => &self.operator,
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes: their messages, who of them lives, and where callers reach them.
+//! Messages of the other nodes, membership, and the addresses at which callers reach the nodes.
 
 use super::State;
 use journal::event::Event as JournalEvent;
@@ -16,7 +16,7 @@
             Inbound::Member { from, message } => {
                 self.handle_event(Event::Received { from, message })
             }
-            // Heads belong to nodes that read signed bundles from a log.
+            // Only nodes that read signed bundles from a log have heads.
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Gives the group an event and does what it asks for.
+    /// Passes an event to the membership group and carries out the actions that it returns.
     pub(super) fn handle_event(&mut self, event: Event) {
         let now = self.start.elapsed();
         let mut actions = std::mem::take(&mut self.actions);
@@ -58,7 +58,7 @@
     pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
-                // A full queue is counted by the link; gossip repeats itself.
+                // The link counts messages dropped at a full queue; gossip repeats its content.
                 let _ = self.link.send(to, message);
             }
             Action::StateChanged { peer, state, .. } => {
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Seeds stand for nodes whose names are not known; they tell them when asked who they are.
+    /// Returns the seeds as members with placeholder names. A seed reports its real identity when
+    /// it is first contacted.
     pub(super) fn seeds(&self) -> Vec<Entry> {
         let seeds = self.settings.seeds.iter();
         let seeds = seeds.filter(|addr| **addr != self.settings.peers);
@@ -88,7 +89,7 @@
             .collect()
     }
 
-    /// Where callers reach the nodes that take new work.
+    /// Returns the addresses at which callers reach the nodes that accept new work.
     pub(super) fn caller_addrs(&self) -> Vec<SocketAddr> {
         let me = self.group.me();
         let peers = self.group.accepting().filter(|p| p.id != me);
@@ -103,7 +104,7 @@
         own.into_iter().chain(callers).collect()
     }
 
-    /// Nodes that the budget for further attempts is shared with.
+    /// Returns the number of nodes that share the retry budget: all known nodes that have not left.
     pub(super) fn budget_sharers(&self) -> usize {
         let peers = self.group.roster().iter();
         peers
--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -1,8 +1,8 @@
-//! What the two tables say, decoded.
+//! The two tables of the store, decoded.
 //!
-//! Endpoints whose row went are kept in use for a moment when the store has just come back from
-//! an outage: rows lapse while nobody can write them, and endpoints that live write theirs again
-//! within about two seconds.
+//! During a store outage and shortly after it, an endpoint whose row has disappeared stays in use
+//! for a while: rows expire while they can't be rewritten, and live endpoints rewrite theirs within
+//! about two seconds after the outage.
 
 use adapter::Platform;
 use adapter::store::Table;
@@ -16,32 +16,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after the store came back in which rows that lapsed are written again.
+/// Time after a store outage within which live endpoints rewrite their expired rows.
 const ROW_REWRITE_WINDOW: Duration = Duration::from_millis(3200);
 
-/// An endpoint, and what is known of its row.
+/// An endpoint and the state of its row.
 #[derive(Clone, Debug)]
 struct Entry {
     endpoint: Endpoint,
-    /// Until when it is kept although its row is gone.
+    /// Time until which the endpoint is kept although its row is gone; `None` if the row exists.
     kept_until: Option<Instant>,
 }
 
-/// The decoded tables.
+/// Copies of both tables with the decoded catalog and endpoints.
 pub struct Tables {
     journal: Journal,
     operator: source::Table,
     endpoints: source::Table,
     catalog: Option<Arc<Catalog>>,
     entries: BTreeMap<String, Entry>,
-    /// When reading the endpoints' table last failed.
+    /// When the last read of the endpoints' table failed; `None` if it succeeded.
     failed_at: Option<Instant>,
-    /// When it succeeded again after that.
+    /// When reads of the endpoints' table succeeded again after a failure.
     recovered_at: Option<Instant>,
 }
 
 impl Tables {
-    /// Tables that nothing is known of.
+    /// Creates empty tables.
     pub fn new(journal: Journal) -> Self {
         Self {
             journal,
@@ -54,17 +54,17 @@
         }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// The endpoints that may be used or are leaving.
+    /// Returns the endpoints that are available or leaving.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values().map(|k| &k.endpoint)
     }
 
-    /// The copy of a table.
+    /// Returns the copy of a table, not decoded.
     pub fn copy(&self, table: Table) -> &source::Table {
         match table {
             Table::Operator => &self.operator,
@@ -72,25 +72,25 @@
         }
     }
 
-    /// Offset of the next change of a table.
+    /// Returns the offset of the next change of a table that is not known here.
     pub fn next_offset(&self, table: Table) -> Offset {
         self.copy(table).next_offset()
     }
 
-    /// The endpoints' table could not be read.
+    /// Records that a read of the endpoints' table failed.
     pub fn record_read_failure(&mut self, now: Instant) {
         self.failed_at = Some(now);
         self.recovered_at = None;
     }
 
-    /// The endpoints' table was read.
+    /// Records that a read of the endpoints' table succeeded.
     pub fn record_read(&mut self, now: Instant) {
         if self.failed_at.take().is_some() {
             self.recovered_at = Some(now);
         }
     }
 
-    /// Takes changes in; whether anything that workers know is different now.
+    /// Applies changes of a table. Returns whether the workers' view is affected.
     pub fn apply(
         &mut self,
         platform: &Platform,
@@ -116,14 +116,15 @@
         }
     }
 
-    /// Puts the operator's newest catalog in force, unless it is older than the one there is.
+    /// Puts the operator's newest catalog in force, unless its version is not above the current
+    /// one.
     fn adopt_catalog(&mut self, platform: &Platform, source: &'static str) -> bool {
         let Some(value) = self.operator.get(adapter::CATALOG_KEY) else {
             return false;
         };
         let before = self.catalog.as_ref().map_or(0, |c| c.version);
         let (version, outcome, adopted) = match platform.decode_catalog(value) {
-            // A catalog never gives way to an older one, wherever that came from.
+            // A catalog is never replaced by an older one, whatever the source of that.
             Ok(catalog) if catalog.version <= before => {
                 (catalog.version, "older".to_owned(), false)
             }
@@ -146,7 +147,7 @@
         adopted
     }
 
-    /// Takes in the row of one endpoint.
+    /// Decodes the row of one endpoint after a change. Returns whether the endpoint changed.
     fn update_endpoint(&mut self, platform: &Platform, key: &str, offset: Offset) -> bool {
         let Some(value) = self.endpoints.get(key) else {
             return self.remove_endpoint(key, offset);
@@ -202,7 +203,8 @@
         true
     }
 
-    /// Drops endpoints whose row lapsed and was not written again; whether there were any.
+    /// Removes endpoints whose row expired and was not rewritten in time. Returns whether there
+    /// were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         if self.failed_at.is_some() {
             return false;
--- a/crates/node/src/hosted/control/throttle.rs
+++ b/crates/node/src/hosted/control/throttle.rs
@@ -1,24 +1,25 @@
-//! Bounds the share of control's time that one recurring task takes.
+//! Bounds the fraction of control's time that a recurring task takes.
 //!
-//! Planning layers and publishing a view cost time in proportion to the endpoints. Done in each step
-//! before 3,000 endpoints, they took the whole processor of a small node: its reads of the store and
-//! of its peers ended at their time limits, and it answered callers by an old catalog.
+//! The cost of planning layers and of publishing a view grows with the number of endpoints. With
+//! 3,000 endpoints and both done in each step, they use the whole processor of a small node: its
+//! reads of the store and of its peers time out, and it serves requests by an old catalog.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a task may run again.
+/// Decides when a task may run again.
 #[derive(Clone, Debug)]
 pub struct Throttle {
-    /// Time without the task after each run, in lengths of that run.
+    /// Pause after each run, as a multiple of the duration of that run.
     rest_factor: u32,
-    /// Longest time without the task.
+    /// Upper bound of the pause.
     max_rest: Duration,
     next: Option<Instant>,
 }
 
 impl Throttle {
-    /// A task that rests for `rests` times as long as it ran, and for `most` at the most.
+    /// Creates a throttle that pauses for `rest_factor` times the duration of a run, but for at
+    /// most `max_rest`.
     pub fn new(rest_factor: u32, max_rest: Duration) -> Self {
         Self {
             rest_factor,
@@ -27,12 +28,12 @@
         }
     }
 
-    /// Whether the task may run.
+    /// Returns whether the task may run now.
     pub fn due(&self, now: Instant) -> bool {
         self.next.is_none_or(|next| now >= next)
     }
 
-    /// The task ran from `begun` to `ended`.
+    /// Records that the task ran from `begun` to `ended`.
     pub fn record_run(&mut self, begun: Instant, ended: Instant) {
         let rest = (ended - begun).saturating_mul(self.rest_factor);
         self.next = Some(ended + rest.min(self.max_rest));
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -1,9 +1,10 @@
-//! Starts and ends the threads of a node on a platform's store.
+//! Starts and stops the threads of a node on a platform's store.
 //!
-//! Leaving: the node is no longer told to callers and says that it takes none, and answers go out
-//! with `connection: close`. Callers keep an address for a while and use connections that are open,
-//! so for a third of the grace time all that comes is served. Then new requests are refused as not
-//! run; the process ends when nothing is in flight, or shortly before it would be killed.
+//! A signal starts a graceful drain. The node is no longer listed among the addresses for callers,
+//! reports itself as not ready, and sends responses with `connection: close`. Callers cache
+//! addresses for a while and reuse open connections, so new requests are still served for the first
+//! `SERVE_FRACTION` of the grace time. After that they are refused as not run. The process ends
+//! when no request is in flight, or shortly before it would be killed.
 
 use super::control::Control;
 use super::settings::{self, Settings};
@@ -29,38 +30,38 @@
 use tokio::task::LocalSet;
 use tokio_util::sync::CancellationToken;
 
-/// Part of the grace time in which new requests are still served.
+/// Fraction of the grace time in which new requests are still served.
 const SERVE_FRACTION: f64 = 0.38;
-/// Part of the grace time after which what is in flight is broken off.
+/// Fraction of the grace time after which requests in flight are aborted.
 const ABORT_FRACTION: f64 = 0.94;
-/// How often the end of what is in flight is looked for.
+/// Interval at which the number of requests in flight is checked during a drain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest time that the last lines may take.
+/// Maximum time to write the remaining decision lines at the end.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often idle connections are looked at.
+/// Interval at which the worker closes idle connections.
 const TIDY_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the settings file is looked at: it may change without a signal.
+/// Interval at which the settings file is checked for changes that no signal announced.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// Findings about endpoints that may wait for control.
+/// Capacity of the queue of changes of endpoint health from the worker to control.
 const TRANSITION_QUEUE_LEN: usize = 256;
-/// Questions for a dump that may wait.
+/// Capacity of the queue of dump requests.
 const DUMP_QUEUE_LEN: usize = 4;
-/// Connections that the listeners for short questions take.
+/// Maximum number of connections of each listener for addresses, readiness and metrics.
 const MAX_AUXILIARY_CONNECTIONS: usize = 256;
 
-/// When the parts of a node end.
+/// Signals that stop the parts of a node, in the order of a drain.
 #[derive(Clone, Debug, Default)]
 struct Shutdown {
     leave: CancellationToken,
-    /// New requests are refused.
+    /// Cancelled when new requests are refused.
     close: CancellationToken,
     serving: Stop,
     control: CancellationToken,
-    /// Requests in flight, for the thread that waits for their end.
+    /// Number of requests in flight, for the thread that waits for their end.
     in_flight: Arc<AtomicU64>,
 }
 
-/// Runs a node until a signal ends it.
+/// Runs a node until a signal stops it.
 pub fn run(file: &Path, settings: Settings) -> Result<()> {
     let (journal, lines) = Journal::new(journal::QUEUE_CAPACITY);
     let writer = journal::writer::start(&journal, lines, std::io::stdout())?;
@@ -76,7 +77,7 @@
     let (transitions, transition_queue) = mpsc::channel(TRANSITION_QUEUE_LEN);
     let (dumps, dump_queue) = mpsc::channel(DUMP_QUEUE_LEN);
     let registry = Registry::new();
-    // Held until the end: the instruments work as long as it does.
+    // Kept alive until the end, since the instruments stop working when the provider is dropped.
     let provider = provider(&registry)?;
     let metrics = Metrics::new(&provider.meter("wigeonshelf"), registry);
     let parts = Parts {
@@ -182,7 +183,7 @@
     journal: Journal,
 }
 
-/// Waits for the signal to end, then leaves.
+/// Reloads changed settings until SIGTERM or SIGINT arrives, then drains the node.
 async fn run_until_signal(mut watch: SettingsWatch, shutdown: &Shutdown) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -218,14 +219,15 @@
     while shutdown.in_flight.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // The last answers are in the kernel's hands by then, or in a moment.
+    // Gives the last responses time to be written to their sockets.
     tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     shutdown.control.cancel();
     shutdown.serving.kill.cancel();
 }
 
 impl SettingsWatch {
-    /// Reads the settings again if the file changed; `asked` if a signal asked for it.
+    /// Reloads the settings if the file changed. `signalled` is true if a signal requested this;
+    /// the outcome is then logged even if nothing changed.
     fn reload(&mut self, signalled: bool) {
         let outcome = match settings::load(&self.file) {
             Ok(new) if format!("{new:?}") == format!("{:?}", self.settings) => {
--- a/crates/node/src/hosted/settings.rs
+++ b/crates/node/src/hosted/settings.rs
@@ -24,61 +24,65 @@
     NODE, CALLERS, ADDRESSES, READY, PEERS, STORE, METRICS, RETRIES, LIMITS, LOGGING,
 ];
 
-/// Descriptors that are kept for other uses than callers' connections: endpoints, peers, store.
+/// Descriptors reserved for uses other than callers' connections: endpoints, peers and the store.
 const RESERVED_DESCRIPTORS: usize = 1200;
-/// Callers' connections at the least.
+/// Minimum number of callers' connections, whatever the number of descriptors.
 const MIN_CONNECTIONS: usize = 256;
-/// Time from the signal to end until the process is killed, unless set.
+/// Default time from the signal to end until the platform kills the process.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
-/// How often endpoints write their row, unless set.
+/// Default interval at which endpoints write their row.
 const DEFAULT_HEARTBEAT: Duration = Duration::from_secs(1);
-/// Descriptors, unless set: the usual limit of a process.
+/// Default number of descriptors: the usual limit of a process.
 const DEFAULT_DESCRIPTORS: usize = 4096;
 
-/// Checked settings.
+/// Checked settings of a node on a platform's store.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Its region.
+    /// Region of the instance.
     pub region: String,
-    /// Where callers send requests.
+    /// Listen address for requests of callers.
     pub callers: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// Listen address at which callers query which nodes to use.
     pub addresses: Option<SocketAddr>,
-    /// Where the platform asks whether this node takes requests.
+    /// Listen address of the platform's readiness probe.
     pub ready: Option<SocketAddr>,
-    /// Where operators read metrics and the dump.
+    /// Listen address of the metrics and the dump.
     pub metrics: Option<SocketAddr>,
-    /// Where other nodes connect to.
+    /// Listen address for other nodes.
     pub peers: SocketAddr,
-    /// Key that all nodes share.
+    /// Key that all nodes share to authenticate each other.
     pub key: wire::auth::Key,
-    /// Nodes to ask for others.
+    /// Addresses of nodes to contact first, which know the others.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// How often endpoints write their row.
+    /// Interval at which endpoints write their row.
     pub heartbeat: Duration,
-    /// Further attempts that are allowed over all nodes.
+    /// Retry budget of all nodes together.
     pub allowance: Allowance,
-    /// Callers' connections at once.
+    /// Maximum number of callers' connections.
     pub connections: usize,
-    /// Time from the signal to end until the process is killed.
+    /// Time from the signal to end until the platform kills the process.
     pub grace: Duration,
-    /// Least important level of lines about the process itself.
+    /// Log level of lines about the process itself; decision lines don't depend on it.
     pub level: log::LevelFilter,
 }
 
-/// Whether the settings in `file` are those of a node on a platform's store.
+/// Returns whether the settings in `file` are those of a node on a platform's store.
 pub fn is_hosted(file: &Path) -> bool {
     let content = std::fs::read_to_string(file).unwrap_or_default();
     content.lines().any(|line| line.trim() == "[store]")
 }
 
 /// Reads and checks the settings in `file`.
+///
+/// # Errors
+///
+/// Returns all findings if the file can't be read or a setting is wrong.
 pub fn load(file: &Path) -> Result<Settings> {
     let name = file.display().to_string();
     let content = std::fs::read_to_string(file)
@@ -86,7 +90,11 @@
     read(&name, &content)
 }
 
-/// Checks the settings in `content`, which came from the file called `name`.
+/// Checks the settings in `content`. `name` is the name of their file in findings.
+///
+/// # Errors
+///
+/// Returns all findings if a setting is wrong.
 pub fn read(name: &str, content: &str) -> Result<Settings> {
     check(&settings::text::Text::read(name, content)?)
 }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines by log4rs: text or a JSON object a line, to standard error or a file.
+//! Logging through log4rs: one text line or JSON object per record, to standard error or to a file.
 
 use crate::settings::{Format, Logging};
 use log4rs::append::Append;
@@ -9,12 +9,12 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER_NAME: &str = "main";
-/// Form of a text line.
+/// Pattern of a text line: time in UTC with milliseconds, level, target and message.
 const TEXT_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%Z)(utc)} {l} {t} {m}{n}";
 
-/// Starts logging for the whole process.
+/// Installs the logger of the process.
 pub fn start(logging: &Logging) -> eyre::Result<()> {
     let appender = Appender::builder().build(APPENDER_NAME, build_appender(logging)?);
     let root = Root::builder().appender(APPENDER_NAME).build(logging.level);
