--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -1,4 +1,5 @@
-//! The checked catalog: which route, team and service a request gets, and what is refused.
+//! The checked catalog: lookup of a request's route, team and service, and rejection of invalid
+//! tables.
 
 use catalog::Catalog;
 use catalog::kind::{Kind, Stream};
@@ -101,8 +102,8 @@
     assert_eq!(selected, [0, 0, 0, 1]);
 }
 
-// An operator sees all that is wrong with a catalog at once, and none of it comes into force: a
-// node that took the good half would refuse requests that the version before had served.
+// The operator sees all errors of a catalog at once, and an invalid catalog is rejected as a whole:
+// a node that applied only its valid rows would refuse requests that the version before had served.
 #[test]
 fn all_findings_are_reported_and_the_catalog_is_rejected() {
     let mut invalid = tables(vec![
--- a/crates/catalog/tests/table.rs
+++ b/crates/catalog/tests/table.rs
@@ -1,4 +1,4 @@
-//! Copies of a table that others write.
+//! Local copies of a table: applying pages, and pages for a peer.
 
 use catalog::source::{Page, Record, Table};
 
@@ -33,8 +33,8 @@
     assert_eq!(table.get("a").map(|v| v.to_vec()), Some(b"2".to_vec()));
 }
 
-// A node that was cut off asks a peer, and the peer's copy is behind its own: an endpoint that
-// left would come back, and requests would be sent to it. The copy that is known further stays.
+// Guards against a removed endpoint that reappears: a node that can't reach the store requests a
+// peer's copy, and the peer's copy is behind its own. The copy with the higher offset must stay.
 #[test]
 fn an_older_page_has_no_effect() {
     let mut table = Table::default();
@@ -42,7 +42,7 @@
     let older = page(vec![record("a", Some("1"), 3)], 5, false);
     assert_eq!(table.apply(older), Vec::<String>::new());
     assert_eq!(table.next_offset(), 8);
-    // The same row inside a newer copy is older than what is known, too.
+    // A record in a newer page is ignored, too, if it is older than the known record of its key.
     let newer = page(
         vec![record("a", Some("1"), 3), record("c", Some("1"), 8)],
         9,
@@ -52,8 +52,8 @@
     assert_eq!(keys(&table), ["c"]);
 }
 
-// The store forgot the changes while a node was away. The node reads all keys anew: those that
-// are missing were removed in the gap, and would otherwise stay for good.
+// Guards against keys that are never removed: the store compacts its log while a node is away, so
+// the node reads all keys again. Keys that are missing from the page were removed meanwhile.
 #[test]
 fn a_complete_page_removes_keys_that_it_lacks() {
     let mut table = Table::default();
@@ -77,20 +77,20 @@
     assert_eq!(keys(&peer), ["b"]);
 }
 
-// An endpoint leaves, and a node goes on sending requests to it for good. It has just come to take
-// copies from a peer that started after the endpoint's row was removed: the peer read the keys that
-// there are, and knows of no removal before. What it gives must not pass for all changes.
+// Guards against requests to an endpoint that no longer exists: a node takes changes from a peer
+// that started after the endpoint's row was removed. The peer read only the keys that existed then
+// and has no record of the removal, so it must send all keys rather than changes.
 #[test]
 fn a_copy_without_earlier_removals_sends_all_keys() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
     table.apply(page(records, 2, true));
     let mut later_copy = Table::default();
-    // "a" was removed at 2, and nothing names it any more.
+    // "a" was removed at offset 2, and no record of it is left.
     later_copy.apply(page(vec![record("b", Some("1"), 1)], 3, true));
     assert_eq!(table.apply(later_copy.since(table.next_offset())), ["a"]);
     assert_eq!(keys(&table), ["b"]);
-    // From here on changes are enough again.
+    // Changes are sufficient from here on.
     later_copy.apply(page(vec![record("c", Some("1"), 3)], 4, false));
     let changes = later_copy.since(table.next_offset());
     assert_eq!((changes.complete, changes.records.len()), (false, 1));
