--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -1,140 +1,146 @@
-//! What the endpoints of a model service can do.
+//! Performance model of the inference engines of a model service.
 
 use crate::Layer;
 use std::time::Duration;
 
-/// Requests of a batch that share a step, in estimates of work.
-const BATCH: f64 = 50.0;
+/// Number of requests that are assumed to share one decode step when the cost of a request is
+/// estimated.
+const TYPICAL_BATCH_SIZE: f64 = 50.0;
 
-/// Layers of a model, and what it costs to run and to hold them.
+/// Size of a model, and the time and memory that its layers cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// Bytes of one layer's weights.
+    /// Size of one layer's weights, in bytes.
     pub layer_bytes: f64,
-    /// Bytes that one token of a request takes in memory at one layer.
-    pub token_bytes: f64,
-    /// Bytes that one token hands on from a stage to the next.
+    /// Size of the KV cache of one token at one layer, in bytes.
+    pub kv_bytes_per_token: f64,
+    /// Size of the activations that a stage passes to the next one for each token, in bytes.
     pub activation_bytes: f64,
-    /// Time of one token step through all layers, at pace 1 and without requests.
-    pub step: Duration,
-    /// Added to a step by each request that writes.
-    pub per_request: Duration,
-    /// Added to a step by 1,000 tokens of context of requests that write.
-    pub per_context: Duration,
-    /// Prompt tokens read in a second through all layers, at read pace 1.
-    pub read_rate: f64,
-    /// Steps between two events.
-    pub stride: u32,
+    /// Base time of one decode step through all layers, at step factor 1.
+    pub step_time: Duration,
+    /// Time that each decoding request adds to a step.
+    pub step_time_per_request: Duration,
+    /// Time that each 1,000 tokens of context of the decoding requests add to a step.
+    pub step_time_per_1k_context: Duration,
+    /// Prompt tokens that are prefilled per second through all layers, at prefill factor 1.
+    pub prefill_rate: f64,
+    /// Number of decode steps between two events of a response.
+    pub steps_per_event: u32,
     /// Time to load all layers.
-    pub load: Duration,
-    /// Loads at once from which each takes longer.
-    pub loads: usize,
-    /// Requests at once that one endpoint takes as the first of a chain.
+    pub load_time: Duration,
+    /// Number of concurrent loads beyond which each load takes longer.
+    pub parallel_loads: usize,
+    /// Number of concurrent requests that one endpoint accepts as the head of a chain.
     pub slots: u32,
-    /// Bits a second between two availability zones, shared by all.
-    pub pipe_bits: f64,
-    /// Kinds of accelerators.
-    pub kinds: Vec<Accelerator>,
-    /// Usual size of requests.
-    pub usual: Size,
-    /// Delays between availability zones; 0 where none is given.
+    /// Bandwidth between two availability zones, in bits per second, shared by all traffic.
+    pub inter_zone_bps: f64,
+    /// Kinds of accelerators that endpoints of the service may have.
+    pub accelerators: Vec<Accelerator>,
+    /// Size of a typical request.
+    pub typical_size: Size,
+    /// Delays between availability zones; a pair that is not listed has no delay.
     pub delays: Vec<Delay>,
 }
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Accelerator {
-    /// Its name, by which endpoints tell theirs.
+    /// Name of the kind, which endpoints register with.
     pub name: String,
-    /// Its memory.
-    pub bytes: f64,
-    /// Factor on the time of steps.
-    pub pace: f64,
-    /// Factor on the time to read prompts.
-    pub read: f64,
+    /// Memory, in bytes.
+    pub memory_bytes: f64,
+    /// Factor on the time of decode steps.
+    pub step_factor: f64,
+    /// Factor on the time of prefill.
+    pub prefill_factor: f64,
 }
 
-/// Tokens of a request.
+/// Numbers of tokens of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub answer: u32,
 }
 
-/// One way between two availability zones.
+/// Network delay between two availability zones; the same in both directions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// One zone.
+    /// One of the two zones.
     pub from: String,
-    /// The other.
+    /// The other zone.
     pub to: String,
-    /// Time of one way.
+    /// One-way delay.
     pub delay: Duration,
 }
 
 impl Engine {
-    /// The accelerator called `name`.
+    /// Returns the accelerator kind called `name`.
     pub fn accelerator(&self, name: &str) -> Option<&Accelerator> {
-        self.kinds.iter().find(|k| k.name == name)
+        self.accelerators.iter().find(|a| a.name == name)
     }
 
-    /// Most layers that fit into `accelerator` with room for `tokens` tokens of requests through
-    /// all of them.
-    pub fn fit(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
-        let each = self.layer_bytes + tokens.max(0.0) * self.token_bytes;
-        let most = (accelerator.bytes / each).floor();
-        (most.max(0.0) as Layer).min(self.layers)
+    /// Returns the largest number of layers that fit into the memory of `accelerator` together with
+    /// the KV cache of `tokens` tokens at each of them.
+    pub fn max_layers(&self, accelerator: &Accelerator, tokens: f64) -> Layer {
+        let bytes_per_layer = self.layer_bytes + tokens.max(0.0) * self.kv_bytes_per_token;
+        let layers = (accelerator.memory_bytes / bytes_per_layer).floor();
+        (layers.max(0.0) as Layer).min(self.layers)
     }
 
-    /// Room for requests, in tokens times layers, beside `held` layers.
-    pub fn room(&self, accelerator: &Accelerator, held: Layer) -> f64 {
-        let left = accelerator.bytes - f64::from(held) * self.layer_bytes;
-        (left / self.token_bytes).max(0.0)
+    /// Returns the KV cache capacity, in token-layers, that `accelerator` has left beside the
+    /// weights of `held` layers.
+    pub fn kv_capacity(&self, accelerator: &Accelerator, held: Layer) -> f64 {
+        let free_bytes = accelerator.memory_bytes - f64::from(held) * self.layer_bytes;
+        (free_bytes / self.kv_bytes_per_token).max(0.0)
     }
 
-    /// Time for which one request of this size keeps one layer busy. Steps are shared by the
-    /// requests of a batch; those of [`BATCH`] requests are taken.
-    pub fn work(&self, accelerator: &Accelerator, size: Size) -> Duration {
+    /// Returns the time for which one request of this size occupies one layer. The base time of a
+    /// step is divided among [`TYPICAL_BATCH_SIZE`] requests, since a batch shares each step.
+    pub fn layer_busy_time(&self, accelerator: &Accelerator, size: Size) -> Duration {
         let context = f64::from(size.prompt) / 1000.0;
-        let own = self.per_request.as_secs_f64() + self.per_context.as_secs_f64() * context;
-        let step = (self.step.as_secs_f64() / BATCH + own) * accelerator.pace;
-        let read = accelerator.read / self.read_rate.max(1.0);
-        let whole = step * f64::from(size.answer) + read * f64::from(size.prompt);
-        let layer = whole / f64::from(self.layers.max(1));
-        Duration::try_from_secs_f64(layer).unwrap_or_default()
+        let extra = self.step_time_per_request.as_secs_f64()
+            + self.step_time_per_1k_context.as_secs_f64() * context;
+        let step_time =
+            (self.step_time.as_secs_f64() / TYPICAL_BATCH_SIZE + extra) * accelerator.step_factor;
+        let prefill = accelerator.prefill_factor / self.prefill_rate.max(1.0);
+        let total = step_time * f64::from(size.answer) + prefill * f64::from(size.prompt);
+        let per_layer = total / f64::from(self.layers.max(1));
+        Duration::try_from_secs_f64(per_layer).unwrap_or_default()
     }
 
-    /// Time that a usual request spends in a chain that is neither idle nor full: all its steps at
-    /// twice the pace of the fastest kind, since chains mix kinds.
-    pub fn stay(&self) -> Duration {
-        let paces = self.kinds.iter().map(|k| k.pace);
-        let fastest = paces.fold(f64::INFINITY, f64::min);
-        let pace = if fastest.is_finite() {
+    /// Returns the time that a typical request spends in a chain under moderate load: the base time
+    /// of all its decode steps, at twice the step factor of the fastest accelerator kind, since
+    /// chains mix kinds.
+    pub fn residence_time(&self) -> Duration {
+        let factors = self.accelerators.iter().map(|a| a.step_factor);
+        let fastest = factors.fold(f64::INFINITY, f64::min);
+        let factor = if fastest.is_finite() {
             2.0 * fastest
         } else {
             1.0
         };
-        self.step.mul_f64(f64::from(self.usual.answer) * pace)
+        self.step_time
+            .mul_f64(f64::from(self.typical_size.answer) * factor)
     }
 
-    /// Part of the model that `layers` are.
-    pub fn part(&self, layers: Layer) -> f64 {
+    /// Returns the fraction of the model that `layers` layers make up.
+    pub fn model_fraction(&self, layers: Layer) -> f64 {
         f64::from(layers) / f64::from(self.layers.max(1))
     }
 
-    /// Delay of one way between two availability zones.
+    /// Returns the one-way delay between two availability zones.
     pub fn delay(&self, a: &str, b: &str) -> Duration {
         if a == b {
             return Duration::ZERO;
         }
-        let of = |d: &&Delay| (d.from == a && d.to == b) || (d.from == b && d.to == a);
+        let joins = |d: &&Delay| (d.from == a && d.to == b) || (d.from == b && d.to == a);
         self.delays
             .iter()
-            .find(of)
+            .find(joins)
             .map_or(Duration::ZERO, |d| d.delay)
     }
 }
--- a/crates/catalog/src/finding.rs
+++ b/crates/catalog/src/finding.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a catalog, with its place.
+//! Validation errors of a catalog.
 
 use std::fmt;
 
-/// A finding.
+/// A validation error and its location in the catalog.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Table and row, such as `route menu`.
-    pub place: String,
-    /// What is wrong.
+    /// Table and row that the finding is about, such as `route menu`.
+    pub location: String,
+    /// Description of the error.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding about `place`.
-    pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
+    /// Creates a finding about the row at `location`.
+    pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            place: place.into(),
+            location: location.into(),
             message: message.into(),
         }
     }
@@ -23,6 +23,6 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.message)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
--- a/crates/catalog/src/source.rs
+++ b/crates/catalog/src/source.rs
@@ -1,171 +1,177 @@
-//! Where the catalog and the endpoints come from: two tables that others write.
+//! Local copies of the two tables that hold the catalog and the endpoints; others write them.
 //!
-//! A table is the newest record of each key, together with the offset up to which it is known.
-//! Offsets order all changes of a table, so two copies of it can be compared: the one that is
-//! known further replaces the other, and a node that can't read the source takes a peer's copy.
+//! A copy holds the latest record of each key and the offset of the next change that it lacks.
+//! Offsets order all changes of a table, so two copies can be compared: the one with the higher
+//! offset replaces the other. A node that can't read the source takes over a peer's copy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Place of a change in its table.
+/// Position of a change in the sequence of all changes of its table.
 pub type Offset = u64;
 
 /// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The key.
+    /// Key that changed.
     pub key: String,
-    /// Its value; nothing if the key was removed.
+    /// New value; `None` if the key was removed.
     pub value: Option<Arc<[u8]>>,
-    /// Place of the change.
+    /// Offset of the change.
     pub offset: Offset,
 }
 
 impl Record {
-    /// About how many bytes it takes between nodes.
-    fn bytes(&self) -> usize {
+    /// Returns the approximate size of the record in a message between nodes, in bytes.
+    fn size(&self) -> usize {
         size_of::<Offset>() + self.key.len() + self.value.as_ref().map_or(0, |v| v.len())
     }
 }
 
-/// Changes of a table.
+/// A batch of changes of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The changes in order.
+    /// Changes in the order of their offsets, or the latest record of each key if `complete`.
     pub records: Vec<Record>,
-    /// Offset of the next change that is not in here.
-    pub next: Offset,
-    /// Whether these are all keys that there are, and not only changes.
-    pub whole: bool,
+    /// Offset of the first change after this batch.
+    pub next_offset: Offset,
+    /// Whether the records are all keys of the table rather than recent changes only.
+    pub complete: bool,
 }
 
-/// A chunk of what a table has for a peer.
+/// One of several messages that bring a peer's copy up to date.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chunk {
-    /// The records of this chunk. Their `next` is where the peer's copy ends once it has them.
+    /// Records of this chunk. The peer's copy ends at the page's `next_offset` once it has applied
+    /// them.
     pub page: Page,
     /// Whether more chunks follow.
     pub more: bool,
 }
 
-/// A copy of a table.
+/// Local copy of a table.
 ///
-/// Invariant: of each change from `kept` on that is not superseded, the rows have its record, removals
-/// too. Before it removals may be missing, since a page of all keys does not name what was removed.
+/// Invariant: `rows` holds the latest record of each key that changed at or after `history_start`,
+/// removals included. Earlier removals may be missing, since a complete page lists only keys that
+/// still exist.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Record>,
-    next: Offset,
-    kept: Offset,
+    next_offset: Offset,
+    history_start: Offset,
 }
 
 impl Table {
-    /// Takes changes in; returns the keys that are different now. A page that is older than the
-    /// table changes nothing.
-    pub fn take(&mut self, page: Page) -> Vec<String> {
-        if page.next < self.next || (page.next == self.next && !page.whole) {
+    /// Applies a page and returns the keys whose records changed. A page that is older than the
+    /// table has no effect.
+    pub fn apply(&mut self, page: Page) -> Vec<String> {
+        if page.next_offset < self.next_offset
+            || (page.next_offset == self.next_offset && !page.complete)
+        {
             return Vec::new();
         }
         let mut changed = Vec::new();
-        if page.whole {
-            self.kept = page.next;
-            let named: BTreeSet<&str> = page.records.iter().map(|r| r.key.as_str()).collect();
-            let lost = self.rows.values().filter(|r| r.value.is_some());
-            let lost = lost.filter(|r| !named.contains(r.key.as_str()));
-            let lost: Vec<String> = lost.map(|r| r.key.clone()).collect();
-            for key in lost {
-                let gone = Record {
+        if page.complete {
+            self.history_start = page.next_offset;
+            let listed: BTreeSet<&str> = page.records.iter().map(|r| r.key.as_str()).collect();
+            let removed = self.rows.values().filter(|r| r.value.is_some());
+            let removed = removed.filter(|r| !listed.contains(r.key.as_str()));
+            let removed: Vec<String> = removed.map(|r| r.key.clone()).collect();
+            for key in removed {
+                let removal = Record {
                     key: key.clone(),
                     value: None,
-                    offset: page.next.saturating_sub(1),
+                    offset: page.next_offset.saturating_sub(1),
                 };
-                self.rows.insert(key.clone(), gone);
+                self.rows.insert(key.clone(), removal);
                 changed.push(key);
             }
         }
         for record in page.records {
-            let known = self.rows.get(&record.key);
-            let same = |k: &Record| k.offset == record.offset && k.value == record.value;
-            if known.is_some_and(|k| k.offset > record.offset || same(k)) {
+            let current = self.rows.get(&record.key);
+            let unchanged = |k: &Record| k.offset == record.offset && k.value == record.value;
+            if current.is_some_and(|k| k.offset > record.offset || unchanged(k)) {
                 continue;
             }
             changed.push(record.key.clone());
             self.rows.insert(record.key.clone(), record);
         }
-        self.next = page.next;
+        self.next_offset = page.next_offset;
         changed
     }
 
-    /// The value of `key`.
+    /// Returns the value of `key`.
     pub fn get(&self, key: &str) -> Option<&Arc<[u8]>> {
         self.rows.get(key)?.value.as_ref()
     }
 
-    /// All keys with a value.
+    /// Returns all keys that have a value, with their values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Arc<[u8]>)> {
         let rows = self.rows.values();
         rows.filter_map(|r| Some((r.key.as_str(), r.value.as_ref()?)))
     }
 
-    /// Offset of the next change that is not known.
-    pub fn next(&self) -> Offset {
-        self.next
+    /// Returns the offset of the next change that the copy lacks.
+    pub fn next_offset(&self) -> Offset {
+        self.next_offset
     }
 
-    /// All that [`Table::changes`] gives, in one page.
+    /// Returns everything that [`Table::changes`] returns, as one page.
     pub fn since(&self, from: Offset) -> Page {
         self.changes(from, usize::MAX).page
     }
 
-    /// The oldest changes from `from` on, for a peer whose copy ends there, in at most about `most`
-    /// bytes; the first chunk of all keys if not all of these changes are kept. Given as changes,
-    /// they would leave the peer with endpoints that are gone.
-    pub fn changes(&self, from: Offset, most: usize) -> Chunk {
-        if from < self.kept {
-            return self.keys(0, most);
+    /// Returns the oldest changes from `from` on, for a peer whose copy ends there, limited to
+    /// about `max_bytes` bytes. If `from` is before the start of the history, returns the first
+    /// chunk of all keys instead: changes alone would lack earlier removals, and the peer would
+    /// keep endpoints that no longer exist.
+    pub fn changes(&self, from: Offset, max_bytes: usize) -> Chunk {
+        if from < self.history_start {
+            return self.keys(0, max_bytes);
         }
         let wanted = self.rows.values().filter(|r| r.offset >= from);
-        let (records, more) = oldest(wanted.collect(), most);
+        let (records, more) = oldest_records(wanted.collect(), max_bytes);
         let next = match records.last() {
             Some(last) if more => last.offset + 1,
-            _ => self.next,
+            _ => self.next_offset,
         };
         let page = Page {
             records,
-            next,
-            whole: false,
+            next_offset: next,
+            complete: false,
         };
         Chunk { page, more }
     }
 
-    /// The keys that last changed at `from` or later, the oldest first, in at most about `most`
-    /// bytes. A key that changes while its peer gathers the chunks comes again in a later one, or
-    /// among the changes from the first chunk's `next` on.
-    pub fn keys(&self, from: Offset, most: usize) -> Chunk {
-        let living = self.rows.values().filter(|r| r.value.is_some());
-        let wanted = living.filter(|r| r.offset >= from);
-        let (records, more) = oldest(wanted.collect(), most);
+    /// Returns the existing keys that last changed at `from` or later, oldest change first, limited
+    /// to about `max_bytes` bytes. A key that changes while the peer collects the chunks is sent
+    /// again in a later chunk, or among the changes from the first chunk's `next_offset` on.
+    pub fn keys(&self, from: Offset, max_bytes: usize) -> Chunk {
+        let present = self.rows.values().filter(|r| r.value.is_some());
+        let wanted = present.filter(|r| r.offset >= from);
+        let (records, more) = oldest_records(wanted.collect(), max_bytes);
         let page = Page {
             records,
-            next: self.next,
-            whole: true,
+            next_offset: self.next_offset,
+            complete: true,
         };
         Chunk { page, more }
     }
 }
 
-/// The oldest of some records in about `most` bytes, and whether some are left over. Records of
-/// one offset stay together, since a peer goes on behind the last offset that it has.
-fn oldest(mut records: Vec<&Record>, most: usize) -> (Vec<Record>, bool) {
+/// Returns the oldest of `records` up to about `max_bytes` bytes, and whether some are left over.
+/// Records with the same offset are never split, since a peer continues after the last offset that
+/// it received.
+fn oldest_records(mut records: Vec<&Record>, max_bytes: usize) -> (Vec<Record>, bool) {
     records.sort_unstable_by_key(|r| r.offset);
     let mut bytes = 0;
     let mut end = 0;
     while end < records.len() {
-        let again = end > 0 && records[end].offset == records[end - 1].offset;
-        if bytes >= most && !again {
+        let same_offset = end > 0 && records[end].offset == records[end - 1].offset;
+        if bytes >= max_bytes && !same_offset {
             break;
         }
-        bytes += records[end].bytes();
+        bytes += records[end].size();
         end += 1;
     }
     let more = end < records.len();
--- a/crates/catalog/tests/table.rs
+++ b/crates/catalog/tests/table.rs
@@ -1,4 +1,4 @@
-//! Copies of a table that others write.
+//! Local copies of a table: applying pages, and pages for a peer.
 
 use catalog::source::{Page, Record, Table};
 
@@ -10,11 +10,11 @@
     }
 }
 
-fn page(records: Vec<Record>, next: u64, whole: bool) -> Page {
+fn page(records: Vec<Record>, next_offset: u64, complete: bool) -> Page {
     Page {
         records,
-        next,
-        whole,
+        next_offset,
+        complete,
     }
 }
 
@@ -23,77 +23,77 @@
 }
 
 #[test]
-fn the_newest_value_of_a_key_counts() {
+fn a_later_record_replaces_an_earlier_one() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    assert_eq!(table.take(page(records, 2, true)), ["a", "b"]);
+    assert_eq!(table.apply(page(records, 2, true)), ["a", "b"]);
     let records = vec![record("a", Some("2"), 2), record("b", None, 3)];
-    assert_eq!(table.take(page(records, 4, false)), ["a", "b"]);
+    assert_eq!(table.apply(page(records, 4, false)), ["a", "b"]);
     assert_eq!(keys(&table), ["a"]);
     assert_eq!(table.get("a").map(|v| v.to_vec()), Some(b"2".to_vec()));
 }
 
-// A node that was cut off asks a peer, and the peer's copy is behind its own: an endpoint that
-// left would come back, and requests would be sent to it. The copy that is known further stays.
+// Guards against a removed endpoint that reappears: a node that can't reach the store requests a
+// peer's copy, and the peer's copy is behind its own. The copy with the higher offset must stay.
 #[test]
-fn an_older_copy_changes_nothing() {
+fn an_older_page_has_no_effect() {
     let mut table = Table::default();
-    table.take(page(vec![record("a", None, 7)], 8, false));
-    let old = page(vec![record("a", Some("1"), 3)], 5, false);
-    assert_eq!(table.take(old), Vec::<String>::new());
-    assert_eq!(table.next(), 8);
-    // The same row inside a newer copy is older than what is known, too.
+    table.apply(page(vec![record("a", None, 7)], 8, false));
+    let older = page(vec![record("a", Some("1"), 3)], 5, false);
+    assert_eq!(table.apply(older), Vec::<String>::new());
+    assert_eq!(table.next_offset(), 8);
+    // A record in a newer page is ignored, too, if it is older than the known record of its key.
     let newer = page(
         vec![record("a", Some("1"), 3), record("c", Some("1"), 8)],
         9,
         false,
     );
-    assert_eq!(table.take(newer), ["c"]);
+    assert_eq!(table.apply(newer), ["c"]);
     assert_eq!(keys(&table), ["c"]);
 }
 
-// The store forgot the changes while a node was away. The node reads all keys anew: those that
-// are missing were removed in the gap, and would otherwise stay for good.
+// Guards against keys that are never removed: the store compacts its log while a node is away, so
+// the node reads all keys again. Keys that are missing from the page were removed meanwhile.
 #[test]
-fn a_whole_table_removes_what_it_does_not_name() {
+fn a_complete_page_removes_keys_that_it_lacks() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
-    let changed = table.take(page(vec![record("b", Some("1"), 1)], 9, true));
+    table.apply(page(records, 2, true));
+    let changed = table.apply(page(vec![record("b", Some("1"), 1)], 9, true));
     assert_eq!(changed, ["a"]);
     assert_eq!(keys(&table), ["b"]);
 }
 
 #[test]
-fn a_peer_is_given_what_it_lacks_with_removals() {
+fn changes_for_a_peer_include_removals() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
-    table.take(page(vec![record("a", None, 2)], 3, false));
+    table.apply(page(records, 2, true));
+    table.apply(page(vec![record("a", None, 2)], 3, false));
     let mut peer = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    peer.take(page(records, 2, true));
-    assert_eq!(peer.take(table.since(peer.next())), ["a"]);
+    peer.apply(page(records, 2, true));
+    assert_eq!(peer.apply(table.since(peer.next_offset())), ["a"]);
     assert_eq!(keys(&peer), ["b"]);
 }
 
-// An endpoint leaves, and a node goes on sending requests to it for good. It has just come to take
-// copies from a peer that started after the endpoint's row was removed: the peer read the keys that
-// there are, and knows of no removal before. What it gives must not pass for all changes.
+// Guards against requests to an endpoint that no longer exists: a node takes changes from a peer
+// that started after the endpoint's row was removed. The peer read only the keys that existed then
+// and has no record of the removal, so it must send all keys rather than changes.
 #[test]
-fn a_peer_that_started_later_tells_what_was_removed_before() {
+fn a_copy_without_earlier_removals_sends_all_keys() {
     let mut table = Table::default();
     let records = vec![record("a", Some("1"), 0), record("b", Some("1"), 1)];
-    table.take(page(records, 2, true));
-    let mut started = Table::default();
-    // "a" was removed at 2, and nothing names it any more.
-    started.take(page(vec![record("b", Some("1"), 1)], 3, true));
-    assert_eq!(table.take(started.since(table.next())), ["a"]);
+    table.apply(page(records, 2, true));
+    let mut later_copy = Table::default();
+    // "a" was removed at offset 2, and no record of it is left.
+    later_copy.apply(page(vec![record("b", Some("1"), 1)], 3, true));
+    assert_eq!(table.apply(later_copy.since(table.next_offset())), ["a"]);
     assert_eq!(keys(&table), ["b"]);
-    // From here on changes are enough again.
-    started.take(page(vec![record("c", Some("1"), 3)], 4, false));
-    let changes = started.since(table.next());
-    assert_eq!((changes.whole, changes.records.len()), (false, 1));
-    assert_eq!(table.take(changes), ["c"]);
+    // Changes are sufficient from here on.
+    later_copy.apply(page(vec![record("c", Some("1"), 3)], 4, false));
+    let changes = later_copy.since(table.next_offset());
+    assert_eq!((changes.complete, changes.records.len()), (false, 1));
+    assert_eq!(table.apply(changes), ["c"]);
     assert_eq!(keys(&table), ["b", "c"]);
 }
--- a/crates/gate/src/admit.rs
+++ b/crates/gate/src/admit.rs
@@ -1,6 +1,6 @@
-//! Checks a caller's request against the catalog.
+//! Admission of requests: checks them against the catalog.
 
-use crate::dialect::{Ask, Dialect};
+use crate::dialect::{Dialect, RequestInfo};
 use crate::job::Job;
 use crate::refusal::{Reason, Refusal};
 use bytes::Bytes;
@@ -14,8 +14,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Headers that concern one connection only.
-const HOP: [&str; 8] = [
+/// Hop-by-hop headers, which concern a single connection and are not forwarded (RFC 9110, section
+/// 7.6.1).
+const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -26,102 +27,109 @@
     "upgrade",
 ];
 
-/// What the head of a request was checked to be.
+/// Result of checking a request's head.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the head says.
-    pub ask: Ask,
-    /// The route.
+    /// Metadata from the request's headers.
+    pub info: RequestInfo,
+    /// The matching route.
     pub route: RouteId,
-    /// The caller's team, and its rank if it has one of its own.
+    /// The caller's team, with its priority if it has one of its own; `None` if no team has the
+    /// key.
     pub team: Option<catalog::team::Team>,
 }
 
-/// Checks a head, of which `ask` was read.
-pub fn head(catalog: &Catalog, parts: &Parts, ask: Ask) -> Result<Admitted, Refusal> {
+/// Checks the head of a request, whose headers were parsed into `info`.
+///
+/// Refuses requests that match no route, and requests without a known key if the catalog and the
+/// route require one.
+pub fn head(catalog: &Catalog, parts: &Parts, info: RequestInfo) -> Result<Admitted, Refusal> {
     let host = parts.headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
     let route = catalog
         .route_id(host, parts.uri.path())
         .ok_or(Refusal::new(Reason::NoRoute))?;
-    let team = ask.key.as_deref().and_then(|k| catalog.team(k)).cloned();
+    let team = info.key.as_deref().and_then(|k| catalog.team(k)).cloned();
     let public = catalog.routes[route as usize].public;
-    if catalog.keyed && !public && team.is_none() {
-        return Err(Refusal::new(Reason::NoKey));
+    if catalog.requires_key && !public && team.is_none() {
+        return Err(Refusal::new(Reason::UnknownKey));
     }
-    Ok(Admitted { ask, route, team })
+    Ok(Admitted { info, route, team })
 }
 
-/// Reads a body of at most `most` bytes.
-pub async fn body(body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most).collect().await {
+/// Reads a body of at most `max_bytes` bytes.
+pub async fn body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::Large)),
+        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::new(Reason::BodyTooLarge)),
         Err(_) => Err(Refusal::new(Reason::Malformed)),
     }
 }
 
-/// The request that goes on, from what was checked.
+/// Builds the job from the parts of an admitted request.
+///
+/// `random` selects the service if the route splits its traffic among several.
 pub fn job<D: Dialect>(
     dialect: &D,
     catalog: &Arc<Catalog>,
     admitted: Admitted,
     parts: Parts,
     body: Bytes,
-    came: Instant,
-    draw: u64,
+    received_at: Instant,
+    random: u64,
 ) -> Result<Job, Refusal> {
     let route = &catalog.routes[admitted.route as usize];
     let service = route
-        .service(draw)
+        .service(random)
         .ok_or(Refusal::new(Reason::Unavailable))?;
-    let time = admitted.ask.deadline.unwrap_or(route.timeout);
-    let until = came + time.min(route.timeout).min(LONGEST);
-    let rank = admitted.team.as_ref().and_then(|t| t.priority);
+    let timeout = admitted.info.timeout.unwrap_or(route.timeout);
+    let deadline = received_at + timeout.min(route.timeout).min(MAX_TIMEOUT);
+    let priority = admitted.team.as_ref().and_then(|t| t.priority);
     Ok(Job {
-        ask: admitted.ask,
+        info: admitted.info,
         catalog: catalog.clone(),
         route: admitted.route,
         service,
-        rank: rank.unwrap_or(route.priority),
+        priority: priority.unwrap_or(route.priority),
         team: admitted.team.map(|t| t.name),
         method: parts.method,
         uri: parts.uri,
-        headers: passed(dialect, &parts.headers),
+        headers: forwarded(dialect, &parts.headers),
         body,
-        came,
-        until,
+        received_at,
+        deadline,
     })
 }
 
-/// Longest time for any request; a far longer one, added to a clock, would overflow it.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
+/// Upper bound on the time of any request; a value far above it would overflow `Instant`.
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// Headers that are passed on to an endpoint.
-fn passed<D: Dialect>(dialect: &D, headers: &HeaderMap) -> HeaderMap {
-    kept(headers, |name| !dialect.withheld(name))
+/// Returns the request headers that are forwarded to an endpoint.
+fn forwarded<D: Dialect>(dialect: &D, headers: &HeaderMap) -> HeaderMap {
+    filtered(headers, |name| !dialect.is_stripped(name))
 }
 
-/// Headers of an endpoint's answer that are passed on to the caller.
+/// Returns the headers of an endpoint's response that are forwarded to the caller.
 pub fn returned(headers: &HeaderMap) -> HeaderMap {
-    kept(headers, |_| true)
+    filtered(headers, |_| true)
 }
 
-/// Headers that concern more than one connection and that `wanted` keeps. The length is that of
-/// the body as it is sent on.
-fn kept(headers: &HeaderMap, wanted: impl Fn(&HeaderName) -> bool) -> HeaderMap {
-    let named = connection_names(headers);
-    let kept = headers.iter();
-    let kept = kept.filter(|(n, _)| !hop(n, &named) && *n != CONTENT_LENGTH && wanted(n));
-    kept.map(|(n, v)| (n.clone(), v.clone())).collect()
+/// Returns the end-to-end headers for which `keep` holds. `Content-Length` is omitted; it is set
+/// anew from the body that is sent.
+fn filtered(headers: &HeaderMap, keep: impl Fn(&HeaderName) -> bool) -> HeaderMap {
+    let listed = connection_options(headers);
+    let filtered = headers.iter();
+    let filtered =
+        filtered.filter(|(n, _)| !is_hop_by_hop(n, &listed) && *n != CONTENT_LENGTH && keep(n));
+    filtered.map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
-fn hop(name: &HeaderName, named: &[String]) -> bool {
-    HOP.contains(&name.as_str()) || named.iter().any(|n| n == name.as_str())
+fn is_hop_by_hop(name: &HeaderName, listed: &[String]) -> bool {
+    HOP_BY_HOP.contains(&name.as_str()) || listed.iter().any(|n| n == name.as_str())
 }
 
-/// Headers that `Connection` names as concerning this connection only.
-fn connection_names(headers: &HeaderMap) -> Vec<String> {
+/// Returns the headers that `Connection` declares as hop-by-hop.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(CONNECTION).iter();
     let values = values.filter_map(|v| v.to_str().ok());
     let names = values.flat_map(|v| v.split(','));
--- a/crates/gate/src/dialect.rs
+++ b/crates/gate/src/dialect.rs
@@ -1,4 +1,5 @@
-//! What differs between installations: names and forms of headers and of short answers.
+//! The installation-specific part of the protocol: names and formats of headers and of short
+//! responses.
 
 use bytes::Bytes;
 use catalog::engine::Size;
@@ -7,98 +8,98 @@
 use std::time::Duration;
 use steer::target::{Stage, Target};
 
-/// What a caller's head says.
+/// Metadata in the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
-    /// The request's id.
+pub struct RequestInfo {
+    /// Request id.
     pub id: Option<String>,
-    /// The key of the caller's team.
+    /// Key of the caller's team.
     pub key: Option<String>,
-    /// How long the caller waits.
-    pub deadline: Option<Duration>,
-    /// Tokens of a model request: of the prompt, and of the longest answer.
+    /// How long the caller waits for the response.
+    pub timeout: Option<Duration>,
+    /// Token counts of a model request: prompt, and maximum output.
     pub size: Option<Size>,
-    /// The caller's estimate of the answer's tokens.
-    pub expected: Option<u32>,
-    /// The last event that the caller has of an earlier answer.
-    pub after: Option<u64>,
+    /// The caller's estimate of the number of output tokens.
+    pub expected_output: Option<u32>,
+    /// Id of the last event that the caller received from an earlier response to this request.
+    pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// Metadata that is added to the caller's headers when a request is sent to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Order<'a> {
-    /// Where the request goes.
+pub struct ForwardInfo<'a> {
+    /// Endpoint or chain that the request is sent to.
     pub target: &'a Target,
-    /// Time that is left.
-    pub left: Duration,
-    /// The caller's team.
+    /// Time until the request's deadline.
+    pub time_left: Duration,
+    /// Name of the caller's team.
     pub team: Option<&'a str>,
-    /// Rank among the endpoint's requests, 0 first.
-    pub rank: Option<u8>,
-    /// The event after which the answer goes on.
-    pub after: Option<u64>,
+    /// Priority among the endpoint's requests, 0 first; `None` if the service has no engine.
+    pub priority: Option<u8>,
+    /// Id of the event after which the response is to be resumed.
+    pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint's head says beside its status.
+/// Metadata in the headers of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Id of the request that it answers.
-    pub id: Option<String>,
-    /// Whether it states that the request was not run.
-    pub unrun: bool,
-    /// Whether the answer is sealed: proof that the endpoint made it.
+pub struct ResponseInfo {
+    /// Id of the request that the response belongs to.
+    pub request_id: Option<String>,
+    /// Whether the endpoint states that it did not execute the request.
+    pub not_run: bool,
+    /// Whether the response has a seal, which proves that the endpoint produced it.
     pub sealed: bool,
-    /// The endpoint of a chain that is at fault.
-    pub culprit: Option<SocketAddr>,
+    /// The endpoint of the chain that caused the failure.
+    pub faulty_stage: Option<SocketAddr>,
     /// How long the endpoint keeps an idle connection open.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
-/// A request that waits for an endpoint of its chain.
+/// A request that is blocked on another endpoint of its chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// The request's id.
+    /// Request id.
     pub request: String,
-    /// The endpoint that it waits for.
-    pub culprit: SocketAddr,
+    /// The endpoint that the request waits for.
+    pub blocked_on: SocketAddr,
 }
 
-/// What an engine says of itself.
+/// Status report of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Account {
-    /// Requests that were sent to it and wait for another endpoint.
+pub struct StatusReport {
+    /// Requests that this engine is the head of and that wait for another endpoint.
     pub stalls: Vec<Stall>,
 }
 
-/// What came of an order to go on over other stages.
+/// Result of rerouting a request that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Detoured {
-    /// The head goes on over them.
+pub enum RerouteOutcome {
+    /// The head continues the request over the new stages.
     Done,
-    /// This stage is not there, or has no room.
+    /// This stage is unreachable or has no free capacity.
     Missing(SocketAddr),
-    /// The head knows no such request, or did not answer.
+    /// The head does not know the request, or did not respond.
     Failed,
 }
 
-/// The installation's dialect.
+/// Protocol between callers, nodes and endpoints of one installation.
 pub trait Dialect: Clone + 'static {
-    /// Reads a caller's head.
-    fn ask(&self, headers: &HeaderMap) -> Ask;
-    /// Whether a caller's header is for the node alone and not passed on.
-    fn withheld(&self, name: &HeaderName) -> bool;
-    /// Adds what an endpoint is told.
-    fn order(&self, headers: &mut HeaderMap, order: &Order<'_>);
-    /// Reads an endpoint's head.
-    fn told(&self, headers: &HeaderMap) -> Told;
-    /// The answer to a caller that asks which addresses to use.
+    /// Parses the headers of a caller's request.
+    fn request_info(&self, headers: &HeaderMap) -> RequestInfo;
+    /// Returns whether a caller's header is addressed to the node and not forwarded.
+    fn is_stripped(&self, name: &HeaderName) -> bool;
+    /// Adds the headers for an endpoint.
+    fn add_headers(&self, headers: &mut HeaderMap, info: &ForwardInfo<'_>);
+    /// Parses the headers of an endpoint's response.
+    fn response_info(&self, headers: &HeaderMap) -> ResponseInfo;
+    /// Encodes the list of addresses that callers should use for the next `ttl`.
     fn addresses(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
-    /// Asks an engine for its account; nothing if it does not answer.
-    fn account(&self, addr: SocketAddr) -> impl Future<Output = Option<Account>>;
-    /// Orders the head of a chain to go on over other stages.
-    fn detour(&self, request: &str, stages: &[Stage]) -> impl Future<Output = Detoured>;
-    /// Path of the question for addresses.
+    /// Requests the status report of an engine; `None` if it does not respond.
+    fn status_report(&self, addr: SocketAddr) -> impl Future<Output = Option<StatusReport>>;
+    /// Orders the head of a chain to continue a request over other stages.
+    fn reroute(&self, request: &str, stages: &[Stage]) -> impl Future<Output = RerouteOutcome>;
+    /// Path at which callers request the list of addresses.
     fn addresses_path(&self) -> &'static str;
-    /// Path of the question whether this node takes requests.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -1,71 +1,71 @@
-//! Cuts an event stream into whole events.
+//! Splits an event stream (`text/event-stream`) into events.
 //!
-//! An endpoint may stop in the middle of an event. Only whole events are passed on, so that what
-//! follows from another endpoint stands right behind them.
+//! An endpoint may fail in the middle of an event. Only complete events are forwarded, so that the
+//! events of the endpoint that resumes the response can follow directly.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for.
-const LONGEST: usize = 1 << 20;
+/// Maximum size of an event; a longer one fails the stream.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event, with the empty line that ends it.
+/// A complete event, including the empty line that terminates it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one that is a number.
+    /// Numeric event id; `None` if the event has no id or the id is not a number.
     pub id: Option<u64>,
-    /// Its bytes.
+    /// The event as received.
     pub bytes: Bytes,
 }
 
-/// Bytes that are not a whole event yet.
+/// Buffers the bytes of a stream and iterates over its complete events.
 #[derive(Debug, Default)]
-pub struct Cutter {
-    rest: BytesMut,
-    /// Bytes of `rest` in which no end was found.
-    seen: usize,
+pub struct Splitter {
+    buffer: BytesMut,
+    /// Number of leading bytes of `buffer` that contain no end of an event.
+    scanned: usize,
 }
 
-impl Cutter {
-    /// Adds bytes.
+impl Splitter {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the stream stops in the middle of an event.
-    pub fn torn(&self) -> bool {
-        !self.rest.is_empty()
+    /// Returns whether the buffer holds an incomplete event.
+    pub fn has_partial(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Whether an event is longer than any that is sent.
-    pub fn overlong(&self) -> bool {
-        self.rest.len() > LONGEST
+    /// Returns whether the buffered event exceeds the maximum size.
+    pub fn is_oversized(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops what is left of an endpoint's stream.
+    /// Discards buffered bytes, before the stream of another endpoint follows.
     pub fn clear(&mut self) {
-        self.rest.clear();
-        self.seen = 0;
+        self.buffer.clear();
+        self.scanned = 0;
     }
 }
 
-impl Iterator for Cutter {
+impl Iterator for Splitter {
     type Item = Event;
 
-    /// The next whole event.
+    /// Returns the next complete event; `None` until more bytes are received.
     fn next(&mut self) -> Option<Event> {
-        let Some(end) = end(&self.rest, self.seen) else {
-            self.seen = self.rest.len().saturating_sub(3);
+        let Some(end) = event_end(&self.buffer, self.scanned) else {
+            self.scanned = self.buffer.len().saturating_sub(3);
             return None;
         };
-        self.seen = 0;
-        let bytes = self.rest.split_to(end).freeze();
-        let id = id(&bytes);
+        self.scanned = 0;
+        let bytes = self.buffer.split_to(end).freeze();
+        let id = event_id(&bytes);
         Some(Event { id, bytes })
     }
 }
 
-/// Where the first event ends: behind an empty line.
-fn end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the offset behind the first event, which ends with an empty line.
+fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.min(bytes.len());
     let ends = (from..bytes.len()).filter(|&i| bytes[i] == b'\n');
     ends.into_iter().find_map(|i| match &bytes[i + 1..] {
@@ -75,7 +75,7 @@
     })
 }
 
-fn id(bytes: &[u8]) -> Option<u64> {
+fn event_id(bytes: &[u8]) -> Option<u64> {
     let mut lines = bytes.split(|&b| b == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
--- a/crates/gate/src/forward.rs
+++ b/crates/gate/src/forward.rs
@@ -1,19 +1,19 @@
-//! Sends a request to endpoints until one answers, as far as it may be repeated.
+//! Forwards a request to endpoints until one responds, with retries where the route allows them.
 
 pub mod attempt;
-pub mod depart;
-pub mod look;
-pub mod story;
+pub mod migration;
+pub mod request_log;
+pub mod stall;
 
 use crate::admit;
-use crate::answer::{self, Answer};
-use crate::dialect::{Dialect, Told};
+use crate::body::{self, Body};
+use crate::dialect::{Dialect, ResponseInfo};
 use crate::job::Job;
 use crate::pool::Conn;
 use crate::refusal::{Reason, Refusal};
-use crate::splice::{self, Chunk, Live};
-use crate::worker::{Flight, Worker};
-use attempt::{Failure, Held, Sent};
+use crate::splice::{self, Chunk, EventSource};
+use crate::worker::{InFlightGuard, Worker};
+use attempt::{Exchange, Failure, Reservation};
 use bytes::Bytes;
 use catalog::ServiceId;
 use catalog::kind::Kind;
@@ -21,90 +21,94 @@
 use http::{Response, StatusCode};
 use http_body_util::BodyExt;
 use rand::RngExt;
+use request_log::RequestLog;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 use steer::health::Outcome;
 use steer::shortage::Shortage;
-use steer::{Now, Steer};
-use story::Story;
+use steer::{Selector, Timestamp};
 use tokio::time::timeout;
 
-/// Attempts that may end without having reached an endpoint.
-const UNSENT: u32 = 4;
-/// Part of the route's target time that a request waits for room: past it another node, asked
-/// again by the caller, is as likely to have room as this one.
-const PATIENCE: f64 = 0.4;
-/// Time in which an idempotent request that was not answered is sent to another endpoint, as a
-/// multiple of the route's target time.
-const SLOW: f64 = 1.5;
-/// Bytes of an answer that are gathered before it is passed on.
-const GATHERED: usize = 16 << 20;
-/// Longest body of a refusal that is read to keep its connection.
-const SHORT: usize = 64 << 10;
-/// Longest time for that.
-const DRAIN: Duration = Duration::from_millis(100);
-/// When to come back if all endpoints are full: a part of what an answer takes.
-const AFTER_FULL: Duration = Duration::from_millis(400);
-/// When to come back if endpoints are missing: about what an endpoint takes to load its layers.
-const AFTER_GONE: Duration = Duration::from_millis(800);
-/// When to come back if nothing is large enough: an endpoint more is needed.
-const AFTER_SIZE: Duration = Duration::from_secs(3);
+/// Maximum number of attempts that may fail without having reached an endpoint.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
+/// Maximum wait for an endpoint with free capacity, as a fraction of the route's latency target.
+/// After that time another node that the caller retries on is as likely to find capacity as this
+/// one.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.4;
+/// Time after which an idempotent request without a response is retried on another endpoint, as a
+/// multiple of the route's latency target.
+const HEAD_TIMEOUT_FACTOR: f64 = 1.5;
+/// Maximum size of a buffered response body.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Maximum size of a refusal's body that is read to reuse the connection.
+const MAX_DRAINED_BYTES: usize = 64 << 10;
+/// Maximum time for reading a refusal's body.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Retry-after delay when all endpoints are full: a fraction of a response's duration.
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
+/// Retry-after delay when endpoints are missing: about the time in which an endpoint loads its
+/// layers.
+const RETRY_AFTER_MISSING: Duration = Duration::from_millis(800);
+/// Retry-after delay when no endpoint is large enough for the request: an additional endpoint is
+/// needed.
+const RETRY_AFTER_TOO_LARGE: Duration = Duration::from_secs(3);
 
-/// A request under way.
-pub(crate) struct Run<D: Dialect> {
+/// A request in flight.
+pub(crate) struct Forwarder<D: Dialect> {
     pub(crate) worker: Rc<Worker<D>>,
     pub(crate) job: Job,
-    pub(crate) story: Story,
-    /// Endpoints that it was sent to.
+    pub(crate) log: RequestLog,
+    /// Endpoints that the request was sent to.
     pub(crate) tried: Vec<catalog::endpoint::Run>,
-    /// Attempts that may have run.
-    pub(crate) ran: u32,
-    /// Whether an attempt has reached an endpoint, so that the next one is a further arrival.
-    pub(crate) arrived: bool,
-    pub(crate) _flight: Flight,
+    /// Number of attempts that may have been executed.
+    pub(crate) possible_runs: u32,
+    /// Whether an attempt reached an endpoint. From then on further attempts count against the
+    /// retry budget.
+    pub(crate) reached: bool,
+    pub(crate) _in_flight: InFlightGuard,
 }
 
-/// What a caller gets.
-enum Ending<D: Dialect> {
-    /// An endpoint's whole answer.
-    Whole(Response<Bytes>),
-    /// An endpoint's answer that comes in events.
-    Live(Box<Live<D>>),
-    /// The node's own.
-    Own(Refusal),
+/// The response that a caller gets.
+enum Reply<D: Dialect> {
+    /// A buffered response of an endpoint.
+    Complete(Response<Bytes>),
+    /// An event stream of an endpoint.
+    Events(Box<EventSource<D>>),
+    /// An error response of this node.
+    Refused(Refusal),
 }
 
-/// Runs a request to its answer.
+/// Forwards an admitted request and returns the response for the caller.
 pub(crate) async fn run<D: Dialect>(
     worker: Rc<Worker<D>>,
     job: Job,
-    flight: Flight,
-) -> Response<Answer<impl Stream<Item = Chunk>>> {
-    let story = Story::new(worker.journal.clone(), worker.metrics.clone(), &job);
+    guard: InFlightGuard,
+) -> Response<Body<impl Stream<Item = Chunk>>> {
+    let log = RequestLog::new(worker.journal.clone(), worker.metrics.clone(), &job);
     let service = job.service().name.clone();
-    worker.steer(|steer, now| steer.first(now, &service));
-    let mut run = Run {
+    worker.with_selector(|selector, now| selector.record_request(now, &service));
+    let mut forwarder = Forwarder {
         worker,
         job,
-        story,
+        log,
         tried: Vec::new(),
-        ran: 0,
-        arrived: false,
-        _flight: flight,
+        possible_runs: 0,
+        reached: false,
+        _in_flight: guard,
     };
-    match run.settle().await {
-        Ending::Own(refusal) => {
-            run.story.refused(refusal);
+    match forwarder.run_attempts().await {
+        Reply::Refused(refusal) => {
+            forwarder.log.end_refused(refusal);
             refusal.response()
         }
-        Ending::Whole(answer) => {
-            run.story.answered(answer.status().as_u16());
-            answer.map(answer::whole)
+        Reply::Complete(response) => {
+            forwarder.log.end_answered(response.status().as_u16());
+            response.map(body::full)
         }
-        Ending::Live(live) => {
-            let head = live.head();
-            let mut response = Response::new(answer::stream(splice::stream(run, *live)));
+        Reply::Events(source) => {
+            let head = source.head();
+            let mut response = Response::new(body::stream(splice::stream(forwarder, *source)));
             *response.status_mut() = head.status;
             *response.headers_mut() = head.headers;
             response
@@ -112,219 +116,247 @@
     }
 }
 
-impl<D: Dialect> Run<D> {
-    async fn settle(&mut self) -> Ending<D> {
+impl<D: Dialect> Forwarder<D> {
+    async fn run_attempts(&mut self) -> Reply<D> {
         let mut unsent = 0;
         loop {
-            if self.job.left().is_zero() {
-                return Ending::Own(Refusal::new(self.over()));
+            if self.job.time_left().is_zero() {
+                return Reply::Refused(Refusal::new(self.timeout_reason()));
             }
-            let target = match self.target(None).await {
+            let target = match self.acquire_target(None).await {
                 Ok(target) => target,
-                Err(shortage) => return Ending::Own(self.short(shortage)),
+                Err(shortage) => return Reply::Refused(self.refuse_for_shortage(shortage)),
             };
-            let held = Held::new(self.worker.clone(), target);
-            let limit = self.head_limit();
-            match self.send(held, None, limit).await {
-                Ok(sent) => {
-                    if let Some(ending) = self.take(sent).await {
-                        return ending;
+            let reservation = Reservation::new(self.worker.clone(), target);
+            let limit = self.head_timeout();
+            match self.send(reservation, None, limit).await {
+                Ok(exchange) => {
+                    if let Some(reply) = self.handle_response(exchange).await {
+                        return reply;
                     }
                 }
                 Err(failure) => {
-                    if failure.ran() {
-                        self.ran += 1;
+                    if failure.may_have_run() {
+                        self.possible_runs += 1;
                     } else {
                         unsent += 1;
                     }
-                    if failure.ran() && !self.job.kind().repeatable() {
-                        let late = failure == Failure::Silent && self.job.left().is_zero();
-                        let reason = if late { Reason::Late } else { Reason::Lost };
-                        return Ending::Own(Refusal::new(reason));
+                    if failure.may_have_run() && !self.job.kind().repeatable() {
+                        let late = failure == Failure::TimedOut && self.job.time_left().is_zero();
+                        let reason = if late {
+                            Reason::TimedOut
+                        } else {
+                            Reason::OutcomeUnknown
+                        };
+                        return Reply::Refused(Refusal::new(reason));
                     }
-                    if unsent > UNSENT || !self.again(failure.ran()) {
-                        return Ending::Own(self.spent());
+                    if unsent > MAX_UNSENT_ATTEMPTS || !self.try_retry(failure.may_have_run()) {
+                        return Reply::Refused(self.exhausted());
                     }
                 }
             }
         }
     }
 
-    /// What an endpoint's head leads to; nothing if the request is sent again.
-    async fn take(&mut self, sent: Sent<D>) -> Option<Ending<D>> {
-        let status = sent.response.status();
-        if sent.unrun() {
-            self.decline(sent).await;
-            return self.again_or_spent();
+    /// Turns an endpoint's response into the reply; `None` if the request is to be retried.
+    async fn handle_response(&mut self, exchange: Exchange<D>) -> Option<Reply<D>> {
+        let status = exchange.response.status();
+        if exchange.not_run() {
+            self.end_refused(exchange).await;
+            return self.retry_or_refuse();
         }
-        self.ran += 1;
+        self.possible_runs += 1;
         let stream = self.job.kind().stream().is_some() && status == StatusCode::OK;
         if stream {
-            return Some(Ending::Live(Box::new(Live::new(sent))));
+            return Some(Reply::Events(Box::new(EventSource::new(exchange))));
         }
         let repeat = status.is_server_error() && self.job.kind().repeatable();
-        let told = sent.told.clone();
-        let Some(answer) = self.whole(sent).await else {
-            self.story.failed("the answer broke off", true);
+        let info = exchange.info.clone();
+        let Some(response) = self.read_complete(exchange).await else {
+            self.log
+                .record_failure("response was cut off before its end", true);
             if !self.job.kind().repeatable() {
-                return Some(Ending::Own(Refusal::new(Reason::Lost)));
+                return Some(Reply::Refused(Refusal::new(Reason::OutcomeUnknown)));
             }
-            return self.again_or_spent();
+            return self.retry_or_refuse();
         };
-        if repeat && told.sealed && self.job.left() > Duration::ZERO && self.again(true) {
-            self.story.failed(&format!("status {status}"), true);
+        if repeat && info.sealed && self.job.time_left() > Duration::ZERO && self.try_retry(true) {
+            self.log.record_failure(&format!("status {status}"), true);
             return None;
         }
-        Some(Ending::Whole(answer))
+        Some(Reply::Complete(response))
     }
 
-    /// Reads an answer to its end; nothing if it broke off.
-    async fn whole(&mut self, sent: Sent<D>) -> Option<Response<Bytes>> {
-        let Sent {
+    /// Reads a response completely; `None` if it was cut off or exceeds the size limit.
+    async fn read_complete(&mut self, exchange: Exchange<D>) -> Option<Response<Bytes>> {
+        let Exchange {
             conn,
             response,
-            told,
-            held,
-        } = sent;
+            info,
+            reservation,
+        } = exchange;
         let (mut parts, body) = response.into_parts();
-        let body = http_body_util::Limited::new(body, GATHERED).collect();
-        let body = timeout(self.job.left(), body).await;
+        let body = http_body_util::Limited::new(body, MAX_BODY_BYTES).collect();
+        let body = timeout(self.job.time_left(), body).await;
         let Ok(Ok(body)) = body else {
-            held.end(Outcome::Failed, None);
+            reservation.end(Outcome::Failed, None);
             return None;
         };
-        held.end(Outcome::Good, None);
-        if !closes(&parts.headers) {
-            self.worker.pool.keep(conn, told.idle);
+        reservation.end(Outcome::Success, None);
+        if !closes_connection(&parts.headers) {
+            self.worker.pool.put(conn, info.idle_timeout);
         }
         parts.headers = admit::returned(&parts.headers);
         Some(Response::from_parts(parts, body.to_bytes()))
     }
 
-    /// Gives up an attempt whose endpoint refused it.
-    pub(crate) async fn decline(&mut self, sent: Sent<D>) {
-        let status = sent.response.status();
-        let unrun = sent.unrun();
-        self.story
-            .failed(&refused(status, unrun, &sent.told), !unrun);
-        let outcome = declined(status, &sent.told);
-        let Sent {
+    /// Ends an attempt that the endpoint refused.
+    pub(crate) async fn end_refused(&mut self, exchange: Exchange<D>) {
+        let status = exchange.response.status();
+        let not_run = exchange.not_run();
+        self.log
+            .record_failure(&describe_refusal(status, not_run, &exchange.info), !not_run);
+        let outcome = refusal_outcome(status, &exchange.info);
+        let Exchange {
             conn,
             response,
-            told,
-            held,
-        } = sent;
-        held.end(outcome, told.culprit);
-        self.drain(conn, response, &told).await;
+            info,
+            reservation,
+        } = exchange;
+        reservation.end(outcome, info.faulty_stage);
+        self.drain_body(conn, response, &info).await;
     }
 
-    /// Reads the short body of a refusal, so that its connection can be used again.
-    async fn drain(&self, conn: Conn, response: Response<hyper::body::Incoming>, told: &Told) {
-        let closes = closes(response.headers());
-        let body = http_body_util::Limited::new(response.into_body(), SHORT).collect();
-        let read = timeout(self.job.left().min(DRAIN), body).await;
-        if matches!(read, Ok(Ok(_))) && !closes {
-            self.worker.pool.keep(conn, told.idle);
+    /// Reads the short body of a refusal, so that the connection can be reused.
+    async fn drain_body(
+        &self,
+        conn: Conn,
+        response: Response<hyper::body::Incoming>,
+        info: &ResponseInfo,
+    ) {
+        let closes_connection = closes_connection(response.headers());
+        let body = http_body_util::Limited::new(response.into_body(), MAX_DRAINED_BYTES).collect();
+        let read = timeout(self.job.time_left().min(DRAIN_TIMEOUT), body).await;
+        if matches!(read, Ok(Ok(_))) && !closes_connection {
+            self.worker.pool.put(conn, info.idle_timeout);
         }
     }
 
-    /// Nothing if the request is sent once more after an attempt that reached an endpoint, or else
-    /// the answer that ends it.
-    fn again_or_spent(&mut self) -> Option<Ending<D>> {
-        match self.again(true) {
+    /// Returns `None` if the request may be retried after an attempt that reached an endpoint,
+    /// otherwise the final reply.
+    fn retry_or_refuse(&mut self) -> Option<Reply<D>> {
+        match self.try_retry(true) {
             true => None,
-            false => Some(Ending::Own(self.spent())),
+            false => Some(Reply::Refused(self.exhausted())),
         }
     }
 
-    /// Whether the request may be sent once more; `arrived` if the last attempt counts as one
-    /// that reached an endpoint.
-    pub(crate) fn again(&mut self, arrived: bool) -> bool {
-        self.arrived |= arrived;
-        if self.ran >= self.job.route().attempts {
+    /// Returns whether the request may be retried, and takes the retry from the budget. `reached`
+    /// tells whether the last attempt counts as one that reached an endpoint; retries before that
+    /// are free.
+    pub(crate) fn try_retry(&mut self, reached: bool) -> bool {
+        self.reached |= reached;
+        if self.possible_runs >= self.job.route().max_attempts {
             return false;
         }
-        if !self.arrived {
+        if !self.reached {
             return true;
         }
         let service = self.job.service().name.clone();
-        let granted = self.worker.steer(|steer, now| steer.again(now, &service));
+        let granted = self
+            .worker
+            .with_selector(|selector, now| selector.try_retry(now, &service));
         if granted {
-            crate::stats::add(&self.worker.stats.again);
+            crate::stats::increment(&self.worker.stats.retries);
         } else {
-            self.story
-                .note("the budget for further attempts is used up");
+            self.log
+                .set_reason("the budget for further attempts is used up");
         }
         granted
     }
 
-    /// A target, after a wait for room if it must be; `patience` bounds the wait.
-    pub(crate) async fn target(
+    /// Selects a target and reserves its capacity. Waits for free capacity for up to `max_wait`, or
+    /// a fraction of the route's latency target.
+    pub(crate) async fn acquire_target(
         &mut self,
-        patience: Option<Duration>,
+        max_wait: Option<Duration>,
     ) -> Result<steer::target::Target, Shortage> {
-        let begun = tokio::time::Instant::now();
-        let usual = self.job.route().target.mul_f64(PATIENCE);
-        let patience = patience.unwrap_or(usual).min(self.job.left());
+        let started = tokio::time::Instant::now();
+        let default_wait = self
+            .job
+            .route()
+            .latency_target
+            .mul_f64(MAX_QUEUE_TIME_FRACTION);
+        let max_wait = max_wait.unwrap_or(default_wait).min(self.job.time_left());
         let need = self.job.need();
         loop {
-            let found =
-                self.find(|steer, now, service, tried| steer.target(now, service, &need, tried));
-            let shortage = match found {
+            let selected = self.query_untried(|selector, now, service, tried| {
+                selector.select(now, service, &need, tried)
+            });
+            let shortage = match selected {
                 Ok(target) => {
-                    self.worker.metrics.queue(begun.elapsed());
+                    self.worker.metrics.record_queue_time(started.elapsed());
                     return Ok(target);
                 }
                 Err(shortage) => shortage,
             };
-            let waited = begun.elapsed();
-            if shortage == Shortage::Size || waited >= patience {
+            let waited = started.elapsed();
+            if shortage == Shortage::Size || waited >= max_wait {
                 return Err(shortage);
             }
-            self.worker.freed(patience - waited).await;
+            self.worker.wait_for_capacity(max_wait - waited).await;
         }
     }
 
-    /// Whether the request could go on elsewhere now. An answer that is only silent is not given up
-    /// before that: the endpoint may still go on, and a caller whose answer is cut has nothing.
-    pub(crate) fn could_move(&self) -> bool {
-        self.ran + 1 < self.job.route().attempts && self.could_move_on()
+    /// Returns whether the request could be retried on another endpoint now. An attempt that is
+    /// merely idle is not abandoned before that: its endpoint may still continue, while a caller
+    /// whose response is cut off has nothing.
+    pub(crate) fn can_fail_over(&self) -> bool {
+        self.possible_runs + 1 < self.job.route().max_attempts && self.can_resume()
     }
 
-    /// The same for an answer that has begun, whose run is counted already.
-    pub(crate) fn could_move_on(&self) -> bool {
-        if !self.job.kind().repeatable() || self.ran >= self.job.route().attempts {
+    /// Like [`Self::can_fail_over`], for a response that has started and whose execution is already
+    /// counted.
+    pub(crate) fn can_resume(&self) -> bool {
+        if !self.job.kind().repeatable() || self.possible_runs >= self.job.route().max_attempts {
             return false;
         }
         let service = &self.job.service().name;
         if !self
             .worker
-            .steer(|steer, now| steer.may_again(now, service))
+            .with_selector(|selector, now| selector.can_retry(now, service))
         {
             return false;
         }
         let need = self.job.need();
-        let found = self.find(|steer, now, service, tried| steer.could(now, service, &need, tried));
-        found.is_ok()
+        let selected = self.query_untried(|selector, now, service, tried| {
+            selector.can_select(now, service, &need, tried)
+        });
+        selected.is_ok()
     }
 
-    /// Asks for endpoints that were not tried, or else for any.
-    fn find<T>(
+    /// Runs a query for endpoints that were not tried yet; if there are none, for all endpoints.
+    fn query_untried<T>(
         &self,
-        ask: impl Fn(&mut Steer, Now, ServiceId, &[catalog::endpoint::Run]) -> steer::Result<T>,
+        query: impl Fn(
+            &mut Selector,
+            Timestamp,
+            ServiceId,
+            &[catalog::endpoint::Run],
+        ) -> steer::Result<T>,
     ) -> steer::Result<T> {
-        let service = self.service_now()?;
+        let service = self.current_service()?;
         let tried = &self.tried;
         self.worker
-            .steer(|steer, now| match ask(steer, now, service, tried) {
-                Err(_) if !tried.is_empty() => ask(steer, now, service, &[]),
+            .with_selector(|selector, now| match query(selector, now, service, tried) {
+                Err(_) if !tried.is_empty() => query(selector, now, service, &[]),
                 found => found,
             })
     }
 
-    /// The id of the job's service in the catalog that is in force now, which may be a later one
-    /// than the job's own.
-    pub(crate) fn service_now(&self) -> steer::Result<ServiceId> {
+    /// Returns the id of the job's service in the catalog that is in force, which may be newer than
+    /// the job's own.
+    pub(crate) fn current_service(&self) -> steer::Result<ServiceId> {
         let name = &self.job.service().name;
         let now = self.worker.view();
         let catalog = now.as_ref().map(|v| &v.fleet.catalog);
@@ -335,79 +367,84 @@
         }
     }
 
-    /// Longest wait for an answer's head.
-    fn head_limit(&self) -> Duration {
-        let left = self.job.left();
-        let last = self.ran + 1 >= self.job.route().attempts;
+    /// Returns the maximum wait for the head of a response.
+    fn head_timeout(&self) -> Duration {
+        let time_left = self.job.time_left();
+        let last = self.possible_runs + 1 >= self.job.route().max_attempts;
         match self.job.kind() {
-            Kind::Idempotent if !last => left.min(self.job.route().target.mul_f64(SLOW)),
-            _ => left,
+            Kind::Idempotent if !last => {
+                time_left.min(self.job.route().latency_target.mul_f64(HEAD_TIMEOUT_FACTOR))
+            }
+            _ => time_left,
         }
     }
 
-    /// The reason when the time is over.
-    fn over(&self) -> Reason {
-        match self.ran {
-            0 => Reason::Expired,
-            _ => Reason::Late,
+    /// Returns the reason of a refusal after the deadline.
+    fn timeout_reason(&self) -> Reason {
+        match self.possible_runs {
+            0 => Reason::ExpiredNotRun,
+            _ => Reason::TimedOut,
         }
     }
 
-    /// The answer when no further attempt is made.
-    fn spent(&self) -> Refusal {
-        match self.ran {
-            0 => Refusal::after(Reason::Unavailable, spread(AFTER_FULL)),
-            _ if self.job.left().is_zero() => Refusal::new(Reason::Late),
-            _ => Refusal::new(Reason::Lost),
+    /// Returns the refusal when no further attempt is made.
+    fn exhausted(&self) -> Refusal {
+        match self.possible_runs {
+            0 => Refusal::with_retry_after(Reason::Unavailable, jitter(RETRY_AFTER_FULL)),
+            _ if self.job.time_left().is_zero() => Refusal::new(Reason::TimedOut),
+            _ => Refusal::new(Reason::OutcomeUnknown),
         }
     }
 
-    /// The answer when no endpoint can take it.
-    fn short(&mut self, shortage: Shortage) -> Refusal {
-        self.story.note(shortage.word());
-        let scarcity = self
-            .service_now()
-            .map(|service| self.worker.steer(|steer, now| steer.scarcity(now, service)));
-        self.story.short(shortage, &scarcity.unwrap_or_default());
-        if self.ran > 0 {
-            return Refusal::new(Reason::Lost);
+    /// Records a shortage and returns the refusal when no endpoint can take the request.
+    fn refuse_for_shortage(&mut self, shortage: Shortage) -> Refusal {
+        self.log.set_reason(shortage.as_str());
+        let scarcity = self.current_service().map(|service| {
+            self.worker
+                .with_selector(|selector, now| selector.scarcity(now, service))
+        });
+        self.log
+            .record_shortage(shortage, &scarcity.unwrap_or_default());
+        if self.possible_runs > 0 {
+            return Refusal::new(Reason::OutcomeUnknown);
         }
-        let after = match shortage {
-            Shortage::Room => AFTER_FULL,
-            Shortage::Endpoints | Shortage::Layers => AFTER_GONE,
-            Shortage::Size => AFTER_SIZE,
+        let base = match shortage {
+            Shortage::Capacity => RETRY_AFTER_FULL,
+            Shortage::Endpoints | Shortage::Layers => RETRY_AFTER_MISSING,
+            Shortage::Size => RETRY_AFTER_TOO_LARGE,
         };
-        Refusal::after(Reason::Unavailable, spread(after))
+        Refusal::with_retry_after(Reason::Unavailable, jitter(base))
     }
 }
 
-/// A refusal in words, with the stage that the head of a chain names.
-fn refused(status: StatusCode, unrun: bool, told: &Told) -> String {
-    let run = if unrun { ", not run" } else { "" };
-    let culprit = told.culprit.map(|c| format!(", for {c}"));
+/// Describes a refusal for the log, with the faulty stage that the head of a chain reported.
+fn describe_refusal(status: StatusCode, not_run: bool, info: &ResponseInfo) -> String {
+    let run = if not_run { ", not run" } else { "" };
+    let stage = info.faulty_stage.map(|c| format!(", for {c}"));
     format!(
         "status {}{run}{}",
         status.as_u16(),
-        culprit.unwrap_or_default()
+        stage.unwrap_or_default()
     )
 }
 
-/// What a refusal says of the endpoint that it is about.
-fn declined(status: StatusCode, told: &Told) -> Outcome {
+/// Returns what a refusal implies for the health of the endpoint.
+fn refusal_outcome(status: StatusCode, info: &ResponseInfo) -> Outcome {
     match status {
-        StatusCode::MISDIRECTED_REQUEST => Outcome::Elsewhere,
-        _ if told.culprit.is_some() => Outcome::Named,
+        StatusCode::MISDIRECTED_REQUEST => Outcome::Misdirected,
+        _ if info.faulty_stage.is_some() => Outcome::Missing,
         _ => Outcome::Full,
     }
 }
 
-/// Spreads the return of callers that were refused together over once to twice the time.
-pub(crate) fn spread(after: Duration) -> Duration {
-    after.mul_f64(rand::rng().random_range(1.0..2.0))
+/// Spreads the retries of callers that are refused together: returns one to two times `after`, at
+/// random.
+pub(crate) fn jitter(base: Duration) -> Duration {
+    base.mul_f64(rand::rng().random_range(1.0..2.0))
 }
 
-/// Whether an endpoint closes the connection after its answer.
-pub(crate) fn closes(headers: &http::HeaderMap) -> bool {
+/// Returns whether the endpoint closes the connection after its response.
+pub(crate) fn closes_connection(headers: &http::HeaderMap) -> bool {
     let values = headers.get_all(http::header::CONNECTION).iter();
     let mut values = values.filter_map(|v| v.to_str().ok());
     values.any(|v| v.to_ascii_lowercase().contains("close"))
--- /dev/null
+++ b/crates/gate/src/forward/request_log.rs
@@ -0,0 +1,182 @@
+//! Log and metrics of one request.
+
+use crate::job::Job;
+use crate::metrics::Metrics;
+use crate::refusal::Refusal;
+use journal::Journal;
+use journal::event::Event;
+use std::net::SocketAddr;
+use steer::scarcity::Scarcity;
+use steer::shortage::Shortage;
+use steer::target::{Stage, Target};
+use tokio::time::Instant;
+
+/// Records the events of one request. If it is dropped before the end, it records that the caller
+/// left.
+pub(crate) struct RequestLog {
+    journal: Journal,
+    metrics: Metrics,
+    id: String,
+    route: String,
+    catalog_version: u64,
+    received_at: Instant,
+    first_event: Option<Instant>,
+    attempts: u32,
+    reason: &'static str,
+    max_pause: std::time::Duration,
+    /// When the last event was sent to the caller.
+    last_event: Option<Instant>,
+    ended: bool,
+}
+
+impl RequestLog {
+    pub(crate) fn new(journal: Journal, metrics: Metrics, job: &Job) -> Self {
+        Self {
+            journal,
+            metrics,
+            id: job.id().to_owned(),
+            route: job.route().name.clone(),
+            catalog_version: job.catalog.version,
+            received_at: job.received_at,
+            first_event: None,
+            attempts: 0,
+            reason: "",
+            max_pause: std::time::Duration::ZERO,
+            last_event: None,
+            ended: false,
+        }
+    }
+
+    /// Sets the reason that is recorded at the request's end.
+    pub(crate) fn set_reason(&mut self, reason: &'static str) {
+        self.reason = reason;
+    }
+
+    /// Records that an attempt was sent.
+    pub(crate) fn record_sent(&mut self, target: &Target, crossings: u32) {
+        self.attempts += 1;
+        self.metrics.record_attempt("sent");
+        self.journal.record(Event::Sent {
+            id: self.id.clone(),
+            attempt: self.attempts,
+            stages: stage_list(&target.stages),
+            crossings,
+            catalog: self.catalog_version,
+        });
+    }
+
+    /// Records that a stage of the current attempt was replaced.
+    pub(crate) fn record_reroute(&self, replaced: SocketAddr, stages: &[Stage], crossings: u32) {
+        self.metrics.record_attempt("stage replaced");
+        self.journal.record(Event::Detour {
+            id: self.id.clone(),
+            attempt: self.attempts,
+            culprit: replaced.to_string(),
+            stages: stage_list(stages),
+            crossings,
+            after_ms: self.received_at.elapsed().as_millis() as u64,
+        });
+    }
+
+    /// Records that no endpoint could take the request.
+    pub(crate) fn record_shortage(&self, shortage: Shortage, scarcity: &Scarcity) {
+        let percent = |fraction: f64| (fraction * 100.0).round() as u64;
+        self.journal.record(Event::Short {
+            id: self.id.clone(),
+            shortage: shortage.as_str(),
+            known: scarcity.known,
+            open: scarcity.available,
+            layer: scarcity.layer,
+            free_percent: percent(scarcity.free),
+            pipe_percent: percent(scarcity.link),
+            age_ms: scarcity.age.as_millis() as u64,
+            catalog: self.catalog_version,
+        });
+    }
+
+    /// Records that an attempt failed.
+    pub(crate) fn record_failure(&self, why: &str, ran: bool) {
+        self.metrics
+            .record_attempt(if ran { "failed" } else { "not run" });
+        self.journal.record(Event::Failed {
+            id: self.id.clone(),
+            attempt: self.attempts,
+            why: why.to_owned(),
+            ran,
+            after_ms: self.received_at.elapsed().as_millis() as u64,
+        });
+    }
+
+    /// Records that the response's head and first event were sent to the caller.
+    pub(crate) fn record_first_event(&mut self) {
+        self.first_event = Some(Instant::now());
+        self.last_event = self.first_event;
+        self.metrics.record_first_event(self.received_at.elapsed());
+    }
+
+    /// Records that a further event was sent to the caller. The pause is measured between the
+    /// caller's events, also if the response was resumed from another endpoint meanwhile.
+    pub(crate) fn record_event(&mut self) {
+        let pause = self.last_event.unwrap_or(self.received_at).elapsed();
+        self.max_pause = self.max_pause.max(pause);
+        self.last_event = Some(Instant::now());
+        self.metrics.record_pause(pause);
+    }
+
+    /// Ends the log of a request that the node refused or failed.
+    pub(crate) fn end_refused(&mut self, refusal: Refusal) {
+        let why = match self.reason {
+            "" => refusal.reason.message().to_owned(),
+            detail => format!("{}: {detail}", refusal.reason.message()),
+        };
+        self.end(refusal.reason.status().as_u16(), "refused", why);
+    }
+
+    /// Ends the log of a request whose response was sent completely.
+    pub(crate) fn end_answered(&mut self, status: u16) {
+        self.end(status, "answered", String::new());
+    }
+
+    /// Ends the log of a request whose response was cut off after it had started.
+    pub(crate) fn end_truncated(&mut self) {
+        let why = self.reason.to_owned();
+        self.end(200, "broken off", why);
+    }
+
+    fn end(&mut self, status: u16, outcome: &'static str, why: String) {
+        self.ended = true;
+        let head_sent = self.first_event.unwrap_or_else(Instant::now);
+        self.metrics
+            .record_request(outcome, status, self.received_at.elapsed());
+        self.journal.record(Event::Ended {
+            id: std::mem::take(&mut self.id),
+            route: std::mem::take(&mut self.route),
+            status,
+            outcome,
+            why,
+            attempts: self.attempts,
+            head_ms: (head_sent - self.received_at).as_millis() as u64,
+            all_ms: self.received_at.elapsed().as_millis() as u64,
+            pause_ms: self.max_pause.as_millis() as u64,
+            quiet_ms: self
+                .last_event
+                .unwrap_or(self.received_at)
+                .elapsed()
+                .as_millis() as u64,
+        });
+    }
+}
+
+impl Drop for RequestLog {
+    fn drop(&mut self) {
+        if !self.ended {
+            self.end(0, "left", "the caller left".to_owned());
+        }
+    }
+}
+
+fn stage_list(stages: &[Stage]) -> String {
+    let stages = stages.iter();
+    let stages: Vec<_> = stages.map(|s| format!("{}={}", s.run, s.span)).collect();
+    stages.join(",")
+}
--- /dev/null
+++ b/crates/gate/src/forward/stall.rs
@@ -0,0 +1,198 @@
+//! Handles responses that stall.
+//!
+//! The head of a chain knows which stage its requests wait for, so a node that receives no data
+//! asks it. A stage that the head reports is replaced in the chain in flight, which costs only the
+//! prefill of the tokens so far on the new stage and no further attempt. A head that does not
+//! respond is abandoned. A response that is merely slow is left alone, because a retry would double
+//! the load when the fleet is overloaded.
+
+use super::Forwarder;
+use super::attempt::Reservation;
+use crate::dialect::{Dialect, RerouteOutcome, StatusReport};
+use crate::worker::Worker;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use steer::Selector;
+use steer::target::Target;
+use tokio::time::{Instant, timeout};
+
+/// Idle time before the first event after which the head is queried.
+pub(crate) const FIRST_EVENT_PROBE_DELAY: Duration = Duration::from_millis(350);
+/// Idle time between two events after which the head is queried.
+pub(crate) const NEXT_EVENT_PROBE_DELAY: Duration = Duration::from_millis(260);
+/// Time until the head is queried again. Slightly longer than the age of a status report, so that
+/// the next report is a newer one.
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(220);
+/// Timeout of a status report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Age up to which a status report is reused for other requests of the same head.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(100);
+/// Idle time after which an unresponsive head is abandoned. A lost packet is retransmitted within
+/// this time.
+const UNRESPONSIVE_HEAD_TIMEOUT: Duration = Duration::from_millis(550);
+/// Idle time after which a response is abandoned although no fault is known. Callers leave after
+/// two seconds, and another chain needs part of that time.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(1500);
+
+/// Maximum number of stages of one chain that are replaced in a row.
+const MAX_REPLACED_STAGES: usize = 4;
+
+/// Result of assessing an idle response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Verdict {
+    /// The response may continue.
+    Wait,
+    /// The response is abandoned, for this reason.
+    Abandon(&'static str),
+}
+
+/// The status report of an engine and when it was received; `None` if the engine did not respond.
+#[derive(Clone, Debug)]
+pub(crate) struct CachedReport {
+    received_at: Instant,
+    report: Option<Rc<StatusReport>>,
+}
+
+impl<D: Dialect> Worker<D> {
+    /// Returns the status report of an engine, from the cache if it is younger than
+    /// [`MAX_REPORT_AGE`].
+    async fn cached_report(&self, addr: SocketAddr) -> Option<Rc<StatusReport>> {
+        let cached = self.status_reports.borrow().get(&addr).cloned();
+        let is_fresh = cached
+            .as_ref()
+            .is_some_and(|c| c.received_at.elapsed() < MAX_REPORT_AGE);
+        let report = cached.and_then(|c| c.report);
+        if is_fresh {
+            return report;
+        }
+        // Concurrent requests use the old report instead of querying the engine as well.
+        self.cache_report(addr, report);
+        let received = timeout(REPORT_TIMEOUT, self.dialect.status_report(addr)).await;
+        let report = received.ok().flatten().map(Rc::new);
+        self.cache_report(addr, report.clone());
+        report
+    }
+
+    fn cache_report(&self, addr: SocketAddr, report: Option<Rc<StatusReport>>) {
+        let received_at = Instant::now();
+        let cached = CachedReport {
+            received_at,
+            report,
+        };
+        self.status_reports.borrow_mut().insert(addr, cached);
+    }
+}
+
+impl<D: Dialect> Forwarder<D> {
+    /// Asks the head of an idle response what it waits for. Cancelling it has no effect, so that an
+    /// event that arrives meanwhile is forwarded at once.
+    pub(crate) async fn query_head(&self, target: &Target) -> Option<Rc<StatusReport>> {
+        match target.head().span.is_empty() {
+            true => None,
+            false => self.worker.cached_report(target.head().addr).await,
+        }
+    }
+
+    /// Decides about a response that has been idle for `idle`, based on the status report of its
+    /// head.
+    pub(crate) async fn assess(
+        &self,
+        reservation: &mut Reservation<D>,
+        report: Option<Rc<StatusReport>>,
+        idle: Duration,
+    ) -> Verdict {
+        let chain = !reservation.target.head().span.is_empty();
+        if !chain && self.job.kind().stream().is_none() {
+            return Verdict::Wait;
+        }
+        if idle > MAX_IDLE_TIME {
+            return Verdict::Abandon("idle for too long");
+        }
+        let Some(report) = report else {
+            return match chain && idle > UNRESPONSIVE_HEAD_TIMEOUT {
+                true => Verdict::Abandon("head of the chain is unresponsive"),
+                false => Verdict::Wait,
+            };
+        };
+        let stall = report.stalls.iter().find(|s| s.request == self.job.id());
+        match stall {
+            Some(stall) => self.replace_blocked(reservation, stall.blocked_on).await,
+            None => Verdict::Wait,
+        }
+    }
+
+    /// Replaces the stage that a request is blocked on.
+    async fn replace_blocked(
+        &self,
+        reservation: &mut Reservation<D>,
+        stage: SocketAddr,
+    ) -> Verdict {
+        if !reservation.target.stages.iter().any(|s| s.addr == stage) {
+            // The report is older than the last reroute.
+            return Verdict::Wait;
+        }
+        self.worker
+            .with_selector(|selector, now| selector.report_failed(now, stage));
+        match self.replace_stages(reservation, stage).await {
+            Some(RerouteOutcome::Done) => Verdict::Wait,
+            Some(_) => Verdict::Abandon("a stage failed and the head could not replace it"),
+            None => Verdict::Abandon("a stage failed and has no replacement"),
+        }
+    }
+
+    /// Moves a response off a stage that is about to stop serving. If that fails, the response
+    /// continues on the old stages.
+    pub(crate) async fn migrate(&self, reservation: &mut Reservation<D>, stage: SocketAddr) {
+        let previous = reservation.target.stages.clone();
+        if self.replace_stages(reservation, stage).await == Some(RerouteOutcome::Done) {
+            return;
+        }
+        reservation.target.stages = previous;
+        let need = self.job.need();
+        self.worker
+            .with_selector(|selector, _| selector.revert_reroute(&reservation.target, &need));
+    }
+
+    /// Replaces a stage, and further stages that the head reports as missing. Endpoints fail, and
+    /// release layers, in groups.
+    async fn replace_stages(
+        &self,
+        reservation: &mut Reservation<D>,
+        stage: SocketAddr,
+    ) -> Option<RerouteOutcome> {
+        let mut outcome = self.replace_stage(reservation, stage).await?;
+        for _ in 1..MAX_REPLACED_STAGES {
+            let RerouteOutcome::Missing(next) = outcome else {
+                break;
+            };
+            self.worker
+                .with_selector(|selector, now| selector.report_missing(now, next));
+            outcome = self.replace_stage(reservation, next).await?;
+        }
+        Some(outcome)
+    }
+
+    /// Selects another endpoint for a stage and orders the head to continue over it; `None` if no
+    /// endpoint is available.
+    async fn replace_stage(
+        &self,
+        reservation: &mut Reservation<D>,
+        stage: SocketAddr,
+    ) -> Option<RerouteOutcome> {
+        let need = self.job.need();
+        let service = self.current_service();
+        let target = &reservation.target;
+        let reroute =
+            |selector: &mut Selector, now| selector.reroute(now, target, service?, &need, stage);
+        let stages = self.worker.with_selector(reroute).ok()?;
+        let crossings = self.crossings(&stages);
+        self.log.record_reroute(stage, &stages, crossings);
+        reservation.target.stages = stages;
+        let outcome = self
+            .worker
+            .dialect
+            .reroute(self.job.id(), &reservation.target.stages);
+        Some(outcome.await)
+    }
+}
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -1,6 +1,6 @@
-//! A request that was admitted.
+//! Admitted requests.
 
-use crate::dialect::Ask;
+use crate::dialect::RequestInfo;
 use bytes::Bytes;
 use catalog::Catalog;
 use catalog::engine::Size;
@@ -14,80 +14,80 @@
 use steer::chain::Need;
 use tokio::time::Instant;
 
-/// Rank of urgent requests.
-const URGENT: u8 = 0;
-/// Part by which an answer may be longer than its caller expects before room runs short: the
-/// estimate is right at the median only.
-const MARGIN: f64 = 1.25;
+/// Priority at which requests count as urgent.
+const URGENT_PRIORITY: u8 = 0;
+/// Factor applied to the caller's estimate of the output length when capacity is reserved: the
+/// estimate is accurate at the median only, and longer outputs would run out of capacity.
+const OUTPUT_LENGTH_MARGIN: f64 = 1.25;
 
-/// A request on its way.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Job {
-    /// What its head says.
-    pub ask: Ask,
-    /// The catalog that admitted it.
+    /// Metadata from the request's headers.
+    pub info: RequestInfo,
+    /// The catalog under which the request was admitted.
     pub catalog: Arc<Catalog>,
-    /// Its route.
+    /// Route of the request in `catalog`.
     pub route: RouteId,
-    /// The service that was drawn for it.
+    /// Service selected from the route's traffic split.
     pub service: ServiceId,
     /// Name of the caller's team.
     pub team: Option<String>,
-    /// Rank, 0 first.
-    pub rank: u8,
-    /// Its method.
+    /// Priority, 0 first.
+    pub priority: u8,
+    /// Request method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Headers that are passed on.
+    /// Headers that are forwarded to the endpoint.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When it came.
-    pub came: Instant,
-    /// When its time is over: the caller's, or the route's if that is shorter.
-    pub until: Instant,
+    /// Arrival time.
+    pub received_at: Instant,
+    /// Deadline: the caller's timeout, or the route's if that is shorter.
+    pub deadline: Instant,
 }
 
 impl Job {
-    /// Its route.
+    /// Returns the route.
     pub fn route(&self) -> &Route {
         &self.catalog.routes[self.route as usize]
     }
 
-    /// Its service.
+    /// Returns the service.
     pub fn service(&self) -> &Service {
         &self.catalog.services[self.service as usize]
     }
 
-    /// What may be repeated.
+    /// Returns the kind of the route, which defines whether requests may be repeated.
     pub fn kind(&self) -> Kind {
         self.route().kind
     }
 
-    /// Its id; empty if it has none.
+    /// Returns the request id; empty if the caller sent none.
     pub fn id(&self) -> &str {
-        self.ask.id.as_deref().unwrap_or_default()
+        self.info.id.as_deref().unwrap_or_default()
     }
 
-    /// Time that is left.
-    pub fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    /// Returns the time until the deadline; zero once it has passed.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What it needs of a chain.
+    /// Returns the size and urgency by which a chain is selected.
     pub fn need(&self) -> Need {
-        let usual = self.service().engine.as_ref().map(|e| e.usual);
-        let usual = usual.unwrap_or_default();
-        let asked = self.ask.size.unwrap_or(usual);
-        let expected = self.ask.expected.unwrap_or(usual.answer);
-        let expected = (f64::from(expected) * MARGIN) as u32;
+        let typical = self.service().engine.as_ref().map(|e| e.typical_size);
+        let typical = typical.unwrap_or_default();
+        let requested = self.info.size.unwrap_or(typical);
+        let expected = self.info.expected_output.unwrap_or(typical.answer);
+        let expected = (f64::from(expected) * OUTPUT_LENGTH_MARGIN) as u32;
         Need {
             size: Size {
-                prompt: asked.prompt,
-                answer: expected.min(asked.answer),
+                prompt: requested.prompt,
+                answer: expected.min(requested.answer),
             },
-            urgent: self.rank == URGENT,
+            urgent: self.priority == URGENT_PRIORITY,
         }
     }
 }
--- a/crates/gate/src/refusal.rs
+++ b/crates/gate/src/refusal.rs
@@ -1,104 +1,106 @@
-//! Answers that the node gives by itself.
+//! Error responses that the node generates itself.
 
-use crate::answer::{self, Answer};
+use crate::body::{self, Body};
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 use std::time::Duration;
 
-/// Why a node answers by itself.
+/// Why the node refuses a request or fails it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// No catalog is known yet.
+    /// The node has no catalog yet.
     NoCatalog,
-    /// No route has the host and path.
+    /// No route matches the host and path.
     NoRoute,
     /// No team has the key.
-    NoKey,
-    /// The body is over its bound.
-    Large,
-    /// The request can't be read.
+    UnknownKey,
+    /// The body exceeds the size limit.
+    BodyTooLarge,
+    /// The request is malformed.
     Malformed,
-    /// This node is about to end.
+    /// This node is shutting down.
     Leaving,
-    /// No endpoint can take the request now, and it has not run.
+    /// No endpoint can take the request now, and it was not executed.
     Unavailable,
-    /// The request was lost on its way, and may have run.
-    Lost,
-    /// The time is over, and the request may have run.
-    Late,
-    /// The time is over, and the request has not run.
-    Expired,
+    /// The attempt failed, and the request may have been executed.
+    OutcomeUnknown,
+    /// The deadline passed, and the request may have been executed.
+    TimedOut,
+    /// The deadline passed, and the request was not executed.
+    ExpiredNotRun,
 }
 
 impl Reason {
-    /// Its status. 503 says that the request has not run and will not.
+    /// Returns the HTTP status. 503 guarantees that the request was not and will not be executed.
     pub fn status(self) -> StatusCode {
         match self {
-            Self::NoCatalog | Self::Leaving | Self::Unavailable | Self::Expired => {
+            Self::NoCatalog | Self::Leaving | Self::Unavailable | Self::ExpiredNotRun => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoKey => StatusCode::UNAUTHORIZED,
-            Self::Large => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::UnknownKey => StatusCode::UNAUTHORIZED,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Malformed => StatusCode::BAD_REQUEST,
-            Self::Lost => StatusCode::BAD_GATEWAY,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
+            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Its words.
+    /// Returns the error message in the response body.
     pub fn message(self) -> &'static str {
         match self {
             Self::NoCatalog => "no catalog is known yet",
             Self::NoRoute => "no route has this host and path",
-            Self::NoKey => "the key is unknown",
-            Self::Large => "the body is too large",
+            Self::UnknownKey => "the key is unknown",
+            Self::BodyTooLarge => "the body is too large",
             Self::Malformed => "the request can't be read",
             Self::Leaving => "this node is about to end",
             Self::Unavailable => "no endpoint can take the request now",
-            Self::Lost => "the connection to the endpoint broke; the request may have run",
-            Self::Late => "the time is over; the request may have run",
-            Self::Expired => "the time is over; the request has not run",
+            Self::OutcomeUnknown => {
+                "the connection to the endpoint broke; the request may have run"
+            }
+            Self::TimedOut => "the time is over; the request may have run",
+            Self::ExpiredNotRun => "the time is over; the request has not run",
         }
     }
 }
 
-/// A node's own answer.
+/// An error response of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused or failed.
     pub reason: Reason,
-    /// When to come back.
-    pub after: Option<Duration>,
+    /// Value of the `Retry-After` header.
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal without a time to come back.
+    /// Creates a refusal without `Retry-After`.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
-            after: None,
+            retry_after: None,
         }
     }
 
-    /// A refusal with a time to come back.
-    pub fn after(reason: Reason, after: Duration) -> Self {
+    /// Creates a refusal with `Retry-After`.
+    pub fn with_retry_after(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
-            after: Some(after),
+            retry_after: Some(retry_after),
         }
     }
 
-    /// The answer.
-    pub fn response<S>(self) -> Response<Answer<S>> {
+    /// Returns the HTTP response.
+    pub fn response<S>(self) -> Response<Body<S>> {
         let body = serde_json::json!({ "error": self.reason.message() }).to_string();
-        let mut response = Response::new(answer::whole(body));
+        let mut response = Response::new(body::full(body));
         *response.status_mut() = self.reason.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let after = self.after.map(|a| format!("{:.3}", a.as_secs_f64()));
-        if let Some(after) = after.and_then(|a| HeaderValue::try_from(a).ok()) {
-            headers.insert(RETRY_AFTER, after);
+        let seconds = self.retry_after.map(|a| format!("{:.3}", a.as_secs_f64()));
+        if let Some(value) = seconds.and_then(|a| HeaderValue::try_from(a).ok()) {
+            headers.insert(RETRY_AFTER, value);
         }
         response
     }
--- a/crates/gate/src/stats.rs
+++ b/crates/gate/src/stats.rs
@@ -1,38 +1,40 @@
-//! What a worker counts for itself and its dump; what operators collect is in the metrics.
+//! Counters of a worker that are shown in the state dump. Those that operators monitor are in
+//! [`crate::metrics`].
 
 use std::cell::Cell;
 use std::fmt;
 
-/// Counters; a worker's own thread alone counts.
+/// Counters of one worker, updated by its own thread only.
 #[derive(Debug, Default)]
 pub struct Stats {
-    /// Attempts beyond the first.
-    pub again: Cell<u64>,
-    /// Connections made to endpoints.
-    pub dialed: Cell<u64>,
-    /// Findings about endpoints that control was too busy to take.
-    pub untold: Cell<u64>,
+    /// Attempts beyond a request's first.
+    pub retries: Cell<u64>,
+    /// Connections that were opened to endpoints.
+    pub connects: Cell<u64>,
+    /// State transitions of endpoints that were not reported because the control task's queue was
+    /// full.
+    pub dropped_transitions: Cell<u64>,
     /// Requests in flight.
-    pub flying: Cell<u64>,
+    pub in_flight: Cell<u64>,
 }
 
-/// Adds one.
-pub fn add(counter: &Cell<u64>) {
+/// Increments a counter.
+pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-/// Takes one away.
-pub fn sub(counter: &Cell<u64>) {
+/// Decrements a counter, down to zero.
+pub fn decrement(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_sub(1));
 }
 
 impl fmt::Display for Stats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let rows = [
-            ("again", &self.again),
-            ("dialed", &self.dialed),
-            ("untold", &self.untold),
-            ("flying", &self.flying),
+            ("again", &self.retries),
+            ("dialed", &self.connects),
+            ("untold", &self.dropped_transitions),
+            ("flying", &self.in_flight),
         ];
         rows.iter()
             .try_for_each(|(name, cell)| writeln!(f, "{name} {}", cell.get()))
--- a/crates/gate/src/worker.rs
+++ b/crates/gate/src/worker.rs
@@ -1,17 +1,17 @@
-//! One request worker: its state, and the way of a request through it.
+//! State of a request worker, and the handling of a request from admission to response.
 
 use crate::admit;
-use crate::answer::Answer;
+use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::forward;
-use crate::forward::look::Known;
+use crate::forward::stall::CachedReport;
 use crate::job::Job;
 use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::refusal::{Reason, Refusal};
 use crate::splice::Chunk;
 use crate::stats::{self, Stats};
-use crate::view::{Board, View};
+use crate::view::{SharedView, View};
 use futures::Stream;
 use http::{Request, Response};
 use hyper::body::Incoming;
@@ -24,53 +24,55 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use steer::Steer;
+use steer::Selector;
 use steer::budget::Allowance;
 use steer::health::Outcome;
-use steer::note::Note;
-use steer::target::Hold;
+use steer::target::ReservationId;
+use steer::transition::Transition;
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Time to come back for a caller whose node is about to end: another node takes the request at
-/// once.
-const ELSEWHERE: Duration = Duration::from_millis(50);
-/// Time to come back for a caller whose node knows no catalog yet. A node that starts beside others
-/// has theirs before callers are sent to it, so the others know none either: all have started anew
-/// while the store is out, which lasts for seconds, and most callers come back only once.
-const BLIND: Duration = Duration::from_millis(1500);
+/// Retry-after delay when this node is about to end. It is short because another node can take the
+/// request at once.
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Retry-after delay when this node has no catalog. A node that starts while others run gets their
+/// catalog before callers are sent to it. So a node without a catalog means that all nodes
+/// restarted while the store was unavailable, which lasts for seconds. The delay has to cover that,
+/// since most callers retry only once.
+const NO_CATALOG_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time from the start in which requests wait for the first catalog. Nodes that start together read it
-/// from the store at the same time.
-const FIRST: Duration = Duration::from_millis(2000);
-/// Part of a request's time that it waits for the first catalog at the most. Callers give up what was
-/// not read within a third of it, or within a second.
-const FIRST_PART: f64 = 0.25;
-/// Longest wait for the first catalog.
-const FIRST_WAIT: Duration = Duration::from_millis(900);
+/// Time since the start during which requests wait for the first catalog. Nodes that start together
+/// read it from the store at the same time.
+const STARTUP_WAIT_WINDOW: Duration = Duration::from_millis(2000);
+/// Maximum wait for the first catalog as a fraction of the request's timeout. Callers abandon a
+/// request that was not read within a third of its timeout, or within one second.
+const MAX_CATALOG_WAIT_FRACTION: f64 = 0.25;
+/// Maximum wait for the first catalog, below the one second after which callers abandon an unread
+/// request.
+const MAX_CATALOG_WAIT: Duration = Duration::from_millis(900);
 
-/// What a worker is made of.
+/// Inputs of a worker.
 #[derive(Debug)]
 pub struct Parts<D> {
-    /// The installation's dialect.
+    /// Protocol of the installation.
     pub dialect: D,
-    /// Where control publishes.
-    pub board: Board,
-    /// Decisions are told here.
+    /// The view that the control task publishes.
+    pub shared_view: SharedView,
+    /// Log of decisions.
     pub journal: Journal,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Where control is asked for its part of a dump.
+    /// Requests to the control task for its part of the state dump.
     pub dumps: mpsc::Sender<oneshot::Sender<String>>,
-    /// Further attempts that are allowed.
+    /// Budget for retries.
     pub allowance: Allowance,
-    /// Seed of its draws.
+    /// Seed of the random number generator that selects endpoints.
     pub seed: u64,
-    /// What control is told of endpoints.
-    pub notes: mpsc::Sender<Note>,
+    /// Transitions of endpoints that are reported to the control task.
+    pub transitions: mpsc::Sender<Transition>,
 }
 
-/// The state of one worker. Only its own thread touches it.
+/// A request worker. Its state is accessed by its own thread only.
 pub struct Worker<D> {
     pub(crate) dialect: D,
     pub(crate) journal: Journal,
@@ -78,25 +80,25 @@
     pub(crate) pool: Pool,
     dumps: mpsc::Sender<oneshot::Sender<String>>,
     pub(crate) stats: Rc<Stats>,
-    board: Board,
-    notes: mpsc::Sender<Note>,
-    steer: RefCell<Steer>,
-    /// The view that `steer` follows.
+    shared_view: SharedView,
+    transitions: mpsc::Sender<Transition>,
+    selector: RefCell<Selector>,
+    /// The view that `selector` was last updated with.
     view: RefCell<Option<Arc<View>>>,
-    /// How many views it has followed.
-    views: Cell<u64>,
-    /// Set off when room may have come free.
-    freed: Notify,
-    start: Instant,
-    turn: Cell<usize>,
-    /// What heads of chains last said of their requests.
-    pub(crate) accounts: RefCell<HashMap<SocketAddr, Known>>,
-    /// Whether new requests are refused, since the process is about to end.
+    /// Number of views that `selector` was updated with.
+    view_number: Cell<u64>,
+    /// Notified when capacity may have become free.
+    capacity_freed: Notify,
+    started_at: Instant,
+    rotation: Cell<usize>,
+    /// Cached status reports of the heads of chains.
+    pub(crate) status_reports: RefCell<HashMap<SocketAddr, CachedReport>>,
+    /// Whether new requests are refused because the process is about to end.
     closing: Cell<bool>,
 }
 
 impl<D: Dialect> Worker<D> {
-    /// A worker that knows nothing yet.
+    /// Creates a worker without a view.
     pub fn new(parts: Parts<D>) -> Rc<Self> {
         let stats = Rc::new(Stats::default());
         Rc::new(Self {
@@ -106,22 +108,22 @@
             dumps: parts.dumps,
             pool: Pool::new(stats.clone()),
             stats,
-            board: parts.board,
-            notes: parts.notes,
-            steer: RefCell::new(Steer::new(parts.seed, parts.allowance)),
+            shared_view: parts.shared_view,
+            transitions: parts.transitions,
+            selector: RefCell::new(Selector::new(parts.seed, parts.allowance)),
             view: RefCell::new(None),
-            views: Cell::new(0),
-            freed: Notify::new(),
-            start: Instant::now(),
-            turn: Cell::new(0),
-            accounts: RefCell::default(),
+            view_number: Cell::new(0),
+            capacity_freed: Notify::new(),
+            started_at: Instant::now(),
+            rotation: Cell::new(0),
+            status_reports: RefCell::default(),
             closing: Cell::new(false),
         })
     }
 
-    /// Requests in flight.
-    pub fn flying(&self) -> u64 {
-        self.stats.flying.get()
+    /// Returns the number of requests in flight.
+    pub fn in_flight(&self) -> u64 {
+        self.stats.in_flight.get()
     }
 
     /// Refuses new requests from now on.
@@ -129,16 +131,17 @@
         self.closing.set(true);
     }
 
-    /// Whether callers are told that their connection ends with the answer.
+    /// Returns whether connections of callers are to be closed after the response in progress.
     pub fn leaving(&self) -> bool {
         self.closing.get() || self.view().is_some_and(|v| v.leaving)
     }
 
-    /// The newest view. What was learned from it is kept until another one is published.
+    /// Returns the current view and updates the selector if the view changed. What the selector
+    /// learned is kept until another view is published.
     pub fn view(&self) -> Option<Arc<View>> {
-        let newest = self.board.load_full();
-        let mut known = self.view.borrow_mut();
-        let same = match (&*known, &newest) {
+        let newest = self.shared_view.load_full();
+        let mut current = self.view.borrow_mut();
+        let same = match (&*current, &newest) {
             (Some(a), Some(b)) => Arc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
@@ -146,108 +149,129 @@
         if !same {
             if let Some(view) = &newest {
                 let now = self.now();
-                self.steer.borrow_mut().follow(now, view.fleet.clone());
-                self.views.set(self.views.get() + 1);
-                self.freed.notify_waiters();
+                self.selector
+                    .borrow_mut()
+                    .update_fleet(now, view.fleet.clone());
+                self.view_number.set(self.view_number.get() + 1);
+                self.capacity_freed.notify_waiters();
             }
-            *known = newest.clone();
+            *current = newest.clone();
         }
         newest
     }
 
-    /// The newest view. In a process that has just started, a request of so much time that came at `came`
-    /// waits for the first one.
-    async fn first_view(&self, time: Option<Duration>, came: Instant) -> Option<Arc<View>> {
-        let part = time.map_or(FIRST_WAIT, |t| t.mul_f64(FIRST_PART).min(FIRST_WAIT));
-        let until = (self.start + FIRST).min(came + part);
+    /// Returns the current view. Shortly after the process's start, a request with this timeout
+    /// that arrived at `received_at` waits for the first view.
+    async fn wait_for_view(
+        &self,
+        timeout: Option<Duration>,
+        received_at: Instant,
+    ) -> Option<Arc<View>> {
+        let max_wait = timeout.map_or(MAX_CATALOG_WAIT, |t| {
+            t.mul_f64(MAX_CATALOG_WAIT_FRACTION).min(MAX_CATALOG_WAIT)
+        });
+        let deadline = (self.started_at + STARTUP_WAIT_WINDOW).min(received_at + max_wait);
         loop {
             let view = self.view();
-            if view.is_some() || self.closing.get() || Instant::now() >= until {
+            if view.is_some() || self.closing.get() || Instant::now() >= deadline {
                 return view;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Number of the newest view; another one tells that something may have changed.
-    pub(crate) fn views(&self) -> u64 {
+    /// Returns the number of the current view, which changes with every published view.
+    pub(crate) fn view_number(&self) -> u64 {
         self.view();
-        self.views.get()
+        self.view_number.get()
     }
 
-    /// Number of the next answer about addresses.
-    pub fn turn(&self) -> usize {
-        self.turn.set(self.turn.get().wrapping_add(1));
-        self.turn.get()
+    /// Returns the rotation of the next address list.
+    pub fn next_rotation(&self) -> usize {
+        self.rotation.set(self.rotation.get().wrapping_add(1));
+        self.rotation.get()
     }
 
     pub(crate) fn now(&self) -> Duration {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Asks the table something.
-    pub(crate) fn steer<T>(&self, ask: impl FnOnce(&mut Steer, Duration) -> T) -> T {
-        // The newest view first, so that no endpoint is chosen that is known to leave.
+    /// Runs an operation on the selector and reports the resulting transitions of endpoints.
+    pub(crate) fn with_selector<T>(
+        &self,
+        operation: impl FnOnce(&mut Selector, Duration) -> T,
+    ) -> T {
+        // The view is updated first, so that no endpoint is selected that is known to be leaving.
         self.view();
         let now = self.now();
-        let mut steer = self.steer.borrow_mut();
-        let answer = ask(&mut steer, now);
-        for note in steer.take_notes() {
-            // Control is behind: a further failure tells it again.
-            if self.notes.try_send(note).is_err() {
-                stats::add(&self.stats.untold);
+        let mut selector = self.selector.borrow_mut();
+        let result = operation(&mut selector, now);
+        for transition in selector.take_transitions() {
+            // The control task is behind. The transition is dropped; the endpoint's next failure
+            // reports it again.
+            if self.transitions.try_send(transition).is_err() {
+                stats::increment(&self.stats.dropped_transitions);
             }
         }
-        answer
+        result
     }
 
-    /// Waits until room may have come free, or for `most`.
-    pub(crate) async fn freed(&self, most: Duration) {
-        // Endpoints come back into use by time alone, which nothing tells.
-        let most = most.min(LOOK);
-        let _ = tokio::time::timeout(most, self.freed.notified()).await;
+    /// Waits until capacity may have become free, at most for `max_wait`.
+    pub(crate) async fn wait_for_capacity(&self, max_wait: Duration) {
+        // Ejected endpoints become available again by the passage of time, which sends no
+        // notification.
+        let max_wait = max_wait.min(POLL_INTERVAL);
+        let _ = tokio::time::timeout(max_wait, self.capacity_freed.notified()).await;
     }
 
-    /// Gives back what an attempt holds.
-    pub(crate) fn end(&self, hold: Hold, outcome: Outcome, blame: Option<SocketAddr>) {
-        self.steer(|steer, now| steer.end(now, hold, outcome, blame));
-        self.freed.notify_one();
+    /// Releases the reservation of an attempt.
+    pub(crate) fn release(
+        &self,
+        reservation: ReservationId,
+        outcome: Outcome,
+        faulty_stage: Option<SocketAddr>,
+    ) {
+        self.with_selector(|selector, now| selector.end(now, reservation, outcome, faulty_stage));
+        self.capacity_freed.notify_one();
     }
 
-    /// Closes idle connections that are old, or whose endpoint is gone.
-    pub fn tidy(&self) {
+    /// Closes idle connections that timed out or whose endpoint no longer exists, and drops the
+    /// status reports of removed endpoints.
+    pub fn prune(&self) {
         let Some(view) = self.view() else {
             return;
         };
         let endpoints = &view.fleet.endpoints;
         let known = |addr| endpoints.iter().any(|e| e.addr == addr);
-        self.pool.tidy(known);
-        self.accounts.borrow_mut().retain(|addr, _| known(*addr));
+        self.pool.prune(known);
+        self.status_reports
+            .borrow_mut()
+            .retain(|addr, _| known(*addr));
     }
 
-    /// The text for the dump, with control's part if it answers in time.
+    /// Returns the text of the state dump, with the control task's part if it responds in time.
     pub async fn dump(&self) -> String {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let control = match self.dumps.try_send(reply) {
-            Ok(()) => tokio::time::timeout(DUMP, answer).await.ok(),
+            Ok(()) => tokio::time::timeout(DUMP_TIMEOUT, response).await.ok(),
             Err(_) => None,
         };
         let control = control.and_then(|c| c.ok());
         let control = control.unwrap_or_else(|| "control does not answer\n".to_owned());
-        format!("{}{}{control}", self.stats, self.steer.borrow())
+        format!("{}{}{control}", self.stats, self.selector.borrow())
     }
 
-    /// Serves one request of a caller.
+    /// Serves a request of a caller.
     pub async fn serve(
         self: Rc<Self>,
         request: Request<Incoming>,
-    ) -> Response<Answer<impl Stream<Item = Chunk>>> {
-        let came = Instant::now();
-        let flight = Flight::new(self.stats.clone());
-        match self.admit(request, came).await {
-            Ok(job) => forward::run(self, job, flight).await,
+    ) -> Response<Body<impl Stream<Item = Chunk>>> {
+        let received_at = Instant::now();
+        let guard = InFlightGuard::new(self.stats.clone());
+        match self.admit(request, received_at).await {
+            Ok(job) => forward::run(self, job, guard).await,
             Err((refusal, id)) => {
-                self.tell_refusal(&id, refusal, came);
+                self.record_refusal(&id, refusal, received_at);
                 refusal.response()
             }
         }
@@ -256,32 +280,47 @@
     async fn admit(
         &self,
         request: Request<Incoming>,
-        came: Instant,
+        received_at: Instant,
     ) -> Result<Job, (Refusal, String)> {
         let (parts, incoming) = request.into_parts();
-        let ask = self.dialect.ask(&parts.headers);
-        let id = ask.id.clone().unwrap_or_default();
-        let checked = async {
-            let Some(view) = self.first_view(ask.deadline, came).await else {
-                return Err(Refusal::after(Reason::NoCatalog, forward::spread(BLIND)));
+        let info = self.dialect.request_info(&parts.headers);
+        let id = info.id.clone().unwrap_or_default();
+        let result = async {
+            let Some(view) = self.wait_for_view(info.timeout, received_at).await else {
+                return Err(Refusal::with_retry_after(
+                    Reason::NoCatalog,
+                    forward::jitter(NO_CATALOG_RETRY_AFTER),
+                ));
             };
             if self.closing.get() {
-                return Err(Refusal::after(Reason::Leaving, ELSEWHERE));
+                return Err(Refusal::with_retry_after(
+                    Reason::Leaving,
+                    LEAVING_RETRY_AFTER,
+                ));
             }
             let catalog = &view.fleet.catalog;
-            let admitted = admit::head(catalog, &parts, ask)?;
+            let admitted = admit::head(catalog, &parts, info)?;
             let body = admit::body(incoming, catalog.limits.body_bytes).await?;
-            let draw = rand::rng().random();
-            admit::job(&self.dialect, catalog, admitted, parts, body, came, draw)
+            let random = rand::rng().random();
+            admit::job(
+                &self.dialect,
+                catalog,
+                admitted,
+                parts,
+                body,
+                received_at,
+                random,
+            )
         };
-        checked.await.map_err(|refusal| (refusal, id))
+        result.await.map_err(|refusal| (refusal, id))
     }
 
-    fn tell_refusal(&self, id: &str, refusal: Refusal, came: Instant) {
-        let all_ms = came.elapsed().as_millis() as u64;
+    fn record_refusal(&self, id: &str, refusal: Refusal, received_at: Instant) {
+        let all_ms = received_at.elapsed().as_millis() as u64;
         let status = refusal.reason.status().as_u16();
-        self.metrics.ended("refused", status, came.elapsed());
-        self.journal.tell(Event::Ended {
+        self.metrics
+            .record_request("refused", status, received_at.elapsed());
+        self.journal.record(Event::Ended {
             id: id.to_owned(),
             route: String::new(),
             status,
@@ -296,24 +335,24 @@
     }
 }
 
-/// Longest wait for control's part of a dump.
-const DUMP: Duration = Duration::from_millis(300);
-/// How often a request that waits looks again, at the least.
-const LOOK: Duration = Duration::from_millis(25);
+/// Maximum wait for the control task's part of the state dump.
+const DUMP_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum time between two checks of a waiting request.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flight(Rc<Stats>);
+pub struct InFlightGuard(Rc<Stats>);
 
-impl Flight {
+impl InFlightGuard {
     fn new(stats: Rc<Stats>) -> Self {
-        stats::add(&stats.flying);
+        stats::increment(&stats.in_flight);
         Self(stats)
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        stats::sub(&self.0.flying);
+        stats::decrement(&self.0.in_flight);
     }
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A worker before scripted endpoints, on loopback.
+//! Runs a worker with scripted endpoints on the loopback interface.
 #![allow(dead_code)]
 
 pub mod caller;
@@ -16,7 +16,7 @@
 use dialect::Plain;
 use gate::listener::{self, Port, Stop};
 use gate::metrics::Metrics;
-use gate::view::{Board, View};
+use gate::view::{SharedView, View};
 use gate::worker::{Parts, Worker};
 use journal::Journal;
 use prometheus::Registry;
@@ -31,38 +31,38 @@
 
 /// A node under test.
 pub struct Node {
-    /// Where callers reach it.
+    /// Address for callers.
     pub addr: SocketAddr,
     pub worker: Rc<Worker<Plain>>,
-    pub board: Board,
+    pub shared_view: SharedView,
     pub stop: Stop,
 }
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: Layer = 4;
 
 fn engine() -> Engine {
     Engine {
         layers: LAYERS,
         layer_bytes: 1e9,
-        token_bytes: 1e6,
+        kv_bytes_per_token: 1e6,
         activation_bytes: 1.0,
-        step: Duration::from_millis(1),
-        per_request: Duration::ZERO,
-        per_context: Duration::ZERO,
-        read_rate: 1e5,
-        stride: 1,
-        load: Duration::from_secs(1),
-        loads: 4,
+        step_time: Duration::from_millis(1),
+        step_time_per_request: Duration::ZERO,
+        step_time_per_1k_context: Duration::ZERO,
+        prefill_rate: 1e5,
+        steps_per_event: 1,
+        load_time: Duration::from_secs(1),
+        parallel_loads: 4,
         slots: 100,
-        pipe_bits: 1e12,
-        kinds: vec![Accelerator {
+        inter_zone_bps: 1e12,
+        accelerators: vec![Accelerator {
             name: "card".to_owned(),
-            bytes: 10e9,
-            pace: 1.0,
-            read: 1.0,
+            memory_bytes: 10e9,
+            step_factor: 1.0,
+            prefill_factor: 1.0,
         }],
-        usual: Size {
+        typical_size: Size {
             prompt: 10,
             answer: 10,
         },
@@ -77,13 +77,13 @@
         prefix: format!("/{name}/"),
         kind,
         timeout: Duration::from_secs(5),
-        target: Duration::from_millis(400),
+        latency_target: Duration::from_millis(400),
         priority: 1,
         split: vec![Share {
             service: service.to_owned(),
             weight: 1,
         }],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -103,12 +103,12 @@
         services: vec![
             Service {
                 name: "plain".to_owned(),
-                connections: 10,
+                max_connections: 10,
                 engine: None,
             },
             Service {
                 name: "model".to_owned(),
-                connections: 10,
+                max_connections: 10,
                 engine: Some(engine()),
             },
         ],
@@ -125,8 +125,8 @@
     Arc::new(Catalog::try_from(tables()).unwrap())
 }
 
-/// The same view under the next version, which names the services in another order.
-pub fn reordered(mut view: View) -> View {
+/// Returns the same view with the next catalog version, which lists the services in reverse order.
+pub fn with_services_reordered(mut view: View) -> View {
     let mut tables = tables();
     tables.version += 1;
     tables.services.reverse();
@@ -134,41 +134,41 @@
     view
 }
 
-/// An endpoint of the plain service.
+/// Creates an endpoint of the service without an engine.
 pub fn plain(addr: SocketAddr) -> Endpoint {
     Endpoint {
         run: Run {
             id: format!("i-{}", addr.port()),
-            born: 1,
+            started_at: 1,
         },
         service: "plain".to_owned(),
         addr,
         zone: "a".to_owned(),
         slots: 10,
         state: State::Ready,
-        kind: None,
+        accelerator: None,
         span: Span::default(),
     }
 }
 
-/// An endpoint that holds layers of the model.
+/// Creates an endpoint that holds the layers `from..to` of the model.
 pub fn stage(addr: SocketAddr, from: Layer, to: Layer) -> Endpoint {
     Endpoint {
         service: "model".to_owned(),
-        kind: Some("card".to_owned()),
+        accelerator: Some("card".to_owned()),
         span: Span { from, to },
         ..plain(addr)
     }
 }
 
-/// A view with these endpoints.
+/// Creates a view with these endpoints.
 pub fn view(endpoints: Vec<Endpoint>) -> View {
     View {
         fleet: Fleet {
             catalog: catalog(),
             endpoints: Arc::new(endpoints),
             nodes: 1,
-            sharers: 1,
+            budget_nodes: 1,
             ..Fleet::default()
         },
         nodes: vec![([127, 0, 0, 1], 9).into()],
@@ -176,26 +176,26 @@
     }
 }
 
-/// Starts a node; it knows nothing until a view is put on its board.
+/// Starts a node without a view; tests publish one through `shared_view`.
 pub async fn start(allowance: Allowance) -> Node {
-    start_with(allowance, Journal::silent()).await
+    start_with(allowance, Journal::disabled()).await
 }
 
-/// The same with a journal.
+/// Like [`start`], with a journal.
 pub async fn start_with(allowance: Allowance, journal: Journal) -> Node {
-    let board: Board = Arc::new(ArcSwapOption::empty());
-    let (notes, mut noted) = mpsc::channel(64);
-    tokio::task::spawn_local(async move { while noted.recv().await.is_some() {} });
+    let shared_view: SharedView = Arc::new(ArcSwapOption::empty());
+    let (transitions, mut received) = mpsc::channel(64);
+    tokio::task::spawn_local(async move { while received.recv().await.is_some() {} });
     let (dumps, _) = mpsc::channel(1);
     let worker = Worker::new(Parts {
         metrics: Metrics::new(&opentelemetry::global::meter("test"), Registry::new()),
         dumps,
         dialect: Plain,
-        board: board.clone(),
+        shared_view: shared_view.clone(),
         journal,
         allowance,
         seed: 1,
-        notes,
+        transitions,
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -205,26 +205,26 @@
     Node {
         addr,
         worker,
-        board,
+        shared_view,
         stop,
     }
 }
 
-/// A node that knows these endpoints.
+/// Starts a node with a view of these endpoints.
 pub async fn node(endpoints: Vec<Endpoint>) -> Node {
     let node = start(ALLOWANCE).await;
-    node.board.store(Some(Arc::new(view(endpoints))));
+    node.shared_view.store(Some(Arc::new(view(endpoints))));
     node
 }
 
-/// An allowance that no test uses up by accident.
+/// A retry budget that is large enough for every test.
 pub const ALLOWANCE: Allowance = Allowance {
     ratio: 0.2,
     slack: 100.0,
     window: Duration::from_secs(10),
 };
 
-/// Runs a test on one thread, as a worker does.
+/// Runs a test on a single thread, as a worker does.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,22 +1,22 @@
-//! Writes lines in batches from a thread of its own.
+//! Writes queued lines in batches on a separate thread.
 
 use crate::event::Event;
-use crate::{Journal, Line, Message, millis};
+use crate::{Journal, Line, Message, unix_millis};
 use std::io::Write;
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Time in which lines are gathered before they are written: one write for many lines costs a
-/// small instance less, and a reader is not late by it.
-const GATHER: Duration = Duration::from_millis(200);
-/// Lines of one write.
-const BATCH: usize = 512;
+/// Time over which lines are collected into one write. One write for many lines saves CPU time on a
+/// small instance, and the delay is short enough for readers of the log.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of lines in one write.
+const MAX_BATCH_LINES: usize = 512;
 
-/// How often the end of the thread is looked for.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often [`Writer::finish`] checks whether the thread has ended.
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The thread that writes.
+/// Handle of the writer thread.
 #[derive(Debug)]
 pub struct Writer {
     journal: Journal,
@@ -24,19 +24,19 @@
 }
 
 impl Writer {
-    /// Writes what was told and ends; gives up after `most`, so that an output which takes nothing
-    /// does not keep the process.
-    pub fn finish(self, most: Duration) {
-        let last = Instant::now() + most;
-        let mut told = false;
-        while !self.thread.is_finished() && Instant::now() < last {
-            told = told || self.journal.end();
-            std::thread::sleep(LOOK);
+    /// Writes the queued lines and ends the thread. Returns after `timeout` in any case, so that a
+    /// blocked output does not keep the process from ending.
+    pub fn finish(self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        let mut end_sent = false;
+        while !self.thread.is_finished() && Instant::now() < deadline {
+            end_sent = end_sent || self.journal.end();
+            std::thread::sleep(FINISH_POLL_INTERVAL);
         }
     }
 }
 
-/// Starts the thread; it ends at [`Writer::finish`], or when all journals are dropped.
+/// Starts the thread. It ends on [`Writer::finish`], or when all journals are dropped.
 pub fn start<W: Write + Send + 'static>(
     journal: &Journal,
     lines: Receiver<Message>,
@@ -45,18 +45,19 @@
     let dropped = journal.dropped.clone();
     let builder = std::thread::Builder::new().name("journal".to_owned());
     let thread = builder.spawn(move || {
-        let mut text = Vec::new();
+        let mut buffer = Vec::new();
         loop {
-            let ended = gather(&lines, &mut text);
+            let ended = collect_batch(&lines, &mut buffer);
             let lost = dropped.swap(0, std::sync::atomic::Ordering::Relaxed);
             if lost > 0 {
                 let event = Event::Overflow { lost };
-                let time = millis();
-                push(&Line { time, event }, &mut text);
+                let time = unix_millis();
+                append_line(&Line { time, event }, &mut buffer);
             }
-            // Nobody can be told that standard output is gone; requests go on without it.
-            let _ = out.write_all(&text).and_then(|()| out.flush());
-            text.clear();
+            // A failure of standard output can't be reported anywhere; requests are served without
+            // the log.
+            let _ = out.write_all(&buffer).and_then(|()| out.flush());
+            buffer.clear();
             if ended {
                 return;
             }
@@ -66,16 +67,17 @@
     Ok(Writer { journal, thread })
 }
 
-/// Waits for a line, gathers those that follow; whether they have ended.
-fn gather(lines: &Receiver<Message>, text: &mut Vec<u8>) -> bool {
+/// Waits for a line and appends it and the lines that follow within [`BATCH_INTERVAL`] to `buffer`.
+/// Returns whether the log has ended.
+fn collect_batch(lines: &Receiver<Message>, buffer: &mut Vec<u8>) -> bool {
     match lines.recv() {
-        Ok(Message::Line(line)) => push(&line, text),
+        Ok(Message::Line(line)) => append_line(&line, buffer),
         Ok(Message::End) | Err(_) => return true,
     }
-    std::thread::sleep(GATHER);
-    for _ in 0..BATCH {
+    std::thread::sleep(BATCH_INTERVAL);
+    for _ in 0..MAX_BATCH_LINES {
         match lines.try_recv() {
-            Ok(Message::Line(line)) => push(&line, text),
+            Ok(Message::Line(line)) => append_line(&line, buffer),
             Ok(Message::End) | Err(TryRecvError::Disconnected) => return true,
             Err(TryRecvError::Empty) => return false,
         }
@@ -83,9 +85,9 @@
     false
 }
 
-fn push(line: &Line, text: &mut Vec<u8>) {
-    // An event is made of texts and numbers, which can always be written as JSON.
-    if serde_json::to_writer(&mut *text, line).is_ok() {
-        text.push(b'\n');
+fn append_line(line: &Line, buffer: &mut Vec<u8>) {
+    // Events consist of strings and numbers, which always serialize to JSON.
+    if serde_json::to_writer(&mut *buffer, line).is_ok() {
+        buffer.push(b'\n');
     }
 }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Lines are whole, bounded and never in the way of what they tell of.
+//! Tests of the event log: lines are well-formed, the queue is bounded, and recording never blocks.
 
 use journal::event::Event;
 use journal::{Journal, Message};
@@ -7,16 +7,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Standard output that takes nothing until it is let go.
-struct Stuck {
-    go: Receiver<()>,
-    taken: Arc<Mutex<Vec<u8>>>,
+/// An output that blocks every write until `release` is signalled or dropped.
+struct BlockedOutput {
+    release: Receiver<()>,
+    written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go.recv();
-        self.taken.lock().unwrap().extend_from_slice(bytes);
+        let _ = self.release.recv();
+        self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -35,22 +35,22 @@
     }
 }
 
-// The reader of standard output stops reading. Events are told on as if nothing were wrong; what
-// does not fit is counted, and the count is written once there is room.
+// The reader of standard output stops reading. Recording must not block; events beyond the queue's
+// capacity are counted, and the count is written once there is free capacity.
 #[test]
-fn a_stuck_output_stops_nothing_and_losses_are_told() {
-    let (go, stuck): (Sender<()>, _) = channel();
-    let taken = Arc::new(Mutex::new(Vec::new()));
+fn a_blocked_output_does_not_block_recording_and_losses_are_counted() {
+    let (release, blocked): (Sender<()>, _) = channel();
+    let written = Arc::new(Mutex::new(Vec::new()));
     let (journal, lines) = Journal::new(8);
-    let out = Stuck {
-        go: stuck,
-        taken: taken.clone(),
+    let out = BlockedOutput {
+        release: blocked,
+        written: written.clone(),
     };
-    (0..100).for_each(|n| journal.tell(order(n)));
+    (0..100).for_each(|n| journal.record(order(n)));
     let writer = journal::writer::start(&journal, lines, out).unwrap();
-    drop(go);
+    drop(release);
     writer.finish(Duration::from_secs(30));
-    let text = String::from_utf8(taken.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     let events: Vec<serde_json::Value> = text
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
@@ -63,7 +63,7 @@
 #[test]
 fn a_line_has_the_time_the_kind_and_the_fields() {
     let (journal, lines) = Journal::new(8);
-    journal.tell(order(7));
+    journal.record(order(7));
     let Message::Line(line) = lines.recv().unwrap() else {
         panic!("no line");
     };
@@ -73,16 +73,16 @@
     assert!(line["time"].as_u64().is_some_and(|t| t > 0));
 }
 
-// The reader of standard output has stopped for good, and the process is told to end. It ends.
+// The output blocks for good while the process shuts down. `finish` must return nevertheless.
 #[test]
-fn a_stuck_output_does_not_keep_the_process() {
-    let (_go, stuck): (Sender<()>, _) = channel();
+fn a_blocked_output_does_not_keep_the_process_from_ending() {
+    let (_release, blocked): (Sender<()>, _) = channel();
     let (journal, lines) = Journal::new(8);
-    let out = Stuck {
-        go: stuck,
-        taken: Arc::default(),
+    let out = BlockedOutput {
+        release: blocked,
+        written: Arc::default(),
     };
     let writer = journal::writer::start(&journal, lines, out).unwrap();
-    (0..100).for_each(|n| journal.tell(order(n)));
+    (0..100).for_each(|n| journal.record(order(n)));
     writer.finish(Duration::from_millis(50));
 }
--- a/crates/member/src/group.rs
+++ b/crates/member/src/group.rs
@@ -1,18 +1,18 @@
-//! The group of nodes as one of them sees it.
+//! The group of nodes as seen by one of them: entry point of the membership protocol.
 
 use crate::Now;
 use crate::action::Action;
 use crate::counters::Counters;
+use crate::dissemination::{QueuedUpdate, UrgentItem};
 use crate::event::Event;
 use crate::head::Head;
 use crate::identity::{Id, Identity, Incarnation};
 use crate::item::Version;
-use crate::message::{Body, Message, News, Row, Run};
-use crate::peer::{Entry, Peer, Standing, State};
+use crate::message::{Body, Message, Row, Run, Update};
+use crate::peer::{Entry, ListedState, Peer, State};
 use crate::probe::Probes;
 use crate::roster::{self, Roster};
 use crate::settings::Settings;
-use crate::spread::{Piece, Urgent};
 use crate::store::Store;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -20,19 +20,20 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Rows of one message whose runs are said to be gone at most.
-const DOUBTS: usize = 32;
+/// Largest number of suspicions that accompany the rows of one message.
+const MAX_SUSPICIONS_PER_MESSAGE: usize = 32;
 
-/// A run that was taken out of the roster.
+/// A run that was removed from the roster.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Grave {
+pub(crate) struct Tombstone {
     pub(crate) incarnation: Incarnation,
-    pub(crate) since: Now,
-    /// Whether it left by itself; a run that was only out of reach may come back.
-    pub(crate) left: bool,
+    pub(crate) removed_at: Now,
+    /// Whether the run has ended for good: the node announced its exit, or another one has its address. A
+    /// run that was only unreachable may return.
+    pub(crate) ended: bool,
 }
 
-/// The state of membership and spread.
+/// State of the membership protocol of one node.
 #[derive(Clone, Debug)]
 pub struct Group {
     pub(crate) me: Id,
@@ -40,28 +41,32 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) roster: Roster,
     pub(crate) store: Store,
+    /// The instance list as last read.
     pub(crate) listed: Option<BTreeMap<Id, Entry>>,
     pub(crate) head: Option<Head>,
-    pub(crate) asked: Option<(u64, Now)>,
+    /// Number of the head last requested from a peer, and the time of that request.
+    pub(crate) head_requested: Option<(u64, Now)>,
+    /// Version of the last own publication.
     pub(crate) version: Version,
-    pub(crate) news: Vec<Piece>,
-    /// Urgent items to send on.
-    pub(crate) urgent: VecDeque<Urgent>,
-    /// Whether there is news that should not wait for the next round.
-    pub(crate) hot: bool,
-    pub(crate) flushed: Option<Now>,
+    /// Updates to be piggybacked on messages.
+    pub(crate) updates: Vec<QueuedUpdate>,
+    /// Urgent items to be forwarded.
+    pub(crate) urgent: VecDeque<UrgentItem>,
+    /// Whether an update or a head is to be sent before the next round.
+    pub(crate) flush_pending: bool,
+    pub(crate) last_flush: Option<Now>,
     pub(crate) probes: Probes,
-    pub(crate) graves: BTreeMap<Id, Grave>,
-    pub(crate) ticked: Option<Now>,
-    /// When the first tick came.
-    pub(crate) began: Option<Now>,
-    /// When a peer was last entered into the roster.
-    pub(crate) grown: Now,
+    pub(crate) tombstones: BTreeMap<Id, Tombstone>,
+    pub(crate) last_tick: Option<Now>,
+    /// Time of the first tick.
+    pub(crate) first_tick: Option<Now>,
+    /// Time at which a peer was last entered into the roster.
+    pub(crate) last_join: Now,
     pub(crate) counters: Counters,
 }
 
 impl Group {
-    /// A group that holds only this node.
+    /// Creates a group that holds only this node. All random choices derive from `seed`.
     pub fn new(me: Identity, seed: u64, settings: Settings) -> Self {
         let id = me.id();
         let mut roster = Roster::default();
@@ -74,30 +79,30 @@
             store: Store::default(),
             listed: None,
             head: None,
-            asked: None,
+            head_requested: None,
             version: 0,
-            news: Vec::new(),
+            updates: Vec::new(),
             urgent: VecDeque::new(),
-            hot: false,
-            flushed: None,
+            flush_pending: false,
+            last_flush: None,
             probes: Probes::default(),
-            graves: BTreeMap::new(),
-            ticked: None,
-            began: None,
-            grown: Now::ZERO,
+            tombstones: BTreeMap::new(),
+            last_tick: None,
+            first_tick: None,
+            last_join: Now::ZERO,
             counters: Counters::default(),
         }
     }
 
-    /// Takes an event that came at `now` and adds what is to be done to `out`.
+    /// Handles an event that arrived at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Frame { from, message } => self.frame(now, from, message, out),
-            Event::Listed(entries) => self.list(entries),
-            Event::Head(head) => self.adopt(head),
+            Event::Received { from, message } => self.handle_message(now, from, message, out),
+            Event::Listed(entries) => self.set_listed(entries),
+            Event::Head(head) => self.set_head(head),
             Event::Publish(bodies) => self.publish(now, bodies),
-            Event::Unreached(peer) => self.unreached(peer, out),
+            Event::ConnectFailed(peer) => self.connect_failed(peer, out),
             Event::Quit => self.quit(),
         }
         self.flush(now, out);
@@ -106,89 +111,111 @@
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<Action>) {
-        let gap = self.ticked.map_or(Now::ZERO, |t| roster::age(now, t));
-        self.ticked = Some(now);
-        self.began.get_or_insert(now);
-        if gap > self.settings.pause {
-            self.resume(now);
+        let gap = self.last_tick.map_or(Now::ZERO, |t| roster::age(now, t));
+        self.last_tick = Some(now);
+        self.first_tick.get_or_insert(now);
+        if gap > self.settings.pause_threshold {
+            self.handle_pause(now);
         }
         self.check_probes(now, out);
-        self.watch(now, out);
-        if self.due(now) {
-            self.judge(now, out);
-            self.judge_again(now, out);
+        self.probe_ring(now, out);
+        if self.exchange_due(now) {
+            self.judge_suspects(now, out);
+            self.rejudge_lost(now, out);
             self.store.expire(now);
-            self.bury(now, out);
-            self.round(now, out);
+            self.remove_lost(now, out);
+            self.run_round(now, out);
         }
     }
 
-    /// After a pause of this process answers may wait unread while all timers have run out: the
-    /// peers are not to blame, so every probe and every suspicion starts anew.
-    fn resume(&mut self, now: Now) {
+    /// Restarts all probes and suspicions after a pause of this process. Its timers have expired while
+    /// answers wait unread in its sockets, which is no failure of the peers.
+    fn handle_pause(&mut self, now: Now) {
         self.counters.pauses += 1;
         self.probes.reset(now);
         for peer in self.roster.iter_mut() {
             if peer.state == State::Suspect {
-                peer.since = now;
+                peer.state_since = now;
             }
         }
-        // Peers that suspected this node meanwhile may already wait to judge it.
-        self.refute_ahead();
+        // Peers that suspected this node during the pause may be about to judge it.
+        self.increment_refutations();
     }
 
-    fn frame(&mut self, now: Now, from: SocketAddr, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(
+        &mut self,
+        now: Now,
+        from: SocketAddr,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         let Message {
             from: id,
             incarnation,
             head,
-            news,
+            updates,
             body,
         } = message;
         if id == self.me {
             self.counters.stale += 1;
             return;
         }
-        if !self.hear(now, id, incarnation, from, out) {
+        if !self.accept_sender(now, id, incarnation, from, out) {
             self.counters.stale += 1;
             return;
         }
         if let Some(head) = head {
-            self.compare(now, head, id, from, out);
+            self.compare_head(now, head, id, from, out);
         }
-        let (doubts, news) = split_doubts(news, body.rows());
-        news.into_iter().for_each(|n| self.hear_news(now, n, out));
-        self.take(now, id, from, body, out);
-        // A node that was not known has now told who it is.
-        if self.runs(id, incarnation) {
-            self.up(now, id, out);
+        let (suspicions, updates) = split_row_suspicions(updates, body.rows());
+        updates
+            .into_iter()
+            .for_each(|n| self.handle_update(now, n, out));
+        self.handle_body(now, id, from, body, out);
+        // The message may have held the row of a sender that was unknown before.
+        if self.is_current_run(id, incarnation) {
+            self.mark_alive(now, id, out);
         }
-        doubts.into_iter().for_each(|run| self.doubt(now, run, out));
+        suspicions
+            .into_iter()
+            .for_each(|run| self.adopt_suspicion(now, run, out));
     }
 
-    /// Whether this run of a node is in the roster.
-    fn runs(&self, id: Id, run: Incarnation) -> bool {
+    /// Returns whether the roster holds this run of a node.
+    fn is_current_run(&self, id: Id, run: Incarnation) -> bool {
         self.roster
             .get(id)
             .is_some_and(|p| p.identity.incarnation == run)
     }
 
-    fn take(&mut self, now: Now, id: Id, from: SocketAddr, body: Body, out: &mut Vec<Action>) {
+    fn handle_body(
+        &mut self,
+        now: Now,
+        id: Id,
+        from: SocketAddr,
+        body: Body,
+        out: &mut Vec<Action>,
+    ) {
         match body {
-            Body::Ping { seq, to } => self.answer(id, from, seq, to, out),
-            Body::Ack { seq, of } => self.acked(now, seq, of, out),
-            Body::Relay { seq, to, addr } => self.relay(now, (id, from, seq), to, addr, out),
-            Body::Who => self.introduce(id, from, out),
-            Body::Rows(rows) => rows.into_iter().for_each(|r| self.merge(now, r, out)),
-            Body::Note => {}
-            Body::Rumour(items) => items.into_iter().for_each(|i| self.hear_item(now, i, out)),
-            Body::Digest(summaries) => self.digest(now, id, from, &summaries, out),
-            Body::Delta(delta) => self.delta(now, id, from, delta, out),
+            Body::Ping { seq, to } => self.handle_ping(id, from, seq, to, out),
+            Body::Ack { seq, of } => self.handle_ack(now, seq, of, out),
+            Body::IndirectPing { seq, to, addr } => {
+                self.handle_indirect_ping(now, (id, from, seq), to, addr, out)
+            }
+            Body::Identify => self.send_identity(id, from, out),
+            Body::Rows(rows) => rows.into_iter().for_each(|r| self.merge_row(now, r, out)),
+            Body::Empty => {}
+            Body::Items(items) => items
+                .into_iter()
+                .for_each(|i| self.handle_item(now, i, out)),
+            Body::Digest(summaries) => self.handle_digest(now, id, from, &summaries, out),
+            Body::Delta(delta) => self.handle_delta(now, id, from, delta, out),
         }
     }
 
-    /// Notes that a run of `id` sent something. Returns whether the message counts.
-    fn hear(
+    /// Records that a run of `id` sent a message. Returns whether the message is to be handled: messages of
+    /// removed or older runs are not.
+    fn accept_sender(
         &mut self,
         now: Now,
         id: Id,
@@ -196,141 +223,147 @@
         from: SocketAddr,
         out: &mut Vec<Action>,
     ) -> bool {
-        if let Some(grave) = self.graves.get(&id) {
-            let gone = grave.incarnation > run || (grave.left && grave.incarnation == run);
-            if gone {
+        if let Some(tombstone) = self.tombstones.get(&id) {
+            let ended =
+                tombstone.incarnation > run || (tombstone.ended && tombstone.incarnation == run);
+            if ended {
                 return false;
             }
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
             Some(known) if known > run => return false,
-            Some(known) if known == run => self.up(now, id, out),
+            Some(known) if known == run => self.mark_alive(now, id, out),
             _ => {
-                self.graves.remove(&id);
-                self.send(id, from, Body::Who, out);
+                self.tombstones.remove(&id);
+                self.send(id, from, Body::Identify, out);
             }
         }
         true
     }
 
-    /// Takes over a row that a peer sent.
-    pub(crate) fn merge(&mut self, now: Now, row: Row, out: &mut Vec<Action>) {
+    /// Merges a row that a peer sent into the roster.
+    pub(crate) fn merge_row(&mut self, now: Now, row: Row, out: &mut Vec<Action>) {
         let id = row.identity.id();
         let run = row.identity.incarnation;
-        let buried = self.graves.get(&id).is_some_and(|g| g.incarnation >= run);
-        if buried {
+        let removed = self
+            .tombstones
+            .get(&id)
+            .is_some_and(|g| g.incarnation >= run);
+        if removed {
             return;
         }
         match self.roster.get(id).map(|p| p.identity.incarnation) {
             Some(known) if known > run => {}
-            Some(known) if known == run => self.raise(now, id, row.turn, out),
+            Some(known) if known == run => self.apply_refutation(now, id, row.refutations, out),
             Some(_) if id == self.me => {}
-            known => self.enter(now, row, known.is_some(), out),
+            known => self.insert_peer(now, row, known.is_some(), out),
         }
     }
 
-    fn enter(&mut self, now: Now, row: Row, restarted: bool, out: &mut Vec<Action>) {
+    /// Enters a row into the roster as a peer that is up. `restarted` says that it replaces an older run.
+    fn insert_peer(&mut self, now: Now, row: Row, restarted: bool, out: &mut Vec<Action>) {
         let run = row.identity.incarnation;
-        let clash = self
+        let conflict = self
             .roster
-            .clash(&row.identity)
+            .address_conflict(&row.identity)
             .map(|p| (p.id, p.identity.incarnation));
-        match clash {
+        match conflict {
             Some((old, other)) if old == self.me || other >= run => return,
-            // Two names cannot listen on one address: the earlier run there has ended.
+            // Two nodes cannot listen on one address: the one that started earlier has ended.
             Some((old, _)) => self.remove(now, old, true, out),
             None => {}
         }
-        if self.roster.len() >= self.settings.peers {
+        if self.roster.len() >= self.settings.max_peers {
             self.counters.dropped += 1;
             return;
         }
         let mut peer = Peer::new(row.identity.clone(), now);
-        peer.turn = row.turn;
-        peer.standing = self.standing(peer.id);
+        peer.refutations = row.refutations;
+        peer.listed = self.listed_state(peer.id);
         let id = peer.id;
         if !self.roster.insert(peer) {
             self.counters.dropped += 1;
             return;
         }
-        self.grown = now;
+        self.last_join = now;
         self.store.forget(id);
-        self.tell_join(row);
-        out.push(Action::Changed {
+        self.queue_join(row);
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Up,
             restarted,
         });
     }
 
-    /// Takes a row out and remembers its run.
-    pub(crate) fn remove(&mut self, now: Now, id: Id, left: bool, out: &mut Vec<Action>) {
+    /// Removes a row from the roster and remembers its run. `ended`: the run cannot return.
+    pub(crate) fn remove(&mut self, now: Now, id: Id, ended: bool, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.remove(id) else {
             return;
         };
         self.store.forget(id);
-        let grave = Grave {
+        let tombstone = Tombstone {
             incarnation: peer.identity.incarnation,
-            since: now,
-            left,
+            removed_at: now,
+            ended,
         };
-        self.graves.insert(id, grave);
+        self.tombstones.insert(id, tombstone);
         self.probes.forget(id);
-        out.push(Action::Changed {
+        out.push(Action::StateChanged {
             peer: id,
             state: State::Left,
             restarted: false,
         });
     }
 
-    fn list(&mut self, entries: Vec<Entry>) {
+    fn set_listed(&mut self, entries: Vec<Entry>) {
         let table: BTreeMap<Id, Entry> = entries
             .into_iter()
             .map(|e| (crate::identity::id(&e.name), e))
             .collect();
         for peer in self.roster.iter_mut() {
-            peer.standing = table.get(&peer.id).map(|e| e.standing);
+            peer.listed = table.get(&peer.id).map(|e| e.state);
         }
         self.listed = Some(table);
     }
 
-    fn standing(&self, id: Id) -> Option<Standing> {
-        self.listed.as_ref()?.get(&id).map(|e| e.standing)
+    fn listed_state(&self, id: Id) -> Option<ListedState> {
+        self.listed.as_ref()?.get(&id).map(|e| e.state)
     }
 
-    /// Sends a message with the head and some news. What this node thinks of the rows in it goes along.
+    /// Sends a message with the head and some updates. Suspicions of the rows that it holds are sent with it,
+    /// and in further messages if they exceed the bound of one.
     pub(crate) fn send(&mut self, peer: Id, to: SocketAddr, body: Body, out: &mut Vec<Action>) {
-        let mut news = self.pick_news(peer);
-        let away = self.away(body.rows());
-        let (first, more) = away.split_at(DOUBTS.min(away.len()));
-        news.extend(self.doubts(first));
-        let message = self.message(news, body);
+        let mut updates = self.select_updates(peer);
+        let not_up = self.rows_not_up(body.rows());
+        let (first, rest) = not_up.split_at(MAX_SUSPICIONS_PER_MESSAGE.min(not_up.len()));
+        updates.extend(self.suspicions_of(first));
+        let message = self.message(updates, body);
         out.push(Action::Send { peer, to, message });
-        for rows in more.chunks(DOUBTS) {
-            let message = self.message(self.doubts(rows), Body::Rows(rows.to_vec()));
+        for rows in rest.chunks(MAX_SUSPICIONS_PER_MESSAGE) {
+            let message = self.message(self.suspicions_of(rows), Body::Rows(rows.to_vec()));
             out.push(Action::Send { peer, to, message });
         }
     }
 
-    /// Sends nothing but `news`.
-    pub(crate) fn send_with(
+    /// Sends a message that holds only the head and `updates`.
+    pub(crate) fn send_updates(
         &mut self,
         peer: Id,
         to: SocketAddr,
-        news: Vec<News>,
+        updates: Vec<Update>,
         out: &mut Vec<Action>,
     ) {
-        let message = self.message(news, Body::Note);
+        let message = self.message(updates, Body::Empty);
         out.push(Action::Send { peer, to, message });
     }
 
-    fn message(&self, news: Vec<News>, body: Body) -> Message {
+    fn message(&self, updates: Vec<Update>, body: Body) -> Message {
         let incarnation = self.incarnation();
         Message {
             from: self.me,
             incarnation,
             head: self.head,
-            news,
+            updates,
             body,
         }
     }
@@ -341,72 +374,76 @@
             .map_or(0, |p| p.identity.incarnation)
     }
 
-    /// The id of this node.
+    /// Returns the id of this node.
     pub fn me(&self) -> Id {
         self.me
     }
 
-    /// The nodes heard of, this one among them.
+    /// Returns the known nodes, including this one.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// What the nodes published.
+    /// Returns the items that the nodes published.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// What this node has in force.
+    /// Returns the head of the bundle that this node has in force.
     pub fn head(&self) -> Option<Head> {
         self.head
     }
 
-    /// What happened so far.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The instance list as last read.
+    /// Iterates over the instance list as last read.
     pub fn listed(&self) -> impl Iterator<Item = &Entry> {
         self.listed.iter().flat_map(BTreeMap::values)
     }
 
-    /// Whether the nodes known at `now` are likely all that there are. Nodes that start together know
-    /// few of the others at first: each of them would take the duties of the first node for its own.
-    pub fn settled(&self, now: Now) -> bool {
-        let Some(began) = self.began else {
+    /// Returns whether the roster is likely complete at `now`. Nodes that start together know few of the
+    /// others at first, and each of them would take over the duties of the first node.
+    pub fn is_settled(&self, now: Now) -> bool {
+        let Some(first_tick) = self.first_tick else {
             return false;
         };
-        let Settings { young, settle, .. } = self.settings;
-        if roster::age(now, began) >= young {
+        let Settings {
+            startup_period,
+            settle_time,
+            ..
+        } = self.settings;
+        if roster::age(now, first_tick) >= startup_period {
             return true;
         }
         let alone = self.roster.len() == 1 && self.listed().next().is_some();
-        !alone && roster::age(now, began.max(self.grown)) >= settle
+        !alone && roster::age(now, first_tick.max(self.last_join)) >= settle_time
     }
 
-    /// Nodes that count as existing: heard of, or listed as live.
-    pub fn size(&self) -> usize {
-        let live = |e: &Entry| e.standing == Standing::Live;
+    /// Returns the number of existing nodes: those in the roster and those listed as live.
+    pub fn node_count(&self) -> usize {
+        let live = |e: &Entry| e.state == ListedState::Live;
         let unknown = |(id, e): &(&Id, &Entry)| live(e) && self.roster.get(**id).is_none();
         let listed = self.listed.iter().flatten();
         self.roster.len() + listed.filter(unknown).count()
     }
 }
 
-/// What the sender of `rows` thinks of them, and the news.
-fn split_doubts(news: Vec<News>, rows: &[Row]) -> (Vec<Run>, Vec<News>) {
+/// Separates the suspicions that concern `rows` of the same message from the other updates.
+fn split_row_suspicions(updates: Vec<Update>, rows: &[Row]) -> (Vec<Run>, Vec<Update>) {
     let sent: BTreeSet<Id> = rows.iter().map(|row| row.identity.id()).collect();
-    let mut doubts = Vec::new();
-    let news = news.into_iter().filter(|piece| match piece {
-        News::Suspect(run) if sent.contains(&run.id) => {
-            doubts.push(*run);
+    let mut suspicions = Vec::new();
+    let others = updates.into_iter().filter(|update| match update {
+        Update::Suspect(run) if sent.contains(&run.id) => {
+            suspicions.push(*run);
             false
         }
         _ => true,
     });
-    let news = news.collect();
-    (doubts, news)
+    let others = others.collect();
+    (suspicions, others)
 }
 
 impl fmt::Display for Group {
@@ -419,7 +456,7 @@
         for peer in self.roster.iter() {
             let mark = if peer.id == self.me { "me" } else { "peer" };
             writeln!(f, "{mark} {peer}")?;
-            let rows = self.store.of(peer.id);
+            let rows = self.store.items(peer.id);
             rows.map(|(_, s)| &s.body)
                 .try_for_each(|b| writeln!(f, "  {b}"))?;
         }
--- a/crates/member/src/probe.rs
+++ b/crates/member/src/probe.rs
@@ -1,10 +1,11 @@
-//! Probing: one peer per round beside the watched ones, then others are asked, then it is suspected.
+//! Failure detection by probes: one peer per round besides the neighbours in the ring. A peer that does not
+//! answer is probed indirectly through other peers, then suspected.
 
 use crate::Now;
 use crate::action::Action;
 use crate::group::Group;
 use crate::identity::Id;
-use crate::message::{Body, News, Seq};
+use crate::message::{Body, Seq, Update};
 use crate::peer::State;
 use crate::roster::age;
 use rand::RngExt;
@@ -12,102 +13,109 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Peers that wait to be probed out of turn at most.
-const FOCUS: usize = 4;
-/// Probes for others that are open at most; more are not taken.
-const RELAYS: usize = 64;
-/// Listed but unknown nodes that are probed per round while this node knows nobody.
-const CONTACTS: usize = 3;
+/// Largest number of peers queued to be probed ahead of the regular order.
+const MAX_PRIORITY_PROBES: usize = 4;
+/// Largest number of open probes on behalf of other nodes. Further requests are dropped.
+const MAX_OPEN_RELAYS: usize = 64;
+/// Number of listed but unknown nodes that are probed per round while this node knows no peer.
+const MAX_CONTACTS_PER_ROUND: usize = 3;
 
 /// Why a peer is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// It is its turn, or it is suspected.
-    Turn,
-    /// This node watches it.
-    Watch,
+    /// It is next in the regular order or in the priority queue.
+    Schedule,
+    /// It is a neighbour in the ring.
+    Ring,
 }
 
+/// An open probe of this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Probe {
     pub(crate) seq: Seq,
     pub(crate) to: Id,
-    pub(crate) sent: Now,
+    pub(crate) sent_at: Now,
     pub(crate) cause: Cause,
-    /// Whether others were asked.
-    relayed: bool,
-    /// Whether a new connection to it failed.
-    failed: bool,
+    /// Whether indirect probes were requested.
+    indirect_requested: bool,
+    /// Whether a new connection to the peer failed.
+    connect_failed: bool,
 }
 
-/// A probe for another node.
+/// A probe on behalf of another node.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
     seq: Seq,
-    sent: Now,
-    asker: (Id, SocketAddr, Seq),
+    sent_at: Now,
+    /// Id and address of the requesting node, and the number of its probe.
+    requester: (Id, SocketAddr, Seq),
 }
 
-/// Open probes and the order of the next ones.
+/// Open probes and the schedule of the next ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
     pub(crate) open: Vec<Probe>,
     relays: Vec<Relay>,
+    /// Peers still to be probed in the current shuffled order.
     order: Vec<Id>,
-    focus: VecDeque<Id>,
+    /// Peers to be probed ahead of the order.
+    priority: VecDeque<Id>,
     seq: Seq,
-    /// When digests are exchanged next.
-    next: Now,
-    /// When a peer is probed next.
-    round: Now,
-    /// When the watched peers are probed next.
-    pub(crate) watch: Now,
+    /// Time of the next exchange of digests.
+    next_exchange: Now,
+    /// Time of the next regular probe.
+    next_round: Now,
+    /// Time of the next probes of the neighbours in the ring.
+    pub(crate) next_ring_probe: Now,
 }
 
 impl Probes {
+    /// Drops all open probes and makes the next ones due.
     pub(crate) fn reset(&mut self, now: Now) {
         self.open.clear();
         self.relays.clear();
-        self.next = now;
-        self.round = now;
-        self.watch = now;
+        self.next_exchange = now;
+        self.next_round = now;
+        self.next_ring_probe = now;
     }
 
-    /// Whether a probe of `id` has no answer yet.
+    /// Returns whether a probe of `id` is open.
     pub(crate) fn is_open(&self, id: Id) -> bool {
         self.open.iter().any(|p| p.to == id)
     }
 
     pub(crate) fn forget(&mut self, id: Id) {
         self.open.retain(|p| p.to != id);
-        self.focus.retain(|f| *f != id);
+        self.priority.retain(|f| *f != id);
     }
 
-    fn number(&mut self) -> Seq {
+    fn next_seq(&mut self) -> Seq {
         self.seq = self.seq.wrapping_add(1);
         self.seq
     }
 }
 
 impl Group {
-    pub(crate) fn due(&self, now: Now) -> bool {
-        now >= self.probes.next
+    pub(crate) fn exchange_due(&self, now: Now) -> bool {
+        now >= self.probes.next_exchange
     }
 
-    /// Probes the next peer and exchanges digests: with the same one where it is up, since that
-    /// needs one connection instead of two. Where exchanges come sooner than rounds, those between
-    /// two rounds probe nobody, so that no more probes are open than ever.
-    pub(crate) fn round(&mut self, now: Now, out: &mut Vec<Action>) {
+    /// Probes the next peer and exchanges digests with it if it is up, which needs one connection instead of
+    /// two, else with a random peer. Where exchanges are more frequent than regular probes, those in between
+    /// probe no peer, which keeps the number of open probes bounded.
+    pub(crate) fn run_round(&mut self, now: Now, out: &mut Vec<Action>) {
         let jitter = self.rng.random_range(0.9..1.1);
-        let alive = self.began.map_or(Now::ZERO, |began| age(now, began));
+        let uptime = self.first_tick.map_or(Now::ZERO, |first| age(now, first));
         let peers = self.roster.len();
-        let next = self.settings.exchange(peers, alive);
-        self.probes.next = now + next.mul_f64(jitter);
-        self.contact(out);
-        let Some(target) = self.target() else { return };
-        if now >= self.probes.round {
-            self.probes.round = now + self.settings.round(peers).mul_f64(jitter);
-            self.probe(now, target, Cause::Turn, out);
+        let next = self.settings.exchange_interval(peers, uptime);
+        self.probes.next_exchange = now + next.mul_f64(jitter);
+        self.contact_unknown(out);
+        let Some(target) = self.next_target() else {
+            return;
+        };
+        if now >= self.probes.next_round {
+            self.probes.next_round = now + self.settings.probe_interval(peers).mul_f64(jitter);
+            self.probe(now, target, Cause::Schedule, out);
         }
         let up = self
             .roster
@@ -116,18 +124,18 @@
         let partner = if up {
             Some(target)
         } else {
-            self.random(1, None).first().copied()
+            self.sample_up(1, None).first().copied()
         };
         if let Some(partner) = partner {
-            self.offer(partner, out);
+            self.send_digest(partner, out);
         }
     }
 
-    /// Probes listed nodes that are not known here: that is how a new node finds the others, and
-    /// how sides that were parted for longer than the list named them find each other. One that
-    /// left is not asked; a new run of it comes by itself.
-    fn contact(&mut self, out: &mut Vec<Action>) {
-        let left = |id: &Id| self.graves.get(id).is_some_and(|g| g.left);
+    /// Probes listed nodes that are not in the roster. This is how a new node joins, and how the sides of a
+    /// network partition find each other when each has removed the other. A node that left is not probed; a
+    /// new run of it joins on its own.
+    fn contact_unknown(&mut self, out: &mut Vec<Action>) {
+        let left = |id: &Id| self.tombstones.get(id).is_some_and(|t| t.ended);
         let known = |id: &Id| self.roster.get(*id).is_some() || left(id);
         let listed = self.listed.iter().flatten();
         let unknown = listed
@@ -135,19 +143,23 @@
             .map(|(id, e)| (*id, e.addr));
         let mut unknown: Vec<(Id, SocketAddr)> = unknown.collect();
         unknown.shuffle(&mut self.rng);
-        let most = if self.roster.len() == 1 { CONTACTS } else { 1 };
-        for (to, addr) in unknown.into_iter().take(most) {
-            let seq = self.probes.number();
+        let max_contacts = if self.roster.len() == 1 {
+            MAX_CONTACTS_PER_ROUND
+        } else {
+            1
+        };
+        for (to, addr) in unknown.into_iter().take(max_contacts) {
+            let seq = self.probes.next_seq();
             self.send(to, addr, Body::Ping { seq, to }, out);
             let digest = self.summaries();
             self.send(to, addr, Body::Digest(digest), out);
         }
     }
 
-    /// The next peer in a shuffled order that has each once, so that every peer is probed
-    /// within a bounded time.
-    fn target(&mut self) -> Option<Id> {
-        while let Some(id) = self.probes.focus.pop_front() {
+    /// Returns the peer to probe next: a prioritized one, else the next in a shuffled order that holds each
+    /// peer once, so that every peer is probed within a bounded time.
+    fn next_target(&mut self) -> Option<Id> {
+        while let Some(id) = self.probes.priority.pop_front() {
             if self
                 .roster
                 .get(id)
@@ -169,80 +181,92 @@
         }
     }
 
+    /// Sends a direct probe.
     pub(crate) fn probe(&mut self, now: Now, to: Id, cause: Cause, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(to) else {
             return;
         };
         let addr = peer.identity.addr;
-        let seq = self.probes.number();
+        let seq = self.probes.next_seq();
         let probe = Probe {
             seq,
             to,
-            sent: now,
+            sent_at: now,
             cause,
-            relayed: false,
-            failed: false,
+            indirect_requested: false,
+            connect_failed: false,
         };
         self.probes.open.push(probe);
         self.counters.probes += 1;
         self.send(to, addr, Body::Ping { seq, to }, out);
     }
 
+    /// Requests indirect probes where a direct one is late, and ends the probes that timed out.
     pub(crate) fn check_probes(&mut self, now: Now, out: &mut Vec<Action>) {
-        let (direct, most) = (self.settings.direct, self.settings.probe);
-        let late = |p: &Probe| p.failed || age(now, p.sent) >= direct;
-        let mut asked = Vec::new();
-        for probe in self.probes.open.iter_mut().filter(|p| !p.relayed) {
+        let (direct_timeout, timeout) = (
+            self.settings.direct_probe_timeout,
+            self.settings.probe_timeout,
+        );
+        let late = |p: &Probe| p.connect_failed || age(now, p.sent_at) >= direct_timeout;
+        let mut late_probes = Vec::new();
+        for probe in self
+            .probes
+            .open
+            .iter_mut()
+            .filter(|p| !p.indirect_requested)
+        {
             if late(probe) {
-                probe.relayed = true;
-                asked.push((probe.seq, probe.to));
+                probe.indirect_requested = true;
+                late_probes.push((probe.seq, probe.to));
             }
         }
-        asked
+        late_probes
             .into_iter()
-            .for_each(|(seq, to)| self.ask(seq, to, out));
-        let (open, over): (Vec<Probe>, Vec<Probe>) = self
+            .for_each(|(seq, to)| self.request_indirect_probes(seq, to, out));
+        let (open, timed_out): (Vec<Probe>, Vec<Probe>) = self
             .probes
             .open
             .iter()
-            .partition(|p| age(now, p.sent) < most);
+            .partition(|p| age(now, p.sent_at) < timeout);
         self.probes.open = open;
-        over.into_iter().for_each(|p| self.accuse(now, p.to, out));
-        self.probes.relays.retain(|r| age(now, r.sent) < most);
+        timed_out
+            .into_iter()
+            .for_each(|p| self.probe_failed(now, p.to, out));
+        self.probes.relays.retain(|r| age(now, r.sent_at) < timeout);
     }
 
-    /// Asks others to probe, first those of other availability zones: a fault on the way from
-    /// here then does not look like the peer's.
-    fn ask(&mut self, seq: Seq, to: Id, out: &mut Vec<Action>) {
+    /// Requests indirect probes from other peers, preferably in other availability zones: a network fault
+    /// between this zone and the probed peer is then not taken for a failure of the peer.
+    fn request_indirect_probes(&mut self, seq: Seq, to: Id, out: &mut Vec<Action>) {
         let Some(peer) = self.roster.get(to) else {
             return;
         };
         let addr = peer.identity.addr;
         let zone = self.roster.get(self.me).map(|p| p.identity.zone.clone());
-        let most = self.settings.helpers;
-        let mut helpers = self.random(most * 4, Some(to));
+        let count = self.settings.indirect_probers;
+        let mut helpers = self.sample_up(count * 4, Some(to));
         let same = |id: &Id| self.roster.get(*id).map(|p| &p.identity.zone) == zone.as_ref();
         helpers.sort_by_key(same);
-        for helper in helpers.into_iter().take(most) {
+        for helper in helpers.into_iter().take(count) {
             let Some(at) = self.roster.get(helper).map(|p| p.identity.addr) else {
                 continue;
             };
             self.counters.relays += 1;
-            self.send(helper, at, Body::Relay { seq, to, addr }, out);
+            self.send(helper, at, Body::IndirectPing { seq, to, addr }, out);
         }
     }
 
-    /// Some peers that are up, chosen at random.
-    pub(crate) fn random(&mut self, most: usize, but: Option<Id>) -> Vec<Id> {
+    /// Returns up to `count` random peers that are up, without `excluded`.
+    pub(crate) fn sample_up(&mut self, count: usize, excluded: Option<Id>) -> Vec<Id> {
         let up = self.roster.iter().filter(|p| p.state == State::Up);
         let ids: Vec<Id> = up
             .map(|p| p.id)
-            .filter(|id| *id != self.me && Some(*id) != but)
+            .filter(|id| *id != self.me && Some(*id) != excluded)
             .collect();
-        ids.sample(&mut self.rng, most).copied().collect()
+        ids.sample(&mut self.rng, count).copied().collect()
     }
 
-    pub(crate) fn answer(
+    pub(crate) fn handle_ping(
         &mut self,
         id: Id,
         from: SocketAddr,
@@ -254,32 +278,34 @@
             self.send(id, from, Body::Ack { seq, of: to }, out);
             return;
         }
-        // The sender's row for this address is of an earlier process: tell it who is here now.
-        self.introduce(id, from, out);
+        // The sender's row for this address is of an earlier process: send it the row of this one.
+        self.send_identity(id, from, out);
     }
 
-    pub(crate) fn relay(
+    /// Probes `to` on behalf of the requesting node.
+    pub(crate) fn handle_indirect_ping(
         &mut self,
         now: Now,
-        asker: (Id, SocketAddr, Seq),
+        requester: (Id, SocketAddr, Seq),
         to: Id,
         addr: SocketAddr,
         out: &mut Vec<Action>,
     ) {
-        if self.probes.relays.len() >= RELAYS {
+        if self.probes.relays.len() >= MAX_OPEN_RELAYS {
             self.counters.dropped += 1;
             return;
         }
-        let seq = self.probes.number();
+        let seq = self.probes.next_seq();
         self.probes.relays.push(Relay {
             seq,
-            sent: now,
-            asker,
+            sent_at: now,
+            requester,
         });
         self.send(to, addr, Body::Ping { seq, to }, out);
     }
 
-    pub(crate) fn acked(&mut self, now: Now, seq: Seq, of: Id, out: &mut Vec<Action>) {
+    /// Completes an own probe, or forwards the answer to the node that requested it.
+    pub(crate) fn handle_ack(&mut self, now: Now, seq: Seq, of: Id, out: &mut Vec<Action>) {
         if let Some(at) = self
             .probes
             .open
@@ -288,58 +314,68 @@
         {
             self.probes.open.remove(at);
             self.counters.acks += 1;
-            self.up(now, of, out);
+            self.mark_alive(now, of, out);
             return;
         }
         let Some(at) = self.probes.relays.iter().position(|r| r.seq == seq) else {
             return;
         };
-        let (asker, addr, seq) = self.probes.relays.remove(at).asker;
-        self.send(asker, addr, Body::Ack { seq, of }, out);
+        let (requester, addr, seq) = self.probes.relays.remove(at).requester;
+        self.send(requester, addr, Body::Ack { seq, of }, out);
     }
 
-    /// A failed connection is no proof of death, only a reason not to wait for the answer.
-    pub(crate) fn unreached(&mut self, peer: Id, out: &mut Vec<Action>) {
+    /// Handles a failed connection to a peer. It does not prove that the peer is dead, but indirect probes are
+    /// requested without waiting for the direct timeout.
+    pub(crate) fn connect_failed(&mut self, peer: Id, out: &mut Vec<Action>) {
         let open = self.probes.open.iter_mut().filter(|p| p.to == peer);
-        open.for_each(|p| p.failed = true);
-        if let Some(now) = self.ticked {
+        open.for_each(|p| p.connect_failed = true);
+        if let Some(now) = self.last_tick {
             self.check_probes(now, out);
         }
     }
 
-    /// Puts the suspect next in the order, and a peer of its availability zone unless that is known to
-    /// answer: this node judges by its own probes, and whether the zone answers tells a dead node from
-    /// a parted zone.
-    pub(crate) fn focus(&mut self, suspect: Id) {
+    /// Prioritizes probes that are needed to judge a suspect: one of the suspect, unless one failed since its
+    /// availability zone answered, and one of another peer of the zone, unless the zone is known to answer.
+    /// Whether the zone answers distinguishes a dead node from a parted zone.
+    pub(crate) fn prioritize(&mut self, suspect: Id) {
         let Some(row) = self.roster.get(suspect) else {
             return;
         };
         let zone = row.identity.zone.clone();
-        let (tried, zoned) = (self.tried(row), row.zoned.is_some());
-        let mates = self
+        let (probed, zone_alive) = (
+            self.probed_since_zone_alive(row),
+            row.zone_alive_since.is_some(),
+        );
+        let zone_peers = self
             .roster
             .iter()
             .filter(|p| p.identity.zone == zone && p.state == State::Up);
-        let mates: Vec<Id> = mates.map(|p| p.id).filter(|id| *id != self.me).collect();
-        let mate = mates.choose(&mut self.rng).copied();
-        let next = [(!tried).then_some(suspect), mate.filter(|_| !zoned)];
+        let zone_peers: Vec<Id> = zone_peers
+            .map(|p| p.id)
+            .filter(|id| *id != self.me)
+            .collect();
+        let zone_peer = zone_peers.choose(&mut self.rng).copied();
+        let next = [
+            (!probed).then_some(suspect),
+            zone_peer.filter(|_| !zone_alive),
+        ];
         next.into_iter()
             .flatten()
             .for_each(|id| self.probe_next(id));
     }
 
-    /// Puts a peer next in the order, if there is room and no probe of it is open.
+    /// Queues a peer to be probed ahead of the order, if the queue is not full and no probe of it is open.
     pub(crate) fn probe_next(&mut self, id: Id) {
         let open = self.probes.is_open(id);
-        let focus = &mut self.probes.focus;
-        if focus.len() < FOCUS && !open && !focus.contains(&id) {
-            focus.push_back(id);
+        let priority = &mut self.probes.priority;
+        if priority.len() < MAX_PRIORITY_PROBES && !open && !priority.contains(&id) {
+            priority.push_back(id);
         }
     }
 
-    /// News that concern the receiver: that it is suspected, so that it can refute.
-    pub(crate) fn charge(&self, peer: Id) -> Option<News> {
+    /// Returns the suspicion of the receiver of a message, if there is one, so that it can refute.
+    pub(crate) fn suspicion_of_receiver(&self, peer: Id) -> Option<Update> {
         let row = self.roster.get(peer)?;
-        (row.state > State::Up).then(|| News::Suspect(crate::spread::run(row)))
+        (row.state > State::Up).then(|| Update::Suspect(crate::dissemination::to_run(row)))
     }
 }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -1,9 +1,9 @@
-//! What the nodes observed, put together for the rest of the program.
+//! Queries over the observations of all nodes, for the rest of the program.
 
 use crate::Now;
 use crate::group::Group;
 use crate::identity::Id;
-use crate::item::{Body, Fingerprint, Key};
+use crate::item::{Fingerprint, Key, Observation};
 use crate::level::Level;
 use crate::peer::Peer;
 use crate::store::Slot;
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 
 impl Group {
-    /// Endpoints that some node has ejected.
+    /// Returns the endpoints that any node has ejected.
     pub fn ejected(&self, now: Now) -> BTreeSet<&str> {
         let name = |body| match body {
-            &Body::Endpoint {
+            &Observation::Endpoint {
                 ref name,
                 ejected: true,
                 ..
@@ -24,20 +24,20 @@
         self.observed(now).filter_map(name).collect()
     }
 
-    /// Endpoints that some node is about to order to give up their layers.
-    pub fn moving(&self, now: Now) -> BTreeSet<String> {
-        let name = |body: &Body| match body {
-            Body::Moving { name, .. } => Some(name.clone()),
+    /// Returns the endpoints that any node is about to order to release their layers.
+    pub fn releasing(&self, now: Now) -> BTreeSet<String> {
+        let name = |body: &Observation| match body {
+            Observation::Releasing { name, .. } => Some(name.clone()),
             _ => None,
         };
         self.observed(now).filter_map(name).collect()
     }
 
-    /// Endpoints that at least `least` nodes have ejected.
-    pub fn ejected_by(&self, now: Now, least: usize) -> BTreeSet<String> {
+    /// Returns the endpoints that at least `min_nodes` nodes have ejected.
+    pub fn ejected_by(&self, now: Now, min_nodes: usize) -> BTreeSet<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for body in self.observed(now) {
-            if let Body::Endpoint {
+            if let Observation::Endpoint {
                 name,
                 ejected: true,
                 ..
@@ -46,58 +46,59 @@
                 *counts.entry(name).or_default() += 1;
             }
         }
-        let counts = counts.into_iter().filter(|&(_, count)| count >= least);
+        let counts = counts.into_iter().filter(|&(_, count)| count >= min_nodes);
         counts.map(|(name, _)| name.to_owned()).collect()
     }
 
-    /// Fingerprints in flight at the death of an endpoint.
-    pub fn suspects(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Body| match body {
-            Body::Suspect { fingerprint, .. } => Some(*fingerprint),
+    /// Returns the fingerprints of requests that were in flight when an endpoint died.
+    pub fn suspect_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
+        let fingerprint = |body: &Observation| match body {
+            Observation::Suspect { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
-        self.observed(now).filter_map(print).collect()
+        self.observed(now).filter_map(fingerprint).collect()
     }
 
-    /// Fingerprints of requests that every node refuses.
-    pub fn condemned(&self, now: Now) -> BTreeSet<Fingerprint> {
-        let print = |body: &Body| match body {
-            Body::Condemned { fingerprint, .. } => Some(*fingerprint),
+    /// Returns the fingerprints of requests that every node refuses.
+    pub fn condemned_fingerprints(&self, now: Now) -> BTreeSet<Fingerprint> {
+        let fingerprint = |body: &Observation| match body {
+            Observation::Condemned { fingerprint, .. } => Some(*fingerprint),
             _ => None,
         };
-        self.observed(now).filter_map(print).collect()
+        self.observed(now).filter_map(fingerprint).collect()
     }
 
-    /// The load that a node announced.
+    /// Returns the load that a node announced.
     pub fn load(&self, node: Id) -> Option<Level> {
         match self.store().get(node, &Key::Load)?.body {
-            Body::Load(level) => Some(level),
+            Observation::Load(level) => Some(level),
             _ => None,
         }
     }
 
-    /// Nodes that may be named to callers, this one among them.
-    pub fn open(&self) -> impl Iterator<Item = &Peer> {
-        self.roster().iter().filter(|p| p.open())
+    /// Iterates over the nodes that accept requests, including this one. Their addresses may be given to callers.
+    pub fn accepting(&self) -> impl Iterator<Item = &Peer> {
+        self.roster().iter().filter(|p| p.accepts_work())
     }
 
-    /// The node that listens on `addr`.
-    pub fn at(&self, addr: SocketAddr) -> Option<Id> {
+    /// Returns the node that listens on `addr`.
+    pub fn node_at(&self, addr: SocketAddr) -> Option<Id> {
         self.roster()
             .iter()
             .find(|p| p.identity.addr == addr)
             .map(|p| p.id)
     }
 
-    /// All observations but demand, which comes last in the order of keys and is by far the most.
-    fn observed(&self, now: Now) -> impl Iterator<Item = &Body> {
-        let counts = move |slot: &Slot| slot.until.is_none_or(|u| u > now);
+    /// Iterates over all valid observations except demand. Demand has the last keys and by far the most items,
+    /// so iteration stops before it.
+    fn observed(&self, now: Now) -> impl Iterator<Item = &Observation> {
+        let is_valid = move |slot: &Slot| slot.expires_at.is_none_or(|u| u > now);
         let origins = self.store().origins().flat_map(|o| {
             self.store()
-                .of(o)
+                .items(o)
                 .take_while(|(key, _)| **key < Key::Demand(0))
                 .map(|(_, slot)| slot)
         });
-        origins.filter(move |s| counts(s)).map(|s| &s.body)
+        origins.filter(move |s| is_valid(s)).map(|s| &s.body)
     }
 }
--- a/crates/member/tests/share.rs
+++ b/crates/member/tests/share.rs
@@ -3,7 +3,7 @@
 use member::demand::{Demand, Limit};
 use member::group::Group;
 use member::identity::Identity;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::level::Level;
 use member::settings::Settings;
 use member::share::{self, Input};
@@ -47,13 +47,13 @@
         let all: f64 = demands.iter().sum();
         let split = |own: f64, late: f64| {
             let others = all - own + late;
-            share::split(&Input {
+            share::node_share(&Input {
                 limit,
                 nodes,
-                near: nodes,
-                side: 1.0,
-                own,
-                others,
+                near_nodes: nodes,
+                side_fraction: 1.0,
+                own_demand: own,
+                others_demand: others,
             })
         };
         let sum: f64 = demands.iter().map(|d| split(*d, 0.0)).sum();
@@ -67,11 +67,11 @@
 #[test]
 fn parts_add_up_to_the_whole() {
     let (near, far) = (30.0, 10.0);
-    let a = share::part(1.0, near, far);
-    let b = share::part(1.0, far, near);
+    let a = share::side_after_split(1.0, near, far);
+    let b = share::side_after_split(1.0, far, near);
     assert!((a + b - 1.0).abs() < 1e-9);
-    assert!((share::rejoin(a, far, far) - 1.0).abs() < 1e-9);
-    assert_eq!(share::part(1.0, 0.0, 0.0), 1.0);
+    assert!((share::side_after_rejoin(a, far, far) - 1.0).abs() < 1e-9);
+    assert_eq!(share::side_after_split(1.0, 0.0, 0.0), 1.0);
 }
 
 /// A limit of 50 requests in flight on 370 nodes: whole slots, about 50 in all.
@@ -103,7 +103,7 @@
 #[test]
 fn large_changes_are_announced_first() {
     let settings = team::Settings {
-        own: 2.0,
+        max_node_items_per_second: 2.0,
         ..team::Settings::default()
     };
     let mut teams = Teams::new(settings);
@@ -125,8 +125,8 @@
             .step(Duration::from_secs(s), &group, &limits, &demands)
             .publish
     };
-    let named = |b: &Body| match b {
-        Body::Demand { team, .. } => limits.iter().position(|l| l.team == *team),
+    let named = |b: &Observation| match b {
+        Observation::Demand { team, .. } => limits.iter().position(|l| l.team == *team),
         _ => None,
     };
     let first: Vec<_> = step(1).iter().map(named).collect();
@@ -141,12 +141,12 @@
 #[test]
 fn a_group_prints_its_state() {
     let mut group = group();
-    let body = Body::Demand {
+    let body = Observation::Demand {
         team: 7,
         rate: Level::of(10.0),
         in_flight: Level::of(20.0),
     };
-    let event = member::event::Event::Publish(vec![body, Body::Leaving]);
+    let event = member::event::Event::Publish(vec![body, Observation::Leaving]);
     group.handle(Duration::from_secs(1), event, &mut Vec::new());
     let text = group.to_string();
     let lines: Vec<&str> = text.lines().collect();
