--- a/crates/node/src/hosted/control/copy.rs
+++ b/crates/node/src/hosted/control/copy.rs
@@ -1,18 +1,19 @@
-//! What nodes ask each other for, and the changes of a table as they send them.
+//! Requests of nodes for copies of tables and for loads, and the encoding of copies.
 //!
-//! A copy comes in chunks of about [`CHUNK`] bytes. As one frame, a table of 3,000 endpoints takes a
-//! slow link for longer than a connection may leave a frame unconfirmed: it was sent again and again
-//! over new connections, and the operator's catalog waited behind it.
+//! A copy is transferred in chunks of about [`CHUNK_BYTES`]. As a single frame, a table of 3,000
+//! endpoints occupies a slow link for longer than the time after which an unacknowledged frame is
+//! resent over a new connection: it would be sent repeatedly, and the operator's catalog would wait
+//! behind it.
 
 use adapter::store::Table;
 use catalog::source::{Page, Record};
 use eyre::{Result, bail, ensure};
 use serde::{Deserialize, Serialize};
 
-/// Longest copy that is read.
-const LONGEST: usize = 4 << 20;
-/// Bytes of a copy from which on the rest waits for the next ask.
-pub const CHUNK: usize = 48 << 10;
+/// Maximum size of an encoded copy that is decoded.
+const MAX_ENCODED_BYTES: usize = 4 << 20;
+/// Approximate size of a chunk; the rest of a copy is left for the next request.
+pub const CHUNK_BYTES: usize = 48 << 10;
 
 #[derive(Serialize, Deserialize)]
 struct Raw {
@@ -30,35 +31,35 @@
     offset: u64,
 }
 
-/// A chunk of a table's changes, and what the node that gives it says of itself.
+/// A chunk of a table's changes, with the state of the node that sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copy {
-    /// The changes in this chunk; maybe none.
+pub struct Response {
+    /// The changes in this chunk, which may be empty.
     pub page: Page,
-    /// Whether the node that gives them can read the store.
-    pub fresh: bool,
+    /// Whether the sender reads the store itself and its last read succeeded.
+    pub up_to_date: bool,
     /// Whether more chunks follow.
     pub more: bool,
 }
 
-impl From<&Copy> for Raw {
-    fn from(copy: &Copy) -> Self {
-        let rows = copy.page.records.iter().map(|r| Row {
+impl From<&Response> for Raw {
+    fn from(response: &Response) -> Self {
+        let rows = response.page.records.iter().map(|r| Row {
             key: r.key.clone(),
             value: r.value.as_ref().map(|v| v.to_vec()),
             offset: r.offset,
         });
         Self {
             records: rows.collect(),
-            next: copy.page.next,
-            whole: copy.page.whole,
-            fresh: copy.fresh,
-            more: copy.more,
+            next: response.page.next_offset,
+            whole: response.page.complete,
+            fresh: response.up_to_date,
+            more: response.more,
         }
     }
 }
 
-impl From<Raw> for Copy {
+impl From<Raw> for Response {
     fn from(raw: Raw) -> Self {
         let records = raw.records.into_iter().map(|r| Record {
             key: r.key,
@@ -68,52 +69,58 @@
         Self {
             page: Page {
                 records: records.collect(),
-                next: raw.next,
-                whole: raw.whole,
+                next_offset: raw.next,
+                complete: raw.whole,
             },
-            fresh: raw.fresh,
+            up_to_date: raw.fresh,
             more: raw.more,
         }
     }
 }
 
-/// The bytes of a copy.
-pub fn encode(copy: &Copy) -> Result<Vec<u8>> {
+/// Encodes a chunk of a copy.
+pub fn encode(response: &Response) -> Result<Vec<u8>> {
     let config = bincode::config::standard();
-    Ok(bincode::serde::encode_to_vec(Raw::from(copy), config)?)
+    Ok(bincode::serde::encode_to_vec(Raw::from(response), config)?)
 }
 
-/// Reads the bytes of a copy.
-pub fn decode(bytes: &[u8]) -> Result<Copy> {
-    let config = bincode::config::standard().with_limit::<LONGEST>();
+/// Decodes a chunk of a copy.
+///
+/// # Errors
+///
+/// Fails if the bytes are no chunk, exceed `MAX_ENCODED_BYTES` or have trailing bytes.
+pub fn decode(bytes: &[u8]) -> Result<Response> {
+    let config = bincode::config::standard().with_limit::<MAX_ENCODED_BYTES>();
     let (raw, used): (Raw, usize) = bincode::serde::decode_from_slice(bytes, config)?;
-    ensure!(used == bytes.len(), "trailing bytes");
+    ensure!(used == bytes.len(), "trailing bytes after a copy");
     Ok(raw.into())
 }
 
-/// Which loads a node is asked for. They are no table of the store, and have numbers of their own.
+/// Selects the loads that a node is asked for. Loads are not a table of the store; their changes
+/// have numbers of the sending node instead of offsets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Those that it asked engines for itself.
+    /// Loads that the node polled from engines itself.
     Own,
-    /// All that it knows.
+    /// All loads that the node knows.
     All,
 }
 
-/// What a node asks a peer for.
+/// A request to a peer. A frame carries its number, see the conversions to and from `u8`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// Changes of a table from an offset on.
+pub enum Request {
+    /// The changes of a table from an offset on.
     Changes(Table),
-    /// The next chunk of all keys of a table, those that changed at an offset or later.
+    /// The next chunk of a transfer of all keys of a table: the keys whose last change is at an
+    /// offset or later.
     Keys(Table),
-    /// Loads of engines that changed after a number.
+    /// The loads of engines that changed after a change number.
     Loads(Scope),
 }
 
-impl Ask {
-    /// Its word in metrics.
-    pub fn word(self) -> &'static str {
+impl Request {
+    /// Returns the label of the request in metrics.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Changes(Table::Operator) | Self::Keys(Table::Operator) => "operator",
             Self::Changes(Table::Endpoints) | Self::Keys(Table::Endpoints) => "endpoints",
@@ -122,20 +129,20 @@
     }
 }
 
-impl From<Ask> for u8 {
-    fn from(ask: Ask) -> Self {
-        match ask {
-            Ask::Changes(Table::Operator) => 0,
-            Ask::Changes(Table::Endpoints) => 1,
-            Ask::Loads(Scope::All) => 2,
-            Ask::Loads(Scope::Own) => 3,
-            Ask::Keys(Table::Operator) => 4,
-            Ask::Keys(Table::Endpoints) => 5,
+impl From<Request> for u8 {
+    fn from(request: Request) -> Self {
+        match request {
+            Request::Changes(Table::Operator) => 0,
+            Request::Changes(Table::Endpoints) => 1,
+            Request::Loads(Scope::All) => 2,
+            Request::Loads(Scope::Own) => 3,
+            Request::Keys(Table::Operator) => 4,
+            Request::Keys(Table::Endpoints) => 5,
         }
     }
 }
 
-impl TryFrom<u8> for Ask {
+impl TryFrom<u8> for Request {
     type Error = eyre::Report;
 
     fn try_from(number: u8) -> Result<Self> {
@@ -146,7 +153,7 @@
             3 => Self::Loads(Scope::Own),
             4 => Self::Keys(Table::Operator),
             5 => Self::Keys(Table::Endpoints),
-            _ => bail!("no ask has the number {number}"),
+            _ => bail!("unknown request number {number}"),
         })
     }
 }
--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -1,48 +1,48 @@
-//! What tasks tell control.
+//! Inputs of the control state, sent by its tasks.
 
-use super::copy::Ask;
+use super::copy::Request;
 use adapter::report::Report;
 use adapter::store::Table;
 use catalog::endpoint::Run;
 use catalog::source::Page;
-use place::order::{Given, Order};
+use place::order::{Order, Outcome};
 use std::net::SocketAddr;
-use steer::note::Note;
+use steer::transition::Transition;
 use tokio::sync::mpsc;
 use wire::peer::Inbound;
 
-/// Inputs that may wait.
-pub const INPUTS: usize = 1024;
+/// Capacity of the input queue.
+pub const INPUT_QUEUE_LEN: usize = 1024;
 
-/// Where tasks put inputs.
-pub type Inputs = mpsc::Sender<Input>;
+/// Sending half of the input queue.
+pub type InputSender = mpsc::Sender<Input>;
 
-/// What came of an order.
+/// One attempt to give an order to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Ordered {
-    /// The endpoint's report just before; nothing if it did not answer.
+pub struct Attempt {
+    /// The endpoint's status report from just before the order; `None` if it did not answer.
     pub report: Option<Report>,
-    /// What came of it.
-    pub given: Given,
+    /// How the attempt ended.
+    pub outcome: Outcome,
 }
 
-/// An input.
+/// An input of the control state.
 #[derive(Debug)]
 pub enum Input {
-    /// The store was read.
+    /// A read of the store succeeded.
     Page(Table, Page),
-    /// The store could not be read.
-    Unread(Table, String),
-    /// A peer answered an ask.
-    Answered(Ask, SocketAddr, Vec<u8>),
-    /// A peer did not answer an ask, and why.
-    Unanswered(Ask, SocketAddr, String),
-    /// An engine was asked for its report; nothing if it did not answer.
+    /// A read of the store failed, with the error.
+    ReadFailed(Table, String),
+    /// A peer answered a request, with the encoded response.
+    Response(Request, SocketAddr, Vec<u8>),
+    /// A request to a peer failed, with the error.
+    RequestFailed(Request, SocketAddr, String),
+    /// An engine was polled for its status report; `None` if it did not answer.
     Report(Run, Option<Report>),
-    /// The worker found something out about an endpoint.
-    Note(Note),
-    /// A message of a peer.
+    /// The worker ejected an endpoint, or uses it again.
+    Transition(Transition),
+    /// A message from a peer.
     Peer(Inbound),
-    /// An order was given, or found not to fit.
-    Ordered(Order, Ordered),
+    /// An attempt to give an order has ended.
+    OrderEnded(Order, Attempt),
 }
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -1,285 +1,300 @@
-//! Gives endpoints the orders to hold layers.
+//! Orders endpoints which layers to hold.
 //!
-//! Any number of nodes may believe that it is theirs to give orders: an endpoint takes an order
-//! only if it has accepted as many before as the order says, so of two orders one is refused, and
-//! one that arrives late changes nothing. That few nodes do so, the first of those that are known to
-//! live, saves orders; no lease is needed for it, and it goes on while the store is out. All of them
-//! plan for all endpoints, by the same rows, and each gives the orders of its own share.
+//! It is safe for any number of nodes to give orders. An order names the number of orders that the
+//! endpoint has accepted before, and the endpoint refuses it if that number differs: of two
+//! concurrent orders one is refused, and a late one has no effect. Only the first few of the nodes
+//! known to be alive give orders, to avoid redundant ones. This needs no lease and continues during
+//! a store outage. Each of them plans for all endpoints from the same rows, and sends the orders of
+//! its own shard.
 
-use super::input::{Input, Inputs, Ordered};
-use super::readers::Part;
+use super::assignment::Assignment;
+use super::input::{Attempt, Input, InputSender};
 use adapter::report::Control;
 use catalog::endpoint::{Run, Span, State};
 use catalog::engine::Engine;
 use catalog::{Catalog, Endpoint};
 use journal::Journal;
 use journal::event::Event;
-use place::order::{Given, Order};
+use place::holder::Holder;
+use place::order::{Order, Outcome};
 use place::plan;
-use place::stock::Holder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time beyond the load itself until a row must show the layers: a row is written every second or
-/// so, and read about as often.
-const SHOWN: Duration = Duration::from_secs(4);
-/// Time after an order that was not taken until another is given: what is known of the endpoint
-/// is new by then.
-const AGAIN: Duration = Duration::from_millis(700);
+/// Time after loading within which an endpoint's row must show its new layers: a row is written
+/// about once a second and read about as often.
+const ROW_LAG: Duration = Duration::from_secs(4);
+/// Delay after an order that was not accepted until the endpoint may get another one. Its state as
+/// known here is up to date again by then.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Orders that are being given at once, each on a connection of its own: a small node that begins too
-/// many has none of them answered in time.
-pub const GIVEN: usize = 24;
+/// Maximum number of orders in flight, each on a connection of its own. On a small node, too many
+/// at once all time out.
+pub const MAX_CONCURRENT_ORDERS: usize = 24;
 
-/// Time between the announcement that an endpoint gives up layers and the order: what is announced is
-/// with all nodes by then, so that none sends requests there that would be refused.
-pub const ANNOUNCED: Duration = Duration::from_millis(600);
+/// Time from the announcement that an endpoint is to release layers until its order is sent. The
+/// announcement has reached all nodes by then, so that none sends requests that the endpoint would
+/// refuse.
+pub const MOVE_NOTICE: Duration = Duration::from_millis(600);
 
-/// What is under way at an endpoint.
+/// Pending change at an endpoint.
 #[derive(Clone, Copy, Debug)]
-enum Under {
-    /// An order was given, or it reported these layers; its row will show them.
+enum Pending {
+    /// The endpoint was ordered to hold these layers, or reported them; its row is to show them by
+    /// `until`.
     Holds { span: Span, until: Instant },
-    /// It is left alone until then.
+    /// The endpoint gets no order until this time.
     Wait(Instant),
 }
 
-/// An order that waits to be given.
+/// A planned order that has not been sent yet.
 #[derive(Debug)]
 struct Planned {
     order: Order,
-    /// How long the layers take to load beside the others of the plan.
-    load: Duration,
+    /// Expected time to load the layers concurrently with the other loads of the plan.
+    load_time: Duration,
 }
 
-/// The orders of one node.
+/// Plans and sends the orders of one node.
 pub struct Orders {
     journal: Journal,
-    inputs: Inputs,
-    under: BTreeMap<Run, Under>,
-    /// Orders of the last plan that have not been given yet.
+    inputs: InputSender,
+    pending: BTreeMap<Run, Pending>,
+    /// Orders of the last plan to endpoints without layers, not sent yet.
     planned: VecDeque<Planned>,
-    /// Orders to give up layers, in the order of their times.
+    /// Moves, which are orders to endpoints that hold layers, with the time at which each is sent,
+    /// in the order of these times.
     moves: VecDeque<(Instant, Planned)>,
-    /// Endpoints whose moves are to be announced.
+    /// Endpoints whose moves have not been announced yet.
     moving: Vec<Run>,
-    /// Orders that are being given.
-    giving: usize,
-    /// How long endpoints take to register that started together.
-    gather: Duration,
-    /// When an endpoint was last seen that had not been seen before.
-    arrived: Instant,
+    /// Number of orders sent whose outcome is not known yet.
+    in_flight: usize,
+    /// Time that endpoints which started together take to register.
+    gather_time: Duration,
+    /// When an endpoint was last seen for the first time.
+    last_arrival: Instant,
     seen: BTreeSet<Run>,
 }
 
 impl Orders {
-    /// No order is under way.
-    pub fn new(journal: Journal, inputs: Inputs, gather: Duration) -> Self {
+    /// Creates the state without any order. `gather_time` is the time within which endpoints that
+    /// started together register.
+    pub fn new(journal: Journal, inputs: InputSender, gather_time: Duration) -> Self {
         Self {
             journal,
             inputs,
-            under: BTreeMap::new(),
+            pending: BTreeMap::new(),
             planned: VecDeque::new(),
             moves: VecDeque::new(),
             moving: Vec::new(),
-            giving: 0,
-            gather,
-            arrived: Instant::now(),
+            in_flight: 0,
+            gather_time,
+            last_arrival: Instant::now(),
             seen: BTreeSet::new(),
         }
     }
 
-    /// Plans anew, and gives what orders of this node's part can be given now.
+    /// Makes a new plan, and sends those of this node's orders that can be sent now.
     pub fn step<'a>(
         &mut self,
         now: Instant,
-        part: &Part,
+        assignment: &Assignment,
         catalog: &Catalog,
         endpoints: impl Iterator<Item = &'a Endpoint>,
     ) {
         let endpoints: Vec<&Endpoint> = endpoints.collect();
-        self.forget(now, &endpoints);
+        self.expire(now, &endpoints);
         self.planned.clear();
         for endpoint in &endpoints {
             if self.seen.insert(endpoint.run.clone()) {
-                self.arrived = now;
+                self.last_arrival = now;
             }
         }
         for service in &catalog.services {
             let Some(engine) = &service.engine else {
                 continue;
             };
-            let own = endpoints.iter().copied();
-            let own = own.filter(|e| e.service == service.name && e.state == State::Ready);
-            self.service(now, part, engine, own);
+            let ready = endpoints.iter().copied();
+            let ready = ready.filter(|e| e.service == service.name && e.state == State::Ready);
+            self.plan_service(now, assignment, engine, ready);
         }
-        self.give_planned(now);
+        self.send_planned(now);
     }
 
-    /// Gives more of the orders that were planned last, as others end. An order that no longer fits
-    /// its endpoint is found out when it is given.
-    pub fn give_planned(&mut self, now: Instant) {
-        while self.giving < GIVEN
-            && let Some(Planned { order, load }) = self.next(now)
+    /// Sends further orders of the last plan, up to the limit of orders in flight. An order that no
+    /// longer matches the state of its endpoint is detected when it is sent.
+    pub fn send_planned(&mut self, now: Instant) {
+        while self.in_flight < MAX_CONCURRENT_ORDERS
+            && let Some(Planned { order, load_time }) = self.pop_due(now)
         {
-            self.expect(&order, now + load);
-            self.give(order);
+            self.mark_pending(&order, now + load_time);
+            self.send(order);
         }
     }
 
-    /// The next order to give: a move whose time has come, or one to an endpoint that holds nothing.
-    fn next(&mut self, now: Instant) -> Option<Planned> {
+    /// Removes and returns the next order to send: a move that is due, or else an order to an
+    /// endpoint that holds no layers.
+    fn pop_due(&mut self, now: Instant) -> Option<Planned> {
         let due = self.moves.pop_front_if(|(at, _)| *at <= now);
         due.map(|(_, planned)| planned)
             .or_else(|| self.planned.pop_front())
     }
 
-    /// Takes in what a plan orders. Moves wait until they are announced; the plans until then count
-    /// them as given.
-    fn plan(&mut self, now: Instant, planned: Planned) {
-        let Planned { order, load } = &planned;
+    /// Enqueues a planned order. A move is delayed by its announcement; plans made meanwhile count
+    /// it as sent.
+    fn enqueue(&mut self, now: Instant, planned: Planned) {
+        let Planned { order, load_time } = &planned;
         if order.held.is_empty() {
             return self.planned.push_back(planned);
         }
-        let at = now + ANNOUNCED;
-        self.expect(order, at + *load);
+        let at = now + MOVE_NOTICE;
+        self.mark_pending(order, at + *load_time);
         self.moving.push(order.run.clone());
         self.moves.push_back((at, planned));
     }
 
-    /// Counts an order as given whose layers are loaded at `loaded`.
-    fn expect(&mut self, order: &Order, loaded: Instant) {
-        let (span, until) = (order.span, loaded + SHOWN);
-        self.under
-            .insert(order.run.clone(), Under::Holds { span, until });
+    /// Records an order as pending whose layers will have been loaded at `loaded`.
+    fn mark_pending(&mut self, order: &Order, loaded: Instant) {
+        let (span, until) = (order.span, loaded + ROW_LAG);
+        self.pending
+            .insert(order.run.clone(), Pending::Holds { span, until });
     }
 
-    /// Drops moves that wait and are no longer this node's to order, or would now leave the endpoint's
-    /// zone without a layer: another holder may have died since they were planned.
-    fn reconsider(&mut self, part: &Part, engine: &Engine, holders: &[Holder]) {
-        let under = &mut self.under;
+    /// Drops waiting moves that are no longer this node's to give, or that would now leave the
+    /// endpoint's zone without a layer because another holder has failed since they were planned.
+    fn revalidate_moves(&mut self, assignment: &Assignment, engine: &Engine, holders: &[Holder]) {
+        let pending = &mut self.pending;
         self.moves.retain(|(_, Planned { order, .. })| {
-            let own = holders.iter().any(|h| h.run == order.run);
-            let kept = !own || (part.first && plan::spared(engine, holders, order));
+            let known = holders.iter().any(|h| h.run == order.run);
+            let kept =
+                !known || (assignment.first && plan::preserves_coverage(engine, holders, order));
             if !kept {
-                under.remove(&order.run);
+                pending.remove(&order.run);
             }
             kept
         });
     }
 
-    /// Endpoints that are about to give up layers, since the last call.
+    /// Removes and returns the endpoints whose moves were planned since the last call, for their
+    /// announcement.
     pub fn take_moving(&mut self) -> Vec<Run> {
         std::mem::take(&mut self.moving)
     }
 
-    /// Orders that are being given, and whose outcome is not known yet.
-    pub fn giving(&self) -> usize {
-        self.giving
+    /// Returns the number of orders sent whose outcome is not known yet.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
-    fn service<'a>(
+    fn plan_service<'a>(
         &mut self,
         now: Instant,
-        part: &Part,
+        assignment: &Assignment,
         engine: &Engine,
         endpoints: impl Iterator<Item = &'a Endpoint>,
     ) {
         let mut holders: Vec<Holder> = Vec::new();
         for endpoint in endpoints {
-            let Some(mut holder) = Holder::of(endpoint) else {
+            let Some(mut holder) = Holder::from_endpoint(endpoint) else {
                 continue;
             };
-            match self.under.get(&holder.run) {
-                Some(Under::Holds { span, .. }) => {
+            match self.pending.get(&holder.run) {
+                Some(Pending::Holds { span, .. }) => {
                     holder.span = *span;
                     holder.loading = true;
                 }
-                Some(Under::Wait(_)) => holder.busy = true,
+                Some(Pending::Wait(_)) => holder.busy = true,
                 None => {}
             }
             holders.push(holder);
         }
-        self.reconsider(part, engine, &holders);
-        // A fleet that holds nothing is planned as a whole, once all have registered: planned by
-        // ones and twos, the first take what the larger ones that follow should hold.
-        let fresh = holders.iter().all(|h| h.span.is_empty());
-        if fresh && now < self.arrived + self.gather {
+        self.revalidate_moves(assignment, engine, &holders);
+        // A fleet without any layers is planned at once, after all its endpoints have registered.
+        // If it were planned in small groups, the first endpoints would get layers that larger
+        // ones, which register later, should hold.
+        let all_empty = holders.iter().all(|h| h.span.is_empty());
+        if all_empty && now < self.last_arrival + self.gather_time {
             return;
         }
-        let crowd = holders.len().div_ceil(engine.loads.max(1)) as u32;
-        let orders = plan::next(engine, &holders).into_iter();
-        let orders = orders.filter(|o| part.orders_to(&o.run, o.held));
+        let concurrent_loads = holders.len().div_ceil(engine.parallel_loads.max(1)) as u32;
+        let orders = plan::next_orders(engine, &holders).into_iter();
+        let orders = orders.filter(|o| assignment.may_order(&o.run, o.held));
         for order in orders {
-            let load = engine.load.mul_f64(engine.part(order.span.len())) * crowd;
-            self.plan(now, Planned { order, load });
+            let load_time = engine
+                .load_time
+                .mul_f64(engine.model_fraction(order.span.len()))
+                * concurrent_loads;
+            self.enqueue(now, Planned { order, load_time });
         }
     }
 
-    fn give(&mut self, order: Order) {
-        self.giving += 1;
+    fn send(&mut self, order: Order) {
+        self.in_flight += 1;
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let ordered = give(&order).await;
-            // Control has ended if nobody takes it.
-            let _ = inputs.send(Input::Ordered(order, ordered)).await;
+            let attempt = send(&order).await;
+            // Sending fails only if control has ended.
+            let _ = inputs.send(Input::OrderEnded(order, attempt)).await;
         });
     }
 
-    /// An order was given, or found not to fit.
-    pub fn ordered(&mut self, now: Instant, order: Order, ordered: &Ordered) {
-        self.giving = self.giving.saturating_sub(1);
-        let report = ordered.report.as_ref();
-        self.journal.tell(Event::Order {
+    /// Records the outcome of an order.
+    pub fn finish(&mut self, now: Instant, order: Order, attempt: &Attempt) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let report = attempt.report.as_ref();
+        self.journal.record(Event::Order {
             run: order.run.to_string(),
             held: order.held.to_string(),
             layers: order.span.to_string(),
-            after: report.map(|r| r.orders),
-            outcome: format!("{:?}", ordered.given),
+            after: report.map(|r| r.accepted_orders),
+            outcome: format!("{:?}", attempt.outcome),
         });
-        let under = match (ordered.given, report) {
-            (Given::Taken, _) => return,
-            // It holds something else than its row says.
-            (Given::Refused, Some(report)) if !report.busy && report.span != order.held => {
-                Under::Holds {
+        let pending = match (attempt.outcome, report) {
+            (Outcome::Taken, _) => return,
+            // The endpoint holds other layers than its row says.
+            (Outcome::Refused, Some(report)) if !report.busy && report.span != order.held => {
+                Pending::Holds {
                     span: report.span,
-                    until: now + SHOWN,
+                    until: now + ROW_LAG,
                 }
             }
-            _ => Under::Wait(now + AGAIN),
+            _ => Pending::Wait(now + ORDER_RETRY_DELAY),
         };
-        self.under.insert(order.run, under);
+        self.pending.insert(order.run, pending);
     }
 
-    /// Forgets what is over, what its row shows by now, and runs that are gone.
-    fn forget(&mut self, now: Instant, endpoints: &[&Endpoint]) {
+    /// Discards pending changes that have expired or that the row shows by now, and runs that are
+    /// gone.
+    fn expire(&mut self, now: Instant, endpoints: &[&Endpoint]) {
         let spans: BTreeMap<&Run, Span> = endpoints.iter().map(|e| (&e.run, e.span)).collect();
         self.seen.retain(|run| spans.contains_key(run));
         self.moves.retain(|(_, m)| spans.contains_key(&m.order.run));
-        self.under
-            .retain(|run, under| match (spans.get(run), under) {
+        self.pending
+            .retain(|run, pending| match (spans.get(run), pending) {
                 (None, _) => false,
-                (Some(_), Under::Wait(until)) => now < *until,
-                (Some(shown), Under::Holds { span, until }) => now < *until && shown != span,
+                (Some(_), Pending::Wait(until)) => now < *until,
+                (Some(shown), Pending::Holds { span, until }) => now < *until && shown != span,
             });
     }
 }
 
-/// Gives an order to an endpoint that still is what the order was planned for.
+/// Sends an order to an endpoint if it is still in the state that the order was planned for.
 ///
-/// Its row does not say how many orders it has accepted, and may be seconds old. So it is asked
-/// first, and the order carries the count from its report.
-async fn give(order: &Order) -> Ordered {
+/// The endpoint's row does not contain the number of orders that it has accepted, and may be
+/// seconds old. So the status report is fetched first, and the order carries the number from that
+/// report.
+async fn send(order: &Order) -> Attempt {
     let control = Control::new(order.addr);
-    let Ok(report) = control.report().await else {
-        let (report, given) = (None, Given::Refused);
-        return Ordered { report, given };
-    };
-    let given = match report.of_another(&order.run) || report.busy || report.span != order.held {
-        true => Given::Refused,
-        false => control.place(order, report.orders).await,
+    let Ok(report) = control.fetch_report().await else {
+        let (report, outcome) = (None, Outcome::Refused);
+        return Attempt { report, outcome };
     };
+    let outcome =
+        match report.is_from_another_run(&order.run) || report.busy || report.span != order.held {
+            true => Outcome::Refused,
+            false => control.place(order, report.accepted_orders).await,
+        };
     let report = Some(report);
-    Ordered { report, given }
+    Attempt { report, outcome }
 }
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -1,6 +1,6 @@
-//! Follows one table of the store.
+//! Task that follows one table of the store.
 
-use super::input::{Input, Inputs};
+use super::input::{Input, InputSender};
 use adapter::Platform;
 use adapter::store::{Changes, Table};
 use catalog::source::{Offset, Page};
@@ -11,22 +11,25 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long the store may hold a read of the operator's table back. Long, since each read is
-/// paid for; not so long that a silent store is noticed late.
-const WAIT: Duration = Duration::from_millis(1500);
-/// Pause between two reads of the endpoints' table, which changes all the time. A leaving
-/// endpoint must get no new work after two seconds, a read may take most of another.
-const PAUSE: Duration = Duration::from_millis(800);
-/// Pause between two reads of the operator's table, so that quick changes share a read.
-const SHORT_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a failed read.
-const FAILED: Duration = Duration::from_millis(300);
+/// How long the store may hold a read of the operator's table until there is a change (long
+/// polling). Each read is paid for, which favours a long wait; a longer one would delay the
+/// detection of a store that does not answer.
+const OPERATOR_LONG_POLL: Duration = Duration::from_millis(1500);
+/// Pause between two reads of the endpoints' table, which changes constantly. An endpoint that
+/// leaves must get no new work after two seconds, and a read itself may take most of a second.
+const ENDPOINTS_READ_PAUSE: Duration = Duration::from_millis(800);
+/// Pause between two reads of the operator's table, so that changes in quick succession share one
+/// read.
+const OPERATOR_READ_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed read, before it is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Reads a table and its changes while `reads` holds, until the inputs are closed.
+/// Reads a table and then its changes for as long as `reads` is true. Returns when the input queue
+/// is closed.
 pub async fn follow(
     platform: Arc<Platform>,
     table: Table,
-    inputs: Inputs,
+    inputs: InputSender,
     mut reads: watch::Receiver<bool>,
     metrics: Metrics,
 ) {
@@ -35,19 +38,22 @@
         if reads.wait_for(|reads| *reads).await.is_err() {
             return;
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let result = read(&platform, table, from).await;
-        metrics.read(name(table), result.is_ok(), begun.elapsed());
+        metrics.record_store_read(label(table), result.is_ok(), started.elapsed());
         let (input, pause) = match result {
             Ok(Some(page)) => {
-                from = Some(page.next);
+                from = Some(page.next_offset);
                 (Some(Input::Page(table, page)), pause(table))
             }
             Ok(None) => {
                 from = None;
                 (None, Duration::ZERO)
             }
-            Err(error) => (Some(Input::Unread(table, error.to_string())), FAILED),
+            Err(error) => (
+                Some(Input::ReadFailed(table, error.to_string())),
+                RETRY_PAUSE,
+            ),
         };
         if let Some(input) = input
             && inputs.send(input).await.is_err()
@@ -58,31 +64,33 @@
     }
 }
 
-/// The whole table, or its changes from an offset on; nothing if these are lost.
+/// Reads the changes of a table from the offset `from` on, or the whole table if there is no
+/// offset. Returns `None` if the store has discarded those changes; the whole table must be read
+/// then.
 async fn read(platform: &Platform, table: Table, from: Option<Offset>) -> Result<Option<Page>> {
     let store = platform.store();
     let Some(from) = from else {
-        return store.newest(table).await.map(Some);
+        return store.read_all(table).await.map(Some);
     };
     let wait = match table {
-        Table::Operator => WAIT,
+        Table::Operator => OPERATOR_LONG_POLL,
         Table::Endpoints => Duration::ZERO,
     };
-    Ok(match store.changes(table, from, wait).await? {
+    Ok(match store.read_changes(table, from, wait).await? {
         Changes::Page(page) => Some(page),
-        Changes::Lost => None,
+        Changes::Compacted => None,
     })
 }
 
 fn pause(table: Table) -> Duration {
     match table {
-        Table::Operator => SHORT_PAUSE,
-        Table::Endpoints => PAUSE,
+        Table::Operator => OPERATOR_READ_PAUSE,
+        Table::Endpoints => ENDPOINTS_READ_PAUSE,
     }
 }
 
-/// The word for a table in logs and metrics.
-pub fn name(table: Table) -> &'static str {
+/// Returns the label of a table in logs and metrics.
+pub fn label(table: Table) -> &'static str {
     match table {
         Table::Operator => "operator",
         Table::Endpoints => "endpoints",
--- /dev/null
+++ b/crates/node/src/hosted/control/state/exchange.rs
@@ -0,0 +1,273 @@
+//! Exchange of table copies and engine loads with peers, and polls of engines.
+
+use super::super::assignment::{self, Assignment, EngineCounts};
+use super::super::copy::{self, CHUNK_BYTES, Request, Response};
+use super::super::input::Input;
+use super::super::pulls::Action;
+use super::{COPY_INTERVAL, COPY_TIMEOUT, FIRST_CATALOG_TIMEOUT, PEERS_PER_COPY, State};
+use adapter::report::{Control as Engine, Report};
+use adapter::store::Table;
+use catalog::Endpoint;
+use catalog::endpoint::Run;
+use catalog::source::Offset;
+use journal::event::Event as JournalEvent;
+use rand::seq::IndexedRandom;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::time::Instant;
+use wire::frame::CopyAsk;
+
+impl State {
+    /// Recomputes this node's assignment, and starts or stops its reads of the store accordingly.
+    pub(super) fn update_assignment(&mut self, now: Instant) {
+        let (me, open) = (self.group.me(), self.group.accepting());
+        let elapsed = self.start.elapsed();
+        self.assignment = Assignment::of(
+            elapsed,
+            me,
+            &self.settings.zone,
+            open,
+            &self.engines_by_zone(),
+        );
+        // A node reads the store itself if it gets no up-to-date copy from the readers of its zone.
+        let reads = self.assignment.reads || now >= self.copy_received + COPY_TIMEOUT;
+        self.reads
+            .send_if_modified(|r| std::mem::replace(r, reads) != reads);
+    }
+
+    /// Counts the engines of each zone.
+    fn engines_by_zone(&self) -> EngineCounts<'_> {
+        let mut counts = EngineCounts::new();
+        let engines = self.tables.endpoints().filter(|e| e.accelerator.is_some());
+        engines.for_each(|e| *counts.entry(&e.zone).or_default() += 1);
+        counts
+    }
+
+    /// Requests copies and loads from the peers that provide them to this node.
+    pub(super) fn pull(&mut self, now: Instant) {
+        for (request, peer) in self.pulls.due(now, &self.assignment) {
+            let from = match request {
+                Request::Changes(table) | Request::Keys(table) => self.tables.next_offset(table),
+                Request::Loads(scope) => self.loads.known_change(peer, scope),
+            };
+            self.send_request(request, from, peer);
+        }
+    }
+
+    /// Handles the response of a peer.
+    pub(super) fn handle_response(
+        &mut self,
+        now: Instant,
+        request: Request,
+        peer: SocketAddr,
+        bytes: &[u8],
+    ) {
+        self.pulls.finish(request, peer, true);
+        match request {
+            Request::Changes(table) | Request::Keys(table) => match copy::decode(bytes) {
+                Ok(response) => self.handle_copy(now, table, peer, response),
+                Err(error) => log::warn!("cannot decode a copy from peer {peer}: {error}"),
+            },
+            Request::Loads(scope) => match self.loads.merge(now, peer, scope, bytes) {
+                Ok(new) => self.loads_changed |= new,
+                Err(error) => log::warn!("cannot decode loads from peer {peer}: {error}"),
+            },
+        }
+    }
+
+    /// Handles a failed request to a peer. Later pulls retry it, with another peer if there is one.
+    pub(super) fn handle_request_failure(
+        &mut self,
+        now: Instant,
+        request: Request,
+        peer: SocketAddr,
+        reason: String,
+    ) {
+        self.pulls.finish(request, peer, false);
+        if !self.pulls.mark_failed(now, peer) {
+            return;
+        }
+        self.journal.record(JournalEvent::Unanswered {
+            peer: peer.to_string(),
+            ask: format!("{request:?}"),
+            why: reason,
+        });
+    }
+
+    /// Handles a chunk of a copy from a peer.
+    fn handle_copy(&mut self, now: Instant, table: Table, peer: SocketAddr, response: Response) {
+        if response.up_to_date && !self.assignment.reads {
+            self.copy_received = now;
+            self.tables.record_read(now);
+            let status = self.status(table);
+            status.unreadable_since = None;
+            if !response.more {
+                status.current_at = Some(now);
+            }
+        } else if !response.up_to_date {
+            self.pulls.mark_failed(now, peer);
+        }
+        match self.pulls.handle_chunk(peer, table, response) {
+            Action::Apply(page) => self.apply_page(table, page, "peer"),
+            Action::ApplyAndContinue(page) => {
+                self.apply_page(table, page, "peer");
+                self.request_more(
+                    Request::Changes(table),
+                    self.tables.next_offset(table),
+                    peer,
+                );
+            }
+            Action::FetchKeys(from) => self.request_more(Request::Keys(table), from, peer),
+        }
+    }
+
+    /// Requests more of a table, unless enough requests for it are in flight.
+    fn request_more(&mut self, request: Request, from: Offset, peer: SocketAddr) {
+        if self.pulls.begin(request, peer, PEERS_PER_COPY) {
+            self.send_request(request, from, peer);
+        }
+    }
+
+    /// Sends a request to a peer in a task of its own, which sends its result as an input.
+    fn send_request(&self, request: Request, from: Offset, peer: SocketAddr) {
+        let table = request.into();
+        let (link, inputs, metrics) =
+            (self.link.clone(), self.inputs.clone(), self.metrics.clone());
+        tokio::spawn(async move {
+            let started = Instant::now();
+            let answer = link.copy(peer, CopyAsk { table, from }).await;
+            metrics.record_peer_request(
+                request.label(),
+                matches!(answer, Ok(Some(_))),
+                started.elapsed(),
+            );
+            let input = match answer {
+                Ok(Some(bytes)) => Input::Response(request, peer, bytes),
+                Ok(None) => Input::RequestFailed(request, peer, "the peer has none".to_owned()),
+                Err(error) => Input::RequestFailed(request, peer, error.to_string()),
+            };
+            // Sending fails only if control has ended.
+            let _ = inputs.send(input).await;
+        });
+    }
+
+    /// Polls the engines assigned to this node that are due.
+    pub(super) fn poll_engines(&mut self, now: Instant) {
+        self.loads.expire(now);
+        if self.leaving || self.tables.catalog().is_none() {
+            return;
+        }
+        // Nodes that start together would each poll all engines until they know each other. Before
+        // membership has settled, engines are polled only if they are no more than one node polls
+        // anyway.
+        if !self.settled()
+            && self.engines_by_zone().values().sum::<usize>() > assignment::ENGINES_PER_POLLER
+        {
+            return;
+        }
+        let endpoints = self.tables.endpoints();
+        let own =
+            endpoints.filter(|e| e.accelerator.is_some() && self.assignment.polls(&e.zone, &e.run));
+        let own: Vec<Endpoint> = own.cloned().collect();
+        let addrs: BTreeSet<SocketAddr> = own.iter().map(|e| e.addr).collect();
+        self.engines.retain(|addr, _| addrs.contains(addr));
+        for endpoint in own {
+            if !self.loads.due(now, &endpoint.run.to_string()) {
+                continue;
+            }
+            let engine = self.engines.entry(endpoint.addr);
+            let engine = engine.or_insert_with(|| Arc::new(Engine::new(endpoint.addr)));
+            let (engine, inputs) = (engine.clone(), self.inputs.clone());
+            tokio::spawn(async move {
+                // The missing report of an unresponsive engine is an input too.
+                let report = engine.fetch_report().await.ok();
+                // Sending fails only if control has ended.
+                let _ = inputs.send(Input::Report(endpoint.run, report)).await;
+            });
+        }
+    }
+
+    pub(super) fn handle_report(&mut self, now: Instant, run: Run, report: Option<Report>) {
+        let Some(report) = report else {
+            return self.loads.record_miss(now, &run.to_string());
+        };
+        // Another run has taken over the address, and has a row of its own.
+        if report.is_from_another_run(&run) {
+            return;
+        }
+        self.loads.record(now, &run.to_string(), &report);
+        self.loads_changed = true;
+    }
+
+    /// Requests copies of both tables from random peers while the store can't be read, and of the
+    /// operator's table alone while no catalog is known some time after the start.
+    pub(super) fn copy_from_peers(&mut self, now: Instant) {
+        let unreadable =
+            self.operator.unreadable_since.is_some() || self.endpoints.unreadable_since.is_some();
+        let overdue = now >= self.start + FIRST_CATALOG_TIMEOUT && self.tables.catalog().is_none();
+        let tables: &[Table] = match (unreadable, overdue) {
+            // If one table can't be read, the other is likely to become stale as well.
+            (true, _) => &[Table::Operator, Table::Endpoints],
+            (false, true) => &[Table::Operator],
+            (false, false) => return,
+        };
+        if now < self.last_copy_request + COPY_INTERVAL {
+            return;
+        }
+        self.last_copy_request = now;
+        let me = self.group.me();
+        let peers: Vec<SocketAddr> = self
+            .group
+            .accepting()
+            .filter(|p| p.id != me)
+            .map(|p| p.identity.addr)
+            .collect();
+        for &peer in peers.sample(&mut rand::rng(), PEERS_PER_COPY) {
+            for &table in tables {
+                self.request_more(
+                    Request::Changes(table),
+                    self.tables.next_offset(table),
+                    peer,
+                );
+            }
+        }
+    }
+
+    pub(super) fn serve_copy(&self, request: CopyAsk) -> Option<Vec<u8>> {
+        let from = request.from;
+        let encoded = Request::try_from(request.table).and_then(|request| match request {
+            Request::Changes(table) | Request::Keys(table) => {
+                copy::encode(&self.copy_chunk(request, table, from))
+            }
+            Request::Loads(scope) => self.loads.encode(Instant::now(), scope, from),
+        });
+        match encoded {
+            Ok(bytes) => Some(bytes),
+            Err(error) => {
+                log::warn!("cannot serve a request for a copy: {error}");
+                None
+            }
+        }
+    }
+
+    /// Returns a chunk of this node's copy of a table, from an offset on.
+    fn copy_chunk(&self, request: Request, table: Table, from: Offset) -> Response {
+        let status = match table {
+            Table::Operator => &self.operator,
+            Table::Endpoints => &self.endpoints,
+        };
+        let own = self.tables.copy(table);
+        let chunk = match request {
+            Request::Keys(_) => own.keys(from, CHUNK_BYTES),
+            _ => own.changes(from, CHUNK_BYTES),
+        };
+        Response {
+            page: chunk.page,
+            up_to_date: self.assignment.reads
+                && status.current_at.is_some()
+                && status.unreadable_since.is_none(),
+            more: chunk.more,
+        }
+    }
+}
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -1,25 +1,27 @@
-//! The other nodes: their messages, who of them lives, and where callers reach them.
+//! Messages of the other nodes, membership, and the addresses at which callers reach the nodes.
 
 use super::State;
-use journal::event::Event as Told;
+use journal::event::Event as JournalEvent;
 use member::action::Action;
 use member::event::Event;
-use member::item::{Body, Key};
-use member::peer::{Entry, Standing};
+use member::item::{Key, Observation};
+use member::peer::{Entry, ListedState};
 use std::net::SocketAddr;
 use wire::frame::Status;
 use wire::peer::Inbound;
 
 impl State {
-    pub(super) fn inbound(&mut self, inbound: Inbound) {
+    pub(super) fn handle_inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.handle(Event::Frame { from, message }),
-            // Heads belong to nodes that read signed bundles from a log.
+            Inbound::Member { from, message } => {
+                self.handle_event(Event::Received { from, message })
+            }
+            // Only nodes that read signed bundles from a log have heads.
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
             }
             Inbound::Copy { ask, reply } => {
-                let _ = reply.send(self.offer(ask));
+                let _ = reply.send(self.serve_copy(ask));
             }
             Inbound::Status { reply } => {
                 let _ = reply.send(Status {
@@ -31,47 +33,48 @@
             }
             Inbound::Unreached(addr) => {
                 let peers = self.group.roster().iter();
-                let gone: Vec<_> = peers
+                let unreachable: Vec<_> = peers
                     .filter(|p| p.identity.addr == addr)
                     .map(|p| p.id)
                     .collect();
-                for peer in gone {
-                    self.handle(Event::Unreached(peer));
+                for peer in unreachable {
+                    self.handle_event(Event::ConnectFailed(peer));
                 }
             }
         }
     }
 
-    /// Gives the group an event and does what it asks for.
-    pub(super) fn handle(&mut self, event: Event) {
+    /// Passes an event to the membership group and carries out the actions that it returns.
+    pub(super) fn handle_event(&mut self, event: Event) {
         let now = self.start.elapsed();
         let mut actions = std::mem::take(&mut self.actions);
         self.group.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.apply_action(action);
         }
         self.actions = actions;
     }
 
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
-                // A full queue is counted by the link; gossip repeats itself.
+                // The link counts messages dropped at a full queue; gossip repeats its content.
                 let _ = self.link.send(to, message);
             }
-            Action::Changed { peer, state, .. } => {
+            Action::StateChanged { peer, state, .. } => {
                 self.dirty = true;
                 let row = self.group.roster().get(peer);
                 let name = row.map_or("?", |p| p.identity.name.as_str()).to_owned();
                 let state = format!("{state:?}");
-                self.journal.tell(Told::Node { name, state });
+                self.journal.record(JournalEvent::Node { name, state });
             }
             Action::Learned(_) => self.dirty = true,
-            Action::Newer { .. } => {}
+            Action::FetchHead { .. } => {}
         }
     }
 
-    /// Seeds stand for nodes whose names are not known; they tell them when asked who they are.
+    /// Returns the seeds as members with placeholder names. A seed reports its real identity when
+    /// it is first contacted.
     pub(super) fn seeds(&self) -> Vec<Entry> {
         let seeds = self.settings.seeds.iter();
         let seeds = seeds.filter(|addr| **addr != self.settings.peers);
@@ -81,19 +84,19 @@
                 addr: *addr,
                 zone: self.settings.zone.clone(),
                 region: self.settings.region.clone(),
-                standing: Standing::Live,
+                state: ListedState::Live,
             })
             .collect()
     }
 
-    /// Where callers reach the nodes that take new work.
-    pub(super) fn nodes(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses at which callers reach the nodes that accept new work.
+    pub(super) fn caller_addrs(&self) -> Vec<SocketAddr> {
         let me = self.group.me();
-        let peers = self.group.open().filter(|p| p.id != me);
+        let peers = self.group.accepting().filter(|p| p.id != me);
         let callers = peers.filter_map(|p| {
             let slot = self.group.store().get(p.id, &Key::Callers)?;
             match slot.body {
-                Body::Callers { addr, .. } => Some(addr),
+                Observation::Callers { addr, .. } => Some(addr),
                 _ => None,
             }
         });
@@ -101,8 +104,8 @@
         own.into_iter().chain(callers).collect()
     }
 
-    /// Nodes that the budget for further attempts is shared with.
-    pub(super) fn sharers(&self) -> usize {
+    /// Returns the number of nodes that share the retry budget: all known nodes that have not left.
+    pub(super) fn budget_sharers(&self) -> usize {
         let peers = self.group.roster().iter();
         peers
             .filter(|p| p.state != member::peer::State::Left)
--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -1,8 +1,8 @@
-//! What the two tables say, decoded.
+//! The two tables of the store, decoded.
 //!
-//! Endpoints whose row went are kept in use for a moment when the store has just come back from
-//! an outage: rows lapse while nobody can write them, and endpoints that live write theirs again
-//! within about two seconds.
+//! During a store outage and shortly after it, an endpoint whose row has disappeared stays in use
+//! for a while: rows expire while they can't be rewritten, and live endpoints rewrite theirs within
+//! about two seconds after the outage.
 
 use adapter::Platform;
 use adapter::store::Table;
@@ -16,55 +16,55 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after the store came back in which rows that lapsed are written again.
-const REWRITTEN: Duration = Duration::from_millis(3200);
+/// Time after a store outage within which live endpoints rewrite their expired rows.
+const ROW_REWRITE_WINDOW: Duration = Duration::from_millis(3200);
 
-/// An endpoint, and what is known of its row.
+/// An endpoint and the state of its row.
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     endpoint: Endpoint,
-    /// Until when it is kept although its row is gone.
-    lapsed: Option<Instant>,
+    /// Time until which the endpoint is kept although its row is gone; `None` if the row exists.
+    kept_until: Option<Instant>,
 }
 
-/// The decoded tables.
+/// Copies of both tables with the decoded catalog and endpoints.
 pub struct Tables {
     journal: Journal,
     operator: source::Table,
     endpoints: source::Table,
     catalog: Option<Arc<Catalog>>,
-    known: BTreeMap<String, Known>,
-    /// When reading the endpoints' table last failed.
-    failed: Option<Instant>,
-    /// When it succeeded again after that.
-    regained: Option<Instant>,
+    entries: BTreeMap<String, Entry>,
+    /// When the last read of the endpoints' table failed; `None` if it succeeded.
+    failed_at: Option<Instant>,
+    /// When reads of the endpoints' table succeeded again after a failure.
+    recovered_at: Option<Instant>,
 }
 
 impl Tables {
-    /// Tables that nothing is known of.
+    /// Creates empty tables.
     pub fn new(journal: Journal) -> Self {
         Self {
             journal,
             operator: source::Table::default(),
             endpoints: source::Table::default(),
             catalog: None,
-            known: BTreeMap::new(),
-            failed: None,
-            regained: None,
+            entries: BTreeMap::new(),
+            failed_at: None,
+            recovered_at: None,
         }
     }
 
-    /// The catalog in force.
+    /// Returns the catalog in force.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// The endpoints that may be used or are leaving.
+    /// Returns the endpoints that are available or leaving.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.known.values().map(|k| &k.endpoint)
+        self.entries.values().map(|k| &k.endpoint)
     }
 
-    /// The copy of a table.
+    /// Returns the copy of a table, not decoded.
     pub fn copy(&self, table: Table) -> &source::Table {
         match table {
             Table::Operator => &self.operator,
@@ -72,26 +72,26 @@
         }
     }
 
-    /// Offset of the next change of a table.
-    pub fn next(&self, table: Table) -> Offset {
-        self.copy(table).next()
+    /// Returns the offset of the next change of a table that is not known here.
+    pub fn next_offset(&self, table: Table) -> Offset {
+        self.copy(table).next_offset()
     }
 
-    /// The endpoints' table could not be read.
-    pub fn unread(&mut self, now: Instant) {
-        self.failed = Some(now);
-        self.regained = None;
+    /// Records that a read of the endpoints' table failed.
+    pub fn record_read_failure(&mut self, now: Instant) {
+        self.failed_at = Some(now);
+        self.recovered_at = None;
     }
 
-    /// The endpoints' table was read.
-    pub fn read(&mut self, now: Instant) {
-        if self.failed.take().is_some() {
-            self.regained = Some(now);
+    /// Records that a read of the endpoints' table succeeded.
+    pub fn record_read(&mut self, now: Instant) {
+        if self.failed_at.take().is_some() {
+            self.recovered_at = Some(now);
         }
     }
 
-    /// Takes changes in; whether anything that workers know is different now.
-    pub fn take(
+    /// Applies changes of a table. Returns whether the workers' view is affected.
+    pub fn apply(
         &mut self,
         platform: &Platform,
         table: Table,
@@ -100,29 +100,31 @@
     ) -> bool {
         match table {
             Table::Operator => {
-                let changed = self.operator.take(page);
-                changed.iter().any(|k| k == adapter::CATALOG_KEY) && self.adopt(platform, source)
+                let changed = self.operator.apply(page);
+                changed.iter().any(|k| k == adapter::CATALOG_KEY)
+                    && self.adopt_catalog(platform, source)
             }
             Table::Endpoints => {
-                let next = page.next;
-                let changed = self.endpoints.take(page);
-                let mut any = false;
+                let next = page.next_offset;
+                let changed = self.endpoints.apply(page);
+                let mut any_changed = false;
                 for key in changed {
-                    any |= self.update(platform, &key, next);
+                    any_changed |= self.update_endpoint(platform, &key, next);
                 }
-                any
+                any_changed
             }
         }
     }
 
-    /// Puts the operator's newest catalog in force, unless it is older than the one there is.
-    fn adopt(&mut self, platform: &Platform, source: &'static str) -> bool {
+    /// Puts the operator's newest catalog in force, unless its version is not above the current
+    /// one.
+    fn adopt_catalog(&mut self, platform: &Platform, source: &'static str) -> bool {
         let Some(value) = self.operator.get(adapter::CATALOG_KEY) else {
             return false;
         };
         let before = self.catalog.as_ref().map_or(0, |c| c.version);
-        let (version, outcome, adopted) = match platform.catalog(value) {
-            // A catalog never gives way to an older one, wherever that came from.
+        let (version, outcome, adopted) = match platform.decode_catalog(value) {
+            // A catalog is never replaced by an older one, whatever the source of that.
             Ok(catalog) if catalog.version <= before => {
                 (catalog.version, "older".to_owned(), false)
             }
@@ -136,7 +138,7 @@
                 (0, findings.join("; "), false)
             }
         };
-        self.journal.tell(Event::Catalog {
+        self.journal.record(Event::Catalog {
             version,
             before,
             source,
@@ -145,86 +147,89 @@
         adopted
     }
 
-    /// Takes in the row of one endpoint.
-    fn update(&mut self, platform: &Platform, key: &str, offset: Offset) -> bool {
+    /// Decodes the row of one endpoint after a change. Returns whether the endpoint changed.
+    fn update_endpoint(&mut self, platform: &Platform, key: &str, offset: Offset) -> bool {
         let Some(value) = self.endpoints.get(key) else {
-            return self.gone(key, offset);
+            return self.remove_endpoint(key, offset);
         };
-        let decoded = platform.endpoint(key, value);
+        let decoded = platform.decode_endpoint(key, value);
         let state = match &decoded {
             Ok(e) => format!("{:?} at {} layers {}", e.state, e.addr, e.span),
             Err(why) => format!("unusable row: {why}"),
         };
-        let same = match (&decoded, self.known.get(key)) {
-            (Ok(new), Some(known)) => known.lapsed.is_none() && *new == known.endpoint,
+        let same = match (&decoded, self.entries.get(key)) {
+            (Ok(new), Some(entry)) => entry.kept_until.is_none() && *new == entry.endpoint,
             (Err(_), None) => true,
             _ => false,
         };
         match decoded {
             Ok(endpoint) => {
-                let known = Known {
+                let entry = Entry {
                     endpoint,
-                    lapsed: None,
+                    kept_until: None,
                 };
-                self.known.insert(key.to_owned(), known);
+                self.entries.insert(key.to_owned(), entry);
             }
             Err(_) => {
-                self.known.remove(key);
+                self.entries.remove(key);
             }
         }
         if !same {
-            self.tell(key, state, offset);
+            self.log_endpoint(key, state, offset);
         }
         !same
     }
 
-    fn gone(&mut self, key: &str, offset: Offset) -> bool {
-        let Some(known) = self.known.get_mut(key) else {
+    fn remove_endpoint(&mut self, key: &str, offset: Offset) -> bool {
+        let Some(entry) = self.entries.get_mut(key) else {
             return false;
         };
         let now = Instant::now();
-        let away = self.failed.is_some();
-        let back = self.regained.is_some_and(|at| now < at + REWRITTEN);
-        if (away || back) && known.endpoint.state == State::Ready {
-            known.lapsed = Some(now + REWRITTEN);
-            self.tell(
+        let unreadable = self.failed_at.is_some();
+        let recovering = self
+            .recovered_at
+            .is_some_and(|at| now < at + ROW_REWRITE_WINDOW);
+        if (unreadable || recovering) && entry.endpoint.state == State::Ready {
+            entry.kept_until = Some(now + ROW_REWRITE_WINDOW);
+            self.log_endpoint(
                 key,
                 "row lapsed while the store was away".to_owned(),
                 offset,
             );
             return false;
         }
-        self.known.remove(key);
-        self.tell(key, "gone".to_owned(), offset);
+        self.entries.remove(key);
+        self.log_endpoint(key, "gone".to_owned(), offset);
         true
     }
 
-    /// Drops endpoints whose row lapsed and was not written again; whether there were any.
+    /// Removes endpoints whose row expired and was not rewritten in time. Returns whether there
+    /// were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        if self.failed.is_some() {
+        if self.failed_at.is_some() {
             return false;
         }
-        let over = |k: &Known| k.lapsed.is_some_and(|until| now >= until);
+        let expired = |k: &Entry| k.kept_until.is_some_and(|until| now >= until);
         let gone: Vec<String> = self
-            .known
+            .entries
             .iter()
-            .filter(|(_, k)| over(k))
+            .filter(|(_, k)| expired(k))
             .map(|(key, _)| key.clone())
             .collect();
         for key in &gone {
-            self.known.remove(key);
-            self.tell(
+            self.entries.remove(key);
+            self.log_endpoint(
                 key,
                 "gone: its row was not written again".to_owned(),
-                self.endpoints.next(),
+                self.endpoints.next_offset(),
             );
         }
         !gone.is_empty()
     }
 
-    fn tell(&self, key: &str, state: String, offset: Offset) {
-        let run = self.known.get(key);
+    fn log_endpoint(&self, key: &str, state: String, offset: Offset) {
+        let run = self.entries.get(key);
         let run = run.map_or_else(|| key.to_owned(), |k| k.endpoint.run.to_string());
-        self.journal.tell(Event::Endpoint { run, state, offset });
+        self.journal.record(Event::Endpoint { run, state, offset });
     }
 }
--- a/crates/node/tests/hosted.rs
+++ b/crates/node/tests/hosted.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use process::Process;
 use standin::address;
-use standin::caller::{self, Ask};
+use standin::caller::{self, Call};
 use standin::engine::Engine;
 use standin::manifest;
 use standin::store::Store;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Looks, 20 ms apart, before a state that should come is given up.
-const LOOKS: usize = 1500;
+const MAX_POLLS: usize = 1500;
 
 /// A running node.
 struct Node {
@@ -43,7 +43,7 @@
 }
 
 fn start(name: &str, store: SocketAddr, seeds: &str) -> Node {
-    let ports = std::array::from_fn(|_| address::fresh());
+    let ports = std::array::from_fn(|_| address::unused());
     let [callers, addresses, ready, peers, metrics] = ports;
     let file = process::settings(callers, &settings(name, ports, store, seeds));
     Node {
@@ -63,15 +63,15 @@
     path: &str,
     key: &str,
 ) -> Option<(StatusCode, String)> {
-    let ask = Ask {
+    let ask = Call {
         method,
         path,
         id: "r1",
         key,
         deadline: "4000",
     };
-    let got = caller::ask(addr, &ask).await?;
-    got.whole.then_some((got.status, got.body))
+    let got = caller::send(addr, &ask).await?;
+    got.complete.then_some((got.status, got.body))
 }
 
 /// Asks until `done` likes the answer, and fails if it never does.
@@ -82,7 +82,7 @@
     done: impl Fn(&(StatusCode, String)) -> bool,
 ) -> (StatusCode, String) {
     let mut last = None;
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         last = ask(addr, "GET", path, "k1").await;
         if let Some(found) = last.clone().filter(&done) {
             return found;
@@ -101,11 +101,11 @@
     for number in 0..4 {
         engines.push(Engine::start(&format!("e{number}"), store).await);
     }
-    (engines, Engine::plain("app", store).await)
+    (engines, Engine::start_plain("app", store).await)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn engines_are_filled_and_each_kind_of_request_is_served() {
+async fn engines_are_loaded_and_each_kind_of_request_is_served() {
     let store = Store::start().await;
     let (engines, app) = fleet(&store).await;
     let node = start("whole", store.addr, "");
@@ -117,7 +117,7 @@
     )
     .await;
     assert_eq!(not_ready.0, StatusCode::SERVICE_UNAVAILABLE);
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     until("ready", node.ready, Headers::default().ready_path(), ok).await;
     let (_, body) = until("a chain", node.callers, "/chat/x", ok).await;
     assert_eq!(body.matches("id: ").count(), 3);
@@ -150,11 +150,11 @@
 // can't read the store must not serve it for longer than the other, so it takes the version from
 // its peer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_the_store_turns_away_learns_versions_from_its_peer() {
+async fn a_node_refused_by_the_store_learns_versions_from_its_peer() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
-    let (door, shut) = store.door().await;
+    store.put_manifest(&manifest(1, "/safe/"));
+    let (door, closed) = store.second_address().await;
     let first = start("first", store.addr, "");
     let second = start("second", door, &first.peers.to_string());
     for node in [&first, &second] {
@@ -168,8 +168,8 @@
         both,
     )
     .await;
-    *shut.lock().unwrap() = true;
-    store.operator(&manifest(2, "/other/"));
+    *closed.lock().unwrap() = true;
+    store.put_manifest(&manifest(2, "/other/"));
     until("version 2", second.callers, "/other/x", ok).await;
     let old = ask(second.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(old.0, StatusCode::NOT_FOUND);
@@ -177,21 +177,21 @@
 
 // The store is gone altogether. What is known stays in force, and requests are served.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn requests_are_served_while_the_store_is_out() {
+async fn requests_are_served_during_a_store_outage() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(3, "/safe/"));
+    store.put_manifest(&manifest(3, "/safe/"));
     let node = start("out", store.addr, "");
     until("a chain", node.callers, "/chat/x", ok).await;
-    store.down(true);
+    store.set_down(true);
     for _ in 0..20 {
         let answer = ask(node.callers, "GET", "/chat/x", "k1").await.unwrap();
         assert_eq!(answer.0, StatusCode::OK, "{}", answer.1);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     // An older version that comes with the store's return is not taken.
-    store.operator(&manifest(2, "/other/"));
-    store.down(false);
+    store.put_manifest(&manifest(2, "/other/"));
+    store.set_down(false);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(answer.0, StatusCode::OK);
@@ -202,26 +202,26 @@
 // requests of each kind by the newest version again, also a node whose only seed is another that
 // was killed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nodes_that_were_killed_together_serve_again() {
+async fn nodes_killed_together_recover() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let first = start("killed-1", store.addr, "");
     let second = start("killed-2", store.addr, &first.peers.to_string());
     let mut nodes = [first, second];
     for node in &nodes {
         until("a chain", node.callers, "/chat/x", ok).await;
     }
-    store.operator(&manifest(2, "/other/"));
+    store.put_manifest(&manifest(2, "/other/"));
     nodes.iter_mut().for_each(|n| n.process.kill());
     assert_eq!(ask(nodes[0].callers, "GET", "/chat/x", "k1").await, None);
-    store.down(true);
-    nodes.iter_mut().for_each(|n| n.process.revive());
-    let away = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
+    store.set_down(true);
+    nodes.iter_mut().for_each(|n| n.process.restart());
+    let unavailable = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
     for node in &nodes {
-        until("no catalog", node.callers, "/chat/x", away).await;
+        until("no catalog", node.callers, "/chat/x", unavailable).await;
     }
-    store.down(false);
+    store.set_down(false);
     for node in &nodes {
         for path in ["/chat/x", "/other/x", "/once/x"] {
             until(path, node.callers, path, ok).await;
@@ -234,11 +234,11 @@
 // An endpoint says that it leaves while the store forgets its history. The node reads the whole
 // table anew, and sends nothing more to the endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_endpoint_gets_nothing_also_behind_a_compacted_log() {
+async fn a_leaving_endpoint_gets_no_requests_after_log_compaction() {
     let store = Store::start().await;
     let (_engines, app) = fleet(&store).await;
-    let other = Engine::plain("other", &store).await;
-    store.operator(&manifest(1, "/safe/"));
+    let other = Engine::start_plain("other", &store).await;
+    store.put_manifest(&manifest(1, "/safe/"));
     let node = start("leaving", store.addr, "");
     until("the other", node.callers, "/safe/x", |a| {
         a.1.starts_with("other")
@@ -246,31 +246,31 @@
     .await;
     other.drain();
     store.compact();
-    let mut quiet = 0;
-    for _ in 0..LOOKS {
+    let mut idle_rounds = 0;
+    for _ in 0..MAX_POLLS {
         let before = other.chains().len();
         for _ in 0..10 {
             until("an answer", node.callers, "/safe/x", ok).await;
         }
-        quiet = if other.chains().len() == before {
-            quiet + 1
+        idle_rounds = if other.chains().len() == before {
+            idle_rounds + 1
         } else {
             0
         };
-        if quiet == 3 {
+        if idle_rounds == 3 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(quiet, 3, "the leaving endpoint still gets requests");
+    assert_eq!(idle_rounds, 3, "the leaving endpoint still gets requests");
     assert!(!app.chains().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn signals_reload_and_end_a_node() {
+async fn signals_reload_and_stop_a_node() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let mut node = start("signals", store.addr, "");
     until("ready", node.ready, Headers::default().ready_path(), ok).await;
     // A file that can't be read any more is told and changes nothing.
@@ -278,19 +278,19 @@
     assert!(node.process.signal("-HUP"));
     until("served after the reload", node.callers, "/safe/x", ok).await;
     assert!(node.process.signal("-TERM"));
-    let away = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
+    let unavailable = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
     until(
         "no longer ready",
         node.ready,
         Headers::default().ready_path(),
-        away,
+        unavailable,
     )
     .await;
     // Callers that still come are served at first.
     let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(answer.0, StatusCode::OK);
-    for _ in 0..LOOKS {
-        if let Some(status) = node.process.ended() {
+    for _ in 0..MAX_POLLS {
+        if let Some(status) = node.process.exit_status() {
             assert!(status.success(), "{status}");
             return;
         }
@@ -302,8 +302,8 @@
 // Tests run beside each other, and each starts nodes. Two nodes that are given one port are a test
 // that talks to another test's node, and fails once in many runs.
 #[test]
-fn no_two_nodes_are_given_one_address() {
-    let mut given: Vec<_> = (0..2000).map(|_| address::fresh()).collect();
+fn addresses_of_test_nodes_are_unique() {
+    let mut given: Vec<_> = (0..2000).map(|_| address::unused()).collect();
     given.sort();
     given.dedup();
     assert_eq!(given.len(), 2000);
@@ -312,10 +312,10 @@
 // A caller complains. The operator reads the counters and the state where the settings say, and
 // finds what was served there; a path that is neither is not found.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn operators_read_counters_and_state_on_an_address_of_its_own() {
+async fn operators_read_metrics_and_dump_on_a_separate_address() {
     let store = Store::start().await;
     let (_engines, _app) = fleet(&store).await;
-    store.operator(&manifest(1, "/safe/"));
+    store.put_manifest(&manifest(1, "/safe/"));
     let node = start("metrics", store.addr, "");
     until("version 1", node.callers, "/safe/x", ok).await;
     let (status, text) = ask(node.metrics, "GET", "/metrics", "").await.unwrap();
@@ -337,10 +337,10 @@
 }
 
 #[test]
-fn every_finding_in_settings_is_told() {
+fn every_finding_in_settings_is_reported() {
     let content = "[node]\nname = a b\nzone = a\n[callers]\nlisten = here\n[peers]\nkey = 1\n\
                    [store]\naddress = 127.0.0.1:1\nheartbeat = 0s\n[retries]\nratio = -1\n[stray]\n";
-    let file = process::settings(address::fresh(), content);
+    let file = process::settings(address::unused(), content);
     let output = process::check(&file);
     let _ = std::fs::remove_file(&file);
     assert_eq!(output.status.code(), Some(2));
--- a/crates/slopes/src/membership.rs
+++ b/crates/slopes/src/membership.rs
@@ -8,7 +8,7 @@
 use member::demand::{Demand, Limit};
 use member::event::Event;
 use member::group::Group;
-use member::item::{Body, team};
+use member::item::{Observation, team};
 use member::level::Level;
 use member::message::Message;
 use member::settings::Settings;
@@ -133,15 +133,15 @@
         let time = SECOND * if size.0 < 32 { 40 } else { 8 };
         let per = 1.0 / (time.as_secs_f64() * x);
         quiet.add(x, clock::once(|| world.run(time, false)).0 * per);
-        world.net.weigh = Some(weigh);
+        world.net.message_bytes = Some(weigh);
         world.run(time, false);
         let sent = |net: &Net| net.traffic.sent.iter().sum::<u64>() as f64;
         let before = sent(&world.net);
         bare.add(x, before * per * 2.0 / 1e3);
-        world.net.weigh = None;
+        world.net.message_bytes = None;
         world.run(time, true);
         busy.add(x, clock::once(|| world.run(time, true)).0 * per);
-        world.net.weigh = Some(weigh);
+        world.net.message_bytes = Some(weigh);
         let count = |net: &Net| net.traffic.messages.iter().sum::<u64>() as f64;
         let (first, known) = (count(&world.net), world.net.learned.len());
         world.run(time, true);
@@ -162,13 +162,13 @@
     let mut net = joined((nodes, zones));
     let limits = limits(teams);
     for index in 0..nodes {
-        let callers = Body::Callers {
+        let callers = Observation::Callers {
             addr: ([10, 0, 1, index as u8], 7100).into(),
             tls: false,
         };
-        let load = Body::Load(Level::of(0.5));
+        let load = Observation::Load(Level::of(0.5));
         net.event(index, Event::Publish(vec![callers, load]));
-        let demand = |l: &Limit| Body::Demand {
+        let demand = |l: &Limit| Observation::Demand {
             team: l.team,
             rate: Level::of(1.0),
             in_flight: Level::of(10.0),
@@ -184,7 +184,7 @@
 /// Items that a group's store holds.
 pub fn stored(group: &Group) -> usize {
     let origins = group.store().origins();
-    origins.map(|o| group.store().of(o).count()).sum()
+    origins.map(|o| group.store().items(o).count()).sum()
 }
 
 /// Shares by teams and by items; memory by items.
@@ -229,7 +229,7 @@
             from: 1,
             incarnation: 1,
             head: None,
-            news: Vec::new(),
+            updates: Vec::new(),
             body: Body::Digest(vec![summary; 16]),
         };
         let frame = wire::frame::Frame::send(message);
@@ -259,7 +259,7 @@
         net.run(start + SECOND * 25);
         use member::peer::State;
         let of = |state: State| {
-            let changes = net.changes.iter();
+            let changes = net.state_changes.iter();
             let of = changes.filter(move |c| c.peer == id && c.state == state && c.at >= start);
             of.map(move |c| (c.at - start).as_secs_f64())
         };
@@ -285,8 +285,8 @@
         number: 1,
         digest: [1; 32],
     };
-    net.adopt(0, head);
-    let ejected = Body::Endpoint {
+    net.set_head(0, head);
+    let ejected = Observation::Endpoint {
         name: "endpoint-00001".to_owned(),
         ejected: true,
         ttl: SECOND * 15,
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which endpoint, or which chain of endpoints, runs a request; without I/O.
+//! Selection of the endpoint, or the chain of endpoints, that runs a request, without I/O.
 //!
-//! [`Steer`] is the state of one request worker: the endpoints that registered, what this worker
-//! has under way at each, and how each did of late. It is asked for a [`target::Target`] and is
-//! told how the attempt ended. Time is passed in and chance is seeded, so the same calls give the
-//! same choices.
+//! [`Selector`] is the state of one request worker: the registered endpoints, the requests that
+//! this worker has in flight at each, and the recent health of each. It selects a
+//! [`target::Target`] for each attempt and records how the attempt ended. Time is an argument and
+//! random draws are seeded, so the same calls make the same selections.
 //!
-//! Left to others: sockets and HTTP (`gate`), which layers an endpoint holds (`place`), what the
-//! operator and the endpoints say (`catalog`).
+//! Sockets and HTTP are the job of `gate`, the layers that each endpoint holds that of `place`, and
+//! the configuration and the registered endpoints that of `catalog`.
 
 use std::time::Duration;
 
@@ -15,22 +15,22 @@
 pub mod fleet;
 pub mod health;
 mod jitter;
+pub mod link;
 pub mod load;
-pub mod note;
-pub mod pipe;
 pub mod row;
 pub mod scarcity;
 mod search;
+pub mod selector;
 pub mod shortage;
 pub mod shortlist;
-pub mod table;
 pub mod target;
-mod unseen;
+pub mod transition;
+mod unreported;
 
 pub use crate::fleet::Fleet;
-pub use crate::table::Steer;
+pub use crate::selector::Selector;
 
 /// Time since the process started, on the monotonic clock.
-pub type Now = Duration;
-/// Result of asking for a target.
+pub type Timestamp = Duration;
+/// Result of selecting a target.
 pub type Result<T> = std::result::Result<T, shortage::Shortage>;
--- a/crates/steer/src/load.rs
+++ b/crates/steer/src/load.rs
@@ -1,76 +1,81 @@
-//! What an endpoint reported of its load.
+//! Load reports of endpoints.
 
-use crate::Now;
+use crate::Timestamp;
 use std::time::Duration;
 
-/// Age from which a report says nothing any more: most requests of then have ended.
-const OLD: Duration = Duration::from_secs(4);
+/// Age from which a report is ignored: most of the requests that it counted have ended.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(4);
 
-/// A report of an endpoint's load.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Tells reports of one endpoint apart; a later one has a higher number.
+    /// Number that identifies the report among those of the endpoint; later reports have higher
+    /// numbers.
     pub stamp: u64,
-    /// Room in use, in tokens times layers.
+    /// Capacity in use, in token-layers.
     pub used: f64,
-    /// How many times slower than its kind it runs.
-    pub pace: f64,
-    /// Requests that wait there to begin as the first endpoint of their chain.
+    /// How many times slower the endpoint runs than its kind of accelerator.
+    pub slowdown: f64,
+    /// Number of requests that wait to begin with this endpoint as the head of their chain.
     pub queued: u32,
-    /// How old it was when it was published.
+    /// Age of the report when it was published.
     pub age: Duration,
 }
 
-/// The last report, and what this worker held at the endpoint when it came.
+/// Last load report of an endpoint, with the capacity that this worker had reserved there when it
+/// arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Known {
+pub struct Snapshot {
     load: Load,
-    at: Now,
-    held: f64,
+    taken_at: Timestamp,
+    reserved: f64,
 }
 
-impl Known {
-    /// A report that came at `now`, when this worker held `held` there.
-    pub fn new(load: Load, now: Now, held: f64) -> Self {
+impl Snapshot {
+    /// Creates a snapshot from a report that arrived at `now`, when this worker had `reserved`
+    /// token-layers reserved.
+    pub fn new(load: Load, now: Timestamp, reserved: f64) -> Self {
         Self {
             load,
-            at: now.saturating_sub(load.age),
-            held,
+            taken_at: now.saturating_sub(load.age),
+            reserved,
         }
     }
 
-    /// The endpoint has just refused a request as full. This is newer than its report, and what
-    /// fills it ends by and by, until it reports again.
-    pub fn fill(&mut self, now: Now, room: f64, held: f64) {
-        self.at = now;
-        self.load.used = room;
-        self.held = held;
+    /// Records that the endpoint has just refused a request as full. This is newer than its report;
+    /// until it reports again, the requests that fill it are assumed to end over time.
+    pub fn mark_full(&mut self, now: Timestamp, capacity: f64, reserved: f64) {
+        self.taken_at = now;
+        self.load.used = capacity;
+        self.reserved = reserved;
     }
 
-    /// Requests that wait there to begin, if the report still says anything.
-    pub fn queued(&self, now: Now) -> u32 {
-        match self.age(now) < OLD {
+    /// Returns the number of requests that wait to begin at the endpoint; 0 if the report is too
+    /// old.
+    pub fn queued(&self, now: Timestamp) -> u32 {
+        match self.age(now) < MAX_REPORT_AGE {
             true => self.load.queued,
             false => 0,
         }
     }
 
-    /// How old the report is.
-    pub fn age(&self, now: Now) -> Duration {
-        now.saturating_sub(self.at)
+    /// Returns the age of the report.
+    pub fn age(&self, now: Timestamp) -> Duration {
+        now.saturating_sub(self.taken_at)
     }
 
-    /// Whether `load` is another report than this.
+    /// Returns whether `load` is a different report.
     pub fn differs(&self, load: &Load) -> bool {
         self.load.stamp != load.stamp
     }
 
-    /// Room in use now: by this worker, and by the requests of others that the report counted and
-    /// that have not ended since, if a request stays for `stay` on average.
-    pub fn used(&self, now: Now, held: f64, stay: Duration) -> Option<f64> {
+    /// Returns the capacity in use now, in token-layers: what this worker has reserved, and what
+    /// the report counted for other nodes, less the requests that have ended since at a mean
+    /// residence time of `residence`. Returns `None` if the report is too old.
+    pub fn used(&self, now: Timestamp, reserved: f64, residence: Duration) -> Option<f64> {
         let age = self.age(now);
-        let others = (self.load.used - self.held).max(0.0);
-        let left = (-age.as_secs_f64() / stay.as_secs_f64().max(1e-9)).exp();
-        (age < OLD).then_some(held + others * left)
+        let others = (self.load.used - self.reserved).max(0.0);
+        let remaining = (-age.as_secs_f64() / residence.as_secs_f64().max(1e-9)).exp();
+        (age < MAX_REPORT_AGE).then_some(reserved + others * remaining)
     }
 }
--- a/crates/steer/src/row.rs
+++ b/crates/steer/src/row.rs
@@ -1,126 +1,131 @@
-//! One endpoint as a worker sees it.
+//! State of one endpoint at a worker.
 
-use crate::Now;
+use crate::Timestamp;
 use crate::health::{Health, Outcome};
-use crate::load::{Known, Load};
+use crate::load::{Load, Snapshot};
 use catalog::endpoint::{Endpoint, State};
 use catalog::engine::Engine;
 use std::time::Duration;
 
-/// Part of its memory in use from which an endpoint that is named as the one at fault is taken to
-/// be full.
-const MUCH: f64 = 0.5;
+/// Utilization from which an endpoint that a head reported as missing is considered full.
+const FULL_UTILIZATION: f64 = 0.5;
 
-/// Time without a report after which an endpoint that is named as the one at fault is taken to be dead,
-/// however full it was.
-const UNHEARD: Duration = Duration::from_secs(1);
+/// Time without a load report after which an endpoint that a head reported as missing is considered
+/// dead, whatever its utilization.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An endpoint and what this worker has under way there.
+/// An endpoint, and the requests that this worker has in flight there.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What it told of itself.
+    /// Registration of the endpoint.
     pub endpoint: Endpoint,
-    /// How it did of late.
+    /// Health, by the outcomes of recent attempts.
     pub health: Health,
-    /// Requests of this worker.
-    pub flying: u32,
-    /// Room that these take, in tokens times layers.
-    pub held: f64,
-    /// Room that it has, in tokens times layers; 0 for a plain service.
-    pub room: f64,
-    /// Time of a step through all layers at its pace, in seconds; 0 for a plain service.
-    pub step: f64,
-    /// Time to read a prompt token through all layers at its pace, in seconds.
-    pub read: f64,
-    /// How many times slower than its kind it runs, by its last report.
-    pub slow: f64,
-    /// Its last report.
-    pub known: Option<Known>,
-    /// When it was first named as the one at fault since it last reported or did well.
-    pub doubted: Option<Now>,
-    /// Requests under way at once from which on it has more work than time; 0 if unknown.
-    pub most: f64,
-    /// Whether the other nodes were told that it fails here.
-    pub told: bool,
-    /// Whether several nodes found it to fail.
-    pub accused: bool,
-    /// Whether it is about to give up its layers for others.
-    pub moving: bool,
-    /// Number of its availability zone in the table.
+    /// Number of requests of this worker.
+    pub in_flight: u32,
+    /// Capacity that these requests reserve, in token-layers.
+    pub reserved: f64,
+    /// Total capacity, in token-layers; 0 for a plain service.
+    pub capacity: f64,
+    /// Time of a decode step through all layers on its accelerator, in seconds; 0 for a plain
+    /// service.
+    pub step_secs: f64,
+    /// Time to prefill one prompt token through all layers on its accelerator, in seconds.
+    pub prefill_secs: f64,
+    /// How many times slower the endpoint runs than its kind of accelerator, by its last report.
+    pub slowdown: f64,
+    /// Last load report.
+    pub load: Option<Snapshot>,
+    /// When a head first reported the endpoint as missing since its last load report or success.
+    pub suspected_since: Option<Timestamp>,
+    /// Number of concurrent requests at which the endpoint is saturated; 0 if unknown.
+    pub saturation: f64,
+    /// Whether this worker notified the other nodes that the endpoint fails.
+    pub failure_published: bool,
+    /// Whether several nodes reported the endpoint as failing.
+    pub reported_failed: bool,
+    /// Whether the endpoint is about to release its layers to load others.
+    pub releasing: bool,
+    /// Index of the availability zone in the selector's table.
     pub zone: usize,
 }
 
 impl Row {
-    /// A row for an endpoint that nothing is known of yet.
+    /// Creates a row for an endpoint without any history.
     pub fn new(endpoint: Endpoint, zone: usize) -> Self {
         Self {
             endpoint,
             health: Health::default(),
-            flying: 0,
-            held: 0.0,
-            room: 0.0,
-            step: 0.0,
-            read: 0.0,
-            slow: 1.0,
-            known: None,
-            doubted: None,
-            most: 0.0,
-            told: false,
-            accused: false,
-            moving: false,
+            in_flight: 0,
+            reserved: 0.0,
+            capacity: 0.0,
+            step_secs: 0.0,
+            prefill_secs: 0.0,
+            slowdown: 1.0,
+            load: None,
+            suspected_since: None,
+            saturation: 0.0,
+            failure_published: false,
+            reported_failed: false,
+            releasing: false,
             zone,
         }
     }
 
-    /// Takes its paces and room from the engine that the operator describes.
-    pub fn measure(&mut self, engine: &Engine) {
-        let kind = self.endpoint.kind.as_deref();
+    /// Sets speed and capacity by the operator's description of the engine.
+    pub fn apply_engine(&mut self, engine: &Engine) {
+        let kind = self.endpoint.accelerator.as_deref();
         let Some(kind) = kind.and_then(|k| engine.accelerator(k)) else {
             return;
         };
-        self.room = engine.room(kind, self.endpoint.span.len());
-        self.step = engine.step.as_secs_f64() * kind.pace;
-        self.read = kind.read / engine.read_rate.max(1.0);
-        let work = engine.work(kind, engine.usual) * self.endpoint.span.len();
-        self.most = engine.stay().as_secs_f64() / work.as_secs_f64().max(1e-9);
+        self.capacity = engine.kv_capacity(kind, self.endpoint.span.len());
+        self.step_secs = engine.step_time.as_secs_f64() * kind.step_factor;
+        self.prefill_secs = kind.prefill_factor / engine.prefill_rate.max(1.0);
+        let work = engine.layer_busy_time(kind, engine.typical_size) * self.endpoint.span.len();
+        self.saturation = engine.residence_time().as_secs_f64() / work.as_secs_f64().max(1e-9);
     }
 
-    /// Takes its last report in.
-    pub fn report(&mut self, now: Now, load: Load) {
-        if self.known.is_none_or(|k| k.differs(&load)) {
-            self.known = Some(Known::new(load, now, self.held));
-            // A report from before it was named says nothing of what is wrong since.
-            let made = now.saturating_sub(load.age);
-            self.doubted = self.doubted.filter(|&since| made < since);
-            self.slow = load.pace.max(1.0);
+    /// Records a load report.
+    pub fn update_load(&mut self, now: Timestamp, load: Load) {
+        if self.load.is_none_or(|l| l.differs(&load)) {
+            self.load = Some(Snapshot::new(load, now, self.reserved));
+            // A report from before the head reported the endpoint as missing says nothing about a
+            // fault since then.
+            let reported_at = now.saturating_sub(load.age);
+            self.suspected_since = self.suspected_since.filter(|&since| reported_at < since);
+            self.slowdown = load.slowdown.max(1.0);
         }
     }
 
-    /// Room in use by all nodes, in tokens times layers, when requests stay for `stay`. Without a
-    /// report, all of `nodes` are taken to hold as much there as this one.
-    pub fn used(&self, now: Now, nodes: f64, stay: Duration) -> f64 {
-        let known = self.known.and_then(|k| k.used(now, self.held, stay));
-        known.unwrap_or(self.held * nodes)
+    /// Returns the capacity in use by all nodes, in token-layers, at a mean residence time of
+    /// `residence`. Without a report, each of `nodes` nodes is assumed to have reserved as much as
+    /// this one.
+    pub fn used(&self, now: Timestamp, nodes: f64, residence: Duration) -> f64 {
+        let reported = self
+            .load
+            .and_then(|l| l.used(now, self.reserved, residence));
+        reported.unwrap_or(self.reserved * nodes)
     }
 
-    /// What a refusal says that names this endpoint: it is full if much of it was in use when it
-    /// reported, and it has reported since it was first named. What has ended since may have been
-    /// replaced by others' requests.
-    pub fn named(&mut self, now: Now, nodes: f64) -> Outcome {
-        let since = *self.doubted.get_or_insert(now);
+    /// Interprets that a head reported this endpoint as missing. The endpoint is full if its last
+    /// report showed high utilization and it still reports; otherwise it has failed. Requests that
+    /// have ended since the report are ignored, because requests of other nodes may have taken
+    /// their place.
+    pub fn judge_missing(&mut self, now: Timestamp, nodes: f64) -> Outcome {
+        let since = *self.suspected_since.get_or_insert(now);
         let used = self.used(now, nodes, Duration::MAX);
-        if used < self.room * MUCH || now >= since + UNHEARD {
+        if used < self.capacity * FULL_UTILIZATION || now >= since + REPORT_TIMEOUT {
             return Outcome::Failed;
         }
-        if let Some(known) = &mut self.known {
-            known.fill(now, self.room, self.held);
+        if let Some(load) = &mut self.load {
+            load.mark_full(now, self.capacity, self.reserved);
         }
         Outcome::Full
     }
 
-    /// Whether new work may be sent to it.
-    pub fn open(&self, now: Now) -> bool {
-        let stays = self.endpoint.state == State::Ready && !self.moving;
-        stays && !self.accused && self.health.usable(now)
+    /// Returns whether new requests may be sent to the endpoint.
+    pub fn is_available(&self, now: Timestamp) -> bool {
+        let serving = self.endpoint.state == State::Ready && !self.releasing;
+        serving && !self.reported_failed && self.health.is_usable(now)
     }
 }
--- a/crates/steer/src/scarcity.rs
+++ b/crates/steer/src/scarcity.rs
@@ -1,45 +1,53 @@
-//! What is scarce when a request finds no target, for the line that explains its refusal.
+//! Scarce resources of a service when a request finds no target, for the log line of its refusal.
 
-use crate::Now;
+use crate::Timestamp;
 use crate::row::Row;
 use catalog::Layer;
 use std::time::Duration;
 
-/// What a worker believed of a service when it had no target.
+/// Known state of a service when no target was found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scarcity {
-    /// Endpoints of the service.
+    /// Number of endpoints of the service.
     pub known: usize,
-    /// Those in use.
-    pub open: usize,
-    /// The layer whose roomiest endpoint in use has the least room; nothing for a plain service.
+    /// Number of available endpoints.
+    pub available: usize,
+    /// Layer with the least free capacity, by the available endpoint with the most of it; `None`
+    /// for a plain service.
     pub layer: Option<Layer>,
-    /// Part of that endpoint's memory that is free; 0 if no endpoint in use holds the layer.
+    /// Free fraction of that endpoint's capacity; 0 if no available endpoint holds the layer.
     pub free: f64,
-    /// Part of the fullest pipe between zones that is used.
-    pub pipe: f64,
-    /// Age of the oldest report of load among those in use.
+    /// Utilization of the busiest link between zones.
+    pub link: f64,
+    /// Age of the oldest load report of the available endpoints.
     pub age: Duration,
 }
 
 impl Scarcity {
-    /// What is scarce among these rows of a service, whose model has so many layers.
-    pub(crate) fn of(now: Now, nodes: f64, stay: Duration, rows: &[&Row], layers: Layer) -> Self {
-        let open: Vec<&&Row> = rows.iter().filter(|r| r.open(now)).collect();
-        let free = |row: &Row| (1.0 - row.used(now, nodes, stay) / row.room.max(1.0)).max(0.0);
-        let roomiest = |layer: Layer| {
-            let own = open.iter().filter(|r| r.endpoint.span.holds(layer));
+    /// Measures the scarcity over the rows of a service whose model has `layers` layers.
+    pub(crate) fn measure(
+        now: Timestamp,
+        nodes: f64,
+        residence: Duration,
+        rows: &[&Row],
+        layers: Layer,
+    ) -> Self {
+        let available: Vec<&&Row> = rows.iter().filter(|r| r.is_available(now)).collect();
+        let free =
+            |row: &Row| (1.0 - row.used(now, nodes, residence) / row.capacity.max(1.0)).max(0.0);
+        let max_free = |layer: Layer| {
+            let own = available.iter().filter(|r| r.endpoint.span.contains(layer));
             own.map(|r| free(r)).fold(0.0, f64::max)
         };
-        let rooms = (0..layers).map(|l| (roomiest(l), l));
-        let scarcest = rooms.min_by(|a, b| a.0.total_cmp(&b.0));
-        let ages = open.iter().filter_map(|r| r.known.map(|k| k.age(now)));
+        let by_layer = (0..layers).map(|l| (max_free(l), l));
+        let scarcest = by_layer.min_by(|a, b| a.0.total_cmp(&b.0));
+        let ages = available.iter().filter_map(|r| r.load.map(|l| l.age(now)));
         Self {
             known: rows.len(),
-            open: open.len(),
+            available: available.len(),
             layer: scarcest.map(|(_, layer)| layer),
             free: scarcest.map_or(0.0, |(free, _)| free),
-            pipe: 0.0,
+            link: 0.0,
             age: ages.max().unwrap_or_default(),
         }
     }
--- a/crates/steer/src/search.rs
+++ b/crates/steer/src/search.rs
@@ -1,14 +1,15 @@
-//! The cheapest chain of endpoints over all layers.
+//! Search for the cheapest chain of endpoints over all layers.
 //!
-//! A shortest path over a layered graph: from layer 0 on, a stage runs from where the last one
-//! ended up to some cut (a layer at which any endpoint begins or ends). The cost of a stage is
-//! its time for the request, dearer the more of its memory or time is used; a hop to another availability zone
-//! costs its delay and its part of the shared pipe. An endpoint runs at most one stage of a chain,
-//! since engines refuse a chain that names one twice.
+//! This is a shortest path over a layered graph. Starting at layer 0, a stage runs from the end of
+//! the previous one to a cut, a layer at which some endpoint's span begins or ends. A stage costs
+//! its time for the request, scaled up with the utilization of the endpoint's memory and compute
+//! time. A hop to another availability zone costs its delay and its share of the inter-zone link.
+//! An endpoint runs at most one stage of a chain, since engines refuse a chain that contains an
+//! endpoint twice.
 
-use crate::Now;
-use crate::chain::{FILL, FILL_URGENT, Need};
-use crate::pipe::Pipes;
+use crate::Timestamp;
+use crate::chain::{MAX_FILL, MAX_FILL_URGENT, Need};
+use crate::link::Links;
 use crate::row::Row;
 use crate::shortage::Shortage;
 use catalog::Layer;
@@ -16,65 +17,66 @@
 use catalog::engine::Engine;
 use std::time::Duration;
 
-/// Most stages of a chain that an engine takes.
-const STAGES: usize = 32;
-/// Cost of a stage by itself, in seconds of a request: each stage is one more endpoint whose loss
-/// stalls the request.
-const STAGE: f64 = 0.004;
-/// How often a request's own transfer counts between availability zones: all requests share a pipe.
-const PIPE: f64 = 60.0;
-/// By how much the price of an endpoint grows until its memory is full, as a multiple of its price
-/// when empty. Even, since nodes see uses that are up to a second old: where the price grows
-/// steeply, all leave an endpoint at once and come back at once.
-const SLOPE: f64 = 5.0;
-/// How often the wait for a place at the first endpoint counts. The queue is that of half a second
-/// ago and all nodes see it, so it is dear while it is short.
-const QUEUE: f64 = 10.0;
-/// How busy an endpoint counts at the most, as a multiple of what it can do.
-const MOST_BUSY: f64 = 3.0;
-/// Part of an endpoint's memory past which its price does not grow.
-const MOST_USED: f64 = 0.95;
-/// Part of a pipe that is used at the most. Past it every request on the pipe is late.
-const MOST_PIPE: f64 = 0.75;
+/// Maximum number of stages of a chain that engines accept.
+const MAX_STAGES: usize = 32;
+/// Fixed cost of a stage, in seconds per request: each stage adds an endpoint whose loss stalls the
+/// request.
+const STAGE_COST_SECS: f64 = 0.004;
+/// Factor on a request's own transfer time between availability zones, since all requests share the
+/// link.
+const LINK_COST_FACTOR: f64 = 60.0;
+/// Growth of the price of an endpoint from empty to full, as a multiple of its price when empty.
+/// The growth is linear, since the known utilization is up to a second old: with a steep increase,
+/// all nodes would leave an endpoint and return to it at the same time.
+const UTILIZATION_COST_SLOPE: f64 = 5.0;
+/// Factor on the wait for a slot at the head of a chain. The known queue is half a second old and
+/// all nodes see the same one, so even a short queue must cost much.
+const QUEUE_COST_FACTOR: f64 = 10.0;
+/// Maximum work of an endpoint that is priced, as a multiple of the work at which it is saturated.
+const MAX_LOAD_FACTOR: f64 = 3.0;
+/// Memory utilization above which an endpoint's price does not increase further.
+const MAX_PRICED_UTILIZATION: f64 = 0.95;
+/// Maximum utilization of an inter-zone link; above it, every request on the link is delayed.
+const MAX_LINK_UTILIZATION: f64 = 0.75;
 
-/// A stage: an index into the rows, and its layers.
+/// Stage of a chain: the index of a row and the layers that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Part {
+pub(crate) struct Segment {
     pub(crate) row: usize,
     pub(crate) span: Span,
 }
 
-/// An endpoint that a stage may run on.
+/// Endpoint that a stage may run on.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate<'a> {
-    /// Its index in the table.
+    /// Index in the selector's table.
     pub(crate) index: usize,
     pub(crate) row: &'a Row,
-    /// Its room in use by all nodes.
+    /// Capacity in use by all nodes, in token-layers.
     pub(crate) used: f64,
-    /// Factor on its price.
-    pub(crate) factor: f64,
-    /// Seconds of reading that stand before this request, as far as they are placed in thought.
-    pub(crate) backlog: f64,
+    /// Random factor on the price.
+    pub(crate) price_factor: f64,
+    /// Seconds of simulated prefill that precede this request.
+    pub(crate) backlog_secs: f64,
 }
 
-/// Zones of the stages that stay on both sides of a stage which is replaced; none where the chain
-/// begins or ends. A replaced stage in another zone costs two hops, over which all tokens so far go
-/// at once.
+/// Zones of the stages before and after a stage that is replaced; `None` where the chain begins or
+/// ends. A replacement in another zone costs two hops, and all tokens so far cross each of them at
+/// once.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct Neighbors {
     pub(crate) before: Option<usize>,
     pub(crate) after: Option<usize>,
 }
 
-/// Costs of hops by the numbers of both zones; nothing where the pipe can't take one more.
+/// Costs of hops by the indexes of both zones; `None` where the link has no capacity left.
 struct Hops {
     zones: usize,
     costs: Vec<Option<f64>>,
 }
 
 impl Hops {
-    /// Where a chain begins or ends there is no hop.
+    /// Returns the cost of a hop; it is 0 at the beginning and the end of a chain.
     fn cost(&self, from: Option<usize>, to: Option<usize>) -> Option<f64> {
         let (Some(from), Some(to)) = (from, to) else {
             return Some(0.0);
@@ -83,114 +85,129 @@
     }
 }
 
-/// What a search looks at.
+/// Inputs of a search.
 pub(crate) struct Search<'a> {
     pub(crate) engine: &'a Engine,
-    /// The layers to run; all of them, or those of a stage that is replaced.
+    /// Layers to run: all layers, or those of a replaced stage.
     pub(crate) span: Span,
-    /// Candidates: indexes into the table, open and not tried; with the factor on their price.
-    pub(crate) rows: &'a [Candidate<'a>],
-    /// Availability zones by number.
+    /// Available endpoints that the request was not sent to yet.
+    pub(crate) candidates: &'a [Candidate<'a>],
+    /// Names of the availability zones, by index.
     pub(crate) zones: &'a [String],
-    /// What stays of the chain around the layers.
-    pub(crate) ends: Ends,
-    /// Nodes that send requests as this one does.
+    /// Stages around the replaced stage, if any.
+    pub(crate) neighbors: Neighbors,
+    /// Number of nodes that send requests as this one does.
     pub(crate) nodes: f64,
-    /// What this node sends between zones.
-    pub(crate) pipes: &'a Pipes,
-    /// How long requests stay on their chains.
-    pub(crate) stay: Duration,
-    pub(crate) now: Now,
+    /// Traffic of this node between zones.
+    pub(crate) links: &'a Links,
+    /// Mean residence time of requests.
+    pub(crate) residence: Duration,
+    pub(crate) now: Timestamp,
 }
 
-/// A cut and an availability zone, by number: where a way through the layers stands.
-type Place = (usize, usize);
+/// Vertex of the graph: the indexes of a cut and of the availability zone of the stage that ends
+/// there.
+type Vertex = (usize, usize);
 
-/// The cheapest way to have run all layers before a cut, with the last stage in one zone.
+/// Cheapest path that runs all layers before a cut, with its last stage in one zone.
 #[derive(Clone, Copy, Debug)]
-struct Best {
+struct Path {
     cost: f64,
-    part: Part,
-    /// Where the way stood before this stage.
-    from: Option<Place>,
+    segment: Segment,
+    /// Vertex at which the last stage begins; `None` at the beginning of the chain.
+    previous: Option<Vertex>,
 }
 
 impl Search<'_> {
-    /// The cheapest chain.
-    pub(crate) fn chain(&self, need: &Need) -> Result<Vec<Part>, Shortage> {
-        debug_assert!(self.rows.iter().all(|c| c.row.open(self.now)));
+    /// Returns the cheapest chain for a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Shortage::Layers`] if the candidates do not hold all layers, [`Shortage::Size`] if
+    /// the request does not fit even into empty endpoints, and [`Shortage::Capacity`] if no chain
+    /// has enough free capacity.
+    pub(crate) fn cheapest_chain(&self, need: &Need) -> Result<Vec<Segment>, Shortage> {
+        debug_assert!(self.candidates.iter().all(|c| c.row.is_available(self.now)));
         let cuts = self.cuts();
-        if !self.covered(&cuts) {
+        if !self.is_covered(&cuts) {
             return Err(Shortage::Layers);
         }
-        let fill = if need.urgent { FILL_URGENT } else { FILL };
+        let max_fill = if need.urgent {
+            MAX_FILL_URGENT
+        } else {
+            MAX_FILL
+        };
         let size = need.tokens();
-        let largest = |l: Layer| self.largest(l) * FILL_URGENT >= size;
-        if !(self.span.from..self.span.to).all(largest) {
+        let fits = |l: Layer| self.max_capacity(l) * MAX_FILL_URGENT >= size;
+        if !(self.span.from..self.span.to).all(fits) {
             return Err(Shortage::Size);
         }
-        let hops = self.hops(need);
-        let prices: Vec<f64> = self.rows.iter().map(|c| self.price(c, need)).collect();
-        let mut best: Vec<Option<Best>> = vec![None; cuts.len() * self.zones.len()];
-        let mut reach: Vec<bool> = vec![false; cuts.len()];
-        reach[0] = true;
+        let hops = self.hop_costs(need);
+        let prices: Vec<f64> = self
+            .candidates
+            .iter()
+            .map(|c| self.price_per_layer(c, need))
+            .collect();
+        let mut best: Vec<Option<Path>> = vec![None; cuts.len() * self.zones.len()];
+        let mut reached: Vec<bool> = vec![false; cuts.len()];
+        reached[0] = true;
         for at in 0..cuts.len() - 1 {
-            if !reach[at] {
+            if !reached[at] {
                 continue;
             }
-            for (candidate, price) in self.rows.iter().zip(&prices) {
+            for (candidate, price) in self.candidates.iter().zip(&prices) {
                 let &Candidate {
                     index,
                     row,
                     used,
-                    backlog,
+                    backlog_secs,
                     ..
                 } = candidate;
                 let span = row.endpoint.span;
-                if !span.holds(cuts[at]) {
+                if !span.contains(cuts[at]) {
                     continue;
                 }
-                let Some((start, from)) = self.entry(&best, &hops, at, row, index) else {
+                let Some((start, previous)) = self.best_entry(&best, &hops, at, row, index) else {
                     continue;
                 };
-                let room = row.room * fill - used;
+                let free = row.capacity * max_fill - used;
                 for to in at + 1..cuts.len() {
                     if cuts[to] > span.to.min(self.span.to) {
                         break;
                     }
                     let layers = cuts[to] - cuts[at];
-                    if size * f64::from(layers) > room {
+                    if size * f64::from(layers) > free {
                         break;
                     }
-                    let cost = start + STAGE + backlog + price * f64::from(layers);
+                    let cost = start + STAGE_COST_SECS + backlog_secs + price * f64::from(layers);
                     let slot = &mut best[self.slot((to, row.zone))];
                     if slot.is_none_or(|b| cost < b.cost) {
                         let span = Span {
                             from: cuts[at],
                             to: cuts[to],
                         };
-                        *slot = Some(Best {
+                        *slot = Some(Path {
                             cost,
-                            part: Part { row: index, span },
-                            from,
+                            segment: Segment { row: index, span },
+                            previous,
                         });
-                        reach[to] = true;
+                        reached[to] = true;
                     }
                 }
             }
         }
         let end = cuts.len() - 1;
-        self.walk(&best, &hops, end).ok_or(Shortage::Room)
+        self.backtrack(&best, &hops, end).ok_or(Shortage::Capacity)
     }
 
-    /// Where the best way to a place is kept.
-    fn slot(&self, (at, zone): Place) -> usize {
+    /// Returns the index of the best path to a vertex.
+    fn slot(&self, (at, zone): Vertex) -> usize {
         at * self.zones.len() + zone
     }
 
-    /// Layers at which a stage may begin or end.
+    /// Returns the layers at which a stage may begin or end, in ascending order.
     fn cuts(&self) -> Vec<Layer> {
-        let spans = self.rows.iter().map(|c| c.row.endpoint.span);
+        let spans = self.candidates.iter().map(|c| c.row.endpoint.span);
         let mut cuts: Vec<Layer> = spans.flat_map(|s| [s.from, s.to]).collect();
         cuts.extend([self.span.from, self.span.to]);
         cuts.retain(|&c| self.span.from <= c && c <= self.span.to);
@@ -199,32 +216,38 @@
         cuts
     }
 
-    fn covered(&self, cuts: &[Layer]) -> bool {
+    fn is_covered(&self, cuts: &[Layer]) -> bool {
         let mut cuts = cuts.iter().filter(|&&c| c < self.span.to);
-        cuts.all(|&c| self.rows.iter().any(|r| r.row.endpoint.span.holds(c)))
+        cuts.all(|&c| {
+            self.candidates
+                .iter()
+                .any(|r| r.row.endpoint.span.contains(c))
+        })
     }
 
-    /// Most tokens that any endpoint could hold of a request if it ran just this layer, empty.
-    fn largest(&self, layer: Layer) -> f64 {
-        let rows = self.rows.iter().map(|c| c.row);
-        let rows = rows.filter(|r| r.endpoint.span.holds(layer));
-        rows.map(|r| r.room).fold(0.0, f64::max)
+    /// Returns the maximum number of tokens of a request that an empty endpoint can hold if it runs
+    /// only this layer.
+    fn max_capacity(&self, layer: Layer) -> f64 {
+        let rows = self.candidates.iter().map(|c| c.row);
+        let rows = rows.filter(|r| r.endpoint.span.contains(layer));
+        rows.map(|r| r.capacity).fold(0.0, f64::max)
     }
 
-    /// Cost before a stage on `row` that begins at cut `at`, and the way there.
-    fn entry(
+    /// Returns the cost before a stage on `row` that begins at cut `at`, and the vertex that it
+    /// continues from.
+    fn best_entry(
         &self,
-        best: &[Option<Best>],
+        best: &[Option<Path>],
         hops: &Hops,
         at: usize,
         row: &Row,
         index: usize,
-    ) -> Option<(f64, Option<Place>)> {
+    ) -> Option<(f64, Option<Vertex>)> {
         if at == 0 {
-            let hop = hops.cost(self.ends.before, Some(row.zone))?;
-            return Some((hop + self.queue(row), None));
+            let hop = hops.cost(self.neighbors.before, Some(row.zone))?;
+            return Some((hop + self.queue_cost(row), None));
         }
-        let mut found: Option<(f64, Option<Place>)> = None;
+        let mut found: Option<(f64, Option<Vertex>)> = None;
         for zone in 0..self.zones.len() {
             let Some(before) = best[self.slot((at, zone))] else {
                 continue;
@@ -234,32 +257,33 @@
             };
             let cost = before.cost + hop;
             let cheaper = found.is_none_or(|(c, _)| cost < c);
-            if cheaper && !self.names(best, (at, zone), index) {
+            if cheaper && !self.path_uses(best, (at, zone), index) {
                 found = Some((cost, Some((at, zone))));
             }
         }
         found
     }
 
-    /// Price of the wait before a chain begins at this row. An endpoint begins a bounded number of
-    /// chains at once, whatever memory it has; those beyond wait, and their callers with them.
-    fn queue(&self, row: &Row) -> f64 {
+    /// Returns the cost of the wait before a chain begins at this row. An endpoint begins a limited
+    /// number of chains at once, whatever its memory; further requests wait, and so do their
+    /// callers.
+    fn queue_cost(&self, row: &Row) -> f64 {
         let slots = f64::from(row.endpoint.slots.max(1));
-        let queued = row.known.map_or(0, |k| k.queued(self.now));
+        let queued = row.load.map_or(0, |l| l.queued(self.now));
         match self.span.from {
-            0 => QUEUE * f64::from(queued) * self.stay.as_secs_f64() / slots,
-            // The endpoints of a detour are not the first of their chain.
+            0 => QUEUE_COST_FACTOR * f64::from(queued) * self.residence.as_secs_f64() / slots,
+            // The search starts behind the head of a chain when it replaces a stage.
             _ => 0.0,
         }
     }
 
-    /// Whether the way to a state has a stage on this row.
-    fn names(&self, best: &[Option<Best>], mut state: Place, row: usize) -> bool {
+    /// Returns whether the best path to a vertex has a stage on this row.
+    fn path_uses(&self, best: &[Option<Path>], mut state: Vertex, row: usize) -> bool {
         while let Some(before) = best[self.slot(state)] {
-            if before.part.row == row {
+            if before.segment.row == row {
                 return true;
             }
-            match before.from {
+            match before.previous {
                 Some(from) => state = from,
                 None => return false,
             }
@@ -267,94 +291,115 @@
         false
     }
 
-    /// What hops between all zones cost this request.
-    fn hops(&self, need: &Need) -> Hops {
+    /// Returns the costs of this request for hops between all pairs of zones.
+    fn hop_costs(&self, need: &Need) -> Hops {
         let zones = self.zones.len();
         let pairs = (0..zones).flat_map(|from| (0..zones).map(move |to| (from, to)));
-        let costs = pairs.map(|(from, to)| self.hop(from, to, need)).collect();
+        let costs = pairs
+            .map(|(from, to)| self.hop_cost(from, to, need))
+            .collect();
         Hops { zones, costs }
     }
 
-    /// Time that a hop costs a request; nothing if the pipe can't take it.
-    fn hop(&self, from: usize, to: usize, need: &Need) -> Option<f64> {
+    /// Returns the cost of a hop, in seconds; `None` if the link has no capacity left.
+    fn hop_cost(&self, from: usize, to: usize, need: &Need) -> Option<f64> {
         if from == to {
             return Some(0.0);
         }
         let delay = self.engine.delay(&self.zones[from], &self.zones[to]);
-        let capacity = self.engine.pipe_bits.max(1.0);
+        let capacity = self.engine.inter_zone_bps.max(1.0);
         let transfer = bits(self.engine, need) / capacity;
-        let used = self.pipes.rate(self.now, from, to) * self.nodes / capacity;
-        if used > MOST_PIPE {
+        let used = self.links.rate(self.now, from, to) * self.nodes / capacity;
+        if used > MAX_LINK_UTILIZATION {
             return None;
         }
-        // A token waits for the one before it, so each token pays the delay. The pipe is shared
-        // by all requests, so a request's part of it counts several times its own transfer.
-        Some(delay.as_secs_f64() * f64::from(need.size.answer) + PIPE * transfer / (1.0 - used))
+        // Each token waits for the previous one, so each pays the delay. All requests share the
+        // link, so the request's own transfer time is weighted with a factor.
+        Some(
+            delay.as_secs_f64() * f64::from(need.size.answer)
+                + LINK_COST_FACTOR * transfer / (1.0 - used),
+        )
     }
 
-    /// Time that a request spends at each layer of a stage, dearer the fuller its memory is.
-    fn price(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
+    /// Returns the time that a request spends at each layer of a stage, scaled up with the
+    /// utilization of the endpoint.
+    fn price_per_layer(&self, candidate: &Candidate<'_>, need: &Need) -> f64 {
         let &Candidate { row, used, .. } = candidate;
-        let part = self.engine.part(1);
-        // Requests under way there, by the room that one of this size would take.
-        let held = f64::from(row.endpoint.span.len()) * need.tokens();
-        let flying = used / held.max(1.0);
-        let each = self.engine.per_request.as_secs_f64()
-            + self.engine.per_context.as_secs_f64() * need.tokens() / 1000.0;
-        let crowd = 1.0 + flying * each / self.engine.step.as_secs_f64().max(1e-9);
-        let write = row.step * crowd * f64::from(need.size.answer);
-        let read = row.read * f64::from(need.size.prompt);
-        let used = (used / row.room.max(1.0)).clamp(0.0, MOST_USED);
-        let busy = (flying * row.slow / row.most.max(1.0)).min(MOST_BUSY);
-        (write + read) * part * row.slow * (1.0 + SLOPE * used.max(busy)) * candidate.factor
+        let layer_fraction = self.engine.model_fraction(1);
+        // Number of requests in flight, estimated by the capacity that a request of this size would
+        // take.
+        let per_request = f64::from(row.endpoint.span.len()) * need.tokens();
+        let in_flight = used / per_request.max(1.0);
+        let request_time = self.engine.step_time_per_request.as_secs_f64()
+            + self.engine.step_time_per_1k_context.as_secs_f64() * need.tokens() / 1000.0;
+        let batch_factor =
+            1.0 + in_flight * request_time / self.engine.step_time.as_secs_f64().max(1e-9);
+        let decode = row.step_secs * batch_factor * f64::from(need.size.answer);
+        let prefill = row.prefill_secs * f64::from(need.size.prompt);
+        let utilization = (used / row.capacity.max(1.0)).clamp(0.0, MAX_PRICED_UTILIZATION);
+        let load = (in_flight * row.slowdown / row.saturation.max(1.0)).min(MAX_LOAD_FACTOR);
+        (decode + prefill)
+            * layer_fraction
+            * row.slowdown
+            * (1.0 + UTILIZATION_COST_SLOPE * utilization.max(load))
+            * candidate.price_factor
     }
 
-    fn walk(&self, best: &[Option<Best>], hops: &Hops, end: usize) -> Option<Vec<Part>> {
+    fn backtrack(&self, best: &[Option<Path>], hops: &Hops, end: usize) -> Option<Vec<Segment>> {
         let last = (0..self.zones.len()).filter_map(|zone| {
             let last = best[self.slot((end, zone))]?;
-            let cost = last.cost + hops.cost(Some(zone), self.ends.after)?;
-            Some(Best { cost, ..last })
+            let cost = last.cost + hops.cost(Some(zone), self.neighbors.after)?;
+            Some(Path { cost, ..last })
         });
         let last = last.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-        let mut parts = vec![last.part];
-        let mut from = last.from;
-        while let Some((at, zone)) = from {
+        let mut segments = vec![last.segment];
+        let mut previous = last.previous;
+        while let Some((at, zone)) = previous {
             let before = best[self.slot((at, zone))]?;
-            parts.push(before.part);
-            from = before.from;
+            segments.push(before.segment);
+            previous = before.previous;
         }
-        parts.reverse();
-        (parts.len() <= STAGES).then_some(parts)
+        segments.reverse();
+        (segments.len() <= MAX_STAGES).then_some(segments)
     }
 }
 
-/// Takes `tokens` tokens as under way on a chain, for the next search.
-pub(crate) fn load(rows: &mut [Candidate<'_>], chain: &[Part], tokens: f64) {
-    for (candidate, part) in along(rows, chain) {
-        candidate.used += tokens * f64::from(part.span.len());
+/// Adds `tokens` tokens in flight to the endpoints of a chain, for the next search.
+pub(crate) fn add_load(candidates: &mut [Candidate<'_>], chain: &[Segment], tokens: f64) {
+    for (candidate, segment) in candidates_on(candidates, chain) {
+        candidate.used += tokens * f64::from(segment.span.len());
     }
 }
 
-/// Takes `tokens` tokens as being read anew on a chain, for the next search: they take room there
-/// and time before whatever comes later.
-pub(crate) fn reread(engine: &Engine, rows: &mut [Candidate<'_>], chain: &[Part], tokens: f64) {
-    load(rows, chain, tokens);
-    for (candidate, part) in along(rows, chain) {
+/// Adds the renewed prefill of `tokens` tokens to the endpoints of a chain, for the next search: it
+/// takes capacity, and delays later requests.
+pub(crate) fn add_prefill(
+    engine: &Engine,
+    candidates: &mut [Candidate<'_>],
+    chain: &[Segment],
+    tokens: f64,
+) {
+    add_load(candidates, chain, tokens);
+    for (candidate, segment) in candidates_on(candidates, chain) {
         let row = candidate.row;
-        candidate.backlog += row.read * row.slow * tokens * engine.part(part.span.len());
+        candidate.backlog_secs +=
+            row.prefill_secs * row.slowdown * tokens * engine.model_fraction(segment.span.len());
     }
 }
 
-/// The candidates that a chain runs on, each with its part; a chain has no endpoint twice.
-fn along<'r, 'a>(
-    rows: &'r mut [Candidate<'a>],
-    chain: &'r [Part],
-) -> impl Iterator<Item = (&'r mut Candidate<'a>, &'r Part)> {
-    let part = |c: &Candidate<'_>| chain.iter().find(|p| p.row == c.index);
-    rows.iter_mut().filter_map(move |c| part(c).map(|p| (c, p)))
+/// Returns the candidates that a chain runs on, each with its segment; a chain contains each
+/// endpoint at most once.
+fn candidates_on<'r, 'a>(
+    candidates: &'r mut [Candidate<'a>],
+    chain: &'r [Segment],
+) -> impl Iterator<Item = (&'r mut Candidate<'a>, &'r Segment)> {
+    let segment = |c: &Candidate<'_>| chain.iter().find(|s| s.row == c.index);
+    candidates
+        .iter_mut()
+        .filter_map(move |c| segment(c).map(|s| (c, s)))
 }
 
-/// Bits that a request sends over one hop.
+/// Returns the number of bits that a request transfers over one hop.
 pub(crate) fn bits(engine: &Engine, need: &Need) -> f64 {
     need.tokens() * engine.activation_bytes * 8.0
 }
--- a/crates/steer/tests/shortlist.rs
+++ b/crates/steer/tests/shortlist.rs
@@ -1,8 +1,8 @@
-//! Choices among hundreds of endpoints for each layer.
+//! Selection among hundreds of endpoints for each layer.
 //!
-//! The pattern: 300 nodes before 3,000 endpoints in three zones, each with an eighth of a processor
-//! and two or three requests a second. A search that looks at every endpoint takes 40 ms of a whole
-//! processor, so a request waited a third of a second for its choice.
+//! 300 nodes use 3,000 endpoints in three zones; each node has an eighth of a processor and two or
+//! three requests per second. A search over every endpoint takes 40 ms of a whole processor, so
+//! that a request would wait a third of a second for its selection.
 
 mod support;
 
@@ -11,15 +11,15 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
-use steer::Steer;
-use steer::shortlist::{self, HOLDERS, Holder};
-use support::{LAYERS, endpoint, ms, need, steer};
+use steer::Selector;
+use steer::shortlist::{self, HOLDERS_PER_LAYER, Holder};
+use support::{LAYERS, endpoint, ms, need, selector};
 
-/// Layers of the users' model.
+/// Number of layers of a production model.
 const MODEL: u32 = 80;
 const ZONES: usize = 3;
 
-/// Holders of a zone's layers as a plan lays them out: rows of equal spans from layer 0 on.
+/// Returns holders of layers in [`ZONES`] zones, with spans of several lengths that overlap.
 fn holders(count: usize, rng: &mut ChaCha8Rng) -> Vec<Holder> {
     let holder = |n: usize| {
         let len = [7, 8, 11, 30][rng.random_range(0..4)];
@@ -36,8 +36,8 @@
     (0..count).map(holder).collect()
 }
 
-/// How many of these hold each layer in each zone.
-fn held(holders: impl Iterator<Item = Holder>) -> BTreeMap<(usize, u32), u32> {
+/// Returns the number of holders of each layer in each zone.
+fn count_holders(holders: impl Iterator<Item = Holder>) -> BTreeMap<(usize, u32), u32> {
     let mut held = BTreeMap::new();
     for holder in holders {
         for layer in holder.span.from..holder.span.to {
@@ -47,56 +47,60 @@
     held
 }
 
-// Guards against choices whose cost grows with the fleet, and against layers that are left out.
+// Guards against a search time that grows with the fleet, and against layers that are left out of
+// the sample.
 #[test]
-fn a_search_looks_at_a_few_holders_of_each_layer() {
+fn a_search_examines_a_few_holders_of_each_layer() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut sizes = Vec::new();
     for count in [300, 1000, 3000, 4700] {
         let all = holders(count, &mut rng);
-        let few = shortlist::draw(&mut rng, MODEL, &all);
+        let few = shortlist::sample(&mut rng, MODEL, &all);
         assert!(few.is_sorted());
-        let kept = held(few.iter().map(|&at| all[at]));
-        for (place, &there) in &held(all.iter().copied()) {
+        let kept = count_holders(few.iter().map(|&at| all[at]));
+        for (place, &there) in &count_holders(all.iter().copied()) {
             let kept = kept.get(place).copied().unwrap_or(0);
-            assert!(kept >= there.min(HOLDERS), "{place:?}: {kept} of {there}");
+            assert!(
+                kept >= there.min(HOLDERS_PER_LAYER),
+                "{place:?}: {kept} of {there}"
+            );
         }
         sizes.push(few.len());
     }
-    // Each one drawn holds at least seven layers, one of which had too few holders before it.
-    let bound = ZONES * (MODEL * HOLDERS) as usize / 4;
+    // Each sampled holder has at least seven layers, one of which had too few holders before it.
+    let bound = ZONES * (MODEL * HOLDERS_PER_LAYER) as usize / 4;
     assert!(sizes.iter().all(|&n| n <= bound), "{sizes:?}");
 }
 
-// Guards against a change of choice on small fleets, where every holder counts.
+// Guards against a changed selection in small fleets, where every holder counts.
 #[test]
-fn a_small_fleet_is_looked_at_whole() {
+fn a_small_fleet_is_examined_completely() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let all = holders(ZONES * HOLDERS as usize, &mut rng);
-    let few = shortlist::draw(&mut rng, MODEL, &all);
+    let all = holders(ZONES * HOLDERS_PER_LAYER as usize, &mut rng);
+    let few = shortlist::sample(&mut rng, MODEL, &all);
     assert_eq!(few.len(), all.len());
 }
 
-// Guards against spans that an endpoint reports wrongly.
+// Guards against invalid spans in the reports of endpoints.
 #[test]
-fn spans_past_the_model_are_no_holders() {
+fn spans_beyond_the_model_are_ignored() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let holder = |from, to| Holder {
         span: Span { from, to },
         zone: 0,
     };
     let all = [holder(0, u32::MAX), holder(9, 3), holder(200, 300)];
-    assert_eq!(shortlist::draw(&mut rng, MODEL, &all), [0]);
+    assert_eq!(shortlist::sample(&mut rng, MODEL, &all), [0]);
 }
 
-/// Many endpoints of one zone, each with half of the layers.
-fn many(count: u16) -> Vec<Endpoint> {
+/// Endpoints of one zone, each of which holds half of the layers.
+fn half_model_endpoints(count: u16) -> Vec<Endpoint> {
     let one = |n: u16| {
         let from = u32::from(n % 2) * LAYERS / 2;
         Endpoint {
             run: Run {
                 id: format!("e{n}"),
-                born: 1,
+                started_at: 1,
             },
             addr: ([10, 0, (n >> 8) as u8, n as u8], 80).into(),
             ..endpoint(0, "a", "fast", from, from + LAYERS / 2)
@@ -105,31 +109,30 @@
     (0..count).map(one).collect()
 }
 
-/// Heads of so many chains, one chosen after the other.
-fn heads(steer: &mut Steer, chains: usize) -> BTreeSet<Run> {
-    let chosen = (0..chains).map(|_| steer.target(ms(0), 0, &need(100), &[]));
+/// Returns the heads of `chains` chains that are selected one after the other.
+fn heads(selector: &mut Selector, chains: usize) -> BTreeSet<Run> {
+    let chosen = (0..chains).map(|_| selector.select(ms(0), 0, &need(100), &[]));
     let chosen = chosen.map(|target| target.expect("there is room").stages[0].run.clone());
     chosen.collect()
 }
 
-// Guards against nodes that keep to the endpoints of one draw while hundreds of others idle.
+// Guards against nodes that keep using the endpoints of one sample while hundreds of others idle.
 #[test]
-fn each_request_looks_at_others() {
-    let mut steer = steer(many(400));
-    let heads = heads(&mut steer, 100);
+fn each_request_examines_a_new_sample() {
+    let mut selector = selector(half_model_endpoints(400));
+    let heads = heads(&mut selector, 100);
     assert!(heads.len() >= 60, "{} heads of 200", heads.len());
 }
 
-// Guards against callers that are refused for want of room while an endpoint that was not looked at
-// has some.
+// Guards against refusals for lack of capacity while an endpoint outside of the sample has some.
 #[test]
-fn all_endpoints_are_looked_at_before_a_refusal() {
-    // Each holds four layers, with room for 1,500 tokens: one request of this size.
-    let mut steer = steer(many(120));
+fn all_endpoints_are_examined_before_a_refusal() {
+    // Each endpoint holds four layers and has capacity for 1,500 tokens: one request of this size.
+    let mut selector = selector(half_model_endpoints(120));
     for _ in 0..60 {
-        let found = steer.target(ms(0), 0, &need(1000), &[]);
+        let found = selector.select(ms(0), 0, &need(1000), &[]);
         assert!(found.is_ok(), "{found:?}");
     }
-    let full = steer.target(ms(0), 0, &need(1000), &[]);
+    let full = selector.select(ms(0), 0, &need(1000), &[]);
     assert!(full.is_err(), "{full:?}");
 }
--- a/crates/steer/tests/support/mod.rs
+++ b/crates/steer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet for the tests of the choice.
+//! A small fleet for the tests of the selection.
 #![allow(dead_code)]
 
 use catalog::endpoint::{Endpoint, Run, Span, State};
@@ -13,49 +13,49 @@
 use steer::budget::Allowance;
 use steer::chain::Need;
 use steer::load::Load;
-use steer::{Fleet, Steer};
+use steer::{Fleet, Selector};
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: Layer = 8;
 
-/// An allowance that no test uses up by accident.
+/// An allowance that no test uses up unintentionally.
 pub const ALLOWANCE: Allowance = Allowance {
     ratio: 0.2,
     slack: 100.0,
     window: Duration::from_secs(10),
 };
 
-/// An engine with 8 layers of 1 GB; a token takes 1 MB a layer.
+/// An engine with 8 layers of 1 GB, where a token takes 1 MB at each layer.
 pub fn engine() -> Engine {
     Engine {
         layers: LAYERS,
         layer_bytes: 1e9,
-        token_bytes: 1e6,
+        kv_bytes_per_token: 1e6,
         activation_bytes: 1e4,
-        step: Duration::from_millis(1),
-        per_request: Duration::from_micros(5),
-        per_context: Duration::from_micros(5),
-        read_rate: 100_000.0,
-        stride: 1,
-        load: Duration::from_secs(10),
-        loads: 4,
+        step_time: Duration::from_millis(1),
+        step_time_per_request: Duration::from_micros(5),
+        step_time_per_1k_context: Duration::from_micros(5),
+        prefill_rate: 100_000.0,
+        steps_per_event: 1,
+        load_time: Duration::from_secs(10),
+        parallel_loads: 4,
         slots: 100,
-        pipe_bits: 1e9,
-        kinds: vec![
+        inter_zone_bps: 1e9,
+        accelerators: vec![
             Accelerator {
                 name: "fast".to_owned(),
-                bytes: 10e9,
-                pace: 1.0,
-                read: 1.0,
+                memory_bytes: 10e9,
+                step_factor: 1.0,
+                prefill_factor: 1.0,
             },
             Accelerator {
                 name: "slow".to_owned(),
-                bytes: 10e9,
-                pace: 4.0,
-                read: 4.0,
+                memory_bytes: 10e9,
+                step_factor: 4.0,
+                prefill_factor: 4.0,
             },
         ],
-        usual: Size {
+        typical_size: Size {
             prompt: 100,
             answer: 100,
         },
@@ -67,56 +67,56 @@
     }
 }
 
-/// A usual request of the users: its prompt, and its answer.
-pub const SIZE: Size = Size {
+/// Typical size of a production request.
+pub const TYPICAL_SIZE: Size = Size {
     prompt: 775,
     answer: 214,
 };
 
-/// Tokens of such a request in all.
+/// Returns the total tokens of a request of [`TYPICAL_SIZE`].
 pub fn tokens() -> f64 {
-    f64::from(SIZE.prompt + SIZE.answer)
+    f64::from(TYPICAL_SIZE.prompt + TYPICAL_SIZE.answer)
 }
 
-/// Factor on the time to read prompts, by the kind of the users' accelerators.
-pub fn read(kind: &str) -> f64 {
+/// Returns the factor on prefill time for a kind of accelerator.
+pub fn prefill_factor(kind: &str) -> f64 {
     if kind == "fast" { 3.2 } else { 7.9 }
 }
 
-/// The users' model, in eight parts instead of eighty layers, on accelerators that have room for
-/// `places` requests beside `held` parts.
-pub fn model(held: Layer, places: usize) -> Engine {
+/// Returns an engine with the size of a production model, in 8 layers instead of 80, on
+/// accelerators with capacity for `requests` requests beside `held` layers.
+pub fn large_engine(held: Layer, requests: usize) -> Engine {
     let (layer, token) = (17.5e9, 61_500.0);
-    let bytes = f64::from(held) * (layer + places as f64 * tokens() * token);
+    let bytes = f64::from(held) * (layer + requests as f64 * tokens() * token);
     let kind = |name: &str, pace| Accelerator {
         name: name.to_owned(),
-        bytes,
-        pace,
-        read: read(name),
+        memory_bytes: bytes,
+        step_factor: pace,
+        prefill_factor: prefill_factor(name),
     };
     Engine {
         layer_bytes: layer,
-        token_bytes: token,
-        step: Duration::from_micros(1020),
-        per_request: Duration::from_nanos(3820),
-        per_context: Duration::from_nanos(5120),
-        read_rate: 196_000.0,
-        kinds: vec![kind("fast", 2.4), kind("slow", 5.3)],
-        usual: SIZE,
+        kv_bytes_per_token: token,
+        step_time: Duration::from_micros(1020),
+        step_time_per_request: Duration::from_nanos(3820),
+        step_time_per_1k_context: Duration::from_nanos(5120),
+        prefill_rate: 196_000.0,
+        accelerators: vec![kind("fast", 2.4), kind("slow", 5.3)],
+        typical_size: TYPICAL_SIZE,
         ..engine()
     }
 }
 
 /// A catalog with a model service and a plain one.
 pub fn catalog() -> Arc<Catalog> {
-    catalog_of(engine())
+    catalog_with(engine())
 }
 
-/// The same with another engine.
-pub fn catalog_of(engine: Engine) -> Arc<Catalog> {
+/// A catalog like [`catalog`] with another engine.
+pub fn catalog_with(engine: Engine) -> Arc<Catalog> {
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        connections: 10,
+        max_connections: 10,
         engine,
     };
     let route = Route {
@@ -128,13 +128,13 @@
             pause: None,
         }),
         timeout: Duration::from_secs(20),
-        target: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
         priority: 1,
         split: vec![Share {
             service: "model".to_owned(),
             weight: 1,
         }],
-        attempts: 2,
+        max_attempts: 2,
         public: true,
     };
     let tables = Tables {
@@ -152,14 +152,14 @@
     Endpoint {
         run: Run {
             id: format!("e{number}"),
-            born: 1,
+            started_at: 1,
         },
         service: "model".to_owned(),
         addr: ([10, 0, 0, number], 80).into(),
         zone: zone.to_owned(),
         slots: 100,
         state: State::Ready,
-        kind: Some(kind.to_owned()),
+        accelerator: Some(kind.to_owned()),
         span: Span { from, to },
     }
 }
@@ -168,28 +168,28 @@
 pub fn plain(number: u8) -> Endpoint {
     Endpoint {
         service: "plain".to_owned(),
-        kind: None,
+        accelerator: None,
         slots: 2,
         ..endpoint(number, "a", "fast", 0, 0)
     }
 }
 
-/// A fleet of these endpoints as one of `nodes` nodes sees it.
+/// A fleet of these endpoints as seen by one of `nodes` nodes.
 pub fn fleet(endpoints: Vec<Endpoint>, nodes: usize) -> Fleet {
     Fleet {
         catalog: catalog(),
         endpoints: Arc::new(endpoints),
         nodes,
-        sharers: nodes,
+        budget_nodes: nodes,
         ..Fleet::default()
     }
 }
 
-/// A worker of one node that knows these endpoints.
-pub fn steer(endpoints: Vec<Endpoint>) -> Steer {
-    let mut steer = Steer::new(1, ALLOWANCE);
-    steer.follow(Duration::ZERO, fleet(endpoints, 1));
-    steer
+/// A selector of a single node that knows these endpoints.
+pub fn selector(endpoints: Vec<Endpoint>) -> Selector {
+    let mut selector = Selector::new(1, ALLOWANCE);
+    selector.update_fleet(Duration::ZERO, fleet(endpoints, 1));
+    selector
 }
 
 /// A request of this many tokens, half of them in its answer.
@@ -203,18 +203,18 @@
     }
 }
 
-/// A report of `used` room and `queued` requests that was `age` old when it was published.
+/// A report of `used` token-layers and `queued` requests that was `age` old when it was published.
 pub fn load(stamp: u64, used: f64, queued: u32, age: Duration) -> Load {
     Load {
         stamp,
         used,
-        pace: 1.0,
+        slowdown: 1.0,
         queued,
         age,
     }
 }
 
-/// Milliseconds since the start.
+/// Time in milliseconds since the start.
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
