--- a/crates/member/examples/limits.rs
+++ b/crates/member/examples/limits.rs
@@ -1,7 +1,7 @@
-//! Overshoot of team limits at 8 and 370 nodes: quiet, parted, restarted, paused, late.
+//! Overshoot of team limits at 8 and 370 nodes under faults of nodes and of the network.
 //!
-//! Decision cores in one process with passed-in time. Every node's share is taken for used in
-//! full, so that the figures are the worst that callers can make of the shares.
+//! Runs on a simulated network. Every node is taken to use its share in full, so the figures are the
+//! worst that callers can cause.
 
 #[path = "../tests/support/fleet.rs"]
 mod fleet;
@@ -14,9 +14,10 @@
 use std::time::Duration;
 
 const SECOND: Duration = ms(1000);
+/// Nodes, availability zones and teams.
 const SIZES: [(usize, usize, usize); 2] = [(8, 3, 10), (370, 18, 5)];
 
-/// What happens in a run.
+/// Fault that is injected in a run.
 #[derive(Clone, Copy, Debug)]
 enum Case {
     Quiet,
@@ -28,10 +29,10 @@
     Killed,
 }
 
-fn run(size: (usize, usize, usize), case: Case, way: Policy) -> String {
+fn run(size: (usize, usize, usize), case: Case, policy: Policy) -> String {
     let (nodes, zones, teams) = size;
     let mut net = Net::new(nodes, zones, 11, Settings::default());
-    let mut fleet = Fleet::new(nodes, teams, 21, way);
+    let mut fleet = Fleet::new(nodes, teams, 21, policy);
     fleet.run(&mut net, SECOND * 40);
     fleet.clear_samples();
     let start = net.now;
@@ -73,13 +74,13 @@
         let to = start + SECOND * 30 * (step + 1);
         fleet.run(&mut net, to);
     }
-    let sum = fleet.summary();
+    let summary = fleet.summary();
     format!(
-        "| {nodes} | {way:?} | {case:?} | {:.1}% | {:.2}% | {:.1}% | {:.1}% |",
-        sum.max_overshoot * 100.0,
-        sum.time_above * 100.0,
-        sum.mean_sum * 100.0,
-        sum.served * 100.0,
+        "| {nodes} | {policy:?} | {case:?} | {:.1}% | {:.2}% | {:.1}% | {:.1}% |",
+        summary.max_overshoot * 100.0,
+        summary.time_above * 100.0,
+        summary.mean_sum * 100.0,
+        summary.served * 100.0,
     )
 }
 
--- a/crates/member/examples/spread.rs
+++ b/crates/member/examples/spread.rs
@@ -1,7 +1,7 @@
-//! Detection, spread, false accusations and cost of membership at 8, 64 and 370 nodes.
+//! Time to detect failures, time to spread items, false suspicions and cost of membership at 8, 64 and 370 nodes.
 //!
-//! Decision cores in one process with passed-in time; bytes are those of the `wire` crate's
-//! frames, with what a connection costs taken from `cargo run --release -p wigeonshelf-wire
+//! Runs on a simulated network. Bytes are those of the `wire` crate's frames and include the overhead of
+//! connections, as measured by `cargo run --release -p wigeonshelf-wire
 //! --example frame_cost`.
 
 #[path = "../tests/support/net.rs"]
@@ -23,21 +23,23 @@
 const SECOND: Duration = ms(1000);
 /// Nodes and availability zones.
 const SIZES: [(usize, usize); 3] = [(8, 3), (64, 6), (370, 18)];
-/// Length and MAC of a frame, and the header of an HTTP/2 DATA frame.
+/// Bytes of the length and the MAC of a frame, and of the header of an HTTP/2 DATA frame.
 const FRAME_OVERHEAD_BYTES: usize = 4 + 16 + 9;
-/// Headers of IP and TCP with time stamps, for each 1,448 bytes.
+/// Bytes of the IP and TCP headers, with timestamps, of each segment.
 const PACKET_OVERHEAD_BYTES: usize = 52;
+/// Payload bytes of a TCP segment.
 const SEGMENT_BYTES: usize = 1_448;
-/// A ping and its pong, half of both for each side.
+/// Bytes of an HTTP/2 PING frame. A ping and its answer are counted half for each side.
 const PING_BYTES: usize = 17;
-/// Teams at full size.
+/// Number of teams at full size.
 const TEAMS: usize = 470;
 
-/// Deaths and publications that are measured.
+/// Returns the number of deaths and publications to measure.
 fn repetitions(size: (usize, usize)) -> usize {
     if size.0 > 100 { 4 } else { 10 }
 }
 
+/// Returns the bytes of a message on the wire, including overhead.
 fn message_bytes(message: &Message) -> usize {
     let frame = wire::frame::Frame::send(message.clone());
     let bytes = frame.encode().expect("encodes").len() + FRAME_OVERHEAD_BYTES + PING_BYTES;
@@ -60,7 +62,7 @@
         .map_or(f64::NAN, Duration::as_secs_f64)
 }
 
-/// Time from a death to the first suspicion, and to the judgement at all others.
+/// Measures the time from a death to the first suspicion, and to the verdict on all other nodes.
 fn detection_time(size: (usize, usize)) -> String {
     let mut net = joined_net(size, 1);
     let (mut first, mut all) = (Vec::new(), Vec::new());
@@ -85,7 +87,7 @@
     format!("| {} | {a:.1} | {b:.1} | {c:.1} | {d:.1} |", size.0)
 }
 
-/// Time from a publication to the last node, for a head, an urgent item and a demand.
+/// Measures the time from a publication until the last node has it, for a head, an urgent item and a load item.
 fn spread_time(size: (usize, usize), loss: f64) -> String {
     let mut net = joined_net(size, 2);
     net.faults = Faults {
@@ -145,10 +147,10 @@
     format!("| {} | {:.0}% | {row} |", size.0, loss * 100.0)
 }
 
-/// What is done to a network each minute.
+/// A fault that is injected once per minute.
 type Fault = fn(&mut Net, u32);
 
-/// Nodes that live and were judged dead although they answer.
+/// Counts suspicions, verdicts of death and of partition while no node fails.
 fn false_accusations(size: (usize, usize), name: &str, fault: Fault) -> String {
     let minutes = if size.0 > 100 { 2 } else { 15 };
     let mut net = joined_net(size, 3);
@@ -198,7 +200,7 @@
     ("a region (8: a zone) parts, then joins", parting),
 ];
 
-/// Teams' demand at a node: a few large teams everywhere, the others at some nodes, all changing.
+/// Demand of all teams at all nodes: every team has demand at about 30% of the nodes, and 20 teams have large limits.
 struct Load {
     rng: ChaCha8Rng,
     limits: Vec<Limit>,
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Changes the demand of some teams at a node.
+    /// Changes the demand of 10 random teams at a node.
     fn change_some(&mut self, node: usize) {
         for _ in 0..10 {
             let t = self.rng.random_range(0..TEAMS);
@@ -252,8 +254,8 @@
     }
 }
 
-/// Bytes, messages and processor time per node and second, with the demand of 470 teams
-/// changing at every node all the time.
+/// Measures messages, bytes and processor time per node and second while the demand of 470 teams changes at
+/// every node.
 fn cost(size: (usize, usize), seconds: u32) -> String {
     let mut net = joined_net(size, 4);
     let mut load = Load::new(size.0);
--- a/crates/member/tests/failure.rs
+++ b/crates/member/tests/failure.rs
@@ -1,4 +1,4 @@
-//! Failures of nodes and of the network between them, on decision cores with passed-in time.
+//! Failures of nodes and of the network between them, on a simulated network.
 
 #[path = "support/net.rs"]
 mod net;
@@ -30,10 +30,10 @@
     assert!(net.state_changes.is_empty(), "{:?}", net.state_changes);
 }
 
-/// All nodes lose power and start together; each knows the addresses of three of them and nobody else.
-/// Their callers are back at once. Until a node knows the others it takes all that it sees for its
-/// own, and all choose alike: by the time that it took, the callers were placed. Aim: the nodes know
-/// each other before the callers that were cut off are back, three quarters of a second.
+/// Guards against nodes that start together, after a power loss, and take too long to find each other. Each
+/// knows only the addresses of three nodes. Until a node knows the others it takes the load that it sees for
+/// the whole load, so all nodes select the same endpoints. Bound: all are up before the callers reconnect,
+/// which is after 750 ms.
 #[test]
 fn nodes_that_start_together_know_each_other_at_once() {
     for (nodes, seed) in [(8, 30), (8, 31), (67, 32), (67, 33)] {
@@ -48,13 +48,13 @@
     }
 }
 
-/// Hundreds of nodes lose power and start together. A node that takes the few that it knows for all that
-/// there are gives orders to endpoints and asks all engines for their load, and so does each other one:
-/// 195 nodes asked 205 engines for 40,000 reports within two seconds, and callers waited behind them.
-/// Aim: of the nodes that have settled, only the first takes itself for the first.
+/// Guards against nodes that start together and each take over the duties of the first node, because they
+/// take the few nodes that they know for the whole group. Each would then order endpoints and poll all
+/// engines: 195 nodes requested 40,000 reports from 205 engines within two seconds, which delayed callers.
+/// Bound: of the settled nodes, only the first one takes itself for the first.
 #[test]
 fn nodes_that_start_together_settle_on_one_first_node() {
-    let young = Settings::default().startup_period;
+    let startup_period = Settings::default().startup_period;
     for (nodes, seed) in [(8, 40), (67, 41), (195, 42), (300, 43)] {
         let mut net = Net::new(3, 5, seed, Settings::default());
         for i in 3..nodes {
@@ -79,14 +79,13 @@
         });
         assert_eq!(settled.len(), nodes, "all settle");
         let last = settled.values().max().expect("nodes");
-        assert!(*last <= young, "{nodes} nodes settle by {last:?}");
+        assert!(*last <= startup_period, "{nodes} nodes settle by {last:?}");
     }
 }
 
-/// A node's process ends without a word. Callers that ask for addresses get it for a second or
-/// two more. Its next prober has no answer, nor have the helpers of that one, and the suspicion
-/// spreads; nobody refutes it, and since its availability zone answers it is judged dead, not
-/// parted, by every node. It stays in the roster while the list names it, and goes when not.
+/// Guards against a killed node that stays up, or is judged parted. Its process ends without an announcement,
+/// direct and indirect probes fail, and the suspicion spreads without being refuted. Since its availability
+/// zone answers, every node judges it dead. It stays in the roster while it is listed, and is removed after.
 #[test]
 fn killed_node_is_dead_then_removed() {
     let mut net = joined_net(8, 3, 2);
@@ -105,8 +104,8 @@
     assert!(live().all(|by| net.state(by, 5).is_none()));
 }
 
-/// The instance list shows a change only after a minute. A node that it does not name yet, or no
-/// longer, answers its peers: callers must not lose it, so the list alone removes nobody.
+/// Guards against the removal of nodes that answer but are not listed. The instance list shows changes only
+/// after a minute, so it lacks a new node, and one that still runs.
 #[test]
 fn delayed_list_removes_no_node() {
     let mut net = joined_net(8, 3, 3);
@@ -119,9 +118,8 @@
     assert!(net.reported(State::Left, ms(0)).is_empty());
 }
 
-/// A process is stopped for two seconds, as by its host, and then goes on. Its callers wait that
-/// long. Its own timers have all run out when it wakes, before it reads the answers that lie in
-/// its sockets: it must blame nobody. Its peers suspect it and take that back.
+/// Guards against a paused process that suspects its peers. Its timers have expired when it resumes after two
+/// seconds, before it reads the answers that wait in its sockets. Its peers suspect it until it refutes.
 #[test]
 fn paused_node_suspects_no_peer() {
     let mut net = joined_net(8, 3, 4);
@@ -147,8 +145,8 @@
     assert!(net.all_up());
 }
 
-/// A node is stopped for 30 seconds: its peers call it dead, rightly so, as it answers nobody.
-/// When it goes on it is the same run, so it refutes, and everyone takes it back within seconds.
+/// Guards against a node that stays dead after a pause. It is paused for 30 seconds and its peers rightly judge
+/// it dead. When it resumes it is the same run, so it refutes, and all peers see it up within seconds.
 #[test]
 fn node_returns_after_a_long_pause() {
     let mut net = joined_net(8, 3, 5);
@@ -164,9 +162,9 @@
     assert!(net.all_up());
 }
 
-/// An availability zone loses its way to the others, while its callers still reach it. Both
-/// sides see the other one silent as a whole: parted, not dead, and nobody is removed. After an
-/// hour they join, and all is as before within seconds.
+/// Guards against nodes of a parted availability zone that are judged dead or removed. The zone is unreachable
+/// from the other zones for an hour, while callers still reach it: each side judges the other one parted.
+/// After the partition ends, all nodes are up within seconds.
 #[test]
 fn parted_zone_is_not_dead() {
     let mut net = joined_net(8, 3, 6);
@@ -188,10 +186,10 @@
     assert!(net.all_up());
 }
 
-// Guards against nodes of a zone that has joined again and is left out by some for half a minute.
+// Guards against a zone that some nodes still see parted half a minute after its partition ended.
 #[test]
 fn a_rejoined_zone_is_up_within_a_bounded_time() {
-    const WHOLE: std::time::Duration = ms(20_000);
+    const MAX_REJOIN_TIME: std::time::Duration = ms(20_000);
     for (seed, away) in [(8, 12), (8, 30), (9, 12), (9, 30)] {
         let mut net = Net::new(195, 5, seed, Settings::default());
         net.run(SECOND * 20);
@@ -204,12 +202,15 @@
         }
         let time = net.now - healed;
         println!("seed {seed}, away for {away} s: whole after {time:?}");
-        assert!(time <= WHOLE, "seed {seed}, away for {away} s: {time:?}");
+        assert!(
+            time <= MAX_REJOIN_TIME,
+            "seed {seed}, away for {away} s: {time:?}"
+        );
         net.verify();
     }
 }
 
-/// A region of 3 zones parts from the rest, at 54 nodes in 6 zones. Nobody is judged dead.
+/// Guards against nodes of a parted region that are judged dead, with 54 nodes in 6 zones, of which 3 part.
 #[test]
 fn parted_region_is_not_dead() {
     let mut net = joined_net(54, 6, 7);
@@ -225,8 +226,8 @@
     assert!(net.all_up());
 }
 
-/// A node in a zone with others is cut off alone, while it still serves callers. It must not call
-/// the whole group dead; the group calls it dead. Both are right again soon after.
+/// Guards against an isolated node that judges the whole group dead. It alone is cut off, while it still serves
+/// callers: it judges the group parted, and the group judges it dead. All are up soon after it is reachable.
 #[test]
 fn isolated_node_judges_the_group_parted() {
     let mut net = joined_net(8, 3, 8);
@@ -240,7 +241,8 @@
     assert!(net.all_up());
 }
 
-/// One message in a hundred is lost for ten minutes. Helpers' probes make up for it.
+/// Guards against nodes judged dead or parted because of lost messages: 1% for ten minutes. Indirect probes
+/// compensate for the loss.
 #[test]
 fn message_loss_makes_no_node_dead() {
     let mut net = joined_net(8, 3, 9);
@@ -254,8 +256,8 @@
     assert!(net.reported(State::Parted, ms(0)).is_empty());
 }
 
-/// Messages come up to a quarter of a second late, out of order, and one in five comes twice. Late news of
-/// an old run must not undo a new one, and no node is called dead.
+/// Guards against delayed updates of an old run that override a new one, and against nodes judged dead when
+/// messages are delayed by up to 250 ms and reordered, and one in five is duplicated.
 #[test]
 fn reordered_and_repeated_messages_do_no_harm() {
     let mut net = joined_net(8, 3, 10);
@@ -279,8 +281,8 @@
     assert!((0..8).all(|by| known(by).is_some_and(|p| p.identity.incarnation == run)));
 }
 
-/// A node restarts under its name. What its former run published no longer counts, since the new
-/// one does not know of it; what the new one publishes counts though its numbers start again.
+/// Guards against items of a former run that outlive a restart, as the new run does not know of them, and
+/// against new items that are ignored because the new run's version numbers start again.
 #[test]
 fn restart_is_a_new_run() {
     let mut net = joined_net(8, 3, 11);
@@ -300,8 +302,8 @@
     assert!((0..8).all(|by| open(&net, by)));
 }
 
-/// A node leaves in good order: its peers take it out within a second, and late messages of its
-/// run do not bring it back.
+/// Guards against a node that announced its exit and stays in rosters. Its peers remove it within a second, and
+/// delayed messages of its run do not restore it.
 #[test]
 fn leaving_spreads_at_once() {
     let mut net = joined_net(54, 6, 12);
@@ -324,8 +326,9 @@
     assert!(net.reported(State::Suspect, ms(0)).is_empty());
 }
 
-/// A version is accepted at one node while a zone is parted and messages are lost. Every node of
-/// that side has it soon, the parted zone keeps the one it has, and catches up after.
+/// Guards against heads that do not spread or that revert to an older one. One node puts a head in force while a
+/// zone is parted and messages are lost. All nodes of its side have it within 3 s; the parted zone keeps its
+/// head and catches up after the partition.
 #[test]
 fn head_spreads_and_never_goes_back() {
     let mut net = joined_net(54, 6, 13);
@@ -353,8 +356,8 @@
     assert!((0..54).all(|i| net.head(i) == 5));
 }
 
-/// Urgent observations are sent on at once, but one in three messages is lost. The exchange of
-/// digests brings the rest, to nodes that start later too.
+/// Guards against urgent items that stay unknown to nodes that missed them. Three in ten messages are lost, and
+/// one node starts later: the exchange of digests delivers the missed items.
 #[test]
 fn exchange_delivers_missed_items() {
     let mut net = joined_net(54, 6, 14);
@@ -382,8 +385,8 @@
     }
 }
 
-/// A node is replaced by one of another name on the same address. Probes meant for the old one
-/// reach the new one, which must not answer for it.
+/// Guards against a node that answers probes for another one. A node is replaced by one of another name on the
+/// same address, which receives the probes of the old one.
 #[test]
 fn reused_address_is_another_node() {
     let mut net = joined_net(8, 3, 15);
@@ -398,8 +401,8 @@
     assert!(net.all_up());
 }
 
-/// An endpoint dies, and each node that had work there sees it. One item tells all the others;
-/// those that see it later publish none. It stops to count by itself if nobody renews it.
+/// Guards against an observation that every node publishes, and against one that does not expire. All nodes
+/// observe the death of an endpoint one after the other: the first publishes it, and the item expires.
 #[test]
 fn one_observation_is_published_once_and_expires() {
     let mut net = joined_net(8, 3, 16);
@@ -429,8 +432,8 @@
     assert!(!(0..8).any(|by| known(&net, by)));
 }
 
-/// Two zones part for so long that the list of each side drops the other one, and both sides
-/// remove it. When the list names all again they find each other, as the same runs.
+/// Guards against nodes that do not rejoin after each side of a long partition was unlisted and removed by the
+/// other. Once the list names them again they rejoin as the same runs.
 #[test]
 fn nodes_removed_while_parted_rejoin() {
     let mut net = joined_net(8, 3, 17);
--- a/crates/member/tests/naming.rs
+++ b/crates/member/tests/naming.rs
@@ -1,4 +1,4 @@
-//! How long a node that is gone is still named to callers, in virtual time.
+//! Time for which the address of a failed node is still offered to callers, on a simulated network.
 
 #[path = "support/net.rs"]
 mod net;
@@ -15,14 +15,14 @@
 use std::time::Duration;
 
 const SECOND: Duration = ms(1000);
-/// Longest time that any node may name another one that is gone.
+/// Longest time for which any node may offer a failed one to callers.
 const MAX_OFFERED_TIME: Duration = ms(2500);
-/// How long a death is watched.
+/// Time for which the nodes are observed after a death.
 const OBSERVED_TIME: Duration = ms(12_000);
 /// Availability zones.
 const ZONES: usize = 5;
 
-/// A group that has run for a while.
+/// Returns a network whose nodes have joined and run for 20 s.
 fn settled_net(nodes: usize, seed: u64) -> Net {
     let mut net = Net::new(nodes, ZONES, seed, Settings::default());
     net.run(SECOND * 20);
@@ -30,13 +30,13 @@
     net
 }
 
-/// Whether `by` names `of` to callers.
+/// Returns whether node `by` offers node `of` to callers.
 fn offers(net: &Net, by: usize, of: usize) -> bool {
     let group = net.group(by);
     group.is_some_and(|g| g.roster().get(net.id(of)).is_some_and(|p| p.accepts_work()))
 }
 
-/// Runs for `time`. How long after now any node still named one of `gone`, and which did so last.
+/// Runs for `time`. Returns the time after which no node offered any of `gone`, and the last one that did.
 fn offered_time(net: &mut Net, gone: &[usize], time: Duration) -> (Duration, usize) {
     let from = net.now;
     let mut last = (Now::ZERO, 0);
@@ -48,7 +48,7 @@
     last
 }
 
-/// Some nodes, drawn at random.
+/// Returns the indexes of `count` random nodes.
 fn draw(random: &mut ChaCha8Rng, nodes: usize, count: usize) -> Vec<usize> {
     let mut all: Vec<usize> = (0..nodes).collect();
     all.shuffle(random);
@@ -56,7 +56,8 @@
     all
 }
 
-/// Kills nodes one after the other in several groups. The deaths after which one was named too long.
+/// Kills nodes one after the other in several networks. Returns the deaths after which the node was offered
+/// for too long.
 fn late_deaths(nodes: usize, seeds: std::ops::Range<u64>, kills: usize) -> Vec<String> {
     let mut late = Vec::new();
     for seed in seeds {
@@ -66,7 +67,8 @@
             net.run(net.now + ms(random.random_range(0..1000)));
             net.kill(of);
             let (time, by) = offered_time(&mut net, &[of], OBSERVED_TIME);
-            let case = format!("{nodes} nodes, seed {seed}: {of} named for {time:?}, last by {by}");
+            let case =
+                format!("{nodes} nodes, seed {seed}: {of} offered for {time:?}, last by {by}");
             println!("{case}");
             late.extend((time > MAX_OFFERED_TIME).then_some(case));
         }
@@ -75,9 +77,9 @@
     late
 }
 
-// Guards against a dead node that nobody probes for seconds, so that callers are sent to it.
+// Guards against a dead node that no peer probes for seconds, so that callers are sent to it.
 #[test]
-fn a_dead_node_is_named_for_a_bounded_time() {
+fn a_dead_node_is_offered_for_a_bounded_time() {
     let cases = [(8, 200..206, 5), (67, 210..214, 6), (195, 220..226, 10)];
     let late: Vec<String> = cases
         .into_iter()
@@ -86,16 +88,17 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-// Guards against nodes that name a dead one while its neighbours die with it.
+// Guards against a dead node that stays offered because its neighbours in the ring, which would probe it, died
+// at the same time.
 #[test]
-fn nodes_that_die_together_are_named_for_a_bounded_time() {
+fn nodes_that_die_together_are_offered_for_a_bounded_time() {
     for seed in 230..234 {
         let mut net = settled_net(195, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let gone = draw(&mut random, 195, 20);
         gone.iter().for_each(|of| net.kill(*of));
         let (time, by) = offered_time(&mut net, &gone, OBSERVED_TIME);
-        println!("seed {seed}: named for {time:?}, last by {by}");
+        println!("seed {seed}: offered for {time:?}, last by {by}");
         assert!(
             time <= MAX_OFFERED_TIME,
             "seed {seed}: {time:?}, last by {by}"
@@ -104,9 +107,9 @@
     }
 }
 
-// Guards against a node that starts, is told of a dead one, and names it to callers.
+// Guards against a starting node that receives the row of a dead one from a peer and offers it to callers.
 #[test]
-fn a_node_that_starts_names_no_dead_one() {
+fn a_starting_node_offers_no_dead_one() {
     for (nodes, seed) in [(8, 240), (67, 241), (195, 242), (195, 243)] {
         let mut net = settled_net(nodes, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -120,7 +123,7 @@
             net.start(*of);
         }
         let (time, by) = offered_time(&mut net, &[dead], SECOND * 25);
-        println!("{nodes} nodes, seed {seed}: named for {time:?}, last by {by}");
+        println!("{nodes} nodes, seed {seed}: offered for {time:?}, last by {by}");
         assert!(
             time <= MAX_OFFERED_TIME,
             "{nodes} nodes, seed {seed}: {time:?}, by {by}"
@@ -128,14 +131,14 @@
         for of in started {
             let up = net.nodes.len() - 1;
             let open = (0..nodes).filter(|n| offers(&net, *of, *n)).count();
-            assert_eq!(open, up, "{of} names all that live");
+            assert_eq!(open, up, "{of} offers all live nodes");
             assert!(net.state(*of, dead) != Some(State::Up));
         }
         net.verify();
     }
 }
 
-/// A group whose messages get lost now and then.
+/// Returns a settled network that loses the fraction `loss` of all messages.
 fn lossy_net(nodes: usize, seed: u64, loss: f64) -> (Net, ChaCha8Rng) {
     let mut net = settled_net(nodes, seed);
     net.faults = Faults {
@@ -145,15 +148,15 @@
     (net, ChaCha8Rng::seed_from_u64(seed))
 }
 
-// Guards against a node that dies while messages get lost, and is named by those that missed it.
+// Guards against a dead node that stays offered by nodes that missed its suspicion, when messages are lost.
 #[test]
-fn a_dead_node_is_named_for_a_bounded_time_while_messages_get_lost() {
+fn a_dead_node_is_offered_for_a_bounded_time_while_messages_get_lost() {
     for seed in 250..253 {
         let (mut net, mut random) = lossy_net(195, seed, 0.02);
         for of in draw(&mut random, 195, 5) {
             net.kill(of);
             let (time, by) = offered_time(&mut net, &[of], OBSERVED_TIME);
-            println!("seed {seed}: {of} named for {time:?}, last by {by}");
+            println!("seed {seed}: {of} offered for {time:?}, last by {by}");
             assert!(
                 time <= MAX_OFFERED_TIME,
                 "seed {seed}: {time:?}, last by {by}"
@@ -163,9 +166,9 @@
     }
 }
 
-// Guards against a node that no other one reaches, or that is frozen, and is named to callers.
+// Guards against callers being sent to a node that is unreachable for all others, or whose process is paused.
 #[test]
-fn a_node_that_is_cut_off_or_frozen_is_named_for_a_bounded_time() {
+fn a_node_that_is_cut_off_or_paused_is_offered_for_a_bounded_time() {
     for seed in 260..264 {
         let (mut net, mut random) = lossy_net(195, seed, 0.0);
         let drawn = draw(&mut random, 195, 2);
@@ -190,15 +193,15 @@
     }
 }
 
-// Guards against a node that leaves, and is named by those that its word of leaving did not reach.
+// Guards against a leaving node that stays offered by nodes that its announcement did not reach.
 #[test]
-fn a_node_that_leaves_is_named_for_a_bounded_time_while_messages_get_lost() {
+fn a_leaving_node_is_offered_for_a_bounded_time_while_messages_get_lost() {
     for seed in 270..276 {
         let (mut net, mut random) = lossy_net(195, seed, 0.05);
         for of in draw(&mut random, 195, 4) {
             net.event(of, Event::Publish(vec![Observation::Leaving]));
             let (time, by) = offered_time(&mut net, &[of], SECOND * 5);
-            println!("seed {seed}: {of} named for {time:?}, last by {by}");
+            println!("seed {seed}: {of} offered for {time:?}, last by {by}");
             assert!(
                 time <= MAX_OFFERED_TIME,
                 "seed {seed}: {time:?}, last by {by}"
@@ -215,10 +218,10 @@
     }
 }
 
-// Guards against a node that starts, is told by one that was cut off that all others are gone, and
-// names none of them.
+// Guards against a starting node that adopts the suspicions of a node that was cut off, which sees all others
+// as parted, and therefore offers none of them.
 #[test]
-fn a_node_that_starts_beside_one_that_was_cut_off_names_all_that_live() {
+fn a_node_that_starts_beside_one_that_was_cut_off_offers_all_live_nodes() {
     for (nodes, seed) in [(8, 280), (67, 281), (67, 282), (195, 283)] {
         let mut net = settled_net(nodes, seed);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -235,7 +238,7 @@
             net.run(net.now + ms(100));
         }
         let time = net.now - from;
-        println!("{nodes} nodes, seed {seed}: all named after {time:?}");
+        println!("{nodes} nodes, seed {seed}: all offered after {time:?}");
         assert!(time <= SECOND * 3, "{nodes} nodes, seed {seed}: {time:?}");
         net.verify();
     }
--- a/crates/member/tests/random.rs
+++ b/crates/member/tests/random.rs
@@ -1,5 +1,5 @@
-//! Randomised runs: faults singly, together and twice, with the cores' own invariants checked
-//! after every event and what must hold between nodes checked here. Fixed seeds.
+//! Runs with random faults, singly and combined, from fixed seeds. Each group checks its invariants after every
+//! event; these tests check the invariants between nodes.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -21,7 +21,7 @@
 
 const SECOND: Now = ms(1000);
 
-/// One run of random faults.
+/// A run with random faults.
 struct Run {
     net: Net,
     rng: ChaCha8Rng,
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Injects a random fault or change.
     fn fault(&mut self) {
         let nodes = self.net.nodes.len();
         let index = self.rng.random_range(0..nodes);
@@ -92,7 +93,7 @@
         }
     }
 
-    /// No node's head goes back within one run of it.
+    /// Checks that no head reverted to an older one within a run of its node, and the invariants of all groups.
     fn check(&mut self) {
         for index in 0..self.net.nodes.len() {
             let head = self.net.head(index);
@@ -106,7 +107,7 @@
         self.net.verify();
     }
 
-    /// Ends all faults and waits until the nodes agree.
+    /// Ends all faults, runs for `time` and checks that the nodes agree.
     fn settle(&mut self, time: Now) {
         self.net.heal();
         self.net.faults = NO_FAULTS;
@@ -128,6 +129,7 @@
         self.stores_agree();
     }
 
+    /// Checks that all nodes store the same items.
     fn stores_agree(&self) {
         let items = |by: usize| {
             let group = self.net.group(by).expect("runs");
@@ -158,20 +160,21 @@
     run.settle(SECOND * 90);
 }
 
-/// Eight nodes under a hundred faults each run: deaths, restarts, pauses, parted zones, lost,
-/// repeated and late messages, a list that comes and goes. Afterwards all agree again.
+/// Guards against nodes that do not converge after faults: deaths, restarts, pauses, parted zones, lost,
+/// duplicated and delayed messages, and changes of the instance list; 100 per run on eight nodes.
 #[test]
 fn eight_nodes_agree_after_any_faults() {
     (1..=6).for_each(|seed| run(8, 3, seed, 100));
 }
 
-/// Forty nodes in nine zones.
+/// Guards against the same on forty nodes in nine zones.
 #[test]
 fn forty_nodes_agree_after_any_faults() {
     run(40, 9, 7, 40);
 }
 
-/// The size to design for, for a short while: a zone parts and joins.
+/// Guards against nodes judged dead and against missing convergence when a zone parts and rejoins, at the design
+/// size of 370 nodes.
 #[test]
 fn full_size_agrees_after_a_parted_zone() {
     let mut run = Run::new(370, 18, 8);
@@ -191,7 +194,7 @@
     assert!(run.net.reported(State::Dead, ms(0)).is_empty());
 }
 
-/// The largest sum of shares while nodes restart, pause and lose messages.
+/// Returns the largest sum of shares, as a fraction of the limit, while nodes restart, pause and lose messages.
 fn max_share_sum(settings: team::Settings, seed: u64) -> f64 {
     let mut net = Net::new(8, 3, seed, Settings::default());
     let mut fleet = Fleet::new(8, 6, seed, Policy::Window);
@@ -219,17 +222,18 @@
     fleet.max_share_sum()
 }
 
-/// Teams are served by eight nodes whose shares must not add up to more than the limit, whoever
-/// restarts or pauses, as long as reports arrive within the window.
+/// Guards against shares that add up to more than the limit when nodes restart or pause, as long as
+/// announcements arrive within the window.
 #[test]
 fn shares_never_exceed_the_limit() {
     for seed in 1..=4 {
-        let worst = max_share_sum(team::Settings::default(), seed);
-        assert!(worst <= 1.0 + 1e-9, "seed {seed}: {worst}");
+        let max_sum = max_share_sum(team::Settings::default(), seed);
+        assert!(max_sum <= 1.0 + 1e-9, "seed {seed}: {max_sum}");
     }
 }
 
-/// The check above bites: without the window, demand counts before the others know of it.
+/// Guards against a check that detects nothing: without the window, own demand counts before the other nodes
+/// know of it, and the sum exceeds the limit.
 #[test]
 fn shares_without_a_window_are_detected() {
     let broken = team::Settings {
@@ -239,7 +243,7 @@
     assert!(max_share_sum(broken, 1) > 1.05);
 }
 
-/// Suspicions of nodes that were not paused, in a run where one node after another pauses.
+/// Returns the number of suspicions of nodes that were not paused, while one node after another pauses.
 fn false_suspicions(settings: Settings) -> usize {
     let mut net = Net::new(8, 3, 21, settings);
     net.faults = Faults {
@@ -248,21 +252,22 @@
     };
     net.run(SECOND * 12);
     net.state_changes.clear();
-    let mut wrong = 0;
+    let mut false_suspicions = 0;
     for round in 0..16 {
         let paused = net.id(round % 8);
         net.pause(round % 8, SECOND * 3);
         net.run(net.now + SECOND * 8);
-        wrong += net
+        false_suspicions += net
             .state_changes
             .drain(..)
             .filter(|c| c.state == State::Suspect && c.peer != paused)
             .count();
     }
-    wrong
+    false_suspicions
 }
 
-/// A paused node blames nobody; without the check for its own pause it does, and that is caught.
+/// Guards against a paused node that suspects its peers, and checks that it does without the detection of its
+/// own pauses.
 #[test]
 fn unnoticed_pauses_are_detected() {
     assert_eq!(false_suspicions(Settings::default()), 0);
@@ -274,7 +279,7 @@
     );
 }
 
-/// Nodes judged dead although they only paused for two seconds.
+/// Returns the number of nodes judged dead although they only paused for two seconds.
 fn false_deaths(settings: Settings) -> usize {
     let mut net = Net::new(8, 3, 22, settings);
     net.run(SECOND * 12);
@@ -285,7 +290,8 @@
     net.reported(State::Dead, SECOND * 12).len()
 }
 
-/// Two seconds of silence kill nobody; without time to answer and to refute they do, and that is caught.
+/// Guards against nodes judged dead after a pause of two seconds, and checks that they are if the time to answer
+/// and to refute is too short.
 #[test]
 fn short_timeouts_are_detected() {
     assert_eq!(false_deaths(Settings::default()), 0);
@@ -299,7 +305,7 @@
     assert!(false_deaths(broken) > 0);
 }
 
-/// Whether a node that left is back after a message that was on its way for three seconds.
+/// Returns whether a node that left is in the roster again after a join that was delayed by three seconds.
 fn delayed_update_restores_node(settings: Settings) -> bool {
     let mut net = Net::new(8, 3, 23, settings);
     net.run(SECOND * 12);
@@ -334,7 +340,8 @@
     net.state(0, 7).is_some()
 }
 
-/// A late message does not bring back a node that left; if its run is not remembered it does.
+/// Guards against a delayed update that restores a node that left, and checks that it does if the run is not
+/// remembered.
 #[test]
 fn missing_tombstones_are_detected() {
     assert!(!delayed_update_restores_node(Settings::default()));
--- a/crates/member/tests/share.rs
+++ b/crates/member/tests/share.rs
@@ -1,4 +1,4 @@
-//! Levels, shares and the text forms.
+//! Levels, shares and the text of a group for the dump.
 
 use member::demand::{Demand, Limit};
 use member::group::Group;
@@ -27,8 +27,8 @@
     assert_eq!(Level::of(f64::INFINITY), Level(255));
 }
 
-/// Nodes that all see the same demand split a limit: the shares add up to it exactly, whatever
-/// the demand; nodes that see more of the others' demand than there is take less.
+/// Guards against shares that don't add up to the limit when all nodes see the same demand, or that exceed it
+/// when nodes see more demand of the others than there is.
 #[test]
 fn shares_add_up_to_the_limit() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Two sides that part with the same records of each other have the whole between them.
+/// Guards against fractions of two sides that don't add up to 1 when both know the same demand of each other.
 #[test]
 fn parts_add_up_to_the_whole() {
     let (near, far) = (30.0, 10.0);
@@ -74,7 +74,8 @@
     assert_eq!(share::side_after_split(1.0, 0.0, 0.0), 1.0);
 }
 
-/// A limit of 50 requests in flight on 370 nodes: whole slots, about 50 in all.
+/// Guards against rounding that changes the sum: a limit of 50 requests in flight on 370 nodes gives whole slots
+/// whose sum is about 50.
 #[test]
 fn slots_are_whole_and_add_up_on_average() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
@@ -99,7 +100,8 @@
     Group::new(identity, 1, Settings::default())
 }
 
-/// Only what differs is announced, the largest part of a limit first, within the budget.
+/// Guards against announcements of unchanged demand, or of small changes before large ones. Changes are ranked
+/// by their fraction of the limit, within the budget.
 #[test]
 fn large_changes_are_announced_first() {
     let settings = team::Settings {
--- a/crates/member/tests/support/fleet.rs
+++ b/crates/member/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Shares of team limits over the nodes of a run, and what they add up to.
+//! Shares of team limits on all nodes of a simulated network, and their sums.
 #![allow(dead_code)]
 
 use crate::net::{Net, ms};
@@ -11,31 +11,31 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How shares are computed.
+/// Policy by which shares are computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// As the crate does.
+    /// The policy of the crate: own demand counts as the smallest value within a window.
     Window,
-    /// The limit over the number of nodes, whatever the demand.
+    /// The limit divided by the number of nodes, whatever the demand.
     Equal,
-    /// By demand, but the own one counts at once: what the window is there to avoid.
+    /// By demand, with own demand counted at once: the error that the window avoids.
     Now,
 }
 
-/// What a run came to. Parts of the limits.
+/// Summary of a run, as fractions of the limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
-    /// Largest sum of shares above a limit.
+    /// Largest excess of a sum of shares over its limit.
     pub max_overshoot: f64,
-    /// Part of the samples above the limit.
+    /// Fraction of the samples above the limit.
     pub time_above: f64,
     /// Mean sum of shares.
     pub mean_sum: f64,
-    /// What the shares let through of what the limits allow of the demand.
+    /// Mean fraction of the demand within the limits that the shares admit.
     pub served: f64,
 }
 
-/// Teams on all nodes.
+/// The shares of all teams on all nodes.
 pub struct Fleet {
     /// Limits of the teams.
     pub limits: Vec<Limit>,
@@ -47,11 +47,13 @@
     shares: Vec<Vec<Share>>,
     next_step: Vec<Now>,
     rng: ChaCha8Rng,
+    /// Sum of shares as a fraction of the limit, served fraction of the demand within the limit, and demand in
+    /// requests per second, for each sample and team.
     samples: Vec<(f64, f64, f64)>,
 }
 
 impl Fleet {
-    /// `teams` teams, with a demand that is moved by [`Fleet::shift`].
+    /// Creates a fleet with `teams` teams, whose demand [`Fleet::change_demand`] changes.
     pub fn new(nodes: usize, teams: usize, seed: u64, way: Policy) -> Self {
         let limit = |t: usize| {
             let rate = 100.0 * (1 + t % 5) as f64;
@@ -78,16 +80,16 @@
         fleet
     }
 
-    /// Moves the demand: each team asks for 0.3 to 3 times its limit, at a random part of the
-    /// nodes, sometimes at a single one.
+    /// Changes the demand: each team demands 0.3 to 3 times its limit, at a random subset of the nodes,
+    /// sometimes at a single one.
     pub fn change_demand(&mut self) {
         let nodes = self.demands.len();
         for (row, limit) in self.limits.iter().enumerate() {
             let total = limit.rate * self.rng.random_range(0.3..3.0);
-            let some: f64 = [0.0, 0.2, 0.6, 1.0][self.rng.random_range(0..4)];
+            let busy_ratio: f64 = [0.0, 0.2, 0.6, 1.0][self.rng.random_range(0..4)];
             let mut weights: Vec<f64> = (0..nodes)
                 .map(|_| {
-                    if self.rng.random_bool(some) {
+                    if self.rng.random_bool(busy_ratio) {
                         self.rng.random_range(0.1..1.0)
                     } else {
                         0.0
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Starts all shares anew with other settings.
+    /// Restarts the shares of all nodes with other settings.
     pub fn reset_with(&mut self, settings: &Settings) {
         self.settings = settings.clone();
         self.teams
@@ -114,18 +116,18 @@
             .for_each(|t| *t = Teams::new(settings.clone()));
     }
 
-    /// A node's process starts again.
+    /// Restarts the shares of one node, as after a restart of its process.
     pub fn restart(&mut self, node: usize) {
         self.teams[node] = Teams::new(self.settings.clone());
         self.shares[node] = vec![Share::default(); self.limits.len()];
     }
 
-    /// Forgets the samples.
+    /// Discards the samples.
     pub fn clear_samples(&mut self) {
         self.samples.clear();
     }
 
-    /// Runs until `to`, and samples all shares every 250 ms.
+    /// Runs the network until `to` and samples all shares every 250 ms.
     pub fn run(&mut self, net: &mut Net, to: Now) {
         while net.now < to {
             let at = (net.now + ms(250)).min(to);
@@ -194,7 +196,7 @@
 
     fn sample(&mut self, net: &Net) {
         for (row, limit) in self.limits.iter().enumerate() {
-            // A paused process admits nothing.
+            // A paused process admits no request.
             let runs = |i: &usize| net.group(*i).is_some() && net.nodes[*i].paused_until <= net.now;
             let live = (0..self.shares.len()).filter(runs);
             let (mut sum, mut slots, mut used, mut wanted) = (0.0, 0.0, 0.0, 0.0);
@@ -216,12 +218,12 @@
         }
     }
 
-    /// The largest sum of shares of any team, as a part of its limit.
+    /// Returns the largest sum of shares of any team, as a fraction of its limit.
     pub fn max_share_sum(&self) -> f64 {
         self.samples.iter().map(|s| s.0).fold(0.0, f64::max)
     }
 
-    /// What the samples come to.
+    /// Returns the summary of the samples.
     pub fn summary(&self) -> Summary {
         let n = self.samples.len().max(1) as f64;
         let above = self.samples.iter().filter(|s| s.0 > 1.0 + 1e-9).count() as f64;
--- a/crates/member/tests/support/net.rs
+++ b/crates/member/tests/support/net.rs
@@ -1,4 +1,4 @@
-//! Decision cores of many nodes in one process, with time passed in and messages in a queue.
+//! Simulated network: the groups of many nodes in one process, with virtual time and messages in a queue.
 #![allow(dead_code)]
 
 use member::Now;
@@ -18,65 +18,68 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// One node of the run.
+/// A simulated node.
 pub struct Node {
-    /// Its core; nothing while it is down.
+    /// The group of the node; `None` while its process is down.
     pub group: Option<Group>,
-    /// Who it is.
+    /// Identity of the current or next run.
     pub identity: Identity,
-    /// When its process started.
+    /// Time at which its process started.
     pub started: Now,
-    /// Until when it is paused.
+    /// Time until which its process is paused.
     pub paused_until: Now,
-    /// On which side of a parted network it is.
+    /// Side of the partitioned network; messages pass only between nodes of the same side.
     pub side: u8,
-    /// Whether the instance list names it.
+    /// Whether the instance list holds the node.
     pub listed: bool,
+    /// Messages that arrived while the process was paused.
     inbox: VecDeque<(SocketAddr, Message)>,
 }
 
-/// A change of state that a node reported.
+/// A change of the state of a peer that a node reported.
 #[derive(Clone, Copy, Debug)]
 pub struct StateChange {
-    /// When.
+    /// Time of the change.
     pub at: Now,
     /// Index of the node that reported it.
     pub by: usize,
     /// The peer.
     pub peer: Id,
-    /// Its state.
+    /// New state of the peer.
     pub state: State,
 }
 
-/// What a network does to messages.
+/// Faults of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that is lost.
     pub loss_ratio: f64,
-    /// Part of the messages that comes twice, the second time late.
+    /// Fraction of the messages that is delivered twice, each with a delay of its own.
     pub duplicate_ratio: f64,
-    /// The latest that a message comes.
+    /// Longest delay of a message.
     pub max_delay: Duration,
 }
 
-/// A quiet network.
+/// A network without loss or duplication, and with delays of up to 2 ms.
 pub const NO_FAULTS: Faults = Faults {
     loss_ratio: 0.0,
     duplicate_ratio: 0.0,
     max_delay: ms(2),
 };
 
+/// A message in flight.
 struct Envelope {
     to: usize,
     from: SocketAddr,
     message: Message,
 }
 
+/// A scheduled occurrence.
 enum Scheduled {
     Tick(usize),
     Mail(Box<Envelope>),
@@ -84,38 +87,38 @@
     List,
 }
 
-/// Counts of messages.
+/// Counts and sizes of messages.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Messages sent by each node.
+    /// Number of messages sent by each node.
     pub messages: Vec<u64>,
-    /// Bytes sent by each node, by the function given.
+    /// Bytes sent by each node, according to [`Net::message_bytes`].
     pub sent: Vec<u64>,
     /// Bytes received by each node.
     pub received: Vec<u64>,
-    /// Bytes by kind of message.
+    /// Number and bytes of messages by kind.
     pub kinds: BTreeMap<&'static str, (u64, u64)>,
 }
 
-/// The run.
+/// The simulated network.
 pub struct Net {
-    /// The time.
+    /// Current time.
     pub now: Now,
     /// The nodes.
     pub nodes: Vec<Node>,
-    /// What the network does.
+    /// Current faults of the network.
     pub faults: Faults,
-    /// Changes reported.
+    /// State changes that nodes reported.
     pub state_changes: Vec<StateChange>,
-    /// Items learned, with when and by whom.
+    /// Items that nodes learned, with the time and the index of the node.
     pub learned: Vec<(Now, usize, Item)>,
-    /// When each node had which head.
+    /// Time, index of the node and number of every head that a node put in force.
     pub heads: Vec<(Now, usize, u64)>,
-    /// Traffic; counted if `weigh` is set.
+    /// Traffic; counted while `message_bytes` is set.
     pub traffic: Traffic,
-    /// Weight of a message in bytes.
+    /// Function that returns the size of a message on the wire in bytes.
     pub message_bytes: Option<fn(&Message) -> usize>,
-    /// How long after its publication a list shows a change.
+    /// Time after which nodes read a change of the instance list.
     pub list_delay: Duration,
     settings: Settings,
     rng: ChaCha8Rng,
@@ -131,7 +134,7 @@
 }
 
 impl Net {
-    /// `n` nodes over `zones` availability zones, three to a region, all started within a second.
+    /// Creates a network of `n` nodes in `zones` availability zones, three to a region. All nodes start at once.
     pub fn new(n: usize, zones: usize, seed: u64, settings: Settings) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let mut net = Self {
@@ -165,7 +168,7 @@
         net
     }
 
-    /// Adds a node; it starts within a second.
+    /// Adds a node and starts it.
     pub fn add(&mut self, name: &str, zone: &str, region: &str) -> usize {
         let index = self.nodes.len();
         let identity = Identity {
@@ -195,7 +198,7 @@
         index
     }
 
-    /// Starts the process of a node, as its next run.
+    /// Starts the process of a node with its next incarnation.
     pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
         let node = &mut self.nodes[index];
@@ -217,17 +220,17 @@
         }
     }
 
-    /// Ends the process of a node.
+    /// Kills the process of a node.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].group = None;
     }
 
-    /// Stops a node's process for a while; messages wait in its sockets.
+    /// Pauses the process of a node for `time`. Messages to it wait unread.
     pub fn pause(&mut self, index: usize, time: Duration) {
         self.nodes[index].paused_until = self.now + time;
     }
 
-    /// Puts the nodes that `test` names on another side.
+    /// Moves the nodes that `test` selects to another side of the network.
     pub fn partition(&mut self, side: u8, test: impl Fn(&Identity) -> bool) {
         self.nodes
             .iter_mut()
@@ -235,12 +238,12 @@
             .for_each(|n| n.side = side);
     }
 
-    /// Joins all sides.
+    /// Ends the partition of the network.
     pub fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|n| n.side = 0);
     }
 
-    /// Gives a node an event.
+    /// Passes an event to a node and performs the resulting actions.
     pub fn event(&mut self, index: usize, event: Event) {
         let mut out = Vec::new();
         let node = &mut self.nodes[index];
@@ -252,12 +255,12 @@
         out.into_iter().for_each(|a| self.perform(index, a));
     }
 
-    /// Runs until `to`.
+    /// Runs the simulation until `to`.
     pub fn run(&mut self, to: Now) {
         self.run_with(to, |_, _| {});
     }
 
-    /// Runs until `to`; `each` is called after every tick of a node.
+    /// Runs the simulation until `to` and calls `each` after every tick of a node.
     pub fn run_with(&mut self, to: Now, mut each: impl FnMut(&mut Self, usize)) {
         while let Some(Reverse((at, _))) = self.queue.peek().copied() {
             if at > to {
@@ -287,7 +290,7 @@
         None
     }
 
-    /// Gives a node a head, as control does once it has the record.
+    /// Puts a head in force on a node, as its control thread does once it has the record.
     pub fn set_head(&mut self, index: usize, head: Head) {
         let before = self.head(index);
         self.event(index, Event::Head(head));
@@ -296,29 +299,29 @@
         }
     }
 
-    /// Number of the head of a node.
+    /// Returns the number of the head of a node; 0 for none.
     pub fn head(&self, index: usize) -> u64 {
         self.group(index)
             .and_then(Group::head)
             .map_or(0, |h| h.number)
     }
 
-    /// The core of a node.
+    /// Returns the group of a node.
     pub fn group(&self, index: usize) -> Option<&Group> {
         self.nodes[index].group.as_ref()
     }
 
-    /// The id of a node.
+    /// Returns the id of a node.
     pub fn id(&self, index: usize) -> Id {
         self.nodes[index].identity.id()
     }
 
-    /// What node `by` thinks of node `of`.
+    /// Returns the state of node `of` as seen by node `by`.
     pub fn state(&self, by: usize, of: usize) -> Option<State> {
         self.group(by)?.roster().get(self.id(of)).map(|p| p.state)
     }
 
-    /// Whether all nodes that run see each other up.
+    /// Returns whether all running nodes see each other up.
     pub fn all_up(&self) -> bool {
         let live: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.group(*i).is_some())
@@ -361,7 +364,7 @@
                 };
                 let reach = self.reaches(index, from) && self.head(from) >= head.number;
                 if reach {
-                    // A round trip for the record, and its check.
+                    // Time of a round trip for the record and of its verification.
                     self.schedule(self.now + ms(8), Scheduled::Fetched(index, head));
                 }
             }
@@ -381,10 +384,10 @@
             return;
         }
         let from = self.nodes[index].identity.addr;
-        let most = self.faults.max_delay.as_micros() as u64;
-        let twice = self.rng.random_bool(self.faults.duplicate_ratio);
-        for _ in 0..1 + usize::from(twice) {
-            let delay = Duration::from_micros(self.rng.random_range(500..most.max(501)));
+        let max_delay = self.faults.max_delay.as_micros() as u64;
+        let duplicate = self.rng.random_bool(self.faults.duplicate_ratio);
+        for _ in 0..1 + usize::from(duplicate) {
+            let delay = Duration::from_micros(self.rng.random_range(500..max_delay.max(501)));
             let mail = Envelope {
                 to: target,
                 from,
@@ -415,6 +418,7 @@
         self.event(to, Event::Received { from, message });
     }
 
+    /// Records the current instance list, and passes every running node the one of [`Net::list_delay`] ago.
     fn read_list(&mut self) {
         let entry = |n: &Node| Entry {
             name: n.identity.name.clone(),
@@ -441,13 +445,13 @@
         self.schedule(self.now + ms(4_000), Scheduled::List);
     }
 
-    fn schedule(&mut self, at: Now, due: Scheduled) {
+    fn schedule(&mut self, time: Now, occurrence: Scheduled) {
         self.scheduled_count += 1;
-        self.queue.push(Reverse((at, self.scheduled_count)));
-        self.scheduled.insert(self.scheduled_count, due);
+        self.queue.push(Reverse((time, self.scheduled_count)));
+        self.scheduled.insert(self.scheduled_count, occurrence);
     }
 
-    /// Panics unless every core's invariants hold.
+    /// Panics unless the invariants of every group hold.
     pub fn verify(&self) {
         for node in &self.nodes {
             let errors = node.group.as_ref().map(Group::verify).unwrap_or_default();
@@ -460,7 +464,7 @@
         }
     }
 
-    /// Peers reported in `state`, each with the number of nodes that reported it since `from`.
+    /// Returns the peers that were reported in `state` since `from`, each with the nodes that reported it.
     pub fn reported(&self, state: State, from: Now) -> BTreeMap<Id, BTreeSet<usize>> {
         let mut by: BTreeMap<Id, BTreeSet<usize>> = BTreeMap::new();
         for change in self
@@ -489,7 +493,7 @@
     }
 }
 
-/// Runs jobs on a few threads and prints what each gives, in their order.
+/// Runs jobs on a few threads and prints their results in the order of the jobs.
 pub fn run_and_print(jobs: Vec<Box<dyn FnOnce() -> String + Send>>) {
     const THREADS: usize = 3;
     let mut jobs: VecDeque<_> = jobs.into();
