--- a/crates/member/src/dissemination.rs
+++ b/crates/member/src/dissemination.rs
@@ -315,9 +315,9 @@
 
     /// Publishes this node's own observations, except those that a peer has already published: every node
     /// observes the death of an endpoint, and one item reports it as well as hundreds.
-    pub(crate) fn publish(&mut self, now: Now, mut bodies: Vec<item::Observation>) {
-        bodies.retain(|b| !self.is_published_elsewhere(now, b));
-        if bodies.is_empty() {
+    pub(crate) fn publish(&mut self, now: Now, mut observations: Vec<item::Observation>) {
+        observations.retain(|b| !self.is_published_elsewhere(now, b));
+        if observations.is_empty() {
             return;
         }
         self.version += 1;
@@ -326,7 +326,7 @@
         if let Some(own) = self.roster.get_mut(me) {
             own.version = version;
         }
-        for body in bodies {
+        for body in observations {
             self.mark_leaving(me, &body);
             if body.urgent() {
                 self.queue_urgent(
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -7,7 +7,7 @@
 use crate::peer::Entry;
 use std::net::SocketAddr;
 
-/// An event.
+/// An event that a group handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed. Must occur at least once per [`TICK`].
--- a/crates/member/src/invariants.rs
+++ b/crates/member/src/invariants.rs
@@ -62,6 +62,7 @@
         errors
     }
 
+    /// Panics if an invariant is broken.
     #[cfg(debug_assertions)]
     pub(crate) fn assert(&self) {
         let errors = self.verify();
--- a/crates/member/src/message.rs
+++ b/crates/member/src/message.rs
@@ -13,7 +13,7 @@
 /// Index of a row in its bucket.
 pub type RowIndex = u8;
 
-/// A message.
+/// A message between nodes, with piggybacked state of its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     /// Id of the sender.
--- a/crates/member/src/partition.rs
+++ b/crates/member/src/partition.rs
@@ -67,9 +67,9 @@
 }
 
 impl Partition {
-    pub(crate) fn new(linger: u32) -> Self {
+    pub(crate) fn new(linger_windows: u32) -> Self {
         Self {
-            linger_windows: linger,
+            linger_windows,
             far: BTreeMap::new(),
             pools: Vec::new(),
         }
--- a/crates/member/src/suspicion.rs
+++ b/crates/member/src/suspicion.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Marks a peer that is up as suspected and returns its run; `None` if the peer is not up.
+    /// Marks a peer that is up as suspected and returns its run; `None` if it is not up or is this node.
     fn begin_suspicion(&mut self, now: Now, id: Id, out: &mut Vec<Action>) -> Option<Run> {
         let peer = self.roster.get_mut(id)?;
         if peer.state != State::Up || id == self.me {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Counts the peers that `like` selects, without those that died at another time than `peer`.
+    /// Counts the peers that `like` selects, without dead ones whose loss is unrelated to that of `peer`.
     fn tally(&self, peer: &Peer, like: impl Fn(&Peer) -> bool) -> Tally {
         let others = self.roster.iter().filter(|p| p.id != self.me && like(p));
         let unrelated = |p: &Peer| p.lost_at.abs_diff(peer.lost_at) > COMMON_CAUSE_WINDOW;
--- a/crates/member/tests/failure.rs
+++ b/crates/member/tests/failure.rs
@@ -84,8 +84,9 @@
 }
 
 /// Guards against a killed node that stays up, or is judged parted. Its process ends without an announcement,
-/// direct and indirect probes fail, and the suspicion spreads without being refuted. Since its availability
-/// zone answers, every node judges it dead. It stays in the roster while it is listed, and is removed after.
+/// direct and indirect probes fail, and the suspicion spreads without being refuted; until then callers are
+/// offered its address, for a second or two. Since its availability zone answers, every node judges it dead.
+/// It stays in the roster while it is listed, and is removed after.
 #[test]
 fn killed_node_is_dead_then_removed() {
     let mut net = joined_net(8, 3, 2);
@@ -118,8 +119,9 @@
     assert!(net.reported(State::Left, ms(0)).is_empty());
 }
 
-/// Guards against a paused process that suspects its peers. Its timers have expired when it resumes after two
-/// seconds, before it reads the answers that wait in its sockets. Its peers suspect it until it refutes.
+/// Guards against a paused process that suspects its peers. Its instance stops it for two seconds, while its callers
+/// wait. When it resumes, its timers have expired before it reads the answers that wait in its sockets. Its
+/// peers suspect it until it refutes.
 #[test]
 fn paused_node_suspects_no_peer() {
     let mut net = joined_net(8, 3, 4);
--- a/crates/member/tests/support/fleet.rs
+++ b/crates/member/tests/support/fleet.rs
@@ -54,7 +54,7 @@
 
 impl Fleet {
     /// Creates a fleet with `teams` teams, whose demand [`Fleet::change_demand`] changes.
-    pub fn new(nodes: usize, teams: usize, seed: u64, way: Policy) -> Self {
+    pub fn new(nodes: usize, teams: usize, seed: u64, policy: Policy) -> Self {
         let limit = |t: usize| {
             let rate = 100.0 * (1 + t % 5) as f64;
             Limit {
@@ -66,7 +66,7 @@
         let mut fleet = Self {
             limits: (0..teams).map(limit).collect(),
             demands: vec![vec![Demand::default(); teams]; nodes],
-            policy: way,
+            policy,
             settings: Settings::default(),
             teams: (0..nodes)
                 .map(|_| Teams::new(Settings::default()))
