--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -51,9 +51,9 @@
     pub name: String,
     /// Memory, in bytes.
     pub memory_bytes: f64,
-    /// Factor on the time of decode steps.
+    /// Factor on the base time and on the additional time of decode steps.
     pub step_factor: f64,
-    /// Factor on the time of prefill.
+    /// Factor on the time of prefill; a higher one is slower.
     pub prefill_factor: f64,
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Returns the time for which one request of this size occupies one layer. The base time of a
-    /// step is divided among [`TYPICAL_BATCH_SIZE`] requests, since a batch shares each step.
+    /// step is divided among the requests of a typical batch, since a batch shares each step.
     pub fn layer_busy_time(&self, accelerator: &Accelerator, size: Size) -> Duration {
         let context = f64::from(size.prompt) / 1000.0;
         let extra = self.step_time_per_request.as_secs_f64()
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -27,11 +27,11 @@
 
 /// Version of a catalog; a higher version replaces a lower one.
 pub type Version = u64;
-/// Index of a route in its catalog.
+/// Index of a route in the tables of one catalog.
 pub type RouteId = u32;
-/// Index of a service in its catalog.
+/// Index of a service in the tables of one catalog.
 pub type ServiceId = u32;
-/// Index of a team in its catalog.
+/// Index of a team in the tables of one catalog.
 pub type TeamId = u32;
 /// Index of a layer of a model, from 0; also a number of layers.
 pub type Layer = u32;
