--- a/crates/node/tests/binary.rs
+++ b/crates/node/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The binary: its command line, its findings, its signals.
+//! The binary: command line, findings in settings, and signals.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,9 +6,9 @@
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest time for something that must come.
+/// Maximum time to wait for an expected state.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// How often it is looked for.
+/// Interval at which the state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn wigeonshelf(args: &[&str]) -> Output {
@@ -66,8 +66,8 @@
     assert!(text(&output.stdout).contains("entry-1") && output.stderr.is_empty());
 }
 
-// An operator sees every finding in one run, with its place, and nothing was started: with the
-// same faults `check` and a start say the same.
+// An operator sees every finding with its place in a single run, before anything is started:
+// `check` and a start report the same findings.
 #[test]
 fn every_finding_is_reported_and_nothing_is_started() {
     let case = include_str!("cases/faults.ini");
@@ -86,7 +86,7 @@
     }
 }
 
-/// A node that runs on its own; the platform's services are not there.
+/// A running node without the services of the platform.
 struct Node {
     child: Child,
     admin: SocketAddr,
@@ -108,14 +108,14 @@
     )
 }
 
-/// Writes settings into a file of the test's own.
+/// Writes settings into a file named after the test.
 fn write(name: &str, settings: &str) -> PathBuf {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.ini"));
     std::fs::write(&file, settings).expect("written");
     file
 }
 
-/// The address that follows `word` in a line.
+/// Returns the address that follows `word` in a line.
 fn addr_after(line: &str, word: &str) -> SocketAddr {
     let rest = line.split(word).nth(1).expect("the word");
     let addr = rest.trim().split(',').next().expect("an address");
@@ -123,7 +123,7 @@
 }
 
 impl Node {
-    /// Starts a node on ports of the kernel's choice, which it logs.
+    /// Starts a node on ports that the kernel assigns and the node logs.
     fn start(name: &str, drain: &str) -> Self {
         let file = write(name, &settings(name, drain, 0));
         let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
@@ -132,7 +132,7 @@
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let line = lines.find(|l| l.as_ref().is_ok_and(|l| l.contains("serves callers on ")));
         let line = line.expect("it says where it serves").expect("a line");
-        // What else it logs is read away, so that it never waits for a reader.
+        // The rest of the log is read and discarded, so that the node never blocks on a full pipe.
         std::thread::spawn(move || lines.count());
         let node = Self {
             child,
@@ -147,7 +147,7 @@
         node
     }
 
-    /// The answer to a GET, or nothing.
+    /// Returns the response to a GET request; it is empty if there is none.
     fn get(&self, addr: SocketAddr, path: &str) -> String {
         let mut answer = Vec::new();
         if let Ok(mut stream) = TcpStream::connect(addr) {
@@ -171,7 +171,7 @@
         self.child.try_wait().expect("a status")
     }
 
-    /// Waits for its end; the exit code.
+    /// Waits until the process ends and returns its exit code.
     fn wait_for_exit(&mut self) -> Option<i32> {
         wait_until("the node ends", || self.exit_status().is_some());
         self.exit_status().and_then(|s| s.code())
@@ -180,7 +180,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Does nothing to a process that has been waited for.
+        // Has no effect on a process whose exit status has already been collected.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.file);
@@ -195,7 +195,7 @@
     }
 }
 
-// A node without its platform answers on both listeners, and says that it is not ready.
+// A node without its platform responds on both listeners, and reports that it is not ready.
 #[test]
 fn started_node_answers() {
     let mut node = Node::start("answers", "0s");
@@ -213,7 +213,8 @@
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
-// A caller with an old address answer is still served while the node drains; then it ends with 0.
+// Callers that use a cached address are still served while the node drains; then it exits with code
+// 0.
 #[test]
 fn signal_drains_and_ends() {
     for signal in ["TERM", "INT"] {
@@ -232,7 +233,7 @@
     }
 }
 
-// The operator has no time for the drain, which would take an hour: a second signal ends it.
+// A second signal ends the process at once, for an operator who can't wait for a drain of an hour.
 #[test]
 fn second_signal_ends_at_once() {
     let mut node = Node::start("at-once", "1h");
@@ -247,8 +248,8 @@
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
-// A second process with the same port ends with code 1 and tells the listener. If the kernel let both
-// listen, each would get half of the callers' connections, and nobody would be told.
+// A second process on the same port exits with code 1 and names the listener. If the kernel let
+// both listen, each would silently get half of the callers' connections.
 #[test]
 fn port_in_use_is_reported() {
     let node = Node::start("first", "0s");
--- a/crates/node/tests/copies.rs
+++ b/crates/node/tests/copies.rs
@@ -1,13 +1,13 @@
-//! How copies of the store's tables reach 300 nodes before 3,000 endpoints, in virtual time.
+//! Propagation of table copies to 300 nodes with 3,000 endpoints, simulated in virtual time.
 //!
-//! The cores that ask, give and take copies run as they do in the node; links have the bandwidth of
-//! small nodes, and a frame that takes too long is sent again, as connections between nodes do.
+//! The code that requests, serves and applies copies is that of the node. Links have the bandwidth
+//! of small nodes, and a frame that takes too long is resent, as on connections between nodes.
 //!
-//! The failure behind these tests: at 300 nodes some answered by a catalog whose successor had been
-//! acknowledged 3.7 s before. Each node asked any of seven readers every 350 ms, and again while the
-//! answer was on its way, so that a reader sent the same rows to a hundred nodes several times over.
-//! Links of readers were full (2.3 of 2.5 MB/s), every second ask for a copy ended after 2 s without
-//! an answer, and the few bytes of a new catalog waited behind the rows of endpoints.
+//! These tests guard against nodes that serve by a catalog whose successor was acknowledged 3.7 s
+//! before. It comes about if each of 300 nodes sends a request to any of seven readers every 350
+//! ms, also while a response is in flight: a reader then sends the same rows to a hundred nodes
+//! several times over, the links of readers are full (2.3 of 2.5 MB/s), every second request for a
+//! copy times out after 2 s, and the few bytes of a new catalog wait behind the rows of endpoints.
 
 #[path = "support/report.rs"]
 mod report;
@@ -17,15 +17,15 @@
 use spread::{Fleet, LOAD_END, ms};
 use std::time::Duration;
 
-/// Time in which an operator's change must be in force on all nodes.
+/// Time within which an operator's change must be in force on all nodes.
 const CATALOG_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after which nodes that all started anew must serve.
+/// Time within which all nodes must know all endpoints after a restart of the whole fleet.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Nodes and endpoints.
 const NODES: usize = 300;
 const ENDPOINTS: usize = 3001;
 
-// Guards against catalogs that wait behind rows of endpoints on the links of readers.
+// Guards against catalogs that are delayed behind rows of endpoints on the links of readers.
 #[test]
 fn a_catalog_reaches_300_nodes_in_time() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 1);
@@ -48,8 +48,9 @@
     );
 }
 
-// Guards against nodes that keep an old catalog because their reader, short of processor, reads the
-// store late and does not know it: 3 of 7 readers of a zone did, and their askers with them.
+// Guards against nodes that keep an old catalog because their reader, which is short of processor
+// time, reads the store late without noticing it. This can affect 3 of the 7 readers of a zone and
+// all nodes that copy from them.
 #[test]
 fn a_stale_reader_does_not_delay_a_catalog() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 3);
@@ -65,8 +66,8 @@
     );
 }
 
-// Guards against nodes that know no endpoints for long after all of them started anew, since whole
-// tables do not fit through the links of readers in the time that an ask may take.
+// Guards against nodes that lack endpoints for a long time after the whole fleet has restarted,
+// because complete tables don't fit through the links of readers within the timeout of a request.
 #[test]
 fn all_nodes_know_all_endpoints_soon_after_a_restart() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 2);
@@ -82,11 +83,12 @@
     );
 }
 
-/// Time in which the word that an endpoint leaves must be with all nodes.
+/// Time within which all nodes must know that an endpoint leaves.
 const REMOVAL_DEADLINE: Duration = Duration::from_millis(2500);
 
-// Guards against requests to an endpoint seconds after it said that it leaves, by nodes whose reader
-// lost power: their asks for rows waited until their time limit, and no other reader was asked.
+// Guards against requests to an endpoint seconds after it has announced that it leaves, from nodes
+// whose reader lost power: their requests for rows run into the timeout, and must then fail over to
+// another reader.
 #[test]
 fn a_leaving_endpoint_is_known_everywhere_in_time_when_a_reader_fails() {
     for seed in 10..12 {
@@ -109,15 +111,16 @@
     }
 }
 
-// Guards against a zone that learns nothing new for seconds, since all its readers have just started
-// and have no tables yet, while those that read before them stopped at once.
+// Guards against a zone that gets no updates for seconds because all its readers have just
+// restarted and have no tables yet, while the nodes that read in their place have already stopped
+// reading.
 #[test]
 fn a_leaving_endpoint_is_known_everywhere_in_time_when_readers_restart() {
     let mut fleet = Fleet::new(NODES, ENDPOINTS, 20);
     fleet.publish();
     fleet.run_until(ms(9000));
     fleet.restart_readers("b");
-    // From the time on at which the others of the zone read in their place.
+    // Starts when other nodes of the zone read in place of the restarted ones.
     for at in 0..12 {
         fleet.run_until(ms(12_000 + at * 400));
         fleet.leave();
--- a/crates/node/tests/copy.rs
+++ b/crates/node/tests/copy.rs
@@ -1,4 +1,4 @@
-//! Changes of a table between nodes.
+//! Transfer of table changes between nodes: encoding, assembly of chunks and selection of peers.
 
 use adapter::store::Table as Kind;
 use catalog::source::{Page, Record, Table};
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-// A peer gives all keys in place of changes, and whoever takes them must know that: what they do
-// not name is gone.
+// A peer may send all keys in place of changes. The receiver must be able to tell the difference,
+// since keys missing from a complete list have been removed.
 #[test]
 fn a_response_survives_encoding() {
     let record = |key: &str, value: Option<&[u8]>, offset| Record {
@@ -35,10 +35,10 @@
     }
 }
 
-/// Bytes of a chunk: a few records.
+/// Size of a chunk: a few records.
 const CHUNK_BYTES: usize = 100;
 
-/// A change of one of a few keys, written or removed.
+/// Returns a random change that writes or removes one of a few keys.
 fn change(random: &mut ChaCha8Rng, offset: u64) -> Page {
     let value = random.random_bool(0.7).then(|| vec![7; 20].into());
     let key = format!("key-{}", random.random_range(0..40));
@@ -49,7 +49,8 @@
     }
 }
 
-/// A copy of the store's table by a node that just started: it knows no removals.
+/// Returns the copy of a node that has just restarted and read the whole table, which lacks
+/// removals.
 fn restarted(store: &Table) -> Table {
     let mut table = Table::default();
     let records = store.iter().map(|(key, value)| Record {
@@ -69,8 +70,8 @@
     table.iter().map(|(key, _)| key.to_owned()).collect()
 }
 
-// Guards against endpoints that stay after they are gone, or are missing, because a table changed, or
-// its giver started anew, between the parts in which it was copied.
+// Guards against endpoints that remain after their removal, or are missing, because the table
+// changed or the sending node restarted between two chunks.
 #[test]
 fn a_table_copied_in_chunks_is_complete() {
     let source_addr: SocketAddr = ([10, 0, 0, 1], 80).into();
@@ -112,8 +113,8 @@
     }
 }
 
-// Guards against asks that pile up behind a slow link, and against a reader that failed being asked
-// again and again while another one is well.
+// Guards against requests that pile up behind a slow link, and against repeated requests to a
+// failed reader while another one works.
 #[test]
 fn a_request_in_flight_is_not_repeated() {
     let at = |last: u8| SocketAddr::from(([10, 0, 0, last], 80));
@@ -149,8 +150,7 @@
     assert_eq!(asked(&mut pulls, now + PULL_INTERVAL * 10), Some(at(1)));
 }
 
-// Guards against loads of some engines that a reader never hears of, since it asks those that know
-// them in turns.
+// Guards against pollers that a reader never requests loads from, since it rotates through them.
 #[test]
 fn each_poller_is_pulled_from_in_turn() {
     let at = |last: u8| SocketAddr::from(([10, 0, 0, last], 80));
--- a/crates/node/tests/hosted.rs
+++ b/crates/node/tests/hosted.rs
@@ -1,4 +1,5 @@
-//! The real binary on a platform's store: start, requests of each kind, versions, drains, outages.
+//! The real binary on a platform's store: start, requests of each kind, catalog versions, drains
+//! and outages.
 
 #[path = "support/process.rs"]
 mod process;
@@ -17,7 +18,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Looks, 20 ms apart, before a state that should come is given up.
+/// Maximum number of checks, 20 ms apart, for an expected state.
 const MAX_POLLS: usize = 1500;
 
 /// A running node.
@@ -56,7 +57,7 @@
     }
 }
 
-/// Status and body of a request; nothing if there is no whole answer.
+/// Sends a request and returns the status and body of the response; `None` if it is not complete.
 async fn ask(
     addr: SocketAddr,
     method: &str,
@@ -74,7 +75,7 @@
     got.complete.then_some((got.status, got.body))
 }
 
-/// Asks until `done` likes the answer, and fails if it never does.
+/// Repeats a request until `done` accepts the response, and panics if it never does.
 async fn until(
     what: &str,
     addr: SocketAddr,
@@ -146,9 +147,8 @@
     assert_eq!(unknown.0, StatusCode::UNAUTHORIZED);
 }
 
-// The store turns one node away and serves the other. The operator removes a route: the node that
-// can't read the store must not serve it for longer than the other, so it takes the version from
-// its peer.
+// The store refuses one node and serves the other, and the operator removes a route. The refused
+// node must not serve the route for longer than the other, so it gets the version from its peer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_refused_by_the_store_learns_versions_from_its_peer() {
     let store = Store::start().await;
@@ -175,7 +175,7 @@
     assert_eq!(old.0, StatusCode::NOT_FOUND);
 }
 
-// The store is gone altogether. What is known stays in force, and requests are served.
+// During an outage of the store, the known catalog stays in force and requests are served.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_are_served_during_a_store_outage() {
     let store = Store::start().await;
@@ -189,7 +189,7 @@
         assert_eq!(answer.0, StatusCode::OK, "{}", answer.1);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // An older version that comes with the store's return is not taken.
+    // An older version that the store has after the outage is not adopted.
     store.put_manifest(&manifest(2, "/other/"));
     store.set_down(false);
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -197,10 +197,10 @@
     assert_eq!(answer.0, StatusCode::OK);
 }
 
-// All nodes are killed at the same moment, right after a version was written, and the store is away
-// when they start again. Callers get nothing meanwhile; once the store is back every node serves
-// requests of each kind by the newest version again, also a node whose only seed is another that
-// was killed.
+// All nodes are killed at the same moment, right after a version was written, and the store is down
+// when they restart. Callers get no service meanwhile. Once the store is up, every node serves
+// requests of each kind by the newest version again, also a node whose only seed is another killed
+// node.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nodes_killed_together_recover() {
     let store = Store::start().await;
@@ -231,8 +231,8 @@
     }
 }
 
-// An endpoint says that it leaves while the store forgets its history. The node reads the whole
-// table anew, and sends nothing more to the endpoint.
+// An endpoint announces that it leaves while the store discards its history. The node reads the
+// whole table again, and sends no more requests to the endpoint.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_leaving_endpoint_gets_no_requests_after_log_compaction() {
     let store = Store::start().await;
@@ -273,7 +273,7 @@
     store.put_manifest(&manifest(1, "/safe/"));
     let mut node = start("signals", store.addr, "");
     until("ready", node.ready, Headers::default().ready_path(), ok).await;
-    // A file that can't be read any more is told and changes nothing.
+    // A settings file that has become invalid is logged and changes nothing.
     std::fs::write(&node.process.file, "[store]\naddress = nowhere\n").unwrap();
     assert!(node.process.signal("-HUP"));
     until("served after the reload", node.callers, "/safe/x", ok).await;
@@ -286,7 +286,7 @@
         unavailable,
     )
     .await;
-    // Callers that still come are served at first.
+    // New requests are still served at first.
     let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
     assert_eq!(answer.0, StatusCode::OK);
     for _ in 0..MAX_POLLS {
@@ -299,8 +299,8 @@
     panic!("the node does not end");
 }
 
-// Tests run beside each other, and each starts nodes. Two nodes that are given one port are a test
-// that talks to another test's node, and fails once in many runs.
+// Tests run concurrently, and each starts nodes. If two nodes got the same port, a test would send
+// requests to another test's node and fail once in many runs.
 #[test]
 fn addresses_of_test_nodes_are_unique() {
     let mut given: Vec<_> = (0..2000).map(|_| address::unused()).collect();
@@ -309,8 +309,8 @@
     assert_eq!(given.len(), 2000);
 }
 
-// A caller complains. The operator reads the counters and the state where the settings say, and
-// finds what was served there; a path that is neither is not found.
+// The operator reads metrics and the dump on the address from the settings. Any other path on that
+// address is not found.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn operators_read_metrics_and_dump_on_a_separate_address() {
     let store = Store::start().await;
--- a/crates/node/tests/loads.rs
+++ b/crates/node/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Which node reads the store, which one asks which engine for its load, and how the others learn it.
+//! Assignment of store readers and engine pollers, and exchange of loads between nodes.
 
 #[path = "support/report.rs"]
 mod report;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Engines of a zone with enough nodes.
+/// Engines of a zone that has enough nodes for all its pollers.
 const LARGE_ZONE_ENGINES: usize = 1000;
 
 fn peer(number: u8, zone: &str) -> Peer {
@@ -48,7 +48,7 @@
     peers.iter().map(assign).collect()
 }
 
-/// Numbers of the nodes that ask each engine of a zone.
+/// Returns the number of the node that polls each engine of a zone.
 fn pollers(assignments: &[Assignment], zone: &str, count: usize) -> Vec<usize> {
     let polls = |p: &Assignment, n| p.polls(zone, &run(zone, n));
     let pollers = |n| {
@@ -60,9 +60,9 @@
     (0..count).map(pollers).collect()
 }
 
-// Nodes choose chains by what engines report. With one node to ask all engines of a zone, the small
-// node that was the first of 33 spent its time on questions to 333 engines, and answered its own
-// callers late. An engine that nobody asks would look empty to all.
+// Nodes select chains by the loads that engines report. If one node polled all engines of a zone, a
+// small node that is the first of 33 would spend its time on polls of 333 engines and serve its own
+// callers late. An engine that no node polls would look idle to all nodes.
 #[test]
 fn each_engine_is_polled_by_one_node_and_polling_is_spread() {
     let zone = |n| if n < 40 { "a" } else { "b" };
@@ -83,13 +83,13 @@
     few.dedup();
     assert_eq!(few.len(), 1, "one node is enough for these");
     pollers(&assignments, "far", 5);
-    // Those that read for their zone know whom to ask, and ask nobody twice.
+    // A reader knows all pollers, each of them once.
     let peers_to_poll = assignments[0].pollers.len();
     assert!((21..=23).contains(&peers_to_poll), "{peers_to_poll}");
 }
 
-// A new catalog, a key that is withdrawn and an endpoint that leaves reach most nodes through those
-// that read the store for their zone. Asked by a hundred others, two of them fall seconds behind.
+// A new catalog, a revoked key and a leaving endpoint reach most nodes through the readers of their
+// zone. Two readers that serve a hundred nodes fall seconds behind.
 #[test]
 fn a_node_reads_the_store_for_at_most_sixteen_nodes() {
     for nodes in [1_u8, 3, 28, 33, 100] {
@@ -103,9 +103,9 @@
     }
 }
 
-// A node takes from another one what it learned, several times a second. Whole lists of thousands
-// of engines would fill the link of a small node; a change that is left out would leave it with a
-// wrong idea of an engine, most of all after the other one started anew with an empty list.
+// A node requests loads from a peer several times a second. Complete lists of thousands of engines
+// would fill the link of a small node, so only changes are sent. A change that is left out would
+// leave the node with an outdated load, above all after the peer has restarted with an empty list.
 #[test]
 fn a_peer_gets_changes_since_its_last_request() {
     let addr: SocketAddr = ([10, 0, 0, 1], 80).into();
@@ -144,14 +144,14 @@
         .unwrap();
     assert!(!receiver.merge(restarted, addr, All, &nothing).unwrap());
 
-    // One that asks several takes from each what it asked engines for itself.
+    // With `Own`, a peer gets only the loads that the node polled itself, which are none here.
     let second = receiver_of(&receiver, restarted, Own);
     assert!(second.view(restarted, start).is_empty());
     let second = receiver_of(&receiver, restarted, All);
     assert_eq!(second.view(restarted, start).len(), 100);
 }
 
-/// What a node knows that asked another one.
+/// Returns the loads of a node that has requested them from `source`.
 fn receiver_of(source: &Loads, now: Instant, scope: Scope) -> Loads {
     let addr: SocketAddr = ([10, 0, 0, 2], 80).into();
     let mut receiver = Loads::default();
--- a/crates/node/tests/orders.rs
+++ b/crates/node/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to many endpoints at once, against a listener that never answers.
+//! Orders to many endpoints at once, and moves of endpoints that hold layers.
 
 #[path = "../../steer/tests/support/mod.rs"]
 mod support;
@@ -20,10 +20,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Endpoints that hold nothing yet.
+/// Number of endpoints without layers.
 const ENDPOINTS: usize = 300;
 
-/// Endpoint number `number` of a whole fleet at one address.
+/// Returns an endpoint without layers. All endpoints of the fleet may share one address.
 fn empty(number: usize, addr: SocketAddr) -> Endpoint {
     Endpoint {
         run: Run {
@@ -46,7 +46,7 @@
     Peer::new(identity, Duration::ZERO)
 }
 
-/// The parts of all nodes of a zone.
+/// Returns the assignments of all nodes of a fleet with one zone.
 fn assignments(nodes: usize) -> Vec<Assignment> {
     let peers: Vec<Peer> = (0..nodes).map(node).collect();
     let engines = EngineCounts::from([("a", ENDPOINTS)]);
@@ -54,12 +54,12 @@
     peers.iter().map(assign).collect()
 }
 
-/// The part of a node that is alone.
+/// Returns the assignment of a node without peers.
 fn sole_assignment() -> Assignment {
     assignments(1).remove(0)
 }
 
-/// Keeps connections open, never answers on them, and counts them.
+/// Accepts and counts connections, and keeps them open without ever responding.
 async fn unresponsive(listener: TcpListener, count: Arc<AtomicUsize>) {
     let mut kept = Vec::new();
     while let Ok((stream, _)) = listener.accept().await {
@@ -68,9 +68,9 @@
     }
 }
 
-// A whole fleet starts empty, and callers are refused until layers are loaded. A small node that
-// begins all orders together is done with none before they time out, and begins them all again.
-// So only so many are begun at once; the next ones follow as these end.
+// A fleet starts without layers, and requests are refused until layers are loaded. A small node
+// that sends all orders at once completes none of them before they time out, and then repeats them
+// all. So the number of orders in flight is bounded, and further orders follow as others end.
 #[tokio::test]
 async fn concurrent_orders_are_bounded() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -97,8 +97,8 @@
     accepts.abort();
 }
 
-// Guards against a fleet that stays empty for minutes: planning for 3,000 endpoints is costly and
-// rests in between, so what one plan holds must be given without another one.
+// Guards against a fleet that stays without layers for minutes: planning for 3,000 endpoints is
+// costly and throttled, so all orders of one plan must be sent without another plan.
 #[tokio::test]
 async fn one_plan_is_carried_out_completely() {
     let closed = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -125,9 +125,10 @@
     assert_eq!(given.len(), ENDPOINTS);
 }
 
-// Guards against a fleet that stands empty when its callers come: one node of an eighth of a core gives
-// fifty orders a second, and before 2,980 endpoints 565 had theirs after 14 s. It also guards against
-// two nodes that move endpoints which hold layers: each could move one of the last two copies.
+// Guards against a fleet that has no layers yet when its callers arrive: a single node with an
+// eighth of a core sends about fifty orders a second, so that of 2,980 endpoints 565 have theirs
+// after 14 s. Also guards against two nodes that move endpoints which hold layers: each could move
+// one of the last two copies.
 #[test]
 fn orders_to_a_large_fleet_are_shared_by_several_nodes() {
     let runs: Vec<Run> = (0..ENDPOINTS)
@@ -153,7 +154,7 @@
     }
 }
 
-/// Endpoints of which none holds the last layers, and two hold the first ones.
+/// Returns endpoints of which none holds the last layers and two hold the first ones.
 fn with_missing_layers() -> Vec<Endpoint> {
     let closed = SocketAddr::from(([127, 0, 0, 1], 1));
     let holds = |(number, (from, to))| Endpoint {
@@ -164,7 +165,8 @@
     spans.into_iter().enumerate().map(holds).collect()
 }
 
-/// A node that has announced, and not yet given, one move among these endpoints.
+/// Returns the orders of a node that has announced one move among these endpoints and not sent it
+/// yet.
 fn announced(start: Instant, endpoints: &[Endpoint]) -> Orders {
     let (journal, _lines) = Journal::new(64);
     let (inputs, _taken) = mpsc::channel(64);
@@ -176,8 +178,8 @@
     orders
 }
 
-// Guards against a move that takes a zone's last copy of a layer, since the other one died between the
-// announcement and the order.
+// Guards against a move that removes a zone's last copy of a layer because the other holder has
+// failed between the announcement and the order.
 #[tokio::test(start_paused = true)]
 async fn a_move_that_would_remove_a_last_copy_is_dropped() {
     let endpoints = with_missing_layers();
@@ -198,16 +200,16 @@
         &catalog(),
         left,
     );
-    // Whichever of the two was to be moved, it stays once the other one is gone.
+    // Whichever of the two was to be moved, its move is dropped once the other one is gone.
     for orders in [&mut orders, &mut other] {
         orders.send_planned(start + MOVE_NOTICE * 2);
         assert_eq!(orders.in_flight(), 0);
     }
 }
 
-// Guards against sends that an endpoint refuses since it has begun to give up its layers: each of 195
-// nodes found that out by itself, 30 refusals an endpoint that was moved. The others are told first,
-// and the order is given once they know.
+// Guards against requests that an endpoint refuses because it has begun to release its layers. If
+// each of 195 nodes finds that out by itself, there are 30 refusals per moved endpoint. So the move
+// is announced to the other nodes first, and the order is sent when they know of it.
 #[tokio::test(start_paused = true)]
 async fn a_move_is_announced_before_it_is_ordered() {
     let closed = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -215,7 +217,7 @@
         span: Span { from, to },
         ..empty(number, closed)
     };
-    // The last layers are held by none, the first ones twice.
+    // The last layers are held by no endpoint, the first ones by two.
     let endpoints = [
         holds(0, 0, 2),
         holds(1, 0, 2),
@@ -231,7 +233,7 @@
     let moving = orders.take_moving();
     assert_eq!(moving.len(), 1, "{moving:?}");
     assert_eq!(orders.in_flight(), 0);
-    // A plan made meanwhile counts the move as given.
+    // A plan made meanwhile counts the move as sent.
     orders.step(
         start + MOVE_NOTICE / 2,
         &assignment,
--- a/crates/node/tests/pace.rs
+++ b/crates/node/tests/pace.rs
@@ -1,13 +1,14 @@
-//! How much of control's time a recurring task takes.
+//! Bounds of the fraction of control's time that a recurring task takes.
 
 use node::hosted::control::throttle::Throttle;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often control looks whether the task is due.
+/// Interval at which control checks whether the task is due.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs of a task that takes `cost` each time, in `time`, and the share of the time that they took.
+/// Simulates a task that takes `cost` per run for `time`. Returns the number of runs and the
+/// fraction of the time that they took.
 fn simulate(mut throttle: Throttle, cost: Duration, time: Duration) -> (u32, f64) {
     let start = Instant::now();
     let mut now = start;
@@ -28,8 +29,8 @@
     )
 }
 
-// Guards against a node whose planning before 3,000 endpoints leaves no time for its own callers, for
-// the store and for its peers: two nodes answered by an old catalog for the rest of the day.
+// Guards against a node that plans for 3,000 endpoints without a pause and has no time left for its
+// callers, the store and its peers: such nodes keep serving by an old catalog.
 #[test]
 fn a_costly_task_leaves_most_of_the_time_to_others() {
     let minute = Duration::from_secs(60);
@@ -38,7 +39,7 @@
     assert!(runs >= 15 && share <= 0.1, "{runs} runs, {share}");
 }
 
-// Guards against a task that is put off for ever by one slow run.
+// Guards against a task that one slow run delays indefinitely.
 #[test]
 fn the_rest_is_bounded() {
     let minute = Duration::from_secs(60);
@@ -47,7 +48,7 @@
     assert!(runs >= 19, "{runs} runs");
 }
 
-// Guards against a small fleet that waits for what costs it nothing.
+// Guards against delays in a small fleet, where the task costs almost nothing.
 #[test]
 fn a_cheap_task_runs_in_each_step() {
     let minute = Duration::from_secs(60);
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings as text cases: each file of `cases` ends with the findings that it must lead to, as
-//! comment lines that begin with `; expect`.
+//! Findings in settings files: each file in `cases` ends with its expected findings, in comment
+//! lines that begin with `; expect`.
 
 use node::settings;
 use std::fs;
@@ -49,14 +49,14 @@
     assert_eq!(found("node.ini", example), Vec::<String>::new());
 }
 
-// Garbage and mutated good settings lead to findings, never to a panic: an operator's slip must not
-// look like a fault of the program.
+// Randomly mutated valid settings lead to findings, never to a panic: an operator's mistake must
+// not look like a bug in the program.
 #[test]
 fn malformed_settings_never_panic() {
     let good = include_str!("cases/good.ini");
     let alphabet: Vec<char> = "[]=:;#\"'\\\n\r\t ä0-\u{0}9zs".chars().collect();
     let mut state = 7_u64;
-    // A linear congruential generator: the crate needs no other random numbers.
+    // A linear congruential generator suffices here.
     let mut draw = |limit: usize| {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,17 +1,19 @@
-//! A soak: real nodes before stand-ins of the platform, with faults from outside, by seed.
+//! Soak test: real nodes against stand-ins of the platform, with injected faults chosen by a seed.
 //!
-//! Faults come in series and overlap: links to endpoints and to the store that are delayed, reset,
-//! silenced or cut one way; nodes that are paused, killed, told to end, and started again; a store
-//! that is down or forgets; versions that replace each other. Callers go on all the while, and the
-//! promises are checked from what callers and endpoints saw:
+//! Faults follow each other and overlap: connections to endpoints and to the store are delayed,
+//! reset, stalled or cut in one direction; nodes are paused, killed, terminated and restarted; the
+//! store is down or discards its history; catalog versions replace each other. Callers send
+//! requests throughout. The following guarantees are checked from what callers and endpoints
+//! observed:
 //!
-//! - a request that runs at most once does;
-//! - a request that a caller was told has not run, has not;
-//! - an answer is the caller's own, and one that ends as whole is whole;
-//! - a node that has served a version never serves an older one in the same run;
-//! - once all faults are over, all nodes serve again.
+//! - an at-most-once request runs at most once;
+//! - a request that was reported to its caller as not run has not run;
+//! - a response belongs to its request, and one that ends as complete is complete;
+//! - a node that has served a catalog version never serves an older one in the same run;
+//! - after all faults have ended, all nodes serve again.
 //!
-//! `SOAK_SEEDS=100..150 cargo test --release -p wigeonshelf --test soak -- --nocapture` runs others.
+//! `SOAK_SEEDS=100..150 cargo test --release -p wigeonshelf --test soak -- --nocapture` runs other
+//! seeds.
 
 #[path = "support/process.rs"]
 mod process;
@@ -35,20 +37,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Seeds of the run in CI. 104 and 128 once failed: two soaks beside each other had drawn the same
-/// free ports, and nodes of one talked to endpoints of the other. Addresses now belong to a process.
+/// Default seeds, also run in CI. 104 and 128 fail if two concurrent soak runs pick the same free
+/// ports, so that nodes of one send requests to endpoints of the other; addresses are therefore
+/// unique per process.
 const SEEDS: [u64; 4] = [1, 2, 104, 128];
 const NODES: usize = 3;
-/// Steps of a run; a fault may begin or end in each.
+/// Steps of a run; a fault may begin or end in each of them.
 const STEPS: usize = 30;
 const STEP_INTERVAL: Duration = Duration::from_millis(150);
-/// Looks, 20 ms apart, before a node counts as lost for good.
+/// Maximum number of requests, 20 ms apart, until a node must serve again.
 const MAX_POLLS: usize = 1500;
 
-/// A node that is started again when it ends.
+/// A node that is restarted after it has exited.
 struct Node {
     process: Process,
-    /// Runs so far; versions are ordered within one.
+    /// Number of process starts so far; versions must not decrease within one run of the process.
     run: u64,
     callers: SocketAddr,
 }
@@ -74,7 +77,7 @@
     }
 
     fn signal(&self, name: &str) {
-        // One that has ended just now takes no signal; it is started again anyway.
+        // A process that has just exited can't be signalled; it is restarted anyway.
         let _ = self.process.signal(name);
     }
 
@@ -86,10 +89,10 @@
     }
 }
 
-/// What callers saw.
+/// What callers observed.
 #[derive(Default)]
 struct Observations {
-    /// By id of an at-most-once request: its status.
+    /// Status of each at-most-once request, by its id.
     at_most_once: BTreeMap<String, StatusCode>,
     answered: usize,
     violations: Vec<String>,
@@ -106,7 +109,7 @@
     caller::send(addr, &ask).await
 }
 
-/// One caller: requests of each kind until it is told to end.
+/// Runs one caller, which sends requests of each kind until `end` is set.
 async fn caller(
     seed: u64,
     nodes: Vec<SocketAddr>,
@@ -152,7 +155,8 @@
     }
 }
 
-/// Watches one node for an older version after a newer one. Version `n` has the route `/v{n}/`.
+/// Checks that one node never serves an older version after a newer one. Version `n` has the route
+/// `/v{n}/`.
 async fn watch_versions(
     addr: SocketAddr,
     run: Arc<Mutex<u64>>,
@@ -195,13 +199,13 @@
     }
 }
 
-/// The world of one run.
+/// Nodes, store, proxies and faults of one soak run.
 struct Cluster {
     rng: StdRng,
     store: Store,
-    /// By node: its way to the store.
+    /// Proxy between each node and the store.
     store_proxies: Vec<Proxy>,
-    /// By endpoint: the way to it.
+    /// Proxy in front of each endpoint.
     endpoint_proxies: Vec<Proxy>,
     nodes: Vec<Node>,
     runs: Vec<Arc<Mutex<u64>>>,
@@ -343,7 +347,7 @@
     check_guarantees(seed, &observed.lock().unwrap(), &engines);
 }
 
-/// Waits until every node serves each kind of request.
+/// Ends all faults and waits until every node serves each kind of request.
 async fn wait_until_serving(cluster: &mut Cluster, addrs: &[SocketAddr], seed: u64) {
     for addr in addrs {
         for path in ["/chat/x", "/once/x"] {
--- a/crates/node/tests/soak/proxy.rs
+++ b/crates/node/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that delays, resets, silences or cuts connections in one direction.
+//! A loopback proxy that delays, resets or stalls connections, or cuts them in one direction.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -7,22 +7,22 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the proxy does to what passes.
+/// Fault that the proxy injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Nothing.
+    /// No fault.
     Pass,
-    /// Each piece comes later by this.
+    /// Each read is forwarded after this delay.
     Delay(Duration),
-    /// Connections are reset after this many bytes of an answer.
+    /// Connections are reset after this many bytes of responses.
     Reset(usize),
-    /// Nothing passes, and nothing is closed.
+    /// No bytes are forwarded, and connections stay open.
     Silent,
-    /// Requests pass, answers do not.
+    /// Requests are forwarded, responses are not.
     OneWay,
 }
 
-/// A proxy; clones share its mode.
+/// A proxy; its clones share the mode.
 #[derive(Clone)]
 pub struct Proxy {
     pub addr: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl Proxy {
-    /// A proxy before `to`.
+    /// Starts a proxy in front of `to`.
     pub async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let proxy = Self {
@@ -46,7 +46,7 @@
         proxy
     }
 
-    /// Changes what it does, also to open connections.
+    /// Changes the mode, also for open connections.
     pub fn set(&self, mode: Mode) {
         *self.mode.lock().unwrap() = mode;
     }
@@ -63,7 +63,7 @@
         let (to_read, to_write) = onward.into_split();
         let requests = self.clone().copy(from_read, to_write, false);
         let answers = self.copy(to_read, from_write, true);
-        // The end of one direction closes the other.
+        // When one direction ends, the other is closed too.
         tokio::select! {
             () = requests => {}
             () = answers => {}
--- a/crates/node/tests/support/process.rs
+++ b/crates/node/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! The real binary as a process, with settings in a file of its own.
+//! Runs the real binary as a process, with a settings file of its own.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -7,7 +7,8 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_wigeonshelf");
 
-/// Writes settings for the process that will listen at `addr`; no other one gets that address.
+/// Writes the settings file of the process that is to listen at `addr`. The address names the file,
+/// since no other process gets it.
 pub fn settings(addr: SocketAddr, content: &str) -> PathBuf {
     let name = format!("node-{}-{}.ini", addr.ip(), addr.port());
     let file = std::env::temp_dir().join(name);
@@ -15,21 +16,21 @@
     file
 }
 
-/// Checks a settings file and returns what the command tells.
+/// Runs the `check` command on a settings file, and returns its status and output.
 pub fn check(file: &Path) -> std::process::Output {
     let mut command = Command::new(BINARY);
     command.args(["check", "--config", file.to_str().unwrap()]);
     command.output().unwrap()
 }
 
-/// A process. It is killed, and its settings are removed, when this is dropped.
+/// A running process. Dropping it kills the process and removes the settings file.
 pub struct Process {
     child: Child,
     pub file: PathBuf,
 }
 
 impl Process {
-    /// Starts one with the settings in `file`.
+    /// Starts a process with the settings in `file`.
     pub fn start(file: PathBuf) -> Self {
         Self {
             child: spawn(&file),
@@ -37,23 +38,23 @@
         }
     }
 
-    /// Starts it again with the same settings.
+    /// Starts the process again with the same settings.
     pub fn restart(&mut self) {
         self.child = spawn(&self.file);
     }
 
-    /// Kills it, which tells nobody, and leaves its settings.
+    /// Kills the process without a drain, and keeps its settings.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().unwrap()
     }
 
-    /// Sends a signal; false if the process takes none, since it has ended.
+    /// Sends a signal. Returns false if the process has already ended.
     pub fn signal(&self, name: &str) -> bool {
         let mut command = Command::new("kill");
         command.args([name, &self.child.id().to_string()]);
--- a/crates/node/tests/support/report.rs
+++ b/crates/node/tests/support/report.rs
@@ -1,9 +1,9 @@
-//! Reports of engines.
+//! Status reports of engines for tests.
 
 use adapter::report::Report;
 use catalog::endpoint::Span;
 
-/// The report of an engine that has `used` of its room of 1,000 in use.
+/// Returns the status report of an engine that uses `used` of its KV capacity of 1,000.
 pub fn report(used: f64) -> Report {
     Report {
         started_at: 1,
--- a/crates/node/tests/support/spread.rs
+++ b/crates/node/tests/support/spread.rs
@@ -1,4 +1,4 @@
-//! Nodes that take copies from each other over slow links, with time passed in.
+//! Discrete-event simulation of nodes that copy tables from each other over slow links.
 
 #[path = "spread/faults.rs"]
 mod faults;
@@ -23,50 +23,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes a second of a small node's link, either way.
+/// Bandwidth of a small node's link in each direction, in bytes per second.
 const LINK_BYTES_PER_SECOND: f64 = 2.5e6;
-/// Time on the way, and to decide.
+/// Latency of a link, including the processing of a frame.
 const LINK_DELAY: Duration = ms(2);
-/// How long a connection may leave a frame unconfirmed before it is sent over a new one.
+/// Time after which an unacknowledged frame is resent over a new connection.
 const FRAME_TIMEOUT: Duration = ms(500);
-/// How often a frame is sent at most.
+/// Maximum number of times that a frame is sent.
 const MAX_SENDS: u32 = 2;
-/// How long an ask may take.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = ms(2000);
-/// How long it takes until an ask to a node without power has failed.
+/// Time after which a request to a node without power fails.
 const CONNECT_TIMEOUT: Duration = ms(1000);
-/// Bytes of an ask with its headers.
+/// Size of a request with its headers; also the overhead of a response.
 const REQUEST_BYTES: usize = 80;
-/// How often control looks whether anything is due.
+/// Interval of control's periodic work.
 const STEP_INTERVAL: Duration = ms(100);
-/// How often a reader reads the endpoints' table.
+/// Interval at which a reader reads the endpoints' table.
 const READ_INTERVAL: Duration = ms(850);
-/// How long it takes until a reader has a new catalog.
+/// Time until a reader has read a new catalog from the store.
 const CATALOG_DELAY: Duration = ms(60);
-/// How often an engine is asked for its load.
+/// Interval at which an engine is polled for its load.
 const POLL_INTERVAL: Duration = ms(1500);
-/// Bytes of an endpoint's row, and of a catalog.
+/// Sizes of an endpoint's row and of a catalog.
 const ROW_BYTES: usize = 200;
 const CATALOG_BYTES: usize = 20_000;
-/// Until when rows come and change while a fleet is loaded.
+/// Time at which a starting fleet has loaded its layers; rows are written and change until then.
 pub const LOAD_END: Duration = ms(5000);
 
-/// Milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// Events of the simulation. Events at the same time are handled in the order of their creation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Step(usize),
     Read(usize),
     CatalogRead(usize),
     Row(usize),
-    /// Nodes find their parts anew.
+    /// All running nodes recompute their assignments.
     Reassign,
-    /// A node starts anew.
+    /// A node restarts.
     Start(usize),
-    /// A node that has started has read whole tables.
+    /// A node that has restarted has read both tables completely.
     FullRead(usize),
     Request {
         to: usize,
@@ -99,24 +100,25 @@
     endpoints: Table,
     loads: Loads,
     calls: HashMap<u64, (Request, SocketAddr)>,
-    /// When the link is free to send, and to receive.
+    /// When the link is free to send and to receive.
     uplink_free_at: Duration,
     downlink_free_at: Duration,
     sent: u64,
     engines: Vec<usize>,
     last_poll: Duration,
-    /// Whether it no longer gets the operator's table from the store, and does not know.
+    /// Whether the node no longer gets changes of the operator's table from the store, without
+    /// noticing it.
     stale_operator: bool,
-    /// Whether it runs.
+    /// Whether the node runs.
     running: bool,
-    /// When it started.
+    /// When the node started.
     started: Duration,
-    /// Whether it has read whole tables since it started.
+    /// Whether the node has read both tables completely since it started.
     has_full_tables: bool,
 }
 
 impl Node {
-    /// Forgets what it knows, as a process that starts anew.
+    /// Clears the state of the node, as a restart does.
     fn forget(&mut self) {
         self.pulls = Pulls::default();
         (self.operator, self.endpoints) = (Table::default(), Table::default());
@@ -125,13 +127,13 @@
     }
 }
 
-/// All nodes, the store, and what is on its way.
+/// All nodes, the store, and the pending events.
 pub struct Fleet {
     now: Duration,
     start: Instant,
     peers: Vec<Peer>,
     nodes: Vec<Node>,
-    /// Endpoints of all zones.
+    /// Number of endpoints in all zones.
     engines: usize,
     operator: Table,
     endpoints: Table,
@@ -145,7 +147,7 @@
 }
 
 impl Fleet {
-    /// Nodes that know each other and nothing else, before endpoints whose rows come in the first
+    /// Creates nodes that know only each other, and endpoints whose rows are written in the first
     /// seconds and change as layers are loaded.
     pub fn new(nodes: usize, endpoints: usize, seed: u64) -> Self {
         let peers: Vec<Peer> = (0..nodes)
@@ -217,7 +219,8 @@
         }
     }
 
-    /// How long the newest catalog took to be in force on all nodes.
+    /// Returns the time until the newest catalog was in force on all nodes; [`Duration::MAX`] if it
+    /// is not yet.
     pub fn catalog_latency(&self) -> Duration {
         if self.catalog_reached.len() < self.nodes.len() {
             return Duration::MAX;
@@ -231,14 +234,14 @@
         last - self.published
     }
 
-    /// Nodes that lack rows of the endpoints' table.
+    /// Returns the number of nodes that lack rows of the endpoints' table.
     pub fn nodes_missing_rows(&self) -> usize {
         let rows = self.endpoints.iter().count();
         let lacks = |n: &&Node| n.endpoints.iter().count() < rows;
         self.nodes.iter().filter(lacks).count()
     }
 
-    /// What was sent so far.
+    /// Describes the traffic so far, for failure messages.
     pub fn traffic(&self) -> String {
         let seconds = self.now.as_secs_f64();
         let rate = |n: &Node| n.sent as f64 / seconds / 1e6;
@@ -249,7 +252,7 @@
         )
     }
 
-    /// Plays on until a time.
+    /// Simulates until a time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, _, _))) = self.events.peek()
             && *at <= until
@@ -396,7 +399,7 @@
         self.send(by, to, message, 0);
     }
 
-    /// What a node gives, as `State::offer` does.
+    /// Returns the response of a node to a request, as `State::serve_copy` does.
     fn serve(&mut self, by: usize, request: u8, from: u64) -> Vec<u8> {
         let now = self.start + self.now;
         let node = &self.nodes[by];
@@ -466,7 +469,7 @@
         }
     }
 
-    /// Sends over the links of both ends, one frame after another.
+    /// Transfers a frame over the links of both ends, which carry one frame at a time.
     fn send(&mut self, by: usize, to: usize, message: Event, sends: u32) {
         let bytes = match &message {
             Event::Response { bytes, .. } => bytes.len() + REQUEST_BYTES,
--- a/crates/node/tests/support/spread/faults.rs
+++ b/crates/node/tests/support/spread/faults.rs
@@ -1,4 +1,5 @@
-//! Nodes that die, start anew or no longer read, and endpoints that leave meanwhile.
+//! Faults of the simulated fleet: nodes that fail, restart or stop reading, and endpoints that
+//! leave.
 
 use super::layout::{assignment, polled_engines, record, run, whole};
 use super::{Event, Fleet, ROW_BYTES, STEP_INTERVAL, ms};
@@ -6,27 +7,28 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long it takes until a node that is gone is taken for gone.
+/// Time until the other nodes detect that a node has failed.
 const FAILURE_DETECTION_TIME: Duration = ms(2000);
-/// How long a node is without power.
+/// Time for which a node is without power.
 const OUTAGE: Duration = ms(3500);
-/// How long a small node that starts takes to read whole tables.
+/// Time in which a small node that starts reads both tables completely.
 const FULL_READ_TIME: Duration = ms(1500);
-/// How long it takes until the others know that a node has started.
+/// Time until the other nodes know that a node has started.
 const JOIN_TIME: Duration = ms(200);
-/// Time after which it may read for them.
+/// Time after its start from which a node may be a reader for the others.
 const READER_WARMUP: Duration = ms(3000);
 
-/// An endpoint that said that it leaves.
+/// An endpoint that has announced that it leaves.
 pub(super) struct LeavingEndpoint {
     pub(super) offset: u64,
     since: Duration,
-    /// When each node knew.
+    /// When each node learned it.
     pub(super) known: BTreeMap<usize, Duration>,
 }
 
 impl Fleet {
-    /// Two readers of each zone read the operator's table no more, and answer as if they did.
+    /// Makes two readers of each zone stop reading the operator's table, while they respond as if
+    /// they still did.
     pub fn make_readers_stale(&mut self) {
         for zone in ["a", "b", "c"] {
             let peers = self.peers.iter().map(|p| p.identity.zone == zone);
@@ -42,7 +44,7 @@
         }
     }
 
-    /// All nodes forget what they know. Readers read the store at once.
+    /// Restarts all nodes at once. Readers read the store immediately.
     pub fn restart_all(&mut self) {
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
@@ -54,7 +56,7 @@
         }
     }
 
-    /// An endpoint says that it leaves.
+    /// Makes a random endpoint announce that it leaves.
     pub fn leave(&mut self) {
         let offset = self.endpoints.next_offset();
         let endpoint = self.random.random_range(0..self.engines);
@@ -67,8 +69,8 @@
         });
     }
 
-    /// The longest that it took until a node that runs knew of an endpoint that leaves, and that node. A
-    /// node that was off learns it when it starts.
+    /// Returns the longest time that a running node took to learn that an endpoint leaves, and that
+    /// node. For a node that was down, the time counts from its start.
     pub fn slowest_removal(&self) -> (Duration, usize) {
         let running = (0..self.nodes.len()).filter(|&n| self.nodes[n].running);
         let times = running.flat_map(|n| {
@@ -82,7 +84,7 @@
         times.max().unwrap_or_default()
     }
 
-    /// A reader of the store loses power.
+    /// Cuts the power of a random reader.
     pub fn kill_reader(&mut self) {
         let readers = self.readers();
         let reader = readers[self.random.random_range(0..readers.len())];
@@ -90,7 +92,7 @@
         self.schedule(FAILURE_DETECTION_TIME, Event::Reassign);
     }
 
-    /// All readers of a zone lose power and start anew after some time.
+    /// Cuts the power of all readers of a zone, which restart after some time.
     pub fn restart_readers(&mut self, zone: &str) {
         let mut readers = self.readers();
         readers.retain(|&n| self.peers[n].identity.zone == zone);
@@ -101,14 +103,14 @@
         self.schedule(FAILURE_DETECTION_TIME, Event::Reassign);
     }
 
-    /// The nodes that run and read the store.
+    /// Returns the running nodes that read the store.
     fn readers(&self) -> Vec<usize> {
         let all = 0..self.nodes.len();
         all.filter(|&n| self.nodes[n].assignment.reads && self.nodes[n].running)
             .collect()
     }
 
-    /// A node that was off starts.
+    /// Starts a node that was down.
     pub(super) fn start(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The nodes that run find their parts anew.
+    /// Recomputes the assignments of all running nodes.
     pub(super) fn reassign(&mut self) {
         for number in 0..self.nodes.len() {
             let peers = self.peers.iter().zip(&self.nodes);
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -1,4 +1,4 @@
-//! Which nodes and endpoints there are, what each node does for the others, and the records of the store.
+//! Nodes and endpoints of the simulated fleet, their assignments, and the records of the store.
 
 use catalog::endpoint::Run;
 use catalog::source::{Page, Record, Table};
@@ -24,7 +24,8 @@
     }
 }
 
-/// The part of a node among those that are open, before endpoints spread over the zones.
+/// Computes the assignment of a node among those that accept new work. Endpoints are spread evenly
+/// over the zones.
 pub(super) fn assignment<'a>(
     now: Duration,
     peer: &Peer,
@@ -36,7 +37,7 @@
     Assignment::of(now, peer.id, &peer.identity.zone, open, &engines)
 }
 
-/// The endpoints that a node asks for their load.
+/// Returns the endpoints that a node polls for their load.
 pub(super) fn polled_engines(assignment: &Assignment, endpoints: usize) -> Vec<usize> {
     let zone = |n: usize| ["a", "b", "c"][n % 3];
     let own = (0..endpoints).filter(|&n| assignment.polls(zone(n), &run(n)));
