--- a/crates/catalog/src/endpoint.rs
+++ b/crates/catalog/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they register themselves.
+//! Registered endpoints, their runs, and the layers that they hold.
 
 use crate::Layer;
 use std::fmt;
@@ -76,7 +76,7 @@
     pub addr: SocketAddr,
     /// Availability zone.
     pub zone: String,
-    /// Number of requests that it runs concurrently.
+    /// Largest number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it accepts new requests.
     pub state: State,
--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -32,7 +32,7 @@
     pub load_time: Duration,
     /// Number of concurrent loads beyond which each load takes longer.
     pub parallel_loads: usize,
-    /// Number of concurrent requests that one endpoint accepts as the head of a chain.
+    /// Largest number of concurrent requests that one endpoint accepts as the head of a chain.
     pub slots: u32,
     /// Bandwidth between two availability zones, in bits per second, shared by all traffic.
     pub inter_zone_bps: f64,
--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -15,7 +15,7 @@
     pub prefix: String,
     /// Execution semantics of the requests.
     pub kind: Kind,
-    /// Longest time until the final response of a request.
+    /// Longest time that a request may take until its response is final.
     pub timeout: Duration,
     /// Time within which the response, or its first event, counts as on time.
     pub latency_target: Duration,
--- a/crates/catalog/src/service.rs
+++ b/crates/catalog/src/service.rs
@@ -7,7 +7,7 @@
 pub struct Service {
     /// Name, which endpoints register with.
     pub name: String,
-    /// Number of connections that one endpoint accepts in total.
+    /// Largest number of connections that one endpoint accepts in total.
     pub max_connections: usize,
     /// Performance model of its engines; `None` for a service that runs no model.
     pub engine: Option<Engine>,
--- a/crates/catalog/src/source.rs
+++ b/crates/catalog/src/source.rs
@@ -2,7 +2,7 @@
 //!
 //! A copy holds the latest record of each key and the offset of the next change that it lacks.
 //! Offsets order all changes of a table, so two copies can be compared: the one with the higher
-//! offset replaces the other. A node that can't read the source takes over a peer's copy.
+//! offset replaces the other. A node that can't read the store takes over a peer's copy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -58,6 +58,7 @@
 pub struct Table {
     rows: BTreeMap<String, Record>,
     next_offset: Offset,
+    /// Offset from which on no removal is missing from `rows`.
     history_start: Offset,
 }
 
