--- a/crates/entry/src/api/error.rs
+++ b/crates/entry/src/api/error.rs
@@ -115,7 +115,7 @@
             r#type: kind(self.status),
             param: self.param.as_deref(),
             code: self.code,
-            outcome: self.outcome.word(),
+            outcome: self.outcome.as_str(),
         };
         let envelope = Envelope { error: detail };
         serde_json::to_string(&envelope).unwrap_or_default()
@@ -195,7 +195,7 @@
 
 /// The outcome as a header's value.
 pub fn outcome(outcome: Outcome) -> HeaderValue {
-    HeaderValue::from_static(outcome.word())
+    HeaderValue::from_static(outcome.as_str())
 }
 
 /// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -165,7 +165,7 @@
         };
         let accounts = self.router.accounts().iter();
         let demands = accounts.map(|a| Demand {
-            asked: a.taken + a.refused,
+            asked: a.admitted + a.refused,
             in_flight: a.in_flight,
         });
         let note = Note::Demand(snapshot.view.bundle.digest, demands.collect());
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -71,8 +71,8 @@
         priority: header.priority,
         repeatable,
         deadline: state.deadline(header.deadline),
-        prompt: 0,
-        most: 1,
+        prompt_tokens: 0,
+        max_tokens: 1,
         prefix: Vec::new(),
         fingerprint: fingerprint(team, &fingerprint_path, &body),
     };
--- a/crates/entry/src/handler/complete.rs
+++ b/crates/entry/src/handler/complete.rs
@@ -138,8 +138,8 @@
         priority: header.priority,
         repeatable: header.repeatable.unwrap_or(true),
         deadline: state.deadline(header.deadline),
-        prompt: ask.prompt_tokens(),
-        most,
+        prompt_tokens: ask.prompt_tokens(),
+        max_tokens: most,
         prefix: prefix(&ask.model, &ask.prompt),
         fingerprint: fingerprint(&bundle.teams[usize::from(header.team)].name, "", body),
     };
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -63,7 +63,7 @@
     /// Counts a request that ended.
     pub fn ended(&self, outcome: Outcome) {
         self.requests
-            .add(1, &[KeyValue::new("outcome", outcome.word())]);
+            .add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
     /// Counts a refusal; it is an ended request too.
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -139,7 +139,7 @@
             self.text(rest);
         }
         let reason = Some(self.answer.finish_reason(end));
-        let word = Some(end.outcome.word());
+        let word = Some(end.outcome.as_str());
         match self.answer.kind() {
             Kind::Chat => self.chat(Delta::default(), reason, word),
             Kind::Text => self.completion("", reason, word),
--- a/crates/node/src/control/view.rs
+++ b/crates/node/src/control/view.rs
@@ -66,7 +66,7 @@
         let retries = shares.iter().map(|s| s.rate).sum::<f64>() * RETRY_PART;
         View {
             shares,
-            retries: retries.max(LEAST_RETRIES),
+            retry_rate: retries.max(LEAST_RETRIES),
             ..view
         }
     }
@@ -77,13 +77,13 @@
         View {
             bundle: self.bundle.clone(),
             zone: self.bundle.zone(&self.settings.node.zone).unwrap_or(0),
-            open: self.open(versions),
+            available: self.open(versions),
             ejected: observed.ejected,
             suspects: observed.suspects,
             pending: observed.pending,
             condemned: observed.condemned,
             shares: Vec::new(),
-            retries: 0.0,
+            retry_rate: 0.0,
             // A node that leaves serves all that still comes; the listener ends it.
             leaving: false,
         }
--- a/crates/rig/examples/demo.rs
+++ b/crates/rig/examples/demo.rs
@@ -144,7 +144,7 @@
 fn bound(fleet: &Fleet) -> f64 {
     let bundle = fleet.bundle.as_ref().expect("a bundle was published");
     let model = bundle.model(MODEL).expect("the model is in the bundle");
-    route::plan::bound(bundle, model)
+    route::plan::max_throughput(bundle, model)
 }
 
 fn callers(fleet: &Fleet) -> Vec<std::net::SocketAddr> {
--- a/crates/rig/examples/throughput.rs
+++ b/crates/rig/examples/throughput.rs
@@ -61,7 +61,7 @@
     let fleet = Fleet::start(plan(nodes)).await?;
     let bundle = fleet.bundle.as_ref().expect("a bundle was published");
     let model = bundle.model(MODEL).expect("the model is in the bundle");
-    let bound = route::plan::bound(bundle, model);
+    let bound = route::plan::max_throughput(bundle, model);
     let callers = REPLICAS * SLOTS * CALLERS_PER_SLOT;
     let traffic = Traffic {
         callers,
--- a/crates/route/examples/crashers.rs
+++ b/crates/route/examples/crashers.rs
@@ -26,7 +26,7 @@
 
 fn run<B: Brain>(name: &str, load: f64, brain: impl Fn(u64) -> B) {
     let bundle = fixture::fleet(4, 24, 10);
-    let bound = route::plan::bound(&bundle, 0) * 32.0 / 33.0;
+    let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
     let mut world = World::new(bundle, NODES, 3, brain);
     world.restart = Duration::from_secs(5);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
@@ -35,8 +35,8 @@
         let at = Duration::from_secs_f64(i as f64 / per_second);
         let base = fixture::request(i.into(), at + Duration::from_secs(20));
         let request = Request {
-            most: 32,
-            prompt: 16,
+            max_tokens: 32,
+            prompt_tokens: 16,
             ..base
         };
         world.arrive(at, rng.random_range(0..NODES), request);
@@ -48,7 +48,7 @@
             let base = fixture::request(id, at + Duration::from_secs(20));
             let request = Request {
                 fingerprint: crasher + 7,
-                prompt: 16,
+                prompt_tokens: 16,
                 ..base
             };
             world.crashers.push(crasher + 7);
--- a/crates/route/examples/mixes.rs
+++ b/crates/route/examples/mixes.rs
@@ -39,7 +39,7 @@
 }
 
 fn mix(name: &'static str, bundle: Bundle) -> Mix {
-    let bound = route::plan::bound(&bundle, 0);
+    let bound = route::plan::max_throughput(&bundle, 0);
     let mix = Mix {
         name,
         bundle,
@@ -116,7 +116,7 @@
 
 /// Requests over 60 menus of 8 blocks each; the bound counts each menu as cached.
 fn waves(bundle: Bundle) -> Mix {
-    let bound = generated(route::plan::bound(&bundle, 0), 32, host::BLOCK);
+    let bound = generated(route::plan::max_throughput(&bundle, 0), 32, host::BLOCK);
     Mix {
         menus: 60,
         prompt: 9 * host::BLOCK,
@@ -144,8 +144,8 @@
         let request = Request {
             team,
             prefix,
-            prompt: mix.prompt,
-            most: mix.most,
+            prompt_tokens: mix.prompt,
+            max_tokens: mix.most,
             ..base
         };
         let at = Duration::from_secs_f64(i as f64 / per_second);
--- a/crates/route/examples/overload.rs
+++ b/crates/route/examples/overload.rs
@@ -28,7 +28,7 @@
 fn run(fair: f64, urgent: f64) -> World<Router> {
     let mut bundle = fixture::fleet(4, 24, TEAMS);
     bundle.teams[0].weight = WEIGHT;
-    let bound = route::plan::bound(&bundle, 0) * 32.0 / 33.0;
+    let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
     let mut world = World::new(bundle, NODES, 3, |s| Router::new(s, Settings::default()));
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut id = 0_u128;
@@ -45,8 +45,8 @@
             let request = Request {
                 team,
                 priority,
-                most: 32,
-                prompt: 16,
+                max_tokens: 32,
+                prompt_tokens: 16,
                 ..base
             };
             world.arrive(at, rng.random_range(0..NODES), request);
@@ -99,7 +99,7 @@
         let world = run(fair, urgent);
         let starts = waits(&world, |c| c.started);
         let tokens = waits(&world, |c| c.first);
-        let bound = route::plan::bound(&world.bundle, 0) * 32.0 / 33.0;
+        let bound = route::plan::max_throughput(&world.bundle, 0) * 32.0 / 33.0;
         let done: f64 = (0..TEAMS as u16).map(|t| whole(&world, t, 1)).sum();
         let rate = done * 32.0 / (END - WARM + Duration::from_secs(1)).as_secs_f64();
         let paused: u64 = world.nodes.iter().map(|n| n.brain.report().paused).sum();
--- a/crates/route/examples/recovery.rs
+++ b/crates/route/examples/recovery.rs
@@ -24,7 +24,7 @@
 
 fn run(seed: u64, faults: &[Fault]) -> World<Router> {
     let bundle = fixture::fleet(4, 24, 10);
-    let bound = route::plan::bound(&bundle, 0) * 64.0 / 65.0;
+    let bound = route::plan::max_throughput(&bundle, 0) * 64.0 / 65.0;
     let mut world = World::new(bundle, NODES, seed, |s| Router::new(s, Settings::default()));
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let per_second = bound * 0.5 / 64.0;
@@ -32,8 +32,8 @@
         let at = Duration::from_secs_f64(i as f64 / per_second);
         let base = fixture::request(i.into(), at + Duration::from_secs(20));
         let request = Request {
-            most: 64,
-            prompt: 16,
+            max_tokens: 64,
+            prompt_tokens: 16,
             ..base
         };
         world.arrive(at, rng.random_range(0..NODES), request);
--- a/crates/route/examples/storm.rs
+++ b/crates/route/examples/storm.rs
@@ -28,7 +28,7 @@
 /// Part of the bound of all endpoints that is offered.
 fn run<B: Brain>(name: &str, load: f64, dark: bool, brain: impl Fn(u64) -> B) {
     let bundle = fixture::fleet(4, 24, 10);
-    let bound = route::plan::bound(&bundle, 0) * 32.0 / 33.0;
+    let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
     let mut world = World::new(bundle, NODES, 3, brain);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let per_second = bound * load / 32.0;
@@ -40,8 +40,8 @@
         let team = rng.random_range(0..10);
         let request = Request {
             team,
-            most: 32,
-            prompt: 16,
+            max_tokens: 32,
+            prompt_tokens: 16,
             ..base
         };
         world.arrive(at, rng.random_range(0..NODES), request);
--- a/crates/route/examples/team_limits.rs
+++ b/crates/route/examples/team_limits.rs
@@ -26,7 +26,7 @@
     };
     let mut tables = vec![Table::default(); workers];
     tables.iter_mut().for_each(|t| {
-        t.follow(Duration::ZERO, &bundle, &[share]);
+        t.apply_bundle(Duration::ZERO, &bundle, &[share]);
     });
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut ends = std::collections::VecDeque::new();
@@ -35,10 +35,10 @@
         let now = Duration::from_secs_f64(i as f64 / OFFERED as f64);
         while ends.front().is_some_and(|&(at, _)| at <= now) {
             let (_, worker): (Duration, usize) = ends.pop_front().expect("just seen");
-            tables[worker].end(0);
+            tables[worker].release(0);
         }
         let worker = rng.random_range(0..busy);
-        if tables[worker].take(now, 0, false, 1.0).is_ok() {
+        if tables[worker].admit(now, 0, false, 1.0).is_ok() {
             ends.push_back((now + TIME, worker));
             first += u64::from(now < Duration::from_secs(1));
             late += u64::from(now >= Duration::from_secs(10));
--- a/crates/route/src/action.rs
+++ b/crates/route/src/action.rs
@@ -27,7 +27,7 @@
     /// A request with this fingerprint was in flight when an endpoint died.
     Suspect(u64),
     /// A request with this fingerprint was alone on an endpoint that died: it is held back
-    /// everywhere until the verdict, [`crate::crash::WINDOW`] later.
+    /// everywhere until the verdict, [`crate::crash::CORRELATION_WINDOW`] later.
     Pending(u64),
     /// Requests with this fingerprint crash endpoints and are refused everywhere.
     Condemned(u64),
--- a/crates/route/src/audit.rs
+++ b/crates/route/src/audit.rs
@@ -16,13 +16,13 @@
 
 /// Account of one live request.
 #[derive(Clone, Debug)]
-struct Life {
+struct Record {
     target: Target,
     repeatable: bool,
     fingerprint: u64,
     attempt: Attempt,
     running: bool,
-    whole: bool,
+    complete: bool,
     sent: bool,
     left: bool,
 }
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
     bundle: Arc<Bundle>,
-    open: Vec<bool>,
+    available: Vec<bool>,
     condemned: BTreeSet<u64>,
-    lives: BTreeMap<Id, Life>,
+    records: BTreeMap<Id, Record>,
 }
 
 impl Audit {
@@ -42,21 +42,21 @@
         match event {
             Event::View(view) => self.view(view),
             Event::Arrive(request) => {
-                let life = Life {
+                let life = Record {
                     target: request.target,
                     repeatable: request.repeatable,
                     fingerprint: request.fingerprint,
                     attempt: 0,
                     running: false,
-                    whole: false,
+                    complete: false,
                     sent: false,
                     left: false,
                 };
-                self.lives.entry(request.id).or_insert(life);
+                self.records.entry(request.id).or_insert(life);
             }
             Event::Finished(id, attempt) => {
                 if let Some(life) = self.current(*id, *attempt) {
-                    life.whole = true;
+                    life.complete = true;
                     life.running = false;
                     life.sent = true;
                 }
@@ -68,7 +68,7 @@
                 }
             }
             Event::Left(id) => {
-                self.lives
+                self.records
                     .get_mut(id)
                     .into_iter()
                     .for_each(|l| l.left = true);
@@ -77,19 +77,19 @@
         }
     }
 
-    fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Life> {
-        self.lives
+    fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Record> {
+        self.records
             .get_mut(&id)
             .filter(|l| l.running && l.attempt == attempt)
     }
 
     fn view(&mut self, view: &View) {
         let bundle = view.bundle.clone();
-        for life in self.lives.values_mut() {
+        for life in self.records.values_mut() {
             life.target = renamed(&self.bundle, &bundle, life.target);
         }
         self.bundle = bundle;
-        self.open.clone_from(&view.open);
+        self.available.clone_from(&view.available);
         self.condemned.extend(&view.condemned);
     }
 
@@ -100,8 +100,8 @@
             Action::Cancel(id, attempt) => self.cancel(*id, *attempt),
             Action::Refuse(id, _) => self.end(*id, Outcome::NotRun),
             Action::Finish(id, outcome) => self.end(*id, *outcome),
-            Action::Observe(crate::action::Observation::Condemned(print)) => {
-                self.condemned.insert(*print);
+            Action::Observe(crate::action::Observation::Condemned(fingerprint)) => {
+                self.condemned.insert(*fingerprint);
                 Vec::new()
             }
             _ => Vec::new(),
@@ -113,7 +113,7 @@
             place: Place::Request(id, attempt),
             fault,
         };
-        let Some(life) = self.lives.get_mut(&id).filter(|l| !l.left) else {
+        let Some(life) = self.records.get_mut(&id).filter(|l| !l.left) else {
             return vec![at(Fault::Ended)];
         };
         let mut faults = chain::check(&self.bundle, life.target, hops);
@@ -126,7 +126,13 @@
         if self.condemned.contains(&life.fingerprint) {
             faults.push(Fault::Condemned);
         }
-        let shut = |h: &&Hop| !self.open.get(h.endpoint as usize).copied().unwrap_or(false);
+        let shut = |h: &&Hop| {
+            !self
+                .available
+                .get(h.endpoint as usize)
+                .copied()
+                .unwrap_or(false)
+        };
         faults.extend(hops.iter().filter(shut).map(|h| Fault::Closed(h.endpoint)));
         life.attempt = attempt;
         life.running = true;
@@ -147,7 +153,7 @@
     }
 
     fn end(&mut self, id: Id, outcome: Outcome) -> Vec<Finding> {
-        let Some(life) = self.lives.remove(&id).filter(|l| !l.left) else {
+        let Some(life) = self.records.remove(&id).filter(|l| !l.left) else {
             return vec![Finding {
                 place: Place::Request(id, 0),
                 fault: Fault::Ended,
@@ -158,7 +164,7 @@
             faults.push(Fault::Twice);
         }
         match outcome {
-            Outcome::Complete if !life.whole => faults.push(Fault::Partial),
+            Outcome::Complete if !life.complete => faults.push(Fault::Partial),
             Outcome::NotRun if life.sent => faults.push(Fault::Sent),
             _ => {}
         }
@@ -171,11 +177,11 @@
 
     /// After all actions of one event: forgets requests whose caller left; what of them still
     /// runs is a finding.
-    pub fn settle(&mut self, event: &Event) -> Vec<Finding> {
+    pub fn end_left(&mut self, event: &Event) -> Vec<Finding> {
         let Event::Left(id) = event else {
             return Vec::new();
         };
-        let Some(life) = self.lives.remove(id) else {
+        let Some(life) = self.records.remove(id) else {
             return Vec::new();
         };
         let place = Place::Request(*id, life.attempt);
@@ -189,8 +195,8 @@
     }
 
     /// Live requests.
-    pub fn live(&self) -> usize {
-        self.lives.len()
+    pub fn live_count(&self) -> usize {
+        self.records.len()
     }
 }
 
--- a/crates/route/src/chain.rs
+++ b/crates/route/src/chain.rs
@@ -9,7 +9,7 @@
 /// Every fault of a chain for `target`, by the bundle alone: it shares no code with the plan.
 pub fn check(bundle: &Bundle, target: Target, hops: &[Hop]) -> Vec<Fault> {
     match target {
-        Target::Model(model, _) => layers(bundle, model, hops),
+        Target::Model(model, _) => check_layers(bundle, model, hops),
         Target::Service(service) => {
             let fits = |h: &Hop| {
                 let row = bundle.endpoints.get(h.endpoint as usize);
@@ -25,7 +25,7 @@
     }
 }
 
-fn layers(bundle: &Bundle, model: ModelId, hops: &[Hop]) -> Vec<Fault> {
+fn check_layers(bundle: &Bundle, model: ModelId, hops: &[Hop]) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut at: Layer = 0;
     for hop in hops {
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -4,8 +4,8 @@
 //! by in-flight work over flow keeps each router's own work in proportion to the flow. When no
 //! drawn stage takes work, a search over all stages finds a chain if there is one.
 
-use crate::plan::Wires;
-use crate::plan::graph::{Graph, Next, Stage};
+use crate::plan::Links;
+use crate::plan::graph::{Graph, Stage, Successor};
 use bundle::id::{EndpointId, ZoneId};
 use rand::{Rng, RngExt};
 
@@ -17,21 +17,21 @@
     /// Streams on an endpoint with one more, times how much slower than aimed it is; `None` if it
     /// takes no work.
     fn endpoint(&self, endpoint: EndpointId) -> Option<f64>;
-    /// Streams over a pair of zones, see [`Wires::at`]; `None` if it takes no more.
+    /// Streams over a pair of zones, see [`Links::at`]; `None` if it takes no more.
     fn link(&self, pair: usize) -> Option<f64>;
 }
 
 /// Factor on the cost of a stage that is likely to have the prefix in its cache.
-const CACHED: f64 = 0.5;
+const CACHED_COST_FACTOR: f64 = 0.5;
 /// Latency weighs as this many times itself, since each token pays it.
-const ROUND_TRIP: f64 = 2.0;
+const LATENCY_WEIGHT: f64 = 2.0;
 
 /// A choice over one graph.
 pub struct Choice<'a, L> {
     /// The graph.
     pub graph: &'a Graph,
     /// Links between zones.
-    pub wires: &'a Wires,
+    pub links: &'a Links,
     /// The router's zone.
     pub zone: ZoneId,
     /// Loads.
@@ -55,13 +55,13 @@
             if stage.to >= self.graph.layers {
                 return Some(chain);
             }
-            port = self.graph.port(stage);
+            port = self.graph.port_after(stage);
             zone = stage.zone;
         }
     }
 
     fn best(&self, port: usize, zone: ZoneId, rng: &mut impl Rng) -> Option<usize> {
-        let nexts = self.graph.nexts(port);
+        let nexts = self.graph.successors(port);
         let drawn = (0..self.draws).filter_map(|_| draw(nexts, rng));
         let local = nexts.iter().filter(|_| !self.cached.is_empty());
         let local = local.filter(|n| self.cached.contains(&self.graph.stages[n.stage].endpoint));
@@ -78,28 +78,30 @@
         let rate = if flow > 0.0 { flow } else { row.rate };
         let mut cost = self.load.endpoint(row.endpoint)? / rate;
         if self.cached.contains(&row.endpoint) {
-            cost *= CACHED;
+            cost *= CACHED_COST_FACTOR;
         }
         // Only activations load a link; the token itself, sent to the first hop, does not.
         let link = if row.from == 0 {
             0.0
         } else {
-            self.crossing(zone, row.zone)?
+            self.link_cost(zone, row.zone)?
         };
-        let away = self.wires.latency(self.zone, row.zone).as_secs_f64() * ROUND_TRIP;
+        let away = self.links.latency(self.zone, row.zone).as_secs_f64() * LATENCY_WEIGHT;
         Some(cost + link + away)
     }
 
-    fn crossing(&self, from: ZoneId, to: ZoneId) -> Option<f64> {
-        let streams = self.load.link(self.wires.at(from, to))?;
-        Some((streams + 1.0) / self.wires.rate(from, to))
+    fn link_cost(&self, from: ZoneId, to: ZoneId) -> Option<f64> {
+        let streams = self.load.link(self.links.pair_index(from, to))?;
+        Some((streams + 1.0) / self.links.rate(from, to))
     }
 }
 
 /// Draws one of `nexts` by flow; their `sum` grows.
-fn draw(nexts: &[Next], rng: &mut impl Rng) -> Option<usize> {
-    let total = nexts.last()?.sum;
+fn draw(nexts: &[Successor], rng: &mut impl Rng) -> Option<usize> {
+    let total = nexts.last()?.cumulative_flow;
     let at = rng.random::<f64>() * total;
-    let index = nexts.partition_point(|n| n.sum <= at).min(nexts.len() - 1);
+    let index = nexts
+        .partition_point(|n| n.cumulative_flow <= at)
+        .min(nexts.len() - 1);
     Some(nexts[index].stage)
 }
--- a/crates/route/src/choose/locality.rs
+++ b/crates/route/src/choose/locality.rs
@@ -11,21 +11,21 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// One in this many requests that begin with a block make it hot.
-const HOT: u64 = 6;
+const HOT_DIVISOR: u64 = 6;
 /// Requests with a block below which it is not hot.
-const FEW: u32 = 32;
+const HOT_MIN_COUNT: u32 = 32;
 /// First stages, and later ones after each of these, that a prefix is sent to.
-const HOME: (usize, usize) = (2, 2);
+const HOME_STAGES: (usize, usize) = (2, 2);
 /// As many when those are full and these are not.
-const SPARE: (usize, usize) = (4, 2);
+const SPARE_STAGES: (usize, usize) = (4, 2);
 
 /// Memory of prefixes, bounded; the least lately used ones are forgotten.
 #[derive(Clone, Debug)]
 pub struct Locality {
-    most: usize,
+    capacity: usize,
     clock: u64,
     /// Requests counted.
-    noted: u64,
+    request_count: u64,
     seen: BTreeMap<u64, Seen>,
     ages: BTreeMap<u64, u64>,
 }
@@ -49,17 +49,17 @@
     /// A memory of at most `most` prefixes.
     pub fn new(most: usize) -> Self {
         Self {
-            most,
+            capacity: most,
             clock: 0,
-            noted: 0,
+            request_count: 0,
             seen: BTreeMap::new(),
             ages: BTreeMap::new(),
         }
     }
 
     /// Counts a request with this prefix.
-    pub fn note(&mut self, prefix: &[u64]) {
-        self.noted += 1;
+    pub fn record(&mut self, prefix: &[u64]) {
+        self.request_count += 1;
         for &hash in prefix {
             self.clock += 1;
             let fresh = Seen {
@@ -72,7 +72,7 @@
             seen.count = seen.count.saturating_add(1);
             self.ages.insert(self.clock, hash);
         }
-        while self.seen.len() > self.most {
+        while self.seen.len() > self.capacity {
             let Some((_, hash)) = self.ages.pop_first() else {
                 return;
             };
@@ -82,20 +82,20 @@
 
     /// Where the shared part of `prefix` is likely to be cached.
     pub fn find(&self, prefix: &[u64], graph: &Graph) -> Preference {
-        let cool = prefix.iter().find(|h| !self.hot(**h));
+        let cool = prefix.iter().find(|h| !self.is_hot(**h));
         let Some(&key) = cool.or(prefix.last()) else {
             return Preference::default();
         };
         Preference {
-            home: rendezvous(graph, key, HOME),
-            spare: rendezvous(graph, key, SPARE),
+            home: rendezvous(graph, key, HOME_STAGES),
+            spare: rendezvous(graph, key, SPARE_STAGES),
         }
     }
 
     /// Whether so many requests begin with this that a few endpoints could not serve them.
-    fn hot(&self, hash: u64) -> bool {
+    fn is_hot(&self, hash: u64) -> bool {
         let count = self.seen.get(&hash).map_or(0, |s| s.count);
-        count > FEW && u64::from(count) * HOT > self.noted
+        count > HOT_MIN_COUNT && u64::from(count) * HOT_DIVISOR > self.request_count
     }
 
     /// Prefixes remembered.
@@ -115,11 +115,11 @@
     let mut found = Vec::new();
     let mut ports = vec![(Graph::START, first)];
     while let Some((port, most)) = ports.pop() {
-        for stage in leading(graph, port, key, most) {
+        for stage in top_ranked(graph, port, key, most) {
             let row = &graph.stages[stage];
             found.push(row.endpoint);
             if row.to < graph.layers {
-                ports.push((graph.port(row), later));
+                ports.push((graph.port_after(row), later));
             }
         }
     }
@@ -127,12 +127,12 @@
 }
 
 /// The `most` stages after `port` with the least weighted hash.
-fn leading(graph: &Graph, port: usize, key: u64, most: usize) -> Vec<usize> {
+fn top_ranked(graph: &Graph, port: usize, key: u64, most: usize) -> Vec<usize> {
     let mut before = 0.0;
-    let ranked = graph.nexts(port).iter().map(|next| {
-        let flow = next.sum - before;
-        before = next.sum;
-        let hash = xxh3_64_with_seed(&graph.stages[next.stage].salt.to_le_bytes(), key);
+    let ranked = graph.successors(port).iter().map(|next| {
+        let flow = next.cumulative_flow - before;
+        before = next.cumulative_flow;
+        let hash = xxh3_64_with_seed(&graph.stages[next.stage].name_hash.to_le_bytes(), key);
         let unit = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         (-unit.max(f64::MIN_POSITIVE).ln() / flow, next.stage)
     });
--- a/crates/route/src/choose/search.rs
+++ b/crates/route/src/choose/search.rs
@@ -15,39 +15,40 @@
     /// The cheapest chain over all stages, boundary by boundary; `None` if no chain takes work.
     pub fn search(&self) -> Option<Vec<usize>> {
         let graph = self.graph;
-        let mut bests: Vec<Option<Best>> = vec![None; graph.ports()];
-        for &cut in graph.cuts() {
-            for stage in graph.from(cut) {
+        let mut bests: Vec<Option<Best>> = vec![None; graph.port_count()];
+        for &cut in graph.layer_boundaries() {
+            for stage in graph.stages_from(cut) {
                 self.relax(&mut bests, stage);
             }
         }
         let last = graph.stages.iter().filter(|s| s.to == graph.layers);
-        let ends = last.filter_map(|s| bests[graph.port(s)].map(|b| (b.cost, graph.port(s))));
+        let ends =
+            last.filter_map(|s| bests[graph.port_after(s)].map(|b| (b.cost, graph.port_after(s))));
         let (_, end) = ends.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(self.trace(&bests, end))
     }
 
     fn relax(&self, bests: &mut [Option<Best>], stage: usize) {
         let row = &self.graph.stages[stage];
-        let ways = self.ways(bests, row.from);
+        let ways = self.arrivals(bests, row.from);
         let costs = ways.filter_map(|(base, zone)| Some((base + self.cost(zone, stage)?, zone)));
         let Some((cost, zone)) = costs.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return;
         };
-        let port = &mut bests[self.graph.port(row)];
+        let port = &mut bests[self.graph.port_after(row)];
         if port.is_none_or(|b| cost < b.cost) {
             *port = Some(Best { cost, stage, zone });
         }
     }
 
     /// Costs and zones from which a stage that starts at `layer` can be reached.
-    fn ways<'b>(
+    fn arrivals<'b>(
         &'b self,
         bests: &'b [Option<Best>],
         layer: u16,
     ) -> impl Iterator<Item = (f64, ZoneId)> + 'b {
         let start = (layer == 0).then_some((0.0, self.zone));
-        let ports = self.graph.at(layer).filter(move |_| layer > 0);
+        let ports = self.graph.ports_at(layer).filter(move |_| layer > 0);
         start
             .into_iter()
             .chain(ports.filter_map(|(p, z)| bests[p].map(|b| (b.cost, z))))
@@ -62,7 +63,7 @@
             if from == 0 {
                 break;
             }
-            let before = self.graph.at(from).find(|&(_, z)| z == best.zone);
+            let before = self.graph.ports_at(from).find(|&(_, z)| z == best.zone);
             port = before.map_or(0, |(p, _)| p);
         }
         chain.reverse();
--- a/crates/route/src/crash.rs
+++ b/crates/route/src/crash.rs
@@ -12,235 +12,244 @@
 use std::time::Duration;
 
 /// Deaths within this time may have one cause.
-pub const WINDOW: Duration = Duration::from_millis(1500);
+pub const CORRELATION_WINDOW: Duration = Duration::from_millis(1500);
 /// Deaths within the window from which they count as one loss.
-pub const MASS: usize = 3;
+pub const MASS_FAILURE_ENDPOINTS: usize = 3;
 /// Deaths in company, at different times, that condemn as one alone does.
-const SHARED: u32 = 3;
+const MAX_SHARED_DEATHS: u32 = 3;
 /// Broken connections with a living endpoint that count as one death: it may have restarted.
-const BREAKS: u32 = 2;
+const BREAKS_PER_DEATH: u32 = 2;
 
 /// What speaks against a fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Mark {
+struct Evidence {
     deaths: u32,
-    breaks: u32,
+    connection_losses: u32,
     latest: Now,
 }
 
 /// What was in flight at an endpoint that may have died.
 #[derive(Clone, Debug, PartialEq)]
-struct Scene {
+struct Incident {
     at: Now,
     endpoint: EndpointId,
-    prints: Vec<u64>,
+    fingerprints: Vec<u64>,
 }
 
 /// The table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    marks: BTreeMap<u64, Mark>,
-    told: BTreeSet<u64>,
+    evidence: BTreeMap<u64, Evidence>,
+    remote_suspects: BTreeSet<u64>,
     cleared: BTreeSet<u64>,
     condemned: BTreeSet<u64>,
-    open: BTreeMap<EndpointId, Scene>,
-    deaths: VecDeque<Scene>,
+    incidents: BTreeMap<EndpointId, Incident>,
+    deaths: VecDeque<Incident>,
     verdicts: Vec<(Now, u64)>,
     /// Verdicts under way at other nodes.
-    awaited: BTreeSet<u64>,
+    remote_pending: BTreeSet<u64>,
     /// Verdicts under way here that the other nodes have not been told of.
-    charged: Vec<u64>,
-    most: usize,
+    unpublished_pending: Vec<u64>,
+    capacity: usize,
 }
 
 impl Table {
     /// A table that remembers at most `most` fingerprints of each sort.
     pub fn new(most: usize) -> Self {
         Self {
-            most,
+            capacity: most,
             ..Self::default()
         }
     }
 
     /// Takes in what other nodes know.
-    pub fn follow(&mut self, suspects: &[u64], pending: &[u64], condemned: &[u64]) {
-        self.told = suspects.iter().copied().collect();
-        self.awaited = pending.iter().copied().collect();
+    pub fn update_remote(&mut self, suspects: &[u64], pending: &[u64], condemned: &[u64]) {
+        self.remote_suspects = suspects.iter().copied().collect();
+        self.remote_pending = pending.iter().copied().collect();
         self.condemned.extend(condemned);
     }
 
     /// Renames endpoints after a new bundle.
-    pub fn rename(&mut self, moved: &[Option<EndpointId>]) {
-        let open = std::mem::take(&mut self.open).into_values();
+    pub fn remap_endpoints(&mut self, moved: &[Option<EndpointId>]) {
+        let open = std::mem::take(&mut self.incidents).into_values();
         let kept = open.filter_map(|s| {
             let endpoint = moved.get(s.endpoint as usize).copied()??;
-            Some((endpoint, Scene { endpoint, ..s }))
+            Some((endpoint, Incident { endpoint, ..s }))
         });
-        self.open = kept.collect();
+        self.incidents = kept.collect();
     }
 
     /// Whether requests like this one are refused.
-    pub fn condemned(&self, print: u64) -> bool {
-        self.condemned.contains(&print)
+    pub fn is_condemned(&self, fingerprint: u64) -> bool {
+        self.condemned.contains(&fingerprint)
     }
 
     /// Whether a verdict on this one is under way, here or at another node. Run meanwhile, a
     /// resend would cost one more endpoint to learn what the verdict will tell.
-    pub fn pending(&self, print: u64) -> bool {
-        self.verdicts.iter().any(|&(_, p)| p == print) || self.awaited.contains(&print)
+    pub fn is_pending(&self, fingerprint: u64) -> bool {
+        self.verdicts.iter().any(|&(_, p)| p == fingerprint)
+            || self.remote_pending.contains(&fingerprint)
     }
 
     /// Verdicts under way that the other nodes are to be told of.
-    pub fn take_charged(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.charged)
+    pub fn take_pending(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.unpublished_pending)
     }
 
     /// Whether this one must run alone.
-    pub fn suspect(&self, print: u64) -> bool {
-        let own = self.marks.get(&print).is_some_and(|m| m.deaths > 0);
-        own || (self.told.contains(&print) && !self.cleared.contains(&print))
+    pub fn is_suspect(&self, fingerprint: u64) -> bool {
+        let own = self
+            .evidence
+            .get(&fingerprint)
+            .is_some_and(|m| m.deaths > 0);
+        own || (self.remote_suspects.contains(&fingerprint) && !self.cleared.contains(&fingerprint))
     }
 
     /// An endpoint shows signs of death with `prints` in flight.
-    pub fn scene(&mut self, at: Now, endpoint: EndpointId, prints: Vec<u64>) {
-        self.open.entry(endpoint).or_insert(Scene {
+    pub fn open_incident(&mut self, at: Now, endpoint: EndpointId, fingerprints: Vec<u64>) {
+        self.incidents.entry(endpoint).or_insert(Incident {
             at,
             endpoint,
-            prints,
+            fingerprints,
         });
     }
 
     /// The endpoint lives: only connections broke, or it restarted at once. Returns the new
     /// suspects.
-    pub fn alive(&mut self, now: Now, endpoint: EndpointId, broke: bool) -> Vec<u64> {
-        let Some(scene) = self.open.remove(&endpoint) else {
+    pub fn record_alive(&mut self, now: Now, endpoint: EndpointId, broke: bool) -> Vec<u64> {
+        let Some(scene) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
         if !broke {
             return Vec::new();
         }
-        let mut prints = Vec::new();
-        for print in scene.prints {
-            let mark = self.marks.entry(print).or_default();
-            mark.breaks += 1;
+        let mut fingerprints = Vec::new();
+        for fingerprint in scene.fingerprints {
+            let mark = self.evidence.entry(fingerprint).or_default();
+            mark.connection_losses += 1;
             mark.latest = now;
-            if mark.breaks >= BREAKS {
-                mark.breaks = 0;
-                prints.push(print);
+            if mark.connection_losses >= BREAKS_PER_DEATH {
+                mark.connection_losses = 0;
+                fingerprints.push(fingerprint);
             }
         }
-        self.bound();
-        self.died(Scene {
+        self.evict();
+        self.record_death(Incident {
             at: now,
             endpoint,
-            prints,
+            fingerprints,
         })
     }
 
     /// The endpoint is dead. Returns the new suspects.
-    pub fn dead(&mut self, now: Now, endpoint: EndpointId) -> Vec<u64> {
-        let Some(mut scene) = self.open.remove(&endpoint) else {
+    pub fn record_dead(&mut self, now: Now, endpoint: EndpointId) -> Vec<u64> {
+        let Some(mut scene) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
         scene.at = now;
-        self.died(scene)
+        self.record_death(scene)
     }
 
-    fn died(&mut self, scene: Scene) -> Vec<u64> {
-        if scene.prints.is_empty() {
+    fn record_death(&mut self, scene: Incident) -> Vec<u64> {
+        if scene.fingerprints.is_empty() {
             return Vec::new();
         }
-        let alone = scene.prints.len() == 1;
+        let alone = scene.fingerprints.len() == 1;
         let mut fresh = Vec::new();
-        for &print in &scene.prints {
-            let before = self.suspect(print);
-            let mark = self.marks.entry(print).or_default();
+        for &fingerprint in &scene.fingerprints {
+            let before = self.is_suspect(fingerprint);
+            let mark = self.evidence.entry(fingerprint).or_default();
             mark.deaths += 1;
             mark.latest = scene.at;
-            if (before && alone) || mark.deaths >= SHARED {
-                self.verdicts.push((scene.at + WINDOW, print));
-                self.charged.push(print);
+            if (before && alone) || mark.deaths >= MAX_SHARED_DEATHS {
+                self.verdicts
+                    .push((scene.at + CORRELATION_WINDOW, fingerprint));
+                self.unpublished_pending.push(fingerprint);
             }
             if !before {
-                self.cleared.remove(&print);
-                fresh.push(print);
+                self.cleared.remove(&fingerprint);
+                fresh.push(fingerprint);
             }
         }
         self.deaths.push_back(scene);
-        self.pardon();
-        self.bound();
-        fresh.retain(|&p| self.suspect(p));
+        self.discount_mass_failure();
+        self.evict();
+        fresh.retain(|&p| self.is_suspect(p));
         fresh
     }
 
     /// When many endpoints died together, drops what speaks against requests seen in one of
     /// these deaths only.
-    fn pardon(&mut self) {
+    fn discount_mass_failure(&mut self) {
         let latest = self.deaths.back().map_or(Now::ZERO, |s| s.at);
-        while self.deaths.front().is_some_and(|s| s.at + WINDOW < latest) {
+        while self
+            .deaths
+            .front()
+            .is_some_and(|s| s.at + CORRELATION_WINDOW < latest)
+        {
             self.deaths.pop_front();
         }
         let endpoints: BTreeSet<_> = self.deaths.iter().map(|s| s.endpoint).collect();
-        if endpoints.len() < MASS {
+        if endpoints.len() < MASS_FAILURE_ENDPOINTS {
             return;
         }
         let mut seen: BTreeMap<u64, u32> = BTreeMap::new();
-        for &print in self.deaths.iter().flat_map(|s| &s.prints) {
-            *seen.entry(print).or_default() += 1;
+        for &fingerprint in self.deaths.iter().flat_map(|s| &s.fingerprints) {
+            *seen.entry(fingerprint).or_default() += 1;
         }
-        for (print, _) in seen.into_iter().filter(|&(_, n)| n == 1) {
-            self.pardon_one(print);
+        for (fingerprint, _) in seen.into_iter().filter(|&(_, n)| n == 1) {
+            self.discount(fingerprint);
         }
     }
 
-    fn pardon_one(&mut self, print: u64) {
-        if let Some(mark) = self.marks.get_mut(&print) {
+    fn discount(&mut self, fingerprint: u64) {
+        if let Some(mark) = self.evidence.get_mut(&fingerprint) {
             mark.deaths = mark.deaths.saturating_sub(1);
         }
         self.deaths
             .iter_mut()
-            .for_each(|s| s.prints.retain(|&p| p != print));
-        self.verdicts.retain(|&(_, p)| p != print);
+            .for_each(|s| s.fingerprints.retain(|&p| p != fingerprint));
+        self.verdicts.retain(|&(_, p)| p != fingerprint);
     }
 
     /// Verdicts that are due: the fingerprints condemned now.
-    pub fn settle(&mut self, now: Now) -> Vec<u64> {
+    pub fn conclude(&mut self, now: Now) -> Vec<u64> {
         let due = self.verdicts.extract_if(.., |&mut (at, _)| at <= now);
-        let mut prints: Vec<_> = due.map(|(_, print)| print).collect();
-        prints.retain(|&print| self.condemned.insert(print));
-        self.bound();
-        prints
+        let mut fingerprints: Vec<_> = due.map(|(_, fingerprint)| fingerprint).collect();
+        fingerprints.retain(|&fingerprint| self.condemned.insert(fingerprint));
+        self.evict();
+        fingerprints
     }
 
     /// A request completed: it does not crash endpoints.
-    pub fn clear(&mut self, print: u64) {
-        let marked = self.marks.remove(&print).is_some();
-        if marked || self.told.contains(&print) {
-            self.cleared.insert(print);
+    pub fn clear(&mut self, fingerprint: u64) {
+        let marked = self.evidence.remove(&fingerprint).is_some();
+        if marked || self.remote_suspects.contains(&fingerprint) {
+            self.cleared.insert(fingerprint);
         }
-        self.verdicts.retain(|&(_, p)| p != print);
+        self.verdicts.retain(|&(_, p)| p != fingerprint);
     }
 
-    fn bound(&mut self) {
-        while self.marks.len() > self.most {
+    fn evict(&mut self) {
+        while self.evidence.len() > self.capacity {
             let oldest = self
-                .marks
+                .evidence
                 .iter()
                 .min_by_key(|(_, m)| m.latest)
                 .map(|(&p, _)| p);
-            oldest.map(|p| self.marks.remove(&p));
+            oldest.map(|p| self.evidence.remove(&p));
         }
-        while self.cleared.len() > self.most {
+        while self.cleared.len() > self.capacity {
             self.cleared.pop_first();
         }
-        while self.condemned.len() > self.most {
+        while self.condemned.len() > self.capacity {
             self.condemned.pop_first();
         }
     }
 
     /// Suspects by own evidence, and condemned fingerprints.
     pub fn counts(&self) -> (usize, usize) {
-        let suspects = self.marks.values().filter(|m| m.deaths > 0).count();
+        let suspects = self.evidence.values().filter(|m| m.deaths > 0).count();
         (suspects, self.condemned.len())
     }
 }
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The endpoints as this router knows them; rows outlive a bundle and are matched by name.
 
 use crate::Now;
+use crate::concurrency::Limiter;
 use crate::health::Health;
 use crate::load::Report;
-use crate::pace::Pace;
 use crate::request::Id;
 use bundle::Bundle;
 use bundle::id::{EndpointId, ZoneId};
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// How long changes of the own work in flight are remembered, to compare with late reports.
-const TRAIL: Duration = Duration::from_secs(3);
+const HISTORY_LENGTH: Duration = Duration::from_secs(3);
 /// Time without progress in which the memory of slowness fades to half.
-const FADE: Duration = Duration::from_secs(5);
+const SLOWDOWN_HALF_LIFE: Duration = Duration::from_secs(5);
 /// Reports older than this say nothing.
-const STALE: Duration = Duration::from_secs(10);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
 /// One endpoint.
 #[derive(Clone, Debug)]
@@ -27,21 +27,21 @@
     /// Requests it runs at once.
     pub slots: u32,
     /// Whether it is live, ready and not leaving.
-    pub open: bool,
+    pub available: bool,
     /// Its health.
     pub health: Health,
     /// Its pace.
-    pub pace: Pace,
+    pub limiter: Limiter,
     /// Hops of this router's attempts that run on it.
-    pub flying: u32,
+    pub in_flight: u32,
     /// No new work before this time: it answered that it is full or unfit.
-    pub hold: Now,
+    pub backoff_until: Now,
     /// The suspect it is kept for.
-    pub ward: Option<Id>,
+    pub reserved_for: Option<Id>,
     /// When a hop last made progress.
-    pub progress: Now,
-    load: Option<(Now, f64)>,
-    trail: VecDeque<(Now, u32)>,
+    pub last_progress: Now,
+    remote_load: Option<(Now, f64)>,
+    history: VecDeque<(Now, u32)>,
 }
 
 impl Row {
@@ -50,39 +50,39 @@
             name: name.to_owned(),
             zone,
             slots,
-            open: true,
+            available: true,
             health: Health::default(),
-            pace: Pace::new(slots),
-            flying: 0,
-            hold: Now::ZERO,
-            ward: None,
-            progress: Now::ZERO,
-            load: None,
-            trail: VecDeque::new(),
+            limiter: Limiter::new(slots),
+            in_flight: 0,
+            backoff_until: Now::ZERO,
+            reserved_for: None,
+            last_progress: Now::ZERO,
+            remote_load: None,
+            history: VecDeque::new(),
         }
     }
 
     /// Takes in a load report: what others run is what it says less the own work at its time.
-    pub fn report(&mut self, now: Now, report: &Report) {
+    pub fn record_report(&mut self, now: Now, report: &Report) {
         let at = now.saturating_sub(report.age);
         let own = self
-            .trail
+            .history
             .iter()
             .rev()
             .find(|(t, _)| *t <= at)
             .map_or(0, |&(_, n)| n);
         let total = report.running.saturating_add(report.waiting);
-        self.load = Some((at, f64::from(total.saturating_sub(own))));
+        self.remote_load = Some((at, f64::from(total.saturating_sub(own))));
     }
 
     /// Estimated work of other routers, discounted by the report's age so that many routers do
     /// not all follow the same late report.
-    pub fn others(&self, now: Now, half_life: Duration) -> f64 {
-        let Some((at, others)) = self.load else {
+    pub fn estimated_remote_load(&self, now: Now, half_life: Duration) -> f64 {
+        let Some((at, others)) = self.remote_load else {
             return 0.0;
         };
         let age = now.saturating_sub(at);
-        if age > STALE {
+        if age > MAX_REPORT_AGE {
             return 0.0;
         }
         let half = half_life.as_secs_f64();
@@ -90,30 +90,32 @@
     }
 
     /// Counts a hop that starts or ends.
-    pub fn fly(&mut self, now: Now, flying: u32) {
-        self.flying = flying;
-        self.trail.push_back((now, flying));
-        while self.trail.len() > 1 && self.trail[1].0 + TRAIL < now {
-            self.trail.pop_front();
+    pub fn set_in_flight(&mut self, now: Now, flying: u32) {
+        self.in_flight = flying;
+        self.history.push_back((now, flying));
+        while self.history.len() > 1 && self.history[1].0 + HISTORY_LENGTH < now {
+            self.history.pop_front();
         }
     }
 
     /// How many times slower than aimed it is, at least 1. Fades while nothing runs here, so that
     /// an endpoint which was slow is tried again.
-    pub fn slowness(&self, now: Now) -> f64 {
-        let idle = now.saturating_sub(self.progress).as_secs_f64();
-        (self.pace.slow / (1.0 + idle / FADE.as_secs_f64())).max(1.0)
+    pub fn slowdown(&self, now: Now) -> f64 {
+        let idle = now.saturating_sub(self.last_progress).as_secs_f64();
+        (self.limiter.slowdown / (1.0 + idle / SLOWDOWN_HALF_LIFE.as_secs_f64())).max(1.0)
     }
 
     /// Whether it takes new work at all.
-    pub fn takes(&self, now: Now) -> bool {
-        self.open && self.health.takes() && self.hold <= now
+    pub fn accepts_work(&self, now: Now) -> bool {
+        self.available && self.health.accepts_work() && self.backoff_until <= now
     }
 
     /// Requests of this router it may run at once now.
     pub fn limit(&self) -> u32 {
-        let limit = (self.pace.limit as u32).clamp(1, self.slots.max(1));
-        self.health.trial().map_or(limit, |trial| trial.min(limit))
+        let limit = (self.limiter.limit as u32).clamp(1, self.slots.max(1));
+        self.health
+            .trial_limit()
+            .map_or(limit, |trial| trial.min(limit))
     }
 }
 
@@ -123,12 +125,12 @@
     /// Rows by endpoint.
     pub rows: Vec<Row>,
     /// By pair of zones: hops of this router that cross it.
-    pub links: Vec<u32>,
+    pub crossings: Vec<u32>,
 }
 
 impl Fleet {
     /// Takes in a bundle; returns the new id of each old endpoint.
-    pub fn follow(&mut self, bundle: &Bundle) -> Vec<Option<EndpointId>> {
+    pub fn apply_bundle(&mut self, bundle: &Bundle) -> Vec<Option<EndpointId>> {
         let mut old: BTreeMap<String, (usize, Row)> = std::mem::take(&mut self.rows)
             .into_iter()
             .enumerate()
@@ -146,20 +148,23 @@
             };
             kept.zone = row.zone;
             kept.slots = row.slots;
-            kept.pace.resize(row.slots);
+            kept.limiter.resize(row.slots);
             self.rows.push(kept);
         }
         moved
     }
 
     /// Counts a hop that crosses a pair of zones.
-    pub fn cross(&mut self, pair: usize) {
-        self.links.get_mut(pair).into_iter().for_each(|n| *n += 1);
+    pub fn add_crossing(&mut self, pair: usize) {
+        self.crossings
+            .get_mut(pair)
+            .into_iter()
+            .for_each(|n| *n += 1);
     }
 
     /// Uncounts a hop that crossed a pair of zones.
-    pub fn uncross(&mut self, pair: usize) {
-        self.links
+    pub fn remove_crossing(&mut self, pair: usize) {
+        self.crossings
             .get_mut(pair)
             .into_iter()
             .for_each(|n| *n = n.saturating_sub(1));
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Failures in a row, though probes are answered, after which an endpoint is ejected.
-pub const STRIKES: u32 = 4;
+pub const EJECTION_THRESHOLD: u32 = 4;
 /// Time after which earlier strikes are forgotten.
-const FORGET: Duration = Duration::from_secs(10);
+const FAILURE_MEMORY: Duration = Duration::from_secs(10);
 
 /// State.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -35,23 +35,23 @@
     pub ejections: u32,
     /// Whether the probe under way is for the return from an ejection.
     pub returning: bool,
-    strikes: u32,
-    struck: Now,
+    failures: u32,
+    last_failure: Now,
 }
 
 impl Health {
     /// Whether new work may be sent.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.state, State::Up | State::Trial(_))
     }
 
     /// Whether it is out of use: ejected, or probed for its return.
-    pub fn out(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         matches!(self.state, State::Ejected(_)) || self.returning
     }
 
     /// Requests it may run at once while on trial.
-    pub fn trial(&self) -> Option<u32> {
+    pub fn trial_limit(&self) -> Option<u32> {
         match self.state {
             State::Trial(good) => Some(1 + good),
             _ => None,
@@ -59,8 +59,8 @@
     }
 
     /// Whether a probe should be sent because of a failure; the state then waits for it.
-    pub fn ask(&mut self, now: Now) -> bool {
-        let ask = self.takes();
+    pub fn begin_probe(&mut self, now: Now) -> bool {
+        let ask = self.accepts_work();
         if ask {
             self.state = State::Probing(now);
         }
@@ -68,13 +68,13 @@
     }
 
     /// Counts a failure that a probe can't explain; whether it is the one too many.
-    pub fn strike(&mut self, now: Now) -> bool {
-        if self.struck + FORGET < now {
-            self.strikes = 0;
+    pub fn record_failure(&mut self, now: Now) -> bool {
+        if self.last_failure + FAILURE_MEMORY < now {
+            self.failures = 0;
         }
-        self.struck = now;
-        self.strikes += 1;
-        self.strikes >= STRIKES
+        self.last_failure = now;
+        self.failures += 1;
+        self.failures >= EJECTION_THRESHOLD
     }
 
     /// Takes it out of use; `jitter` in 0..1 spreads the returns.
@@ -83,12 +83,12 @@
         let time = first.saturating_mul(factor).min(most);
         self.ejections += 1;
         self.returning = false;
-        self.strikes = 0;
+        self.failures = 0;
         self.state = State::Ejected(now + time.mul_f64(1.0 + jitter / 2.0));
     }
 
     /// Whether its time out of use is over; the state then waits for a probe.
-    pub fn due(&mut self, now: Now) -> bool {
+    pub fn begin_return_probe(&mut self, now: Now) -> bool {
         let due = matches!(self.state, State::Ejected(until) if until <= now);
         if due {
             self.state = State::Probing(now);
@@ -98,7 +98,7 @@
     }
 
     /// The probe was answered.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.state = if self.returning || self.ejections > 0 {
             State::Trial(0)
         } else {
@@ -108,8 +108,8 @@
     }
 
     /// An attempt ended well; whether this restored the endpoint.
-    pub fn good(&mut self, trials: u32) -> bool {
-        self.strikes = 0;
+    pub fn record_success(&mut self, trials: u32) -> bool {
+        self.failures = 0;
         let State::Trial(good) = self.state else {
             return false;
         };
--- a/crates/route/src/flight.rs
+++ b/crates/route/src/job.rs
@@ -21,7 +21,7 @@
 
 /// A request and its attempts.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct Job {
     /// The request, with the ids of the bundle in force.
     pub request: Request,
     /// Place in the order of arrival.
@@ -33,7 +33,7 @@
     /// Number of its latest attempt; 0 before the first.
     pub attempt: Attempt,
     /// Attempts that count against [`crate::settings::Settings::tries`].
-    pub tries: u32,
+    pub failed_attempts: u32,
     /// Tokens it has had over all attempts.
     pub tokens: u32,
     /// Whether a byte that could start the work may have left in any attempt.
@@ -43,17 +43,17 @@
     /// Whether it is urgent under the bundle in force.
     pub urgent: bool,
     /// Whether it can't be continued: its model changed under it.
-    pub stranded: bool,
+    pub not_resumable: bool,
     /// Whether its next start goes on after a pause, not after a failure.
     pub paused: bool,
     /// The endpoint whose probe it waits for, while parked.
-    pub waits: Option<EndpointId>,
+    pub awaited_probe: Option<EndpointId>,
     /// How it waits in the queue, while it does.
-    pub entry: Option<Entry>,
+    pub queue_entry: Option<Entry>,
     /// Where its prefix is likely to be cached, with the plan's number that this is for.
     pub preference: Option<(u64, Preference)>,
     /// Since when it waits for a place there.
-    pub lingers: Option<Now>,
+    pub cache_wait_since: Option<Now>,
     /// Its latest attempt, while it runs.
     pub run: Option<Run>,
 }
@@ -64,26 +64,26 @@
     /// Its hops, with the endpoint ids they were started with.
     pub hops: Vec<Hop>,
     /// By hop: the endpoint's id in the bundle in force.
-    pub rows: Vec<Option<EndpointId>>,
+    pub endpoints: Vec<Option<EndpointId>>,
     /// Between hops: the zone that is left and the zone that is reached.
-    pub pairs: Vec<(ZoneId, ZoneId)>,
+    pub zone_pairs: Vec<(ZoneId, ZoneId)>,
     /// By hop: the time for it that the concurrency limits aim at.
-    pub allowed: Vec<Duration>,
+    pub target_times: Vec<Duration>,
     /// When it started.
     pub started: Now,
     /// Tokens it made.
-    pub made: u32,
+    pub tokens: u32,
     /// Hop that is to do its part next.
-    pub hop: usize,
+    pub next_hop: usize,
     /// When the last progress came.
-    pub since: Now,
+    pub last_progress: Now,
     /// Whether its silence has led to a probe.
     pub silent: bool,
     /// Whether a suspect runs alone here.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
-impl Flight {
+impl Job {
     /// A request that arrived.
     pub fn new(request: Request, seq: u64, now: Now, urgent: bool) -> Self {
         Self {
@@ -92,17 +92,17 @@
             arrived: now,
             phase: Phase::Waiting,
             attempt: 0,
-            tries: 0,
+            failed_attempts: 0,
             tokens: 0,
             sent: false,
             avoid: Vec::new(),
             urgent,
-            stranded: false,
+            not_resumable: false,
             paused: false,
-            waits: None,
-            entry: None,
+            awaited_probe: None,
+            queue_entry: None,
             preference: None,
-            lingers: None,
+            cache_wait_since: None,
             run: None,
         }
     }
@@ -113,20 +113,24 @@
     }
 
     /// Whether its latest attempt may be stopped for more urgent work and go on later.
-    pub fn yields(&self) -> bool {
+    pub fn is_preemptible(&self) -> bool {
         self.phase == Phase::Running && !self.urgent && self.request.repeatable
     }
 
     /// Whether an attempt runs on `endpoint`.
-    pub fn on(&self, endpoint: EndpointId) -> bool {
+    pub fn runs_on(&self, endpoint: EndpointId) -> bool {
         self.run
             .as_ref()
-            .is_some_and(|r| r.rows.contains(&Some(endpoint)))
+            .is_some_and(|r| r.endpoints.contains(&Some(endpoint)))
     }
 
     /// The endpoint whose part is due.
-    pub fn due(&self) -> Option<EndpointId> {
+    pub fn current_endpoint(&self) -> Option<EndpointId> {
         let run = self.run.as_ref()?;
-        run.rows.get(run.hop).or(run.rows.last()).copied().flatten()
+        run.endpoints
+            .get(run.next_hop)
+            .or(run.endpoints.last())
+            .copied()
+            .flatten()
     }
 }
--- a/crates/route/src/meter.rs
+++ b/crates/route/src/meter.rs
@@ -4,87 +4,87 @@
 use std::time::Duration;
 
 /// Part that one measurement has in an average.
-const GAIN: f64 = 0.1;
+const SMOOTHING_FACTOR: f64 = 0.1;
 /// Time over which starts are counted.
-const WINDOW: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Measures of one line; zero where not known yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Meter {
     /// Time to the first token, in seconds.
-    pub first: f64,
+    pub first_token: f64,
     /// Time between tokens, in seconds.
-    pub gap: f64,
+    pub token_gap: f64,
     /// Tokens made, as a part of the most asked for.
-    pub part: f64,
+    pub token_fraction: f64,
     /// Requests started per second while others waited.
-    pub rate: f64,
-    started: u32,
-    since: Now,
-    last: Now,
-    waited: bool,
+    pub start_rate: f64,
+    starts: u32,
+    window_start: Now,
+    last_start: Now,
+    saw_waiting: bool,
 }
 
 impl Meter {
     /// A request started; whether others still wait. Time without any start is not counted: a line
     /// that was idle would look slow, and a burst after it would be refused as overload.
-    pub fn start(&mut self, now: Now, waiting: bool) {
-        let idle = now.saturating_sub(self.last) >= WINDOW;
-        self.last = now;
-        if self.started == 0 || idle {
-            self.since = now;
-            self.started = 0;
-            self.waited = false;
+    pub fn record_start(&mut self, now: Now, waiting: bool) {
+        let idle = now.saturating_sub(self.last_start) >= RATE_WINDOW;
+        self.last_start = now;
+        if self.starts == 0 || idle {
+            self.window_start = now;
+            self.starts = 0;
+            self.saw_waiting = false;
         }
-        self.started += 1;
-        self.waited |= waiting;
+        self.starts += 1;
+        self.saw_waiting |= waiting;
         self.roll(now);
     }
 
     fn roll(&mut self, now: Now) {
-        let time = now.saturating_sub(self.since);
-        if time < WINDOW {
+        let time = now.saturating_sub(self.window_start);
+        if time < RATE_WINDOW {
             return;
         }
-        let rate = f64::from(self.started) / time.as_secs_f64();
-        if self.waited {
-            blend(&mut self.rate, rate, GAIN * 5.0);
-        } else if self.rate > 0.0 {
+        let rate = f64::from(self.starts) / time.as_secs_f64();
+        if self.saw_waiting {
+            smooth(&mut self.start_rate, rate, SMOOTHING_FACTOR * 5.0);
+        } else if self.start_rate > 0.0 {
             // Nobody waited, so more could have been started: it can only raise a known rate.
-            self.rate = self.rate.max(rate);
+            self.start_rate = self.start_rate.max(rate);
         }
-        self.started = 0;
-        self.waited = false;
+        self.starts = 0;
+        self.saw_waiting = false;
     }
 
     /// A first token came after `took`.
-    pub fn first(&mut self, took: Duration) {
-        blend(&mut self.first, took.as_secs_f64(), GAIN);
+    pub fn record_first_token(&mut self, took: Duration) {
+        smooth(&mut self.first_token, took.as_secs_f64(), SMOOTHING_FACTOR);
     }
 
     /// A request made `made` of at most `most` tokens after the first one in `took`.
-    pub fn end(&mut self, made: u32, most: u32, took: Duration) {
+    pub fn record_end(&mut self, made: u32, most: u32, took: Duration) {
         let part = f64::from(made) / f64::from(most.max(1));
-        blend(&mut self.part, part.min(1.0), GAIN);
+        smooth(&mut self.token_fraction, part.min(1.0), SMOOTHING_FACTOR);
         if made > 1 {
-            blend(
-                &mut self.gap,
+            smooth(
+                &mut self.token_gap,
                 took.as_secs_f64() / f64::from(made - 1),
-                GAIN,
+                SMOOTHING_FACTOR,
             );
         }
     }
 
     /// Expected time of a request that may make `most` tokens.
-    pub fn service(&self, most: u32) -> Duration {
-        let tokens = f64::from(most) * self.part;
-        Duration::from_secs_f64(self.first + tokens * self.gap)
+    pub fn service_time(&self, most: u32) -> Duration {
+        let tokens = f64::from(most) * self.token_fraction;
+        Duration::from_secs_f64(self.first_token + tokens * self.token_gap)
     }
 
     /// Expected wait behind `ahead` requests.
-    pub fn wait(&self, ahead: f64) -> Duration {
-        let wait = if self.rate > 0.0 {
-            ahead / self.rate
+    pub fn expected_wait(&self, ahead: f64) -> Duration {
+        let wait = if self.start_rate > 0.0 {
+            ahead / self.start_rate
         } else {
             0.0
         };
@@ -92,7 +92,7 @@
     }
 }
 
-fn blend(average: &mut f64, value: f64, gain: f64) {
+fn smooth(average: &mut f64, value: f64, gain: f64) {
     *average = if *average == 0.0 {
         value
     } else {
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -15,7 +15,7 @@
 
 impl Outcome {
     /// The word used in headers and in a stream's last event.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
             Self::NotRun => "not-run",
@@ -26,6 +26,6 @@
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
--- a/crates/route/src/plan/flow.rs
+++ b/crates/route/src/plan/flow.rs
@@ -14,44 +14,44 @@
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     heads: Vec<Node>,
-    spare: Vec<f64>,
-    out: Vec<Vec<Edge>>,
+    residual: Vec<f64>,
+    outgoing: Vec<Vec<Edge>>,
     level: Vec<u32>,
-    next: Vec<usize>,
+    cursor: Vec<usize>,
 }
 
 impl Network {
     /// A network of `nodes` nodes without edges.
     pub fn new(nodes: usize) -> Self {
         Self {
-            out: vec![Vec::new(); nodes],
+            outgoing: vec![Vec::new(); nodes],
             level: vec![0; nodes],
-            next: vec![0; nodes],
+            cursor: vec![0; nodes],
             ..Self::default()
         }
     }
 
     /// Adds an edge that carries `capacity` tokens per second.
-    pub fn edge(&mut self, from: Node, to: Node, capacity: f64) -> Edge {
+    pub fn add_edge(&mut self, from: Node, to: Node, capacity: f64) -> Edge {
         let edge = self.heads.len();
         self.heads.extend([to, from]);
-        self.spare.extend([capacity, 0.0]);
-        self.out[from].push(edge);
-        self.out[to].push(edge + 1);
+        self.residual.extend([capacity, 0.0]);
+        self.outgoing[from].push(edge);
+        self.outgoing[to].push(edge + 1);
         edge
     }
 
     /// The flow on `edge`.
     pub fn flow(&self, edge: Edge) -> f64 {
-        self.spare[edge ^ 1]
+        self.residual[edge ^ 1]
     }
 
     /// Adds all the flow that fits from `source` to `sink`; returns what was added. Edges may
     /// be added between two calls: the earlier ones are filled first.
-    pub fn fill(&mut self, source: Node, sink: Node) -> f64 {
+    pub fn augment(&mut self, source: Node, sink: Node) -> f64 {
         let mut total = 0.0;
-        while self.rank(source, sink) {
-            self.next.fill(0);
+        while self.assign_levels(source, sink) {
+            self.cursor.fill(0);
             loop {
                 let pushed = self.push(source, sink, UNBOUNDED);
                 if pushed <= EPSILON {
@@ -64,16 +64,16 @@
     }
 
     /// Breadth-first distances over edges with spare capacity; whether `sink` is in reach.
-    fn rank(&mut self, source: Node, sink: Node) -> bool {
+    fn assign_levels(&mut self, source: Node, sink: Node) -> bool {
         self.level.fill(u32::MAX);
         self.level[source] = 0;
         let mut queue = vec![source];
         let mut at = 0;
         while let Some(&node) = queue.get(at) {
             at += 1;
-            for &edge in &self.out[node] {
+            for &edge in &self.outgoing[node] {
                 let head = self.heads[edge];
-                if self.spare[edge] > EPSILON && self.level[head] == u32::MAX {
+                if self.residual[edge] > EPSILON && self.level[head] == u32::MAX {
                     self.level[head] = self.level[node] + 1;
                     queue.push(head);
                 }
@@ -87,17 +87,17 @@
         if node == sink {
             return limit;
         }
-        while let Some(&edge) = self.out[node].get(self.next[node]) {
+        while let Some(&edge) = self.outgoing[node].get(self.cursor[node]) {
             let head = self.heads[edge];
-            if self.spare[edge] > EPSILON && self.level[head] == self.level[node] + 1 {
-                let pushed = self.push(head, sink, limit.min(self.spare[edge]));
+            if self.residual[edge] > EPSILON && self.level[head] == self.level[node] + 1 {
+                let pushed = self.push(head, sink, limit.min(self.residual[edge]));
                 if pushed > EPSILON {
-                    self.spare[edge] -= pushed;
-                    self.spare[edge ^ 1] += pushed;
+                    self.residual[edge] -= pushed;
+                    self.residual[edge ^ 1] += pushed;
                     return pushed;
                 }
             }
-            self.next[node] += 1;
+            self.cursor[node] += 1;
         }
         0.0
     }
--- a/crates/route/src/plan/graph.rs
+++ b/crates/route/src/plan/graph.rs
@@ -1,7 +1,7 @@
 //! The layered graph of one model.
 
 use super::flow::{Edge, Network, UNBOUNDED};
-use super::{Wires, distance};
+use super::{Links, distance};
 use bundle::Bundle;
 use bundle::id::{EndpointId, Layer, ModelId, ZoneId};
 use std::collections::BTreeMap;
@@ -20,17 +20,17 @@
     /// Tokens per second through these layers.
     pub rate: f64,
     /// Hash of the endpoint's name, alike on all nodes.
-    pub salt: u64,
+    pub name_hash: u64,
 }
 
 /// A stage that a chain can go on with.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Next {
+pub struct Successor {
     /// Index in [`Graph::stages`].
     pub stage: usize,
     /// Flow that arrives at the stage this way, and at those before it in the list, in tokens
     /// per second.
-    pub sum: f64,
+    pub cumulative_flow: f64,
 }
 
 /// A place where a chain can stand: a layer boundary, in a zone; [`Graph::START`] before all.
@@ -42,15 +42,15 @@
     /// Layers of the model.
     pub layers: Layer,
     /// Maximum flow in tokens per second.
-    pub bound: f64,
+    pub max_flow: f64,
     /// Stages, sorted by first layer.
     pub stages: Vec<Stage>,
     /// By stage: its flow in tokens per second.
     pub flows: Vec<f64>,
     /// By layer boundary: first stage that starts there, in [`Graph::stages`].
-    cuts: Vec<Layer>,
+    layer_boundaries: Vec<Layer>,
     zones: usize,
-    nexts: Vec<Vec<Next>>,
+    successors: Vec<Vec<Successor>>,
 }
 
 impl Graph {
@@ -59,16 +59,16 @@
 
     /// The graph of `stages`. Where no chain of whole stages covers the model, stages may be
     /// entered in their middle.
-    pub fn new(bundle: &Bundle, wires: &Wires, model: ModelId, stages: &[Stage]) -> Self {
+    pub fn new(bundle: &Bundle, links: &Links, model: ModelId, stages: &[Stage]) -> Self {
         let layers = bundle.models[model as usize].layers;
-        let graph = Self::solve(bundle, wires, layers, stages.to_vec());
-        if graph.bound > 0.0 || stages.is_empty() {
+        let graph = Self::solve(bundle, links, layers, stages.to_vec());
+        if graph.max_flow > 0.0 || stages.is_empty() {
             return graph;
         }
-        Self::solve(bundle, wires, layers, entered(stages))
+        Self::solve(bundle, links, layers, with_inner_entries(stages))
     }
 
-    fn solve(bundle: &Bundle, wires: &Wires, layers: Layer, mut stages: Vec<Stage>) -> Self {
+    fn solve(bundle: &Bundle, links: &Links, layers: Layer, mut stages: Vec<Stage>) -> Self {
         stages.sort_by_key(|s| (s.from, s.to, s.zone, s.endpoint));
         let mut graph = Self {
             layers,
@@ -76,51 +76,51 @@
             zones: bundle.zones.len(),
             ..Self::default()
         };
-        graph.cuts = graph.boundaries();
-        let mut build = Build::new(&graph);
-        build.groups(&graph);
+        graph.layer_boundaries = graph.find_boundaries();
+        let mut build = Builder::new(&graph);
+        build.add_groups(&graph);
         for reach in 0..=2 {
-            build.links(&graph, bundle, wires, reach);
-            graph.bound += build.net.fill(build.source, build.sink);
+            build.add_links(&graph, bundle, links, reach);
+            graph.max_flow += build.net.augment(build.source, build.sink);
         }
-        build.shares(&mut graph);
+        build.assign_flows(&mut graph);
         graph
     }
 
     /// The port after `stage`.
-    pub fn port(&self, stage: &Stage) -> Port {
-        let cut = self.cuts.partition_point(|&c| c < stage.to);
+    pub fn port_after(&self, stage: &Stage) -> Port {
+        let cut = self.layer_boundaries.partition_point(|&c| c < stage.to);
         1 + cut * self.zones + stage.zone as usize
     }
 
     /// Ways on from a port, by flow.
-    pub fn nexts(&self, port: Port) -> &[Next] {
-        self.nexts.get(port).map_or(&[], Vec::as_slice)
+    pub fn successors(&self, port: Port) -> &[Successor] {
+        self.successors.get(port).map_or(&[], Vec::as_slice)
     }
 
     /// Number of ports.
-    pub fn ports(&self) -> usize {
-        1 + self.cuts.len() * self.zones
+    pub fn port_count(&self) -> usize {
+        1 + self.layer_boundaries.len() * self.zones
     }
 
     /// The stages that start at `layer`, as a range of indexes.
-    pub fn from(&self, layer: Layer) -> std::ops::Range<usize> {
+    pub fn stages_from(&self, layer: Layer) -> std::ops::Range<usize> {
         let first = self.stages.partition_point(|s| s.from < layer);
         first..self.stages.partition_point(|s| s.from <= layer)
     }
 
     /// The ports after `layer` with their zones.
-    pub fn at(&self, layer: Layer) -> impl Iterator<Item = (Port, ZoneId)> + use<> {
-        let first = 1 + self.cuts.partition_point(|&c| c < layer) * self.zones;
+    pub fn ports_at(&self, layer: Layer) -> impl Iterator<Item = (Port, ZoneId)> + use<> {
+        let first = 1 + self.layer_boundaries.partition_point(|&c| c < layer) * self.zones;
         (0..self.zones).map(move |z| (first + z, z as ZoneId))
     }
 
     /// Layer boundaries in order.
-    pub fn cuts(&self) -> &[Layer] {
-        &self.cuts
+    pub fn layer_boundaries(&self) -> &[Layer] {
+        &self.layer_boundaries
     }
 
-    fn boundaries(&self) -> Vec<Layer> {
+    fn find_boundaries(&self) -> Vec<Layer> {
         let mut cuts: Vec<_> = self.stages.iter().flat_map(|s| [s.from, s.to]).collect();
         cuts.extend([0, self.layers]);
         cuts.sort_unstable();
@@ -130,7 +130,7 @@
 }
 
 /// Stages with an extra entry at each other stage's end that lies within them.
-fn entered(stages: &[Stage]) -> Vec<Stage> {
+fn with_inner_entries(stages: &[Stage]) -> Vec<Stage> {
     let mut ends: Vec<_> = stages.iter().map(|s| s.to).collect();
     ends.sort_unstable();
     ends.dedup();
@@ -158,41 +158,43 @@
 
 /// A network under construction. Each port is two nodes: activations that came out of a stage in
 /// a zone, and activations that a stage in a zone can take in.
-struct Build {
+struct Builder {
     net: Network,
     source: usize,
     sink: usize,
     groups: Vec<Group>,
-    wires: BTreeMap<(Port, ZoneId), Edge>,
+    link_edges: BTreeMap<(Port, ZoneId), Edge>,
 }
 
-impl Build {
+impl Builder {
     fn new(graph: &Graph) -> Self {
-        let ports = graph.ports();
+        let ports = graph.port_count();
         let mut net = Network::new(2 * ports + 1);
         let sink = 2 * ports;
-        let last = graph.cuts.partition_point(|&c| c < graph.layers);
+        let last = graph
+            .layer_boundaries
+            .partition_point(|&c| c < graph.layers);
         for zone in 0..graph.zones {
-            net.edge(0, ports + 1 + zone, UNBOUNDED);
-            net.edge(1 + last * graph.zones + zone, sink, UNBOUNDED);
+            net.add_edge(0, ports + 1 + zone, UNBOUNDED);
+            net.add_edge(1 + last * graph.zones + zone, sink, UNBOUNDED);
         }
         Self {
             net,
             source: 0,
             sink,
             groups: Vec::new(),
-            wires: BTreeMap::new(),
+            link_edges: BTreeMap::new(),
         }
     }
 
-    fn groups(&mut self, graph: &Graph) {
+    fn add_groups(&mut self, graph: &Graph) {
         let key = |s: &Stage| (s.from, s.to, s.zone);
         let mut first = 0;
         for chunk in graph.stages.chunk_by(|a, b| key(a) == key(b)) {
             let rate = chunk.iter().map(|s| s.rate).sum();
-            let edge = self
-                .net
-                .edge(intake(graph, &chunk[0]), graph.port(&chunk[0]), rate);
+            let edge =
+                self.net
+                    .add_edge(intake(graph, &chunk[0]), graph.port_after(&chunk[0]), rate);
             let stages = first..first + chunk.len();
             first = stages.end;
             self.groups.push(Group { stages, rate, edge });
@@ -200,8 +202,8 @@
     }
 
     /// Adds the links between zones at distance `reach`, at each inner boundary.
-    fn links(&mut self, graph: &Graph, bundle: &Bundle, wires: &Wires, reach: u8) {
-        for cut in 1..graph.cuts.len().saturating_sub(1) {
+    fn add_links(&mut self, graph: &Graph, bundle: &Bundle, links: &Links, reach: u8) {
+        for cut in 1..graph.layer_boundaries.len().saturating_sub(1) {
             for a in 0..graph.zones {
                 for b in 0..graph.zones {
                     let (from, to) = (a as ZoneId, b as ZoneId);
@@ -209,18 +211,18 @@
                         continue;
                     }
                     let port = 1 + cut * graph.zones + a;
-                    let intake = graph.ports() + 1 + cut * graph.zones + b;
-                    let edge = self.net.edge(port, intake, wires.rate(from, to));
-                    self.wires.insert((port, to), edge);
+                    let intake = graph.port_count() + 1 + cut * graph.zones + b;
+                    let edge = self.net.add_edge(port, intake, links.rate(from, to));
+                    self.link_edges.insert((port, to), edge);
                 }
             }
         }
     }
 
     /// Splits the flow of each group by rate, and says where each port's flow goes.
-    fn shares(&self, graph: &mut Graph) {
+    fn assign_flows(&self, graph: &mut Graph) {
         graph.flows = vec![0.0; graph.stages.len()];
-        graph.nexts = vec![Vec::new(); graph.ports()];
+        graph.successors = vec![Vec::new(); graph.port_count()];
         let mut arriving: BTreeMap<usize, f64> = BTreeMap::new();
         for group in &self.groups {
             let intake = intake(graph, &graph.stages[group.stages.start]);
@@ -236,42 +238,45 @@
             if through <= 0.0 || total <= 0.0 {
                 continue;
             }
-            self.share(graph, group, lead, total);
+            self.assign_group_flow(graph, group, lead, total);
         }
     }
 
-    fn share(&self, graph: &mut Graph, group: &Group, lead: Stage, total: f64) {
+    fn assign_group_flow(&self, graph: &mut Graph, group: &Group, lead: Stage, total: f64) {
         if lead.from == 0 {
             for stage in group.stages.clone() {
                 let flow = graph.flows[stage];
-                append(&mut graph.nexts[Graph::START], stage, flow);
+                append(&mut graph.successors[Graph::START], stage, flow);
             }
             return;
         }
-        let cut = graph.cuts.partition_point(|&c| c < lead.from);
+        let cut = graph.layer_boundaries.partition_point(|&c| c < lead.from);
         for zone in 0..graph.zones {
             let port = 1 + cut * graph.zones + zone;
-            let Some(&edge) = self.wires.get(&(port, lead.zone)) else {
+            let Some(&edge) = self.link_edges.get(&(port, lead.zone)) else {
                 continue;
             };
             let link = self.net.flow(edge);
             for stage in group.stages.clone() {
                 let flow = link * graph.flows[stage] / total;
-                append(&mut graph.nexts[port], stage, flow);
+                append(&mut graph.successors[port], stage, flow);
             }
         }
     }
 }
 
-fn append(nexts: &mut Vec<Next>, stage: usize, flow: f64) {
+fn append(nexts: &mut Vec<Successor>, stage: usize, flow: f64) {
     if flow > 0.0 {
-        let sum = nexts.last().map_or(0.0, |n| n.sum) + flow;
-        nexts.push(Next { stage, sum });
+        let sum = nexts.last().map_or(0.0, |n| n.cumulative_flow) + flow;
+        nexts.push(Successor {
+            stage,
+            cumulative_flow: sum,
+        });
     }
 }
 
 /// Node where activations wait for a stage like `stage`.
 fn intake(graph: &Graph, stage: &Stage) -> usize {
-    let cut = graph.cuts.partition_point(|&c| c < stage.from);
-    graph.ports() + 1 + cut * graph.zones + stage.zone as usize
+    let cut = graph.layer_boundaries.partition_point(|&c| c < stage.from);
+    graph.port_count() + 1 + cut * graph.zones + stage.zone as usize
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -25,9 +25,9 @@
     /// How it waits.
     pub rank: Rank,
     /// Weight of its priority.
-    pub class: u32,
+    pub priority_weight: u32,
     /// Weight of its team.
-    pub weight: u32,
+    pub team_weight: u32,
 }
 
 /// How a request waits.
@@ -50,7 +50,7 @@
 }
 
 /// Requests of one lane in a window.
-const LANE: usize = 8;
+const WINDOW_PER_LANE: usize = 8;
 
 /// One line.
 #[derive(Clone, Debug, Default)]
@@ -67,7 +67,7 @@
     weight: u32,
     pass: f64,
     /// Pass of the lane served last.
-    now: f64,
+    current_pass: f64,
     len: usize,
     lanes: BTreeMap<TeamId, Lane>,
 }
@@ -84,9 +84,9 @@
 pub struct Queue {
     lines: BTreeMap<Target, Line>,
     /// Urgent requests that wait.
-    pub urgent: usize,
+    pub urgent_count: usize,
     /// Other requests that wait.
-    pub fair: usize,
+    pub fair_count: usize,
 }
 
 impl Queue {
@@ -102,7 +102,7 @@
                 .suspects
                 .insert((!urgent, entry.seq), entry.id)
                 .is_none(),
-            Rank::Fair => line.enter(entry),
+            Rank::Fair => line.insert_fair(entry),
         };
         if fresh {
             line.len += 1;
@@ -118,7 +118,7 @@
         let found = match entry.rank {
             Rank::Urgent => line.urgent.remove(&(entry.priority, entry.seq)).is_some(),
             Rank::Suspect(urgent) => line.suspects.remove(&(!urgent, entry.seq)).is_some(),
-            Rank::Fair => line.leave(entry),
+            Rank::Fair => line.remove_fair(entry),
         };
         if found {
             line.len -= 1;
@@ -129,8 +129,8 @@
 
     fn counter(&mut self, rank: Rank) -> &mut usize {
         match rank {
-            Rank::Urgent | Rank::Suspect(true) => &mut self.urgent,
-            Rank::Fair | Rank::Suspect(false) => &mut self.fair,
+            Rank::Urgent | Rank::Suspect(true) => &mut self.urgent_count,
+            Rank::Fair | Rank::Suspect(false) => &mut self.fair_count,
         }
     }
 
@@ -208,7 +208,11 @@
             let mut lanes: Vec<_> = class.lanes.values().filter(|l| !l.ids.is_empty()).collect();
             lanes.sort_by(|a, b| a.pass.total_cmp(&b.pass));
             for lane in lanes {
-                ids.extend(lane.ids.values().take((most - ids.len()).min(LANE)));
+                ids.extend(
+                    lane.ids
+                        .values()
+                        .take((most - ids.len()).min(WINDOW_PER_LANE)),
+                );
                 if ids.len() == most {
                     return ids;
                 }
@@ -218,7 +222,13 @@
     }
 
     /// Requests expected to start before a new one of `team` at `priority`, by fair shares.
-    pub fn ahead(&self, priority: PriorityId, team: TeamId, weight: u32, class: u32) -> f64 {
+    pub fn expected_ahead(
+        &self,
+        priority: PriorityId,
+        team: TeamId,
+        weight: u32,
+        class: u32,
+    ) -> f64 {
         let urgent = (self.urgent.len() + self.suspects.len()) as f64;
         let classes: u32 = self
             .classes
@@ -246,16 +256,16 @@
         urgent + across.min((self.len as f64 - urgent).max(0.0))
     }
 
-    fn enter(&mut self, entry: &Entry) -> bool {
+    fn insert_fair(&mut self, entry: &Entry) -> bool {
         let pass = self.pass;
         let class = self.classes.entry(entry.priority).or_default();
-        class.weight = entry.class.max(1);
+        class.weight = entry.priority_weight.max(1);
         if class.len == 0 {
             class.pass = class.pass.max(pass);
         }
-        let now = class.now;
+        let now = class.current_pass;
         let lane = class.lanes.entry(entry.team).or_default();
-        lane.weight = entry.weight.max(1);
+        lane.weight = entry.team_weight.max(1);
         if lane.ids.is_empty() {
             lane.pass = lane.pass.max(now);
         }
@@ -264,7 +274,7 @@
         fresh
     }
 
-    fn leave(&mut self, entry: &Entry) -> bool {
+    fn remove_fair(&mut self, entry: &Entry) -> bool {
         let Some(class) = self.classes.get_mut(&entry.priority) else {
             return false;
         };
@@ -284,7 +294,7 @@
             return;
         };
         self.pass = self.pass.max(class.pass);
-        class.now = class.now.max(lane.pass);
+        class.current_pass = class.current_pass.max(lane.pass);
         class.pass += cost / f64::from(class.weight.max(1));
         lane.pass += cost / f64::from(lane.weight.max(1));
     }
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -31,9 +31,9 @@
     /// When its answer has lost its worth.
     pub deadline: Now,
     /// Length of the prompt, in tokens, as estimated by the entry.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens it may generate.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Chained hashes of the prompt's blocks, longest common prefix first.
     pub prefix: Vec<u64>,
     /// Hash of the team and the whole body: equal for a resend.
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -7,17 +7,17 @@
 use crate::Now;
 
 /// Part of the running requests that the bucket can hold.
-const RUNNING_PART: f64 = 0.5;
+const RUNNING_FRACTION: f64 = 0.5;
 
 /// One retry, in the units that are counted: sums of fractions stay exact.
-const UNIT: f64 = 1e6;
+const UNITS_PER_RETRY: f64 = 1e6;
 
 /// The budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     level: u64,
     earned: u64,
-    filled: Now,
+    refilled_at: Now,
     /// Retries granted so far.
     pub granted: u64,
 }
@@ -29,7 +29,7 @@
         Self {
             level,
             earned: level,
-            filled: Now::ZERO,
+            refilled_at: Now::ZERO,
             granted: 0,
         }
     }
@@ -45,9 +45,9 @@
     }
 
     /// Adds the fleet's `rate` per second since the last call.
-    pub fn fill(&mut self, now: Now, rate: f64, burst: f64, running: usize) {
-        let time = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+    pub fn refill(&mut self, now: Now, rate: f64, burst: f64, running: usize) {
+        let time = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.add(time * rate.max(0.0), burst, running);
     }
 
@@ -57,7 +57,7 @@
     }
 
     fn add(&mut self, amount: f64, burst: f64, running: usize) {
-        let size = units(burst.max(running as f64 * RUNNING_PART));
+        let size = units(burst.max(running as f64 * RUNNING_FRACTION));
         let added = units(amount).min(size.saturating_sub(self.level));
         self.level += added;
         self.earned += added;
@@ -75,5 +75,5 @@
 }
 
 fn units(retries: f64) -> u64 {
-    (retries * UNIT) as u64
+    (retries * UNITS_PER_RETRY) as u64
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -8,7 +8,7 @@
 use crate::event::Event;
 use crate::finding::Finding;
 use crate::fleet::Fleet;
-use crate::flight::{Flight, Phase};
+use crate::job::{Job, Phase};
 use crate::meter::Meter;
 use crate::outcome::Outcome;
 use crate::plan::Plan;
@@ -27,21 +27,21 @@
 use std::sync::Arc;
 
 mod admit;
+mod capacity;
 mod check;
 mod dispatch;
 mod dump;
-mod eyes;
-mod follow;
 mod isolate;
 mod launch;
 mod pick;
 mod progress;
 mod recover;
 mod tick;
+mod update;
 mod verdict;
 
 /// Requests above which debug builds check all invariants on ticks only.
-const CHECKED: usize = 256;
+const MAX_CHECKED_JOBS: usize = 256;
 
 /// Decisions of one request worker.
 pub struct Router {
@@ -53,37 +53,37 @@
     plan: Plan,
     /// Number of the plan.
     epoch: u64,
-    hoped: follow::Hope,
+    recoverable: update::Recoverable,
     locality: Locality,
     queue: Queue,
     shares: share::Table,
     budget: Budget,
     crash: crash::Table,
-    flights: BTreeMap<Id, Flight>,
+    jobs: BTreeMap<Id, Job>,
     /// Requests by deadline, until it passes.
     deadlines: BTreeSet<(Now, Id)>,
     /// Requests that wait for the budget or a probe; urgent ones first.
     parked: BTreeSet<(bool, u64, Id)>,
     meters: BTreeMap<Target, Meter>,
-    wards: BTreeMap<Target, isolate::Ward>,
+    reservations: BTreeMap<Target, isolate::Reservation>,
     /// Whether any endpoint may be kept for a suspect.
-    guarded: bool,
+    has_reservations: bool,
     /// Endpoints under probe because a connection broke.
-    broke: BTreeSet<EndpointId>,
+    broken_connections: BTreeSet<EndpointId>,
     /// Endpoints that other nodes have ejected, as last told.
-    told: Vec<EndpointId>,
+    remote_ejected: Vec<EndpointId>,
     seq: u64,
     ticks: u64,
     /// When the last tick came.
-    ticked: Now,
+    last_tick: Now,
     /// Whether work that waits may now find a place.
-    stirred: bool,
+    dispatch_needed: bool,
     /// Whether the plan is out of date.
-    stale: bool,
+    plan_stale: bool,
     audit: Audit,
     findings: Vec<Finding>,
     report: Report,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Router {
@@ -96,29 +96,29 @@
             fleet: Fleet::default(),
             plan: Plan::default(),
             epoch: 0,
-            hoped: follow::Hope::default(),
-            locality: Locality::new(limits.prefixes),
+            recoverable: update::Recoverable::default(),
+            locality: Locality::new(limits.max_prefixes),
             queue: Queue::default(),
             shares: share::Table::default(),
             budget: Budget::new(limits.retry_burst),
-            crash: crash::Table::new(limits.fingerprints),
-            flights: BTreeMap::new(),
+            crash: crash::Table::new(limits.max_fingerprints),
+            jobs: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             parked: BTreeSet::new(),
             meters: BTreeMap::new(),
-            wards: BTreeMap::new(),
-            guarded: false,
-            broke: BTreeSet::new(),
-            told: Vec::new(),
+            reservations: BTreeMap::new(),
+            has_reservations: false,
+            broken_connections: BTreeSet::new(),
+            remote_ejected: Vec::new(),
             seq: 0,
             ticks: 0,
-            ticked: Now::ZERO,
-            stirred: false,
-            stale: false,
+            last_tick: Now::ZERO,
+            dispatch_needed: false,
+            plan_stale: false,
             audit: Audit::default(),
             findings: Vec::new(),
             report: Report::default(),
-            out: Vec::new(),
+            actions: Vec::new(),
             limits,
         }
     }
@@ -129,32 +129,37 @@
         self.audit.event(&event);
         let tick = matches!(event, Event::Tick);
         let left = matches!(event, Event::Left(_)).then(|| event.clone());
-        self.decide(now, event);
+        self.apply_event(now, event);
         self.replan();
-        let dispatched = self.stirred;
+        let dispatched = self.dispatch_needed;
         if dispatched {
             self.dispatch(now);
             self.check_order();
         }
-        let settled = dispatched && !self.stirred;
+        let settled = dispatched && !self.dispatch_needed;
         self.replan();
-        for action in &self.out {
+        for action in &self.actions {
             self.findings.extend(self.audit.action(action));
         }
         if let Some(left) = left {
-            self.findings.extend(self.audit.settle(&left));
+            self.findings.extend(self.audit.end_left(&left));
         }
-        out.append(&mut self.out);
-        if cfg!(debug_assertions) && (tick || self.flights.len() <= CHECKED) {
+        out.append(&mut self.actions);
+        if cfg!(debug_assertions) && (tick || self.jobs.len() <= MAX_CHECKED_JOBS) {
             let mut found = self.verify();
-            found.extend(settled.then(|| self.overlooked(now)).into_iter().flatten());
+            found.extend(
+                settled
+                    .then(|| self.missed_urgent(now))
+                    .into_iter()
+                    .flatten(),
+            );
             assert!(found.is_empty(), "broken invariants: {found:?}\n{self}");
         }
     }
 
-    fn decide(&mut self, now: Now, event: Event) {
+    fn apply_event(&mut self, now: Now, event: Event) {
         match event {
-            Event::View(view) => self.follow(now, view),
+            Event::View(view) => self.apply_view(now, view),
             Event::Arrive(request) => self.arrive(now, request),
             Event::Progress(id, attempt, hop) => self.progress(now, id, attempt, hop),
             Event::Token(id, attempt) => self.token(now, id, attempt),
@@ -166,7 +171,7 @@
                 self.fleet
                     .get_mut(endpoint)
                     .into_iter()
-                    .for_each(|r| r.report(now, &report));
+                    .for_each(|r| r.record_report(now, &report));
             }
             Event::Tick => self.tick(now),
         }
@@ -176,11 +181,16 @@
     pub fn report(&self) -> Report {
         let mut report = self.report;
         report.findings = self.findings.len() as u64;
-        report.waiting_urgent = self.queue.urgent as u64;
-        report.waiting = self.queue.fair as u64;
+        report.waiting_urgent = self.queue.urgent_count as u64;
+        report.waiting = self.queue.fair_count as u64;
         report.parked = self.parked.len() as u64;
-        report.running = self.running() as u64;
-        report.out = self.fleet.rows.iter().filter(|r| !r.health.takes()).count() as u64;
+        report.running = self.running_count() as u64;
+        report.out = self
+            .fleet
+            .rows
+            .iter()
+            .filter(|r| !r.health.accepts_work())
+            .count() as u64;
         report.budget = self.budget.level();
         report.suspects = self.crash.counts().0 as u64;
         report.prefixes = self.locality.len() as u64;
@@ -189,15 +199,15 @@
 
     /// Accounts by team of the view's bundle.
     pub fn accounts(&self) -> &[crate::share::Account] {
-        &self.shares.rows
+        &self.shares.accounts
     }
 
-    fn running(&self) -> usize {
-        self.flights.len() - self.parked.len() - self.queue.urgent - self.queue.fair
+    fn running_count(&self) -> usize {
+        self.jobs.len() - self.parked.len() - self.queue.urgent_count - self.queue.fair_count
     }
 
     fn observe(&mut self, observation: Observation) {
-        self.out.push(Action::Observe(observation));
+        self.actions.push(Action::Observe(observation));
     }
 
     /// Ends a request for its caller.
@@ -207,22 +217,22 @@
                 Outcome::Complete => self.report.complete += 1,
                 _ => self.report.unknown += 1,
             }
-            self.out.push(Action::Finish(id, outcome));
+            self.actions.push(Action::Finish(id, outcome));
         }
     }
 
     /// Ends a request that can't go on: refused if it truly did not run, else unknown.
-    fn give_up(
+    fn terminate(
         &mut self,
         now: Now,
         id: Id,
         reason: Reason,
         retry_after: Option<std::time::Duration>,
     ) {
-        let Some(flight) = self.flights.get(&id) else {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if flight.sent || flight.run.is_some() {
+        if job.sent || job.run.is_some() {
             self.finish(now, id, Outcome::Unknown);
             return;
         }
@@ -247,27 +257,27 @@
             Reason::Leaving => &mut report.refused_leaving,
         };
         *counter += 1;
-        self.out.push(Action::Refuse(id, refusal));
+        self.actions.push(Action::Refuse(id, refusal));
     }
 
     /// Removes a request from every table; cancels its attempt if one runs.
-    fn remove(&mut self, now: Now, id: Id) -> Option<Flight> {
+    fn remove(&mut self, now: Now, id: Id) -> Option<Job> {
         self.cancel(now, id);
-        self.unqueue(id);
-        let flight = self.flights.remove(&id)?;
-        self.parked.remove(&(!flight.urgent, flight.seq, id));
-        self.deadlines.remove(&(flight.request.deadline, id));
-        self.shares.end(flight.request.team);
-        self.unward(id);
-        Some(flight)
+        self.dequeue(id);
+        let job = self.jobs.remove(&id)?;
+        self.parked.remove(&(!job.urgent, job.seq, id));
+        self.deadlines.remove(&(job.request.deadline, id));
+        self.shares.release(job.request.team);
+        self.release_reservation(id);
+        Some(job)
     }
 
     /// Takes a request out of its line.
-    fn unqueue(&mut self, id: Id) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    fn dequeue(&mut self, id: Id) {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if let Some(entry) = flight.entry.take() {
+        if let Some(entry) = job.queue_entry.take() {
             self.queue.remove(&entry);
         }
     }
@@ -275,8 +285,8 @@
     /// Stops the running attempt of a request, if there is one.
     fn cancel(&mut self, now: Now, id: Id) {
         if let Some(attempt) = self.release(now, id) {
-            self.out.push(Action::Cancel(id, attempt));
-            self.flights
+            self.actions.push(Action::Cancel(id, attempt));
+            self.jobs
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|f| f.sent = true);
@@ -285,21 +295,21 @@
 
     /// Frees what the running attempt holds; returns its number.
     fn release(&mut self, now: Now, id: Id) -> Option<crate::Attempt> {
-        let flight = self.flights.get_mut(&id)?;
-        let run = flight.run.take()?;
-        flight.phase = Phase::Waiting;
-        let attempt = flight.attempt;
-        for endpoint in run.rows.iter().flatten() {
+        let job = self.jobs.get_mut(&id)?;
+        let run = job.run.take()?;
+        job.phase = Phase::Waiting;
+        let attempt = job.attempt;
+        for endpoint in run.endpoints.iter().flatten() {
             if let Some(row) = self.fleet.get_mut(*endpoint) {
-                let flying = row.flying.saturating_sub(1);
-                row.fly(now, flying);
+                let flying = row.in_flight.saturating_sub(1);
+                row.set_in_flight(now, flying);
             }
         }
-        for &(a, b) in &run.pairs {
-            self.fleet.uncross(self.plan.wires.at(a, b));
+        for &(a, b) in &run.zone_pairs {
+            self.fleet.remove_crossing(self.plan.links.pair_index(a, b));
         }
-        self.unward(id);
-        self.stirred = true;
+        self.release_reservation(id);
+        self.dispatch_needed = true;
         Some(attempt)
     }
 }
--- a/crates/route/src/router/admit.rs
+++ b/crates/route/src/router/admit.rs
@@ -1,43 +1,45 @@
 //! Admission: limits first, then whether the deadline can be met.
 
 use super::Router;
-use super::pick::keyed;
+use super::pick::salt_prefix;
 use crate::Now;
-use crate::flight::{Flight, Phase};
+use crate::job::{Job, Phase};
 use crate::queue::{self, Entry, Rank};
 use crate::refusal::{Reason, Refusal};
 use crate::request::{Id, Request, Target};
 use std::time::Duration;
 
 /// When to come back while nothing serves a request.
-const OUTAGE: Duration = Duration::from_secs(1);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Bounds of the time that an overloaded router asks to wait.
-const RETRY: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(30));
+const OVERLOAD_RETRY_AFTER: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(30));
 
 impl Router {
     pub(super) fn arrive(&mut self, now: Now, request: Request) {
-        if self.flights.contains_key(&request.id) {
+        if self.jobs.contains_key(&request.id) {
             return;
         }
         self.report.arrived += 1;
         let id = request.id;
         match self.admit(now, &request) {
             Err(refusal) => self.refuse(id, refusal),
-            Ok(()) => self.enter(now, request),
+            Ok(()) => self.track(now, request),
         }
     }
 
-    fn enter(&mut self, now: Now, request: Request) {
+    fn track(&mut self, now: Now, request: Request) {
         let id = request.id;
-        let urgent = self.urgent(&request);
+        let urgent = self.is_urgent(&request);
         self.seq += 1;
         self.deadlines.insert((request.deadline, id));
-        let pending = self.crash.pending(request.fingerprint);
+        let pending = self.crash.is_pending(request.fingerprint);
         if let Target::Model(model, adapter) = request.target {
-            self.locality.note(&keyed(&request.prefix, model, adapter));
+            self.locality
+                .record(&salt_prefix(&request.prefix, model, adapter));
         }
-        self.flights
-            .insert(id, Flight::new(request, self.seq, now, urgent));
+        self.jobs
+            .insert(id, Job::new(request, self.seq, now, urgent));
         if pending {
             return self.park(now, id);
         }
@@ -53,40 +55,40 @@
             })
         };
         let Some(view) = self.view.clone() else {
-            return refuse(Reason::NoEndpoint, Some(OUTAGE));
+            return refuse(Reason::NoEndpoint, Some(NO_ENDPOINT_RETRY_AFTER));
         };
         if view.leaving {
             return refuse(Reason::Leaving, Some(Duration::ZERO));
         }
-        if self.crash.condemned(request.fingerprint) {
+        if self.crash.is_condemned(request.fingerprint) {
             return refuse(Reason::Condemned, None);
         }
         if request.deadline <= now {
             return refuse(Reason::Deadline, None);
         }
-        if !self.served(request.target) {
-            return refuse(Reason::NoEndpoint, Some(OUTAGE));
+        if !self.is_served(request.target) {
+            return refuse(Reason::NoEndpoint, Some(NO_ENDPOINT_RETRY_AFTER));
         }
-        let urgent = self.urgent(request);
-        if let Some(refusal) = self.crowded(now, request, urgent) {
+        let urgent = self.is_urgent(request);
+        if let Some(refusal) = self.check_overload(now, request, urgent) {
             return Err(refusal);
         }
         let taken = self
             .shares
-            .take(now, request.team, urgent, self.limits.burst);
+            .admit(now, request.team, urgent, self.limits.team_burst);
         taken.or_else(|wait| refuse(Reason::Limit, Some(wait)))
     }
 
     /// Whether a chain exists, be it full, or comes back after an ejection.
-    pub(super) fn served(&self, target: Target) -> bool {
+    pub(super) fn is_served(&self, target: Target) -> bool {
         match target {
             Target::Model(model, _) => {
                 let planned = self
                     .plan
-                    .whole
+                    .full
                     .get(model as usize)
-                    .is_some_and(|g| g.bound > 0.0);
-                planned || self.hoped.models.contains(&model)
+                    .is_some_and(|g| g.max_flow > 0.0);
+                planned || self.recoverable.models.contains(&model)
             }
             Target::Service(service) => {
                 let planned = self
@@ -94,12 +96,12 @@
                     .services
                     .get(service as usize)
                     .is_some_and(|s| !s.is_empty());
-                planned || self.hoped.services.contains(&service)
+                planned || self.recoverable.services.contains(&service)
             }
         }
     }
 
-    pub(super) fn urgent(&self, request: &Request) -> bool {
+    pub(super) fn is_urgent(&self, request: &Request) -> bool {
         let view = self.view.as_ref();
         let row = view.and_then(|v| v.bundle.priorities.get(request.priority as usize));
         row.is_some_and(|p| p.urgent)
@@ -107,32 +109,32 @@
 
     /// A refusal if the queue is full or the deadline out of reach. An urgent request is only
     /// refused by a full queue of urgent ones: a late alarm is worth more than none.
-    fn crowded(&self, now: Now, request: &Request, urgent: bool) -> Option<Refusal> {
+    fn check_overload(&self, now: Now, request: &Request, urgent: bool) -> Option<Refusal> {
         let line = queue::line(request.target);
-        let ahead = self.ahead(request);
+        let ahead = self.expected_ahead(request);
         let meter = self.meters.get(&line).copied().unwrap_or_default();
-        let wait = meter.wait(ahead);
+        let wait = meter.expected_wait(ahead);
         let full = if urgent {
-            self.queue.urgent >= self.limits.urgent
+            self.queue.urgent_count >= self.limits.max_urgent
         } else {
-            self.queue.fair >= self.limits.queue
+            self.queue.fair_count >= self.limits.max_queued
         };
         let late = now
             .saturating_add(wait)
-            .saturating_add(meter.service(request.most));
+            .saturating_add(meter.service_time(request.max_tokens));
         let late = !urgent && late > request.deadline;
         (full || late).then(|| Refusal {
             reason: Reason::Overload,
-            retry_after: Some(wait.clamp(RETRY.0, RETRY.1)),
+            retry_after: Some(wait.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1)),
         })
     }
 
-    fn ahead(&self, request: &Request) -> f64 {
+    fn expected_ahead(&self, request: &Request) -> f64 {
         let Some(line) = self.queue.line(queue::line(request.target)) else {
             return 0.0;
         };
         let (class, weight) = self.weights(request);
-        line.ahead(request.priority, request.team, weight, class)
+        line.expected_ahead(request.priority, request.team, weight, class)
     }
 
     fn weights(&self, request: &Request) -> (u32, u32) {
@@ -154,65 +156,62 @@
 
     /// Puts a request into its line.
     pub(super) fn enqueue(&mut self, now: Now, id: Id) {
-        let Some(flight) = self.flights.get(&id) else {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if flight.request.deadline <= now || flight.stranded {
-            return self.give_up(now, id, Reason::Deadline, None);
+        if job.request.deadline <= now || job.not_resumable {
+            return self.terminate(now, id, Reason::Deadline, None);
         }
-        if self.crash.condemned(flight.request.fingerprint) {
-            return self.give_up(now, id, Reason::Condemned, None);
+        if self.crash.is_condemned(job.request.fingerprint) {
+            return self.terminate(now, id, Reason::Condemned, None);
         }
-        let entry = self.entry(flight);
+        let entry = self.queue_entry(job);
         self.queue.push(&entry);
-        let flight = self.flights.get_mut(&id);
-        flight.into_iter().for_each(|f| {
+        let job = self.jobs.get_mut(&id);
+        job.into_iter().for_each(|f| {
             f.phase = Phase::Waiting;
-            f.entry = Some(entry);
+            f.queue_entry = Some(entry);
         });
-        self.stirred = true;
+        self.dispatch_needed = true;
     }
 
     /// How a request waits by what is known now.
-    pub(super) fn entry(&self, flight: &Flight) -> Entry {
-        let (class, weight) = self.weights(&flight.request);
-        let rank = match (
-            self.crash.suspect(flight.request.fingerprint),
-            flight.urgent,
-        ) {
+    pub(super) fn queue_entry(&self, job: &Job) -> Entry {
+        let (class, weight) = self.weights(&job.request);
+        let rank = match (self.crash.is_suspect(job.request.fingerprint), job.urgent) {
             (true, urgent) => Rank::Suspect(urgent),
             (false, true) => Rank::Urgent,
             (false, false) => Rank::Fair,
         };
         Entry {
-            id: flight.id(),
-            seq: flight.seq,
-            line: queue::line(flight.request.target),
-            priority: flight.request.priority,
-            team: flight.request.team,
+            id: job.id(),
+            seq: job.seq,
+            line: queue::line(job.request.target),
+            priority: job.request.priority,
+            team: job.request.team,
             rank,
-            class,
-            weight,
+            priority_weight: class,
+            team_weight: weight,
         }
     }
 
     /// Puts requests that wait into other ranks after suspects changed.
     pub(super) fn rerank(&mut self) {
         let entries: Vec<_> = self
-            .flights
+            .jobs
             .values()
-            .filter_map(|f| Some((f.entry?, self.entry(f))))
+            .filter_map(|f| Some((f.queue_entry?, self.queue_entry(f))))
             .filter(|(old, new)| old != new)
             .collect();
         for (old, new) in entries {
             self.queue.remove(&old);
             self.queue.push(&new);
-            self.flights
+            self.jobs
                 .get_mut(&new.id)
                 .into_iter()
-                .for_each(|f| f.entry = Some(new));
-            self.unward(new.id);
-            self.stirred = true;
+                .for_each(|f| f.queue_entry = Some(new));
+            self.release_reservation(new.id);
+            self.dispatch_needed = true;
         }
     }
 }
--- a/crates/route/src/router/check.rs
+++ b/crates/route/src/router/check.rs
@@ -1,11 +1,11 @@
 //! Check of the invariants: recounts everything from the requests alone.
 
 use super::Router;
-use super::eyes::{Eyes, Mode};
+use super::capacity::{Capacity, Mode};
 use crate::action::Action;
 use crate::choose::Choice;
 use crate::finding::{Fault, Finding, Place};
-use crate::flight::{Flight, Phase};
+use crate::job::{Job, Phase};
 use crate::queue::{self, Rank};
 use crate::request::Target;
 use bundle::id::{EndpointId, TeamId};
@@ -23,11 +23,11 @@
     }
 
     fn check_rows(&self, found: &mut Vec<Finding>) {
-        let mut flying: BTreeMap<EndpointId, Vec<&Flight>> = BTreeMap::new();
-        for flight in self.flights.values() {
-            let run = flight.run.as_ref();
-            for &endpoint in run.iter().flat_map(|r| r.rows.iter().flatten()) {
-                flying.entry(endpoint).or_default().push(flight);
+        let mut flying: BTreeMap<EndpointId, Vec<&Job>> = BTreeMap::new();
+        for job in self.jobs.values() {
+            let run = job.run.as_ref();
+            for &endpoint in run.iter().flat_map(|r| r.endpoints.iter().flatten()) {
+                flying.entry(endpoint).or_default().push(job);
             }
         }
         for (id, row) in self.fleet.rows.iter().enumerate() {
@@ -39,16 +39,16 @@
                     fault,
                 })
             };
-            if here.len() != row.flying as usize {
-                report(Fault::Count(u64::from(row.flying), here.len() as u64));
+            if here.len() != row.in_flight as usize {
+                report(Fault::Count(u64::from(row.in_flight), here.len() as u64));
             }
             let alone = here
                 .iter()
-                .find(|f| f.run.as_ref().is_some_and(|r| r.alone));
+                .find(|f| f.run.as_ref().is_some_and(|r| r.isolated));
             if alone.is_some_and(|a| here.iter().any(|f| f.id() != a.id())) {
                 report(Fault::Shared(id));
             }
-            if row.health.out() && row.flying > 0 {
+            if row.health.is_ejected() && row.in_flight > 0 {
                 report(Fault::Closed(id));
             }
         }
@@ -62,46 +62,48 @@
             })
         };
         let (urgent, fair) = self.queue.recount();
-        let queued = self.flights.values().filter(|f| f.entry.is_some()).count();
+        let queued = self
+            .jobs
+            .values()
+            .filter(|f| f.queue_entry.is_some())
+            .count();
         let pairs = [
-            (self.queue.urgent, urgent),
-            (self.queue.fair, fair),
+            (self.queue.urgent_count, urgent),
+            (self.queue.fair_count, fair),
             (queued, urgent + fair),
-            (self.flights.len(), self.audit.live()),
+            (self.jobs.len(), self.audit.live_count()),
         ];
         for (count, recount) in pairs.into_iter().filter(|(a, b)| a != b) {
             report(Fault::Count(count as u64, recount as u64));
         }
         let fresh = |urgent| {
             let waiting = self
-                .flights
+                .jobs
                 .values()
-                .filter(|f| f.entry.is_some() && f.attempt == 0);
+                .filter(|f| f.queue_entry.is_some() && f.attempt == 0);
             waiting.filter(|f| f.urgent == urgent).count()
         };
         let bounds = [
-            (fresh(true), self.limits.urgent),
-            (fresh(false), self.limits.queue),
+            (fresh(true), self.limits.max_urgent),
+            (fresh(false), self.limits.max_queued),
         ];
         for (count, bound) in bounds.into_iter().filter(|(count, bound)| count > bound) {
             report(Fault::Bound(count as u64, bound as u64));
         }
-        for flight in self.flights.values() {
-            self.check_phase(flight, found);
+        for job in self.jobs.values() {
+            self.check_phase(job, found);
         }
     }
 
-    fn check_phase(&self, flight: &Flight, found: &mut Vec<Finding>) {
-        let parked = self
-            .parked
-            .contains(&(!flight.urgent, flight.seq, flight.id()));
-        let states = [flight.run.is_some(), flight.entry.is_some(), parked];
+    fn check_phase(&self, job: &Job, found: &mut Vec<Finding>) {
+        let parked = self.parked.contains(&(!job.urgent, job.seq, job.id()));
+        let states = [job.run.is_some(), job.queue_entry.is_some(), parked];
         let phases = [Phase::Running, Phase::Waiting, Phase::Parked];
         let sound = states
             .into_iter()
             .zip(phases)
-            .all(|(s, p)| s == (flight.phase == p));
-        let place = Place::Request(flight.id(), flight.attempt);
+            .all(|(s, p)| s == (job.phase == p));
+        let place = Place::Request(job.id(), job.attempt);
         if !sound {
             let count = states.iter().filter(|&&s| s).count() as u64;
             found.push(Finding {
@@ -112,13 +114,9 @@
     }
 
     fn check_teams(&self, found: &mut Vec<Finding>) {
-        for (id, row) in self.shares.rows.iter().enumerate() {
+        for (id, row) in self.shares.accounts.iter().enumerate() {
             let id = id as TeamId;
-            let count = self
-                .flights
-                .values()
-                .filter(|f| f.request.team == id)
-                .count() as u64;
+            let count = self.jobs.values().filter(|f| f.request.team == id).count() as u64;
             let mut report = |fault| {
                 found.push(Finding {
                     place: Place::Team(id),
@@ -128,8 +126,8 @@
             if count != u64::from(row.in_flight) {
                 report(Fault::Count(u64::from(row.in_flight), count));
             }
-            if !row.sound(self.limits.burst) {
-                report(Fault::Bound(row.taken, 0));
+            if !row.is_within_bounds(self.limits.team_burst) {
+                report(Fault::Bound(row.admitted, 0));
             }
         }
     }
@@ -148,23 +146,23 @@
     /// Finds work that is not urgent and was started just now on endpoints that urgent work
     /// waits for.
     pub(super) fn check_order(&mut self) {
-        if self.queue.urgent == 0 {
+        if self.queue.urgent_count == 0 {
             return;
         }
-        let waits = |f: &&Flight| f.entry.is_some_and(|e| e.rank == Rank::Urgent);
+        let waits = |f: &&Job| f.queue_entry.is_some_and(|e| e.rank == Rank::Urgent);
         let mut wanted = BTreeSet::new();
-        for flight in self.flights.values().filter(waits) {
-            self.hold(queue::line(flight.request.target), &mut wanted);
+        for job in self.jobs.values().filter(waits) {
+            self.collect_endpoints(queue::line(job.request.target), &mut wanted);
         }
-        let started = self.out.iter().filter_map(|a| match a {
+        let started = self.actions.iter().filter_map(|a| match a {
             Action::Start(id, attempt, hops) => Some((*id, *attempt, hops)),
             _ => None,
         });
         let late = started.filter(|(id, _, hops)| {
             let fair = self
-                .flights
+                .jobs
                 .get(id)
-                .is_some_and(|f| !f.urgent && f.run.as_ref().is_some_and(|r| !r.alone));
+                .is_some_and(|f| !f.urgent && f.run.as_ref().is_some_and(|r| !r.isolated));
             fair && hops.iter().any(|h| wanted.contains(&h.endpoint))
         });
         let places: Vec<_> = late
@@ -178,37 +176,37 @@
     }
 
     /// Urgent requests that wait though endpoints have room for them: none, after a dispatch.
-    pub fn overlooked(&self, now: crate::Now) -> Vec<Finding> {
+    pub fn missed_urgent(&self, now: crate::Now) -> Vec<Finding> {
         let Some(view) = &self.view else {
             return Vec::new();
         };
         let waiting = self
-            .flights
+            .jobs
             .values()
-            .filter(|f| f.urgent && f.entry.is_some());
-        let fits = |flight: &&Flight| {
-            let Target::Model(model, _) = flight.request.target else {
+            .filter(|f| f.urgent && f.queue_entry.is_some());
+        let fits = |job: &&Job| {
+            let Target::Model(model, _) = job.request.target else {
                 return false;
             };
-            let suspect = self.crash.suspect(flight.request.fingerprint);
-            let eyes = Eyes {
+            let suspect = self.crash.is_suspect(job.request.fingerprint);
+            let capacity = Capacity {
                 fleet: &self.fleet,
-                wires: &self.plan.wires,
+                links: &self.plan.links,
                 limits: &self.limits,
                 now,
                 mode: Mode::Urgent,
                 avoid: &[],
-                held: &BTreeSet::new(),
-                yields: &BTreeMap::new(),
+                reserved: &BTreeSet::new(),
+                preemptible: &BTreeMap::new(),
             };
-            let Some(graph) = self.plan.whole.get(model as usize) else {
+            let Some(graph) = self.plan.full.get(model as usize) else {
                 return false;
             };
             let choice = Choice {
                 graph,
-                wires: &self.plan.wires,
+                links: &self.plan.links,
                 zone: view.zone,
-                load: &eyes,
+                load: &capacity,
                 draws: 0,
                 cached: &[],
             };
--- a/crates/route/src/router/dispatch.rs
+++ b/crates/route/src/router/dispatch.rs
@@ -1,10 +1,10 @@
 //! Dispatch: starts what waits, urgent work first.
 
 use super::Router;
-use super::eyes::Mode;
+use super::capacity::Mode;
 use crate::Now;
 use crate::action::Hop;
-use crate::flight::Flight;
+use crate::job::Job;
 use crate::meter::Meter;
 use crate::queue;
 use crate::refusal::Reason;
@@ -14,22 +14,22 @@
 use std::time::Duration;
 
 /// Whether the deadline is out of reach even if the request started now.
-fn hopeless(now: Now, flight: &Flight, meter: &Meter) -> bool {
-    let fresh = flight.attempt == 0 && !flight.urgent;
-    fresh && now + meter.service(flight.request.most) > flight.request.deadline
+fn misses_deadline(now: Now, job: &Job, meter: &Meter) -> bool {
+    let fresh = job.attempt == 0 && !job.urgent;
+    fresh && now + meter.service_time(job.request.max_tokens) > job.request.deadline
 }
 
 /// When to come back once the router has given up on what waited.
-const LATER: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Rounds of one dispatch at most.
-const ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 
 impl Router {
     /// Starts what can start; rounds repeat while one frees places for the next.
     pub(super) fn dispatch(&mut self, now: Now) {
-        for _ in 0..ROUNDS {
-            if !std::mem::take(&mut self.stirred) {
+        for _ in 0..MAX_ROUNDS {
+            if !std::mem::take(&mut self.dispatch_needed) {
                 return;
             }
             self.round(now);
@@ -38,7 +38,7 @@
 
     fn round(&mut self, now: Now) {
         let mut lines = self.queue.lines();
-        self.abandon(now, &lines);
+        self.refuse_unserved(now, &lines);
         let none = BTreeSet::new();
         for &line in &lines {
             self.dispatch_urgent(now, line, &none);
@@ -50,7 +50,7 @@
         let mut held = BTreeSet::new();
         for &line in &lines {
             if !self.dispatch_urgent(now, line, &none) {
-                self.hold(line, &mut held);
+                self.collect_endpoints(line, &mut held);
             }
         }
         let turn = self.ticks as usize % lines.len().max(1);
@@ -61,18 +61,18 @@
     }
 
     /// Gives up what waits for a target that nothing serves and that no return would serve.
-    fn abandon(&mut self, now: Now, lines: &[Target]) {
+    fn refuse_unserved(&mut self, now: Now, lines: &[Target]) {
         let lost: Vec<_> = lines
             .iter()
-            .filter(|&&t| !self.served(t))
+            .filter(|&&t| !self.is_served(t))
             .copied()
             .collect();
         for line in lost {
-            let waiting = self.flights.values().filter(|f| f.entry.is_some());
+            let waiting = self.jobs.values().filter(|f| f.queue_entry.is_some());
             let here = waiting.filter(|f| queue::line(f.request.target) == line);
             let ids: Vec<Id> = here.map(|f| f.id()).collect();
             ids.into_iter()
-                .for_each(|id| self.give_up(now, id, Reason::NoEndpoint, Some(LATER)));
+                .for_each(|id| self.terminate(now, id, Reason::NoEndpoint, Some(RETRY_AFTER)));
         }
     }
 
@@ -80,7 +80,7 @@
     fn dispatch_urgent(&mut self, now: Now, line: Target, none: &BTreeSet<EndpointId>) -> bool {
         while let Some(id) = self.queue.line(line).and_then(|l| l.urgent().next()) {
             let started = self.launch(now, id, Mode::Urgent, none) || self.preempt(now, id);
-            if !started && !self.unward_line(now, line) {
+            if !started && !self.release_line_reservation(now, line) {
                 return false;
             }
         }
@@ -88,14 +88,14 @@
     }
 
     /// Keeps the endpoints of a line from work that is not urgent.
-    pub(super) fn hold(&self, line: Target, held: &mut BTreeSet<EndpointId>) {
+    pub(super) fn collect_endpoints(&self, line: Target, held: &mut BTreeSet<EndpointId>) {
         match line {
             Target::Model(model, _) => {
                 let graph = self
                     .plan
-                    .whole
+                    .full
                     .get(model as usize)
-                    .filter(|g| g.bound > 0.0);
+                    .filter(|g| g.max_flow > 0.0);
                 held.extend(graph.iter().flat_map(|g| &g.stages).map(|s| s.endpoint));
             }
             Target::Service(service) => {
@@ -118,22 +118,25 @@
     /// prefix is cached where there is a place: without this, a freed slot goes to whatever
     /// comes next, and each endpoint's cache is filled with everything.
     fn start_one(&mut self, now: Now, line: Target, held: &BTreeSet<EndpointId>) -> bool {
-        let window = self.queue.line(line).map(|l| l.window(self.limits.window));
+        let window = self
+            .queue
+            .line(line)
+            .map(|l| l.window(self.limits.cache_window));
         let window = window.unwrap_or_default();
         let meter = self.meters.get(&line).copied().unwrap_or_default();
         let late = |id: &&Id| {
-            self.flights
+            self.jobs
                 .get(*id)
-                .is_some_and(|f| hopeless(now, f, &meter))
+                .is_some_and(|f| misses_deadline(now, f, &meter))
         };
         if let Some(&id) = window.iter().find(late) {
-            self.give_up(now, id, Reason::Overload, Some(LATER));
+            self.terminate(now, id, Reason::Overload, Some(RETRY_AFTER));
             return true;
         }
         let cached: Vec<Id> = window
             .iter()
             .copied()
-            .filter(|&id| self.prefers(now, id))
+            .filter(|&id| self.begin_cache_wait(now, id))
             .collect();
         self.start_cached(now, &cached, held) || self.start_next(now, &window, &meter, held)
     }
@@ -149,7 +152,7 @@
                 return true;
             }
         }
-        let spread = ids.iter().find(|id| self.spreads(now, **id)).copied();
+        let spread = ids.iter().find(|id| self.may_spread(now, **id)).copied();
         spread.is_some_and(|id| self.launch(now, id, Mode::Spare, held))
     }
 
@@ -163,7 +166,7 @@
     ) -> bool {
         let next = window
             .iter()
-            .find(|id| !self.lingers(now, **id, meter))
+            .find(|id| !self.waits_for_cache(now, **id, meter))
             .copied();
         next.is_some_and(|id| self.launch(now, id, Mode::Fair, held))
     }
@@ -171,45 +174,45 @@
     /// Pauses work that yields on each full endpoint of a chain and starts an urgent request
     /// there; whether it started.
     fn preempt(&mut self, now: Now, id: Id) -> bool {
-        let yields = self.yields();
+        let yields = self.count_preemptible();
         if yields.is_empty() {
             return false;
         }
         let none = BTreeSet::new();
-        let Some(hops) = self.pick(now, id, Mode::Preempt, &none, &yields) else {
+        let Some(hops) = self.select_chain(now, id, Mode::Preempt, &none, &yields) else {
             return false;
         };
         for hop in &hops {
-            self.make_room(now, hop);
+            self.free_slot(now, hop);
         }
         self.start(now, id, hops, Mode::Urgent);
         true
     }
 
     /// By endpoint: running work that yields to urgent work.
-    fn yields(&self) -> BTreeMap<EndpointId, u32> {
+    fn count_preemptible(&self) -> BTreeMap<EndpointId, u32> {
         let mut yields = BTreeMap::new();
         let runs = self
-            .flights
+            .jobs
             .values()
-            .filter(|f| f.yields())
+            .filter(|f| f.is_preemptible())
             .filter_map(|f| f.run.as_ref());
-        for endpoint in runs.flat_map(|r| r.rows.iter().flatten()) {
+        for endpoint in runs.flat_map(|r| r.endpoints.iter().flatten()) {
             *yields.entry(*endpoint).or_default() += 1;
         }
         yields
     }
 
-    fn make_room(&mut self, now: Now, hop: &Hop) {
+    fn free_slot(&mut self, now: Now, hop: &Hop) {
         while self
             .fleet
             .get(hop.endpoint)
-            .is_some_and(|r| r.flying >= r.limit())
+            .is_some_and(|r| r.in_flight >= r.limit())
         {
             let on = self
-                .flights
+                .jobs
                 .values()
-                .filter(|f| f.yields() && f.on(hop.endpoint));
+                .filter(|f| f.is_preemptible() && f.runs_on(hop.endpoint));
             let least = on.max_by_key(|f| (f.request.priority, std::cmp::Reverse(f.tokens), f.seq));
             let Some(victim) = least.map(|f| f.id()) else {
                 return;
@@ -222,7 +225,7 @@
     /// Stops an attempt that yields; it goes on later from the tokens it had.
     pub(super) fn pause(&mut self, now: Now, id: Id) {
         self.cancel(now, id);
-        self.flights
+        self.jobs
             .get_mut(&id)
             .into_iter()
             .for_each(|f| f.paused = true);
--- a/crates/route/src/router/dump.rs
+++ b/crates/route/src/router/dump.rs
@@ -2,19 +2,19 @@
 
 use super::Router;
 use crate::fleet::Row;
-use crate::flight::Flight;
+use crate::job::Job;
 use std::fmt;
 
 /// Requests listed at most.
-const LISTED: usize = 200;
+const MAX_LISTED_JOBS: usize = 200;
 
 impl fmt::Display for Router {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "[router]\n{}", self.report())?;
         if let Some(view) = &self.view {
             writeln!(f, "[models]")?;
-            for (model, graph) in view.bundle.models.iter().zip(&self.plan.whole) {
-                let (bound, stages) = (graph.bound, graph.stages.len());
+            for (model, graph) in view.bundle.models.iter().zip(&self.plan.full) {
+                let (bound, stages) = (graph.max_flow, graph.stages.len());
                 writeln!(
                     f,
                     "{}: bound {bound:.0} tokens/s over {stages} stages",
@@ -28,20 +28,20 @@
             .iter()
             .try_for_each(|row| writeln!(f, "{row}"))?;
         writeln!(f, "\n[teams]")?;
-        for row in &self.shares.rows {
+        for row in &self.shares.accounts {
             let (name, flying) = (&row.name, row.in_flight);
             writeln!(
                 f,
                 "{name}: in flight {flying}, taken {}, refused {}",
-                row.taken, row.refused
+                row.admitted, row.refused
             )?;
         }
         writeln!(f, "\n[requests]")?;
-        self.flights
+        self.jobs
             .values()
-            .take(LISTED)
-            .try_for_each(|flight| writeln!(f, "{flight}"))?;
-        let more = self.flights.len().saturating_sub(LISTED);
+            .take(MAX_LISTED_JOBS)
+            .try_for_each(|job| writeln!(f, "{job}"))?;
+        let more = self.jobs.len().saturating_sub(MAX_LISTED_JOBS);
         if more > 0 {
             writeln!(f, "and {more} more")?;
         }
@@ -51,25 +51,25 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (open, state) = (self.open, self.health.state);
+        let (open, state) = (self.available, self.health.state);
         write!(
             f,
             "{}: open {open}, {state:?}, flying {}",
-            self.name, self.flying
+            self.name, self.in_flight
         )?;
         write!(
             f,
             " of {}/{}, usual {:.1} ms",
             self.limit(),
             self.slots,
-            self.pace.usual * 1e3
+            self.limiter.mean_time * 1e3
         )?;
-        self.ward
+        self.reserved_for
             .map_or(Ok(()), |id| write!(f, ", kept for {id:x}"))
     }
 }
 
-impl fmt::Display for Flight {
+impl fmt::Display for Job {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (id, phase) = (self.id(), self.phase);
         write!(
@@ -77,12 +77,17 @@
             "{id:x}/{}: {phase:?}, {} tokens",
             self.attempt, self.tokens
         )?;
-        write!(f, ", tries {}, sent {}", self.tries, self.sent)?;
+        write!(f, ", tries {}, sent {}", self.failed_attempts, self.sent)?;
         let Some(run) = &self.run else { return Ok(()) };
         let hops = run
             .hops
             .iter()
             .map(|h| format!(" {}[{}..{}]", h.endpoint, h.from, h.to));
-        write!(f, ", at hop {} of{}", run.hop, hops.collect::<String>())
+        write!(
+            f,
+            ", at hop {} of{}",
+            run.next_hop,
+            hops.collect::<String>()
+        )
     }
 }
--- a/crates/route/src/router/isolate.rs
+++ b/crates/route/src/router/isolate.rs
@@ -6,18 +6,18 @@
 //! repeated is moved away.
 
 use super::Router;
-use super::eyes::Mode;
+use super::capacity::Mode;
 use crate::Now;
 use crate::request::{Id, Target};
 use bundle::id::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Suspects looked at in one dispatch of a line.
-const LOOKS: usize = 8;
+const MAX_SUSPECTS_PER_DISPATCH: usize = 8;
 
 /// Endpoints kept from new work for a suspect that waits.
 #[derive(Clone, Debug)]
-pub(super) struct Ward {
+pub(super) struct Reservation {
     pub suspect: Id,
     pub endpoints: Vec<EndpointId>,
     pub since: Now,
@@ -28,36 +28,37 @@
         let Some(waiting) = self.queue.line(line) else {
             return;
         };
-        let ids: Vec<Id> = waiting.suspects().take(LOOKS).collect();
+        let ids: Vec<Id> = waiting.suspects().take(MAX_SUSPECTS_PER_DISPATCH).collect();
         let none = BTreeSet::new();
         for id in ids {
-            if self.launch(now, id, Mode::Alone(id), &none) {
+            if self.launch(now, id, Mode::Isolated(id), &none) {
                 continue;
             }
-            if !self.wards.contains_key(&line) {
-                self.ward(now, line, id);
+            if !self.reservations.contains_key(&line) {
+                self.reserve_chain(now, line, id);
             }
         }
-        self.empty(now, line);
+        self.drain_reserved(now, line);
     }
 
     /// Keeps a chain for a suspect.
-    fn ward(&mut self, now: Now, line: Target, suspect: Id) {
+    fn reserve_chain(&mut self, now: Now, line: Target, suspect: Id) {
         let none = BTreeSet::new();
-        let Some(hops) = self.pick(now, suspect, Mode::Drain, &none, &BTreeMap::new()) else {
+        let Some(hops) = self.select_chain(now, suspect, Mode::Drain, &none, &BTreeMap::new())
+        else {
             return;
         };
         let endpoints: Vec<_> = hops.iter().map(|h| h.endpoint).collect();
-        self.guarded = true;
+        self.has_reservations = true;
         for &endpoint in &endpoints {
             self.fleet
                 .get_mut(endpoint)
                 .into_iter()
-                .for_each(|r| r.ward = Some(suspect));
+                .for_each(|r| r.reserved_for = Some(suspect));
         }
-        self.wards.insert(
+        self.reservations.insert(
             line,
-            Ward {
+            Reservation {
                 suspect,
                 endpoints,
                 since: now,
@@ -66,17 +67,17 @@
     }
 
     /// Moves repeatable work away from a ward that did not become empty in time.
-    fn empty(&mut self, now: Now, line: Target) {
-        let Some(ward) = self.wards.get(&line) else {
+    fn drain_reserved(&mut self, now: Now, line: Target) {
+        let Some(ward) = self.reservations.get(&line) else {
             return;
         };
-        if now < ward.since + self.limits.patience {
+        if now < ward.since + self.limits.isolation_timeout {
             return;
         }
         let endpoints = ward.endpoints.clone();
-        let on = |f: &&crate::flight::Flight| endpoints.iter().any(|&e| f.on(e));
+        let on = |f: &&crate::job::Job| endpoints.iter().any(|&e| f.runs_on(e));
         let movable = self
-            .flights
+            .jobs
             .values()
             .filter(|f| f.request.repeatable)
             .filter(on);
@@ -88,40 +89,40 @@
     }
 
     /// Frees what is kept for a suspect.
-    pub(super) fn unward(&mut self, suspect: Id) {
-        if !self.guarded {
+    pub(super) fn release_reservation(&mut self, suspect: Id) {
+        if !self.has_reservations {
             return;
         }
         let rows = self
             .fleet
             .rows
             .iter_mut()
-            .filter(|r| r.ward == Some(suspect));
+            .filter(|r| r.reserved_for == Some(suspect));
         let mut freed = false;
         rows.for_each(|r| {
-            r.ward = None;
+            r.reserved_for = None;
             freed = true;
         });
-        self.wards.retain(|_, w| w.suspect != suspect);
-        self.guarded = self.fleet.rows.iter().any(|r| r.ward.is_some());
-        self.stirred |= freed;
+        self.reservations.retain(|_, w| w.suspect != suspect);
+        self.has_reservations = self.fleet.rows.iter().any(|r| r.reserved_for.is_some());
+        self.dispatch_needed |= freed;
     }
 
     /// Frees what is kept in a line for a suspect that waits, since urgent work waits too;
     /// whether anything was freed. An urgent suspect keeps its ward.
-    pub(super) fn unward_line(&mut self, now: Now, line: Target) -> bool {
-        let Some(ward) = self.wards.get(&line) else {
+    pub(super) fn release_line_reservation(&mut self, now: Now, line: Target) -> bool {
+        let Some(ward) = self.reservations.get(&line) else {
             return false;
         };
         let suspect = ward.suspect;
         if self
-            .flights
+            .jobs
             .get(&suspect)
             .is_some_and(|f| f.urgent && f.request.deadline > now)
         {
             return false;
         }
-        self.unward(suspect);
+        self.release_reservation(suspect);
         true
     }
 }
--- a/crates/route/src/router/pick.rs
+++ b/crates/route/src/router/pick.rs
@@ -1,11 +1,11 @@
 //! The choice of a chain for a request.
 
 use super::Router;
-use super::eyes::{Eyes, Mode};
+use super::capacity::{Capacity, Mode};
 use crate::Now;
 use crate::action::Hop;
 use crate::choose::{Choice, Load};
-use crate::flight::Flight;
+use crate::job::Job;
 use crate::meter::Meter;
 use crate::plan::graph::Graph;
 use crate::request::{Id, Target};
@@ -16,24 +16,24 @@
 use std::time::Duration;
 
 /// Wait for a cached place after which one with much room elsewhere is taken.
-const SPREAD: Duration = Duration::from_millis(200);
+const MIN_SPREAD_WAIT: Duration = Duration::from_millis(200);
 
 impl Router {
-    pub(super) fn pick_cached(
+    pub(super) fn select_cached(
         &self,
         now: Now,
         id: Id,
         mode: Mode,
         held: &BTreeSet<EndpointId>,
     ) -> Option<Vec<Hop>> {
-        let flight = self.flights.get(&id)?;
-        let Target::Model(model, _) = flight.request.target else {
+        let job = self.jobs.get(&id)?;
+        let Target::Model(model, _) = job.request.target else {
             return None;
         };
-        let (_, preference) = flight.preference.as_ref()?;
+        let (_, preference) = job.preference.as_ref()?;
         let wide = mode == Mode::Spare;
         let none = BTreeMap::new();
-        let eyes = self.eyes(now, mode, &flight.avoid, held, &none);
+        let capacity = self.capacity(now, mode, &job.avoid, held, &none);
         let graph = self.graph(model)?;
         let choice = Choice {
             cached: if wide {
@@ -41,7 +41,7 @@
             } else {
                 &preference.home
             },
-            ..self.choice(graph, &eyes, flight, 0)?
+            ..self.choice(graph, &capacity, job, 0)?
         };
         let chain = choice.draw(&mut self.rng.clone())?;
         Some(hops(graph, &chain))
@@ -49,101 +49,101 @@
 
     /// Whether a request has places where its prefix is likely to be cached; its wait for one of
     /// them begins.
-    pub(super) fn prefers(&mut self, now: Now, id: Id) -> bool {
-        self.prefer(id);
-        let Some(flight) = self.flights.get_mut(&id) else {
+    pub(super) fn begin_cache_wait(&mut self, now: Now, id: Id) -> bool {
+        self.update_preference(id);
+        let Some(job) = self.jobs.get_mut(&id) else {
             return false;
         };
-        let preference = flight.preference.as_ref();
+        let preference = job.preference.as_ref();
         let prefers = preference.is_some_and(|(_, p)| !p.home.is_empty());
         if prefers {
-            flight.lingers.get_or_insert(now);
+            job.cache_wait_since.get_or_insert(now);
         }
         prefers
     }
 
     /// Whether a request should rather wait for a place where its prefix is cached.
-    pub(super) fn lingers(&self, now: Now, id: Id, meter: &Meter) -> bool {
-        self.flights.get(&id).is_some_and(|f| {
-            let time = f.request.deadline >= now + meter.service(f.request.most) * 2;
-            time && f.lingers.is_some() && lingered(now, f) < self.limits.linger
+    pub(super) fn waits_for_cache(&self, now: Now, id: Id, meter: &Meter) -> bool {
+        self.jobs.get(&id).is_some_and(|f| {
+            let time = f.request.deadline >= now + meter.service_time(f.request.max_tokens) * 2;
+            time && f.cache_wait_since.is_some() && cache_wait(now, f) < self.limits.cache_wait
         })
     }
 
     /// Whether a request has waited long enough for a cached place to take one with much room.
     /// Else all requests with one prefix would queue before a few endpoints of an idle fleet.
-    pub(super) fn spreads(&self, now: Now, id: Id) -> bool {
-        self.flights
+    pub(super) fn may_spread(&self, now: Now, id: Id) -> bool {
+        self.jobs
             .get(&id)
-            .is_some_and(|f| lingered(now, f) >= SPREAD)
+            .is_some_and(|f| cache_wait(now, f) >= MIN_SPREAD_WAIT)
     }
 
     /// Finds where a request's prefix is likely to be cached, once for each plan.
-    fn prefer(&mut self, id: Id) {
-        let Some(flight) = self.flights.get(&id) else {
+    fn update_preference(&mut self, id: Id) {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Target::Model(model, adapter) = flight.request.target else {
+        let Target::Model(model, adapter) = job.request.target else {
             return;
         };
-        if flight
+        if job
             .preference
             .as_ref()
             .is_some_and(|(epoch, _)| *epoch == self.epoch)
         {
             return;
         }
-        let prefix = keyed(&flight.request.prefix, model, adapter);
+        let prefix = salt_prefix(&job.request.prefix, model, adapter);
         let found = self
             .graph(model)
             .map(|g| self.locality.find(&prefix, g))
             .unwrap_or_default();
         let epoch = self.epoch;
-        self.flights.get_mut(&id).into_iter().for_each(|f| {
+        self.jobs.get_mut(&id).into_iter().for_each(|f| {
             f.preference = Some((epoch, found.clone()));
         });
     }
 
     /// The preferred graph of a model.
     fn graph(&self, model: ModelId) -> Option<&Graph> {
-        let near = self.plan.near.get(model as usize)?.as_ref();
-        near.or(self.plan.whole.get(model as usize))
+        let near = self.plan.subset.get(model as usize)?.as_ref();
+        near.or(self.plan.full.get(model as usize))
     }
 
-    fn eyes<'a>(
+    fn capacity<'a>(
         &'a self,
         now: Now,
         mode: Mode,
         avoid: &'a [EndpointId],
         held: &'a BTreeSet<EndpointId>,
         yields: &'a BTreeMap<EndpointId, u32>,
-    ) -> Eyes<'a> {
-        let (fleet, wires, limits) = (&self.fleet, &self.plan.wires, &self.limits);
-        Eyes {
+    ) -> Capacity<'a> {
+        let (fleet, links, limits) = (&self.fleet, &self.plan.links, &self.limits);
+        Capacity {
             fleet,
-            wires,
+            links,
             limits,
             now,
             mode,
             avoid,
-            held,
-            yields,
+            reserved: held,
+            preemptible: yields,
         }
     }
 
     fn choice<'a>(
         &'a self,
         graph: &'a Graph,
-        load: &'a Eyes<'a>,
-        flight: &'a Flight,
+        load: &'a Capacity<'a>,
+        job: &'a Job,
         draws: usize,
-    ) -> Option<Choice<'a, Eyes<'a>>> {
+    ) -> Option<Choice<'a, Capacity<'a>>> {
         let zone = self.view.as_ref()?.zone;
-        let preference = flight.preference.as_ref().map(|(_, p)| p);
+        let preference = job.preference.as_ref().map(|(_, p)| p);
         let cached = preference.map_or(&[][..], |p| &p.home);
         Some(Choice {
             graph,
-            wires: &self.plan.wires,
+            links: &self.plan.links,
             zone,
             load,
             draws,
@@ -152,7 +152,7 @@
     }
 
     /// Chooses a chain; without the endpoints that failed the request if there is such a one.
-    pub(super) fn pick(
+    pub(super) fn select_chain(
         &mut self,
         now: Now,
         id: Id,
@@ -160,15 +160,15 @@
         held: &BTreeSet<EndpointId>,
         yields: &BTreeMap<EndpointId, u32>,
     ) -> Option<Vec<Hop>> {
-        self.prefer(id);
+        self.update_preference(id);
         // The generator is moved out so that the choice can borrow the rest.
         let mut rng = self.rng.clone();
-        let flight = self.flights.get(&id)?;
-        let eyes = self.eyes(now, mode, &flight.avoid, held, yields);
-        let mut found = self.choose(flight, &eyes, &mut rng);
-        if found.is_none() && !flight.avoid.is_empty() {
-            let eyes = self.eyes(now, mode, &[], held, yields);
-            found = self.choose(flight, &eyes, &mut rng);
+        let job = self.jobs.get(&id)?;
+        let capacity = self.capacity(now, mode, &job.avoid, held, yields);
+        let mut found = self.choose(job, &capacity, &mut rng);
+        if found.is_none() && !job.avoid.is_empty() {
+            let capacity = self.capacity(now, mode, &[], held, yields);
+            found = self.choose(job, &capacity, &mut rng);
         }
         self.rng = rng;
         let (hops, searched) = found?;
@@ -179,24 +179,24 @@
     /// A chain that takes the request, and whether it had to be searched.
     fn choose(
         &self,
-        flight: &Flight,
-        eyes: &Eyes,
+        job: &Job,
+        capacity: &Capacity,
         rng: &mut ChaCha8Rng,
     ) -> Option<(Vec<Hop>, bool)> {
-        let draws = self.limits.candidates;
-        match flight.request.target {
+        let draws = self.limits.hop_draws;
+        match job.request.target {
             Target::Service(service) => {
                 let endpoints = self.plan.services.get(service as usize)?;
                 let zone = self.view.as_ref()?.zone;
-                serve(eyes, endpoints, zone, draws, rng).map(|hops| (hops, false))
+                choose_endpoint(capacity, endpoints, zone, draws, rng).map(|hops| (hops, false))
             }
             Target::Model(model, _) => {
                 let near = self.graph(model)?;
-                if let Some(chain) = self.choice(near, eyes, flight, draws)?.draw(rng) {
+                if let Some(chain) = self.choice(near, capacity, job, draws)?.draw(rng) {
                     return Some((hops(near, &chain), false));
                 }
-                let whole = self.plan.whole.get(model as usize)?;
-                let chain = self.choice(whole, eyes, flight, draws)?.search()?;
+                let whole = self.plan.full.get(model as usize)?;
+                let chain = self.choice(whole, capacity, job, draws)?.search()?;
                 Some((hops(whole, &chain), true))
             }
         }
@@ -204,14 +204,13 @@
 }
 
 /// How long a request has waited for a place where its prefix is cached.
-fn lingered(now: Now, flight: &Flight) -> Duration {
-    flight
-        .lingers
+fn cache_wait(now: Now, job: &Job) -> Duration {
+    job.cache_wait_since
         .map_or(Duration::ZERO, |since| now.saturating_sub(since))
 }
 
 /// Prefix hashes told apart by model and adapter.
-pub(super) fn keyed(prefix: &[u64], model: u16, adapter: Option<u16>) -> Vec<u64> {
+pub(super) fn salt_prefix(prefix: &[u64], model: u16, adapter: Option<u16>) -> Vec<u64> {
     let key = (u64::from(model) << 32) | adapter.map_or(0, |a| u64::from(a) + 1);
     prefix
         .iter()
@@ -231,23 +230,26 @@
 }
 
 /// Chooses an endpoint of a plain service: the best of a few drawn, else the best of all.
-fn serve(
-    eyes: &Eyes,
+fn choose_endpoint(
+    capacity: &Capacity,
     endpoints: &[EndpointId],
     zone: ZoneId,
     draws: usize,
     rng: &mut impl rand::Rng,
 ) -> Option<Vec<Hop>> {
     let cost = |e: EndpointId| {
-        let row = eyes.fleet.get(e)?;
-        let load = eyes.endpoint(e)? / f64::from(row.slots.max(1));
-        Some((load + eyes.wires.latency(zone, row.zone).as_secs_f64(), e))
+        let row = capacity.fleet.get(e)?;
+        let load = capacity.endpoint(e)? / f64::from(row.slots.max(1));
+        Some((
+            load + capacity.links.latency(zone, row.zone).as_secs_f64(),
+            e,
+        ))
     };
     if endpoints.is_empty() {
         return None;
     }
     let drawn = (0..draws).filter_map(|_| cost(endpoints[rng.random_range(0..endpoints.len())]));
-    let best = least(drawn).or_else(|| least(endpoints.iter().filter_map(|&e| cost(e))));
+    let best = cheapest(drawn).or_else(|| cheapest(endpoints.iter().filter_map(|&e| cost(e))));
     best.map(|endpoint| {
         vec![Hop {
             endpoint,
@@ -257,6 +259,6 @@
     })
 }
 
-fn least(found: impl Iterator<Item = (f64, EndpointId)>) -> Option<EndpointId> {
+fn cheapest(found: impl Iterator<Item = (f64, EndpointId)>) -> Option<EndpointId> {
     found.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, e)| e)
 }
--- a/crates/route/src/router/progress.rs
+++ b/crates/route/src/router/progress.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use crate::action::Observation;
-use crate::flight::Run;
+use crate::job::Run;
 use crate::outcome::Outcome;
 use crate::request::Id;
 use crate::{Attempt, Now};
@@ -10,8 +10,8 @@
 impl Router {
     /// The running attempt of a request, if `attempt` is its number.
     fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Run> {
-        let flight = self.flights.get_mut(&id);
-        let run = flight
+        let job = self.jobs.get_mut(&id);
+        let run = job
             .filter(|f| f.attempt == attempt)
             .and_then(|f| f.run.as_mut());
         if run.is_none() {
@@ -25,24 +25,24 @@
             return;
         };
         let hop = usize::from(hop);
-        let expected = hop == run.hop;
-        let took = now.saturating_sub(run.since);
-        run.since = now;
+        let expected = hop == run.next_hop;
+        let took = now.saturating_sub(run.last_progress);
+        run.last_progress = now;
         run.silent = false;
-        run.hop = hop + 1;
-        let steady = run.made > 0 && expected;
-        let Some(&endpoint) = run.rows.get(hop) else {
+        run.next_hop = hop + 1;
+        let steady = run.tokens > 0 && expected;
+        let Some(&endpoint) = run.endpoints.get(hop) else {
             return;
         };
-        let allowed = run.allowed[hop];
+        let allowed = run.target_times[hop];
         let Some(row) = endpoint.and_then(|e| self.fleet.get_mut(e)) else {
             return;
         };
-        row.progress = now;
+        row.last_progress = now;
         if steady {
             let limit = row.limit();
-            row.pace.hop(now, took, allowed, row.flying);
-            self.stirred |= row.limit() > limit;
+            row.limiter.record_hop(now, took, allowed, row.in_flight);
+            self.dispatch_needed |= row.limit() > limit;
         }
     }
 
@@ -50,18 +50,18 @@
         let Some(run) = self.current(id, attempt) else {
             return;
         };
-        run.made += 1;
-        run.hop = 0;
-        run.since = now;
+        run.tokens += 1;
+        run.next_hop = 0;
+        run.last_progress = now;
         run.silent = false;
-        let first = (run.made == 1).then(|| now.saturating_sub(run.started));
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let first = (run.tokens == 1).then(|| now.saturating_sub(run.started));
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        flight.tokens += 1;
-        let target = flight.request.target;
+        job.tokens += 1;
+        let target = job.request.target;
         if let Some(took) = first {
-            self.meter(target).first(took);
+            self.meter(target).record_first_token(took);
         }
     }
 
@@ -70,45 +70,45 @@
             return;
         }
         self.measure(now, id);
-        let Some(flight) = self.flights.get(&id) else {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let print = flight.request.fingerprint;
-        let rows = flight
+        let fingerprint = job.request.fingerprint;
+        let rows = job
             .run
             .as_ref()
-            .map(|r| r.rows.clone())
+            .map(|r| r.endpoints.clone())
             .unwrap_or_default();
         for endpoint in rows.into_iter().flatten() {
             let Some(row) = self.fleet.get_mut(endpoint) else {
                 continue;
             };
-            if row.health.good(self.limits.trials) {
+            if row.health.record_success(self.limits.trial_attempts) {
                 self.report.restored += 1;
                 self.observe(Observation::Restored(endpoint));
             }
         }
-        self.crash.clear(print);
+        self.crash.clear(fingerprint);
         self.release(now, id);
         self.finish(now, id, Outcome::Complete);
         self.rerank();
     }
 
     fn measure(&mut self, now: Now, id: Id) {
-        let Some(flight) = self.flights.get(&id) else {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let Some(run) = &flight.run else { return };
+        let Some(run) = &job.run else { return };
         let took = now.saturating_sub(run.started);
-        let (target, tokens, made) = (flight.request.target, flight.tokens, run.made);
-        let (most, whole) = (flight.request.most, flight.attempt == 1);
+        let (target, tokens, made) = (job.request.target, job.tokens, run.tokens);
+        let (most, whole) = (job.request.max_tokens, job.attempt == 1);
         let meter = self.meter(target);
         if made == 0 && whole {
-            meter.first(took);
+            meter.record_first_token(took);
         }
-        let after = took.saturating_sub(std::time::Duration::from_secs_f64(meter.first));
+        let after = took.saturating_sub(std::time::Duration::from_secs_f64(meter.first_token));
         if whole {
-            meter.end(tokens, most, after);
+            meter.record_end(tokens, most, after);
         }
     }
 
--- a/crates/route/src/router/recover.rs
+++ b/crates/route/src/router/recover.rs
@@ -3,8 +3,8 @@
 use super::Router;
 use crate::action::Action;
 use crate::failure::{Cause, Failure};
-use crate::flight::Phase;
 use crate::health::State;
+use crate::job::Phase;
 use crate::outcome::Outcome;
 use crate::refusal::Reason;
 use crate::request::Id;
@@ -14,36 +14,36 @@
 use std::time::Duration;
 
 /// Time an endpoint that said it leaves gets no new work; by then the list has caught up.
-const LEAVING: Duration = Duration::from_secs(5);
+const LEAVING_BACKOFF: Duration = Duration::from_secs(5);
 /// Time an endpoint that does not serve a model yet gets no new work.
-const UNFIT: Duration = Duration::from_secs(1);
+const UNFIT_BACKOFF: Duration = Duration::from_secs(1);
 
 impl Router {
     pub(super) fn failed(&mut self, now: Now, id: Id, attempt: Attempt, failure: &Failure) {
-        let flight = self.flights.get_mut(&id).filter(|f| f.attempt == attempt);
-        let Some(flight) = flight.filter(|f| f.run.is_some()) else {
+        let job = self.jobs.get_mut(&id).filter(|f| f.attempt == attempt);
+        let Some(job) = job.filter(|f| f.run.is_some()) else {
             self.report.stale += 1;
             return;
         };
         self.report.failed += 1;
-        let endpoint = flight.run.as_ref().and_then(|run| {
+        let endpoint = job.run.as_ref().and_then(|run| {
             let at = run
                 .hops
                 .iter()
                 .position(|h| h.endpoint == failure.endpoint)?;
-            run.rows[at]
+            run.endpoints[at]
         });
-        let out = endpoint.filter(|&e| self.blame(now, e, failure));
+        let out = endpoint.filter(|&e| self.record_failure(now, e, failure));
         self.release(now, id);
-        if let Some(flight) = self.flights.get_mut(&id) {
-            flight.sent |= failure.sent;
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.sent |= failure.sent;
         }
         match failure.cause {
             Cause::Busy => {
                 self.report.busy += 1;
-                self.elsewhere(now, id);
+                self.requeue(now, id);
             }
-            Cause::Leaving | Cause::Unfit => self.elsewhere(now, id),
+            Cause::Leaving | Cause::Unfit => self.requeue(now, id),
             cause => self.recover(now, id, endpoint, cause),
         }
         // Only now: an ejection takes all that runs there, and this attempt has ended already.
@@ -51,41 +51,42 @@
     }
 
     /// What a failure says of its endpoint; whether it is to be ejected.
-    fn blame(&mut self, now: Now, endpoint: EndpointId, failure: &Failure) -> bool {
+    fn record_failure(&mut self, now: Now, endpoint: EndpointId, failure: &Failure) -> bool {
         let jitter: f64 = self.rng.random_range(0.5..1.5);
         let busy = failure
             .retry_after
-            .unwrap_or(self.limits.busy)
+            .unwrap_or(self.limits.busy_backoff)
             .mul_f64(jitter);
         let Some(row) = self.fleet.get_mut(endpoint) else {
             return false;
         };
         match failure.cause {
             Cause::Busy => {
-                row.pace.full(now, row.flying.saturating_sub(1));
-                row.hold = row.hold.max(now + busy);
+                row.limiter
+                    .record_busy(now, row.in_flight.saturating_sub(1));
+                row.backoff_until = row.backoff_until.max(now + busy);
             }
-            Cause::Leaving => row.hold = row.hold.max(now + LEAVING),
-            Cause::Unfit => row.hold = row.hold.max(now + UNFIT),
-            Cause::Connect => self.ask(now, endpoint),
+            Cause::Leaving => row.backoff_until = row.backoff_until.max(now + LEAVING_BACKOFF),
+            Cause::Unfit => row.backoff_until = row.backoff_until.max(now + UNFIT_BACKOFF),
+            Cause::Connect => self.probe(now, endpoint),
             Cause::Reset => {
-                self.broke.insert(endpoint);
+                self.broken_connections.insert(endpoint);
                 self.suspect_death(now, endpoint);
             }
             Cause::Silent => self.suspect_death(now, endpoint),
             Cause::Protocol | Cause::Internal => {
-                return row.health.takes() && row.health.strike(now);
+                return row.health.accepts_work() && row.health.record_failure(now);
             }
         }
         false
     }
 
     /// The endpoint refused before anything ran: another try costs nothing but a round trip.
-    fn elsewhere(&mut self, now: Now, id: Id) {
-        let Some(flight) = self.flights.get(&id) else {
+    fn requeue(&mut self, now: Now, id: Id) {
+        let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if flight.sent && !flight.request.repeatable {
+        if job.sent && !job.request.repeatable {
             return self.finish(now, id, Outcome::Unknown);
         }
         self.enqueue(now, id);
@@ -93,36 +94,36 @@
 
     /// Continues a request after a failure that counts, within budget, tries and deadline.
     pub(super) fn recover(&mut self, now: Now, id: Id, endpoint: Option<EndpointId>, cause: Cause) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if flight.sent && !flight.request.repeatable {
+        if job.sent && !job.request.repeatable {
             return self.finish(now, id, Outcome::Unknown);
         }
-        flight.tries += 1;
-        if flight.tries >= self.limits.tries {
-            return self.give_up(now, id, Reason::NoEndpoint, Some(LATER));
+        job.failed_attempts += 1;
+        if job.failed_attempts >= self.limits.max_attempts {
+            return self.terminate(now, id, Reason::NoEndpoint, Some(RETRY_AFTER));
         }
-        if flight.request.deadline <= now || flight.stranded {
-            return self.give_up(now, id, Reason::Deadline, None);
+        if job.request.deadline <= now || job.not_resumable {
+            return self.terminate(now, id, Reason::Deadline, None);
         }
         // A silent connection says nothing against its endpoint once a probe was answered.
         if cause != Cause::Silent {
-            flight.avoid.extend(endpoint);
+            job.avoid.extend(endpoint);
         }
         let dies = matches!(cause, Cause::Reset | Cause::Silent);
-        flight.waits = endpoint.filter(|_| dies);
+        job.awaited_probe = endpoint.filter(|_| dies);
         self.park(now, id);
     }
 
     /// Lets a request wait for the retry budget, and for the probe that tells whether it may
     /// have killed its endpoint: until then it must not run beside others.
     pub(super) fn park(&mut self, now: Now, id: Id) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        flight.phase = Phase::Parked;
-        self.parked.insert((!flight.urgent, flight.seq, id));
+        job.phase = Phase::Parked;
+        self.parked.insert((!job.urgent, job.seq, id));
         self.unpark(now);
     }
 
@@ -130,10 +131,10 @@
     pub(super) fn unpark(&mut self, now: Now) {
         let keys: Vec<_> = self.parked.iter().copied().collect();
         for key in keys {
-            let Some(flight) = self.flights.get(&key.2) else {
+            let Some(job) = self.jobs.get(&key.2) else {
                 continue;
             };
-            if self.awaited(flight) {
+            if self.awaits_verdict(job) {
                 continue;
             }
             if !self.budget.take() {
@@ -146,30 +147,36 @@
     }
 
     /// Whether a verdict on the request is under way.
-    fn awaited(&self, flight: &crate::flight::Flight) -> bool {
-        let row = flight.waits.and_then(|e| self.fleet.get(e));
+    fn awaits_verdict(&self, job: &crate::job::Job) -> bool {
+        let row = job.awaited_probe.and_then(|e| self.fleet.get(e));
         let probing = row.is_some_and(|r| matches!(r.health.state, State::Probing(_)));
-        probing || self.crash.pending(flight.request.fingerprint)
+        probing || self.crash.is_pending(job.request.fingerprint)
     }
 
     /// Stops an attempt that the router itself found lost, and continues the request.
-    pub(super) fn lose(&mut self, now: Now, id: Id, endpoint: Option<EndpointId>, cause: Cause) {
+    pub(super) fn fail_over(
+        &mut self,
+        now: Now,
+        id: Id,
+        endpoint: Option<EndpointId>,
+        cause: Cause,
+    ) {
         self.cancel(now, id);
         self.report.failed += 1;
         self.recover(now, id, endpoint, cause);
     }
 
     /// Probes an endpoint in use.
-    pub(super) fn ask(&mut self, now: Now, endpoint: EndpointId) {
+    pub(super) fn probe(&mut self, now: Now, endpoint: EndpointId) {
         let Some(row) = self.fleet.get_mut(endpoint) else {
             return;
         };
-        if row.health.ask(now) {
+        if row.health.begin_probe(now) {
             self.report.probes += 1;
-            self.out.push(Action::Probe(endpoint));
+            self.actions.push(Action::Probe(endpoint));
         }
     }
 }
 
 /// When to come back after all tries failed.
-const LATER: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/route/src/router/follow.rs
+++ b/crates/route/src/router/update.rs
@@ -13,43 +13,43 @@
 use std::time::Duration;
 
 /// Recent progress that outweighs what other nodes say of an endpoint.
-const FRESH: Duration = Duration::from_secs(1);
+const RECENT_PROGRESS: Duration = Duration::from_secs(1);
 
 /// What could be served if ejected endpoints came back.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Hope {
+pub(super) struct Recoverable {
     pub models: BTreeSet<ModelId>,
     pub services: BTreeSet<ServiceId>,
 }
 
 impl Router {
-    pub(super) fn follow(&mut self, now: Now, view: Arc<View>) {
+    pub(super) fn apply_view(&mut self, now: Now, view: Arc<View>) {
         let old = self.view.replace(view.clone());
-        let moved = self.fleet.follow(&view.bundle);
-        let teams = self.shares.follow(now, &view.bundle, &view.shares);
+        let moved = self.fleet.apply_bundle(&view.bundle);
+        let teams = self.shares.apply_bundle(now, &view.bundle, &view.shares);
         let changed = old
             .as_ref()
             .is_none_or(|o| !Arc::ptr_eq(&o.bundle, &view.bundle));
         if let Some(old) = old.filter(|_| changed) {
-            self.rename(now, &old.bundle, &view.bundle, &moved, &teams);
+            self.remap_ids(now, &old.bundle, &view.bundle, &moved, &teams);
         }
         let mut turned = false;
         for (id, row) in self.fleet.rows.iter_mut().enumerate() {
-            let open = view.open.get(id).copied().unwrap_or(false);
-            turned |= row.open != open;
-            row.open = open;
+            let open = view.available.get(id).copied().unwrap_or(false);
+            turned |= row.available != open;
+            row.available = open;
         }
-        self.stale |= changed || turned;
+        self.plan_stale |= changed || turned;
         self.crash
-            .follow(&view.suspects, &view.pending, &view.condemned);
+            .update_remote(&view.suspects, &view.pending, &view.condemned);
         self.replan();
         if changed {
-            self.recross();
+            self.recount_crossings();
         }
-        self.doubt(now, &view);
+        self.probe_remote_ejected(now, &view);
         self.rerank();
         self.stop_condemned(now);
-        self.stirred = true;
+        self.dispatch_needed = true;
     }
 
     /// Plans again if endpoints came or went.
@@ -57,56 +57,56 @@
         let Some(view) = self
             .view
             .clone()
-            .filter(|_| std::mem::take(&mut self.stale))
+            .filter(|_| std::mem::take(&mut self.plan_stale))
         else {
             return;
         };
         let rows = &self.fleet.rows;
         let row = |e: EndpointId| rows.get(e as usize);
-        let usable = |e| row(e).is_some_and(|r| r.open && !r.health.out());
-        self.plan = Plan::new(&view, usable, self.seed, self.limits.subset);
+        let usable = |e| row(e).is_some_and(|r| r.available && !r.health.is_ejected());
+        self.plan = Plan::new(&view, usable, self.seed, self.limits.subset_threshold);
         self.epoch += 1;
-        self.hoped = Hope::default();
-        if self.plan.lacks() {
+        self.recoverable = Recoverable::default();
+        if self.plan.has_unserved() {
             let all = Plan::new(
                 &view,
-                |e| row(e).is_some_and(|r| r.open),
+                |e| row(e).is_some_and(|r| r.available),
                 self.seed,
                 usize::MAX,
             );
-            self.hoped = Hope::new(&all);
+            self.recoverable = Recoverable::new(&all);
         }
-        self.stirred = true;
+        self.dispatch_needed = true;
     }
 
     /// Counts again what crosses each pair of zones: the pairs may have changed.
-    fn recross(&mut self) {
-        self.fleet.links = vec![0; self.plan.wires.pairs()];
-        for run in self.flights.values().filter_map(|f| f.run.as_ref()) {
-            for &(a, b) in &run.pairs {
-                self.fleet.cross(self.plan.wires.at(a, b));
+    fn recount_crossings(&mut self) {
+        self.fleet.crossings = vec![0; self.plan.links.pair_count()];
+        for run in self.jobs.values().filter_map(|f| f.run.as_ref()) {
+            for &(a, b) in &run.zone_pairs {
+                self.fleet.add_crossing(self.plan.links.pair_index(a, b));
             }
         }
     }
 
     /// Probes endpoints that other nodes have ejected of late, unless they serve this one well.
-    fn doubt(&mut self, now: Now, view: &View) {
+    fn probe_remote_ejected(&mut self, now: Now, view: &View) {
         let fresh: Vec<_> = view
             .ejected
             .iter()
             .copied()
-            .filter(|e| !self.told.contains(e))
+            .filter(|e| !self.remote_ejected.contains(e))
             .collect();
-        self.told.clone_from(&view.ejected);
+        self.remote_ejected.clone_from(&view.ejected);
         for endpoint in fresh {
             let row = self.fleet.get(endpoint);
-            if row.is_some_and(|r| r.open && r.progress + FRESH <= now) {
-                self.ask(now, endpoint);
+            if row.is_some_and(|r| r.available && r.last_progress + RECENT_PROGRESS <= now) {
+                self.probe(now, endpoint);
             }
         }
     }
 
-    fn rename(
+    fn remap_ids(
         &mut self,
         now: Now,
         old: &Bundle,
@@ -116,22 +116,22 @@
     ) {
         self.queue.clear();
         self.meters.clear();
-        self.wards.clear();
-        self.told = self
-            .told
+        self.reservations.clear();
+        self.remote_ejected = self
+            .remote_ejected
             .iter()
             .filter_map(|&e| moved.get(e as usize).copied()?)
             .collect();
-        self.crash.rename(moved);
-        let ids: Vec<Id> = self.flights.keys().copied().collect();
+        self.crash.remap_endpoints(moved);
+        let ids: Vec<Id> = self.jobs.keys().copied().collect();
         for id in ids {
-            self.rename_flight(now, id, (old, new), moved, teams);
+            self.remap_job(now, id, (old, new), moved, teams);
         }
-        let wards = self.fleet.rows.iter_mut().filter(|r| r.flying == 0);
-        wards.for_each(|r| r.ward = None);
+        let wards = self.fleet.rows.iter_mut().filter(|r| r.in_flight == 0);
+        wards.for_each(|r| r.reserved_for = None);
     }
 
-    fn rename_flight(
+    fn remap_job(
         &mut self,
         now: Now,
         id: Id,
@@ -139,16 +139,18 @@
         moved: &[Option<EndpointId>],
         teams: &[Option<TeamId>],
     ) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let known = |e: EndpointId| moved.get(e as usize).copied().flatten();
-        flight.avoid = flight.avoid.iter().filter_map(|&e| known(e)).collect();
-        flight.waits = flight.waits.and_then(known);
-        if let Some(run) = &mut flight.run {
-            run.rows.iter_mut().for_each(|r| *r = r.and_then(known));
+        job.avoid = job.avoid.iter().filter_map(|&e| known(e)).collect();
+        job.awaited_probe = job.awaited_probe.and_then(known);
+        if let Some(run) = &mut job.run {
+            run.endpoints
+                .iter_mut()
+                .for_each(|r| *r = r.and_then(known));
         }
-        let request = &mut flight.request;
+        let request = &mut job.request;
         request.team = teams
             .get(request.team as usize)
             .copied()
@@ -156,12 +158,12 @@
             .unwrap_or(TeamId::MAX);
         request.priority = priority(old, new, request.priority);
         let target = target(old, new, request.target);
-        let same = target.is_some_and(|t| same(old, new, request.target, t));
-        flight.stranded |= !same && (flight.sent || flight.tokens > 0 || flight.run.is_some());
+        let same = target.is_some_and(|t| is_compatible(old, new, request.target, t));
+        job.not_resumable |= !same && (job.sent || job.tokens > 0 || job.run.is_some());
         request.target = target.unwrap_or(request.target);
-        let waits = flight.entry.take().is_some();
-        if target.is_none() && flight.run.is_none() {
-            return self.give_up(now, id, Reason::NoEndpoint, None);
+        let waits = job.queue_entry.take().is_some();
+        if target.is_none() && job.run.is_none() {
+            return self.terminate(now, id, Reason::NoEndpoint, None);
         }
         if waits {
             self.enqueue(now, id);
@@ -169,9 +171,13 @@
     }
 }
 
-impl Hope {
+impl Recoverable {
     fn new(plan: &Plan) -> Self {
-        let models = plan.whole.iter().enumerate().filter(|(_, g)| g.bound > 0.0);
+        let models = plan
+            .full
+            .iter()
+            .enumerate()
+            .filter(|(_, g)| g.max_flow > 0.0);
         let services = plan
             .services
             .iter()
@@ -216,7 +222,7 @@
 
 /// Whether an answer begun under the old bundle can go on under the new one: a model's version
 /// must not change within an answer.
-fn same(old: &Bundle, new: &Bundle, was: Target, is: Target) -> bool {
+fn is_compatible(old: &Bundle, new: &Bundle, was: Target, is: Target) -> bool {
     let (Target::Model(a, _), Target::Model(b, _)) = (was, is) else {
         return true;
     };
--- a/crates/route/src/router/verdict.rs
+++ b/crates/route/src/router/verdict.rs
@@ -4,8 +4,8 @@
 use crate::Now;
 use crate::action::{Action, Observation};
 use crate::failure::Cause;
-use crate::flight::Flight;
 use crate::health::State;
+use crate::job::Job;
 use crate::outcome::Outcome;
 use crate::refusal::Reason;
 use crate::request::{Id, Target};
@@ -15,30 +15,34 @@
 impl Router {
     /// An endpoint broke off or went silent: notes what it runs, and probes it.
     pub(super) fn suspect_death(&mut self, now: Now, endpoint: EndpointId) {
-        let prints = self.in_flight(endpoint);
-        if self.fleet.get(endpoint).is_some_and(|r| r.health.takes()) {
-            self.crash.scene(now, endpoint, prints);
+        let fingerprints = self.fingerprints_on(endpoint);
+        if self
+            .fleet
+            .get(endpoint)
+            .is_some_and(|r| r.health.accepts_work())
+        {
+            self.crash.open_incident(now, endpoint, fingerprints);
         }
-        self.ask(now, endpoint);
+        self.probe(now, endpoint);
     }
 
     /// Fingerprints whose work the endpoint has begun.
-    fn in_flight(&self, endpoint: EndpointId) -> Vec<u64> {
-        let began = |f: &&Flight| {
+    fn fingerprints_on(&self, endpoint: EndpointId) -> Vec<u64> {
+        let began = |f: &&Job| {
             f.run.as_ref().is_some_and(|run| {
-                let at = run.rows.iter().position(|&r| r == Some(endpoint));
-                at.is_some_and(|at| run.made > 0 || run.hop >= at)
+                let at = run.endpoints.iter().position(|&r| r == Some(endpoint));
+                at.is_some_and(|at| run.tokens > 0 || run.next_hop >= at)
             })
         };
-        let mut prints: Vec<_> = self
-            .flights
+        let mut fingerprints: Vec<_> = self
+            .jobs
             .values()
             .filter(began)
             .map(|f| f.request.fingerprint)
             .collect();
-        prints.sort_unstable();
-        prints.dedup();
-        prints
+        fingerprints.sort_unstable();
+        fingerprints.dedup();
+        fingerprints
     }
 
     pub(super) fn probed(&mut self, now: Now, endpoint: EndpointId, answered: bool) {
@@ -49,30 +53,30 @@
             return;
         }
         if !answered {
-            return self.died(now, endpoint);
+            return self.confirm_dead(now, endpoint);
         }
         let returned = row.health.returning;
-        row.health.answered();
+        row.health.record_answer();
         if returned {
-            row.pace.restart(now);
-            self.stale = true;
+            row.limiter.reset(now);
+            self.plan_stale = true;
         } else {
-            self.lives(now, endpoint);
+            self.confirm_alive(now, endpoint);
         }
-        self.stirred = true;
+        self.dispatch_needed = true;
         self.unpark(now);
     }
 
     /// An endpoint that was doubted lives: only connections to it are dead.
-    fn lives(&mut self, now: Now, endpoint: EndpointId) {
-        let broke = self.broke.remove(&endpoint);
-        let fresh = self.crash.alive(now, endpoint, broke);
-        self.accuse(&fresh);
+    fn confirm_alive(&mut self, now: Now, endpoint: EndpointId) {
+        let broke = self.broken_connections.remove(&endpoint);
+        let fresh = self.crash.record_alive(now, endpoint, broke);
+        self.publish_suspects(&fresh);
         self.keep_waiting(now, endpoint);
-        let silent = self.silent(endpoint);
+        let silent = self.silent_requests(endpoint);
         if broke || !silent.is_empty() {
             let row = self.fleet.get_mut(endpoint);
-            if row.is_some_and(|r| r.health.strike(now)) {
+            if row.is_some_and(|r| r.health.record_failure(now)) {
                 return self.eject(now, endpoint);
             }
         }
@@ -80,58 +84,58 @@
             return;
         }
         self.report.silent += 1;
-        self.out.push(Action::Disconnect(endpoint));
+        self.actions.push(Action::Disconnect(endpoint));
         self.fleet
             .get_mut(endpoint)
             .into_iter()
-            .for_each(|r| r.pace.mistaken());
+            .for_each(|r| r.limiter.extend_silence());
         for id in silent {
-            self.lose(now, id, Some(endpoint), Cause::Silent);
+            self.fail_over(now, id, Some(endpoint), Cause::Silent);
         }
     }
 
     /// A plain service makes no progress that could be seen: while it lives, its call is waited
     /// for until the deadline.
     fn keep_waiting(&mut self, now: Now, endpoint: EndpointId) {
-        for flight in self.flights.values_mut().filter(|f| f.on(endpoint)) {
-            let service = matches!(flight.request.target, Target::Service(_));
-            let Some(run) = flight.run.as_mut().filter(|r| r.silent) else {
+        for job in self.jobs.values_mut().filter(|f| f.runs_on(endpoint)) {
+            let service = matches!(job.request.target, Target::Service(_));
+            let Some(run) = job.run.as_mut().filter(|r| r.silent) else {
                 continue;
             };
-            if service && now < flight.request.deadline {
+            if service && now < job.request.deadline {
                 run.silent = false;
-                run.since = now;
+                run.last_progress = now;
             }
         }
     }
 
-    fn silent(&self, endpoint: EndpointId) -> Vec<Id> {
-        let quiet = |f: &&Flight| f.run.as_ref().is_some_and(|r| r.silent);
+    fn silent_requests(&self, endpoint: EndpointId) -> Vec<Id> {
+        let quiet = |f: &&Job| f.run.as_ref().is_some_and(|r| r.silent);
         let due = self
-            .flights
+            .jobs
             .values()
             .filter(quiet)
-            .filter(|f| f.due() == Some(endpoint));
+            .filter(|f| f.current_endpoint() == Some(endpoint));
         due.map(|f| f.id()).collect()
     }
 
     /// An endpoint is dead: what was in flight there becomes suspect.
-    fn died(&mut self, now: Now, endpoint: EndpointId) {
-        self.broke.remove(&endpoint);
-        let prints = self.in_flight(endpoint);
-        self.crash.scene(now, endpoint, prints);
-        let fresh = self.crash.dead(now, endpoint);
-        self.accuse(&fresh);
+    fn confirm_dead(&mut self, now: Now, endpoint: EndpointId) {
+        self.broken_connections.remove(&endpoint);
+        let fingerprints = self.fingerprints_on(endpoint);
+        self.crash.open_incident(now, endpoint, fingerprints);
+        let fresh = self.crash.record_dead(now, endpoint);
+        self.publish_suspects(&fresh);
         self.eject(now, endpoint);
     }
 
-    fn accuse(&mut self, prints: &[u64]) {
-        for &print in prints {
+    fn publish_suspects(&mut self, fingerprints: &[u64]) {
+        for &fingerprint in fingerprints {
             self.report.suspected += 1;
-            self.observe(Observation::Suspect(print));
+            self.observe(Observation::Suspect(fingerprint));
         }
-        for print in self.crash.take_charged() {
-            self.observe(Observation::Pending(print));
+        for fingerprint in self.crash.take_pending() {
+            self.observe(Observation::Pending(fingerprint));
         }
         self.rerank();
     }
@@ -143,49 +147,53 @@
             return;
         };
         let first = row.health.ejections == 0;
-        row.health
-            .eject(now, self.limits.backoff, self.limits.backoff_most, jitter);
+        row.health.eject(
+            now,
+            self.limits.min_ejection,
+            self.limits.max_ejection,
+            jitter,
+        );
         self.report.ejected += 1;
         if first {
             self.observe(Observation::Ejected(endpoint));
         }
-        self.stale = true;
-        let on = self.flights.values().filter(|f| f.on(endpoint));
+        self.plan_stale = true;
+        let on = self.jobs.values().filter(|f| f.runs_on(endpoint));
         let ids: Vec<Id> = on.map(|f| f.id()).collect();
         ids.into_iter()
-            .for_each(|id| self.lose(now, id, Some(endpoint), Cause::Reset));
+            .for_each(|id| self.fail_over(now, id, Some(endpoint), Cause::Reset));
         self.unpark(now);
     }
 
     /// Verdicts that are due.
-    pub(super) fn settle(&mut self, now: Now) {
-        let prints = self.crash.settle(now);
-        if prints.is_empty() {
+    pub(super) fn conclude_verdicts(&mut self, now: Now) {
+        let fingerprints = self.crash.conclude(now);
+        if fingerprints.is_empty() {
             return;
         }
-        for print in prints {
+        for fingerprint in fingerprints {
             self.report.condemned += 1;
-            self.observe(Observation::Condemned(print));
+            self.observe(Observation::Condemned(fingerprint));
         }
         self.stop_condemned(now);
     }
 
     /// Ends requests that are known to crash endpoints.
     pub(super) fn stop_condemned(&mut self, now: Now) {
-        let condemned = |f: &&Flight| self.crash.condemned(f.request.fingerprint);
+        let condemned = |f: &&Job| self.crash.is_condemned(f.request.fingerprint);
         let ids: Vec<Id> = self
-            .flights
+            .jobs
             .values()
             .filter(condemned)
             .map(|f| f.id())
             .collect();
         for id in ids {
             self.cancel(now, id);
-            let sent = self.flights.get(&id).is_some_and(|f| f.sent);
+            let sent = self.jobs.get(&id).is_some_and(|f| f.sent);
             if sent {
                 self.finish(now, id, Outcome::Unknown);
             } else {
-                self.give_up(now, id, Reason::Condemned, None);
+                self.terminate(now, id, Reason::Condemned, None);
             }
         }
     }
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Longest time that a refusal asks to wait.
-const LONGEST: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Account of one team.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,12 +23,12 @@
     /// Requests taken in that have not ended.
     pub in_flight: u32,
     /// Requests taken in.
-    pub taken: u64,
+    pub admitted: u64,
     /// Requests refused.
     pub refused: u64,
     share: Share,
-    level: f64,
-    filled: Now,
+    tokens: f64,
+    refilled_at: Now,
 }
 
 impl Account {
@@ -41,32 +41,33 @@
         Self {
             name: name.to_owned(),
             in_flight: 0,
-            taken: 0,
+            admitted: 0,
             refused: 0,
             share,
-            level,
-            filled: now,
+            tokens: level,
+            refilled_at: now,
         }
     }
 
-    fn size(&self, burst: f64) -> f64 {
+    fn capacity(&self, burst: f64) -> f64 {
         (self.share.rate * burst).max(1.0)
     }
 
-    fn fill(&mut self, now: Now, burst: f64) {
-        let time = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.level = (self.level + time * self.share.rate).min(self.size(burst));
+    fn refill(&mut self, now: Now, burst: f64) {
+        let time = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + time * self.share.rate).min(self.capacity(burst));
     }
 
-    fn wait(&self) -> Duration {
-        let missing = (1.0 - self.level).max(0.0);
-        Duration::try_from_secs_f64(missing / self.share.rate).map_or(LONGEST, |w| w.min(LONGEST))
+    fn retry_after(&self) -> Duration {
+        let missing = (1.0 - self.tokens).max(0.0);
+        Duration::try_from_secs_f64(missing / self.share.rate)
+            .map_or(MAX_RETRY_AFTER, |w| w.min(MAX_RETRY_AFTER))
     }
 
     /// Whether the level lies within the bucket and its overdraft.
-    pub fn sound(&self, burst: f64) -> bool {
-        !self.level.is_finite() || self.level >= -self.size(burst) - 1.0
+    pub fn is_within_bounds(&self, burst: f64) -> bool {
+        !self.tokens.is_finite() || self.tokens >= -self.capacity(burst) - 1.0
     }
 }
 
@@ -74,13 +75,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// Accounts by team.
-    pub rows: Vec<Account>,
+    pub accounts: Vec<Account>,
 }
 
 impl Table {
     /// Takes in a bundle and this worker's shares; returns the new id of each old team.
-    pub fn follow(&mut self, now: Now, bundle: &Bundle, shares: &[Share]) -> Vec<Option<TeamId>> {
-        let old = std::mem::take(&mut self.rows).into_iter().enumerate();
+    pub fn apply_bundle(
+        &mut self,
+        now: Now,
+        bundle: &Bundle,
+        shares: &[Share],
+    ) -> Vec<Option<TeamId>> {
+        let old = std::mem::take(&mut self.accounts).into_iter().enumerate();
         let mut old: BTreeMap<_, _> = old.map(|(i, r)| (r.name.clone(), (i, r))).collect();
         let mut moved = vec![None; old.len()];
         for (id, team) in bundle.teams.iter().enumerate() {
@@ -95,39 +101,43 @@
                 rate: 0.0,
                 in_flight: 0.0,
             });
-            self.rows.push(row);
+            self.accounts.push(row);
         }
         moved
     }
 
     /// Takes a request in, or tells when to come back.
-    pub fn take(&mut self, now: Now, team: TeamId, urgent: bool, burst: f64) -> Result {
-        let Some(row) = self.rows.get_mut(team as usize) else {
-            return Err(LONGEST);
+    pub fn admit(&mut self, now: Now, team: TeamId, urgent: bool, burst: f64) -> Result {
+        let Some(row) = self.accounts.get_mut(team as usize) else {
+            return Err(MAX_RETRY_AFTER);
+        };
+        row.refill(now, burst);
+        let floor = if urgent {
+            1.0 - row.capacity(burst)
+        } else {
+            1.0
         };
-        row.fill(now, burst);
-        let floor = if urgent { 1.0 - row.size(burst) } else { 1.0 };
         let full = f64::from(row.in_flight) >= row.share.in_flight;
-        if row.share.rate <= 0.0 || row.level < floor || full {
+        if row.share.rate <= 0.0 || row.tokens < floor || full {
             row.refused += 1;
-            return Err(row.wait().max(SHORTEST));
+            return Err(row.retry_after().max(MIN_RETRY_AFTER));
         }
-        row.level -= 1.0;
+        row.tokens -= 1.0;
         row.in_flight += 1;
-        row.taken += 1;
+        row.admitted += 1;
         Ok(())
     }
 
     /// A request of `team` ended.
-    pub fn end(&mut self, team: TeamId) {
-        if let Some(row) = self.rows.get_mut(team as usize) {
+    pub fn release(&mut self, team: TeamId) {
+        if let Some(row) = self.accounts.get_mut(team as usize) {
             row.in_flight = row.in_flight.saturating_sub(1);
         }
     }
 }
 
 /// Shortest time that a refusal asks to wait.
-const SHORTEST: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Ok, or when to come back.
 pub type Result = std::result::Result<(), Duration>;
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -21,7 +21,7 @@
     /// The node's own availability zone.
     pub zone: ZoneId,
     /// By endpoint: whether it gets new work (live in the list, not leaving, ready).
-    pub open: Vec<bool>,
+    pub available: Vec<bool>,
     /// Endpoints that other nodes have ejected.
     pub ejected: Vec<EndpointId>,
     /// Fingerprints that other nodes saw in flight at an endpoint's death.
@@ -33,7 +33,7 @@
     /// By team: this worker's share of the limits.
     pub shares: Vec<Share>,
     /// Retries per second that this worker may spend of the fleet's budget.
-    pub retries: f64,
+    pub retry_rate: f64,
     /// Whether this node takes no new work.
     pub leaving: bool,
 }
--- a/crates/route/tests/broken.rs
+++ b/crates/route/tests/broken.rs
@@ -78,7 +78,7 @@
         };
         let mut view = (**view).clone();
         match self.defect {
-            Defect::Blind => view.open.fill(true),
+            Defect::Blind => view.available.fill(true),
             Defect::Deaf => view.condemned.clear(),
             _ => {}
         }
@@ -135,7 +135,7 @@
                 self.found.extend(self.audit.action(&said));
             }
         }
-        self.found.extend(self.audit.settle(&event));
+        self.found.extend(self.audit.end_left(&event));
         let _ = out;
     }
 }
