--- a/crates/route/tests/parts.rs
+++ b/crates/route/tests/parts.rs
@@ -3,9 +3,9 @@
 #[path = "support/fixture.rs"]
 mod fixture;
 
+use route::concurrency::Limiter;
 use route::crash;
-use route::health::{Health, STRIKES, State};
-use route::pace::Pace;
+use route::health::{EJECTION_THRESHOLD, Health, State};
 use route::plan::{self, Plan};
 use route::queue::{Entry, Queue, Rank};
 use route::request::Target;
@@ -25,17 +25,17 @@
 fn the_bound_is_the_narrowest_cut() {
     // Two replicas in each of three zones: 6400 layers/s over 16 layers, six times.
     let equal = fixture::fleet(2, 4, 1);
-    assert!((plan::bound(&equal, 0) - 2400.0).abs() < 1e-3);
+    assert!((plan::max_throughput(&equal, 0) - 2400.0).abs() < 1e-3);
     // Stages in two zones only meet over a link of 100 tokens/s.
     let mut split = fixture::bundle(1);
     fixture::stage(&mut split, 0, 0, 0, 16, 4);
     fixture::stage(&mut split, 1, 0, 16, 32, 4);
-    assert!((plan::bound(&split, 0) - 400.0).abs() < 1e-3);
+    assert!((plan::max_throughput(&split, 0) - 400.0).abs() < 1e-3);
     fixture::link(&mut split, 0, 1, 100.0);
-    assert!((plan::bound(&split, 0) - 100.0).abs() < 1e-3);
+    assert!((plan::max_throughput(&split, 0) - 100.0).abs() < 1e-3);
     // Without a second stage nothing flows.
     split.endpoints.pop();
-    assert_eq!(plan::bound(&split, 0), 0.0);
+    assert_eq!(plan::max_throughput(&split, 0), 0.0);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     fixture::stage(&mut bundle, 0, 0, 16, 32, 4);
     fixture::stage(&mut bundle, 0, 1, 16, 32, 4);
     let plan = Plan::new(&fixture::view(&Arc::new(bundle), 0), |_| true, 1, 96);
-    let graph = &plan.whole[0];
+    let graph = &plan.full[0];
     let flows: Vec<f64> = graph.flows.iter().map(|f| f.round()).collect();
     assert_eq!(flows, [400.0, 320.0, 80.0]);
 }
@@ -56,7 +56,7 @@
     let mut bundle = fixture::bundle(1);
     fixture::stage(&mut bundle, 0, 0, 0, 20, 4);
     fixture::stage(&mut bundle, 0, 0, 12, 32, 4);
-    assert!(plan::bound(&bundle, 0) > 300.0);
+    assert!(plan::max_throughput(&bundle, 0) > 300.0);
 }
 
 fn entry(id: u128, team: u16, weight: u32) -> Entry {
@@ -68,8 +68,8 @@
         priority,
         team,
         rank,
-        class,
-        weight,
+        priority_weight: class,
+        team_weight: weight,
     }
 }
 
@@ -101,7 +101,7 @@
     }
     assert_eq!(served, [200, 600, 200]);
     let (urgent, fair) = queue.recount();
-    assert_eq!((queue.urgent, queue.fair), (urgent, fair));
+    assert_eq!((queue.urgent_count, queue.fair_count), (urgent, fair));
 }
 
 #[test]
@@ -146,14 +146,14 @@
     };
     let mut workers: Vec<Table> = (0..8).map(|_| Table::default()).collect();
     for table in &mut workers {
-        table.follow(ms(0), &bundle, &[share]);
+        table.apply_bundle(ms(0), &bundle, &[share]);
     }
     let mut taken = 0;
     for at in (0..10_000).step_by(5) {
         for table in &mut workers {
-            if table.take(ms(at), 0, false, 1.0).is_ok() {
+            if table.admit(ms(at), 0, false, 1.0).is_ok() {
                 taken += 1;
-                table.end(0);
+                table.release(0);
             }
         }
     }
@@ -161,8 +161,8 @@
     assert!((400..=440).contains(&taken), "{taken}");
     let mut held = 0;
     for table in &mut workers {
-        table.follow(ms(20_000), &bundle, &[share]);
-        while table.take(ms(30_000), 0, false, 1.0).is_ok() {
+        table.apply_bundle(ms(20_000), &bundle, &[share]);
+        while table.admit(ms(30_000), 0, false, 1.0).is_ok() {
             held += 1;
         }
     }
@@ -174,7 +174,7 @@
 fn urgent_work_may_overdraw_one_bucket() {
     let bundle = fixture::bundle(1);
     let mut table = Table::default();
-    table.follow(
+    table.apply_bundle(
         ms(0),
         &bundle,
         &[Share {
@@ -184,27 +184,27 @@
     );
     let take = |table: &mut Table, urgent| {
         (0..50)
-            .filter(|_| table.take(ms(10_000), 0, urgent, 1.0).is_ok())
+            .filter(|_| table.admit(ms(10_000), 0, urgent, 1.0).is_ok())
             .count()
     };
     assert_eq!(take(&mut table, false), 10);
     assert_eq!(take(&mut table, true), 10);
-    assert!(table.rows[0].sound(1.0));
+    assert!(table.accounts[0].is_within_bounds(1.0));
 }
 
 #[test]
 fn concurrency_follows_the_time_of_a_hop() {
-    let mut pace = Pace::new(16);
+    let mut pace = Limiter::new(16);
     let mut now = ms(0);
     for _ in 0..200 {
         now += ms(50);
         let running = pace.limit as u32;
-        pace.hop(now, ms(u64::from(running) * 10), ms(60), running);
+        pace.record_hop(now, ms(u64::from(running) * 10), ms(60), running);
     }
     assert!((4.0..=8.0).contains(&pace.limit), "{pace:?}");
     for _ in 0..200 {
         now += ms(50);
-        pace.hop(now, ms(10), ms(60), pace.limit as u32);
+        pace.record_hop(now, ms(10), ms(60), pace.limit as u32);
     }
     assert_eq!(pace.limit, 16.0);
 }
@@ -216,7 +216,7 @@
 
 /// Runs hops one after another as they end, and returns the limits at the end of each second.
 fn paced(
-    pace: &mut Pace,
+    pace: &mut Limiter,
     allowed: Duration,
     seconds: u64,
     hop: impl Fn(u32) -> Duration,
@@ -228,7 +228,7 @@
             let running = (pace.limit as u32).max(1);
             let took = hop(running);
             now += took / running;
-            pace.hop(now, took, allowed, running);
+            pace.record_hop(now, took, allowed, running);
         }
         limits.push(pace.limit);
     }
@@ -240,7 +240,7 @@
 // what its batch computes at once, and must not fall to one.
 #[test]
 fn limit_does_not_fall_where_that_makes_nothing_faster() {
-    let mut pace = Pace::new(40);
+    let mut pace = Limiter::new(40);
     let limits = paced(&mut pace, ms(15), 30, |running| batched(running, 8, ms(20)));
     let settled = &limits[5..];
     assert!(
@@ -253,7 +253,7 @@
 // time would leave a batch of 64 almost empty, and be no faster.
 #[test]
 fn slow_accelerator_keeps_its_batch() {
-    let mut pace = Pace::new(40);
+    let mut pace = Limiter::new(40);
     let limits = paced(&mut pace, ms(22), 30, |running| {
         batched(running, 64, ms(120))
     });
@@ -264,7 +264,7 @@
 // stay near it: averages that lag behind the limit made it fall on to one.
 #[test]
 fn limit_does_not_undershoot() {
-    let mut pace = Pace::new(40);
+    let mut pace = Limiter::new(40);
     let limits = paced(&mut pace, ms(22), 30, |running| batched(running, 8, ms(17)));
     assert!(limits.iter().all(|l| *l >= 7.0), "{limits:?}");
     assert!(limits[10..].iter().all(|l| *l <= 16.0), "{limits:?}");
@@ -276,41 +276,44 @@
 #[test]
 fn idle_time_is_not_taken_for_a_slow_line() {
     let mut meter = route::meter::Meter::default();
-    meter.start(ms(30_000), false);
-    meter.start(ms(62_000), false);
-    assert_eq!(meter.wait(100.0), Duration::ZERO);
-    (0..100).for_each(|i| meter.start(ms(90_000 + i * 20), true));
-    let wait = meter.wait(100.0);
+    meter.record_start(ms(30_000), false);
+    meter.record_start(ms(62_000), false);
+    assert_eq!(meter.expected_wait(100.0), Duration::ZERO);
+    (0..100).for_each(|i| meter.record_start(ms(90_000 + i * 20), true));
+    let wait = meter.expected_wait(100.0);
     assert!((ms(1_500)..=ms(2_500)).contains(&wait), "{wait:?}");
-    meter.start(ms(200_000), false);
-    assert!(meter.wait(100.0) <= wait);
+    meter.record_start(ms(200_000), false);
+    assert!(meter.expected_wait(100.0) <= wait);
 }
 
 #[test]
 fn the_time_that_counts_as_silence_is_bounded() {
-    let mut pace = Pace::new(16);
-    (0..1000).for_each(|i| pace.hop(ms(i * 300), ms(200), ms(22), 1));
-    (0..20).for_each(|_| pace.mistaken());
-    assert_eq!(pace.silence(ms(600), ms(5000)), ms(5000));
+    let mut pace = Limiter::new(16);
+    (0..1000).for_each(|i| pace.record_hop(ms(i * 300), ms(200), ms(22), 1));
+    (0..20).for_each(|_| pace.extend_silence());
+    assert_eq!(pace.silence_timeout(ms(600), ms(5000)), ms(5000));
 }
 
 #[test]
 fn an_ejected_endpoint_returns_on_trial_and_backs_off_longer() {
     let mut health = Health::default();
-    assert!(health.ask(ms(0)) && !health.takes());
+    assert!(health.begin_probe(ms(0)) && !health.accepts_work());
     health.eject(ms(10), ms(1000), ms(60_000), 0.0);
     assert_eq!(health.state, State::Ejected(ms(1010)));
-    assert!(!health.due(ms(1000)) && health.due(ms(1010)));
-    health.answered();
-    assert_eq!((health.takes(), health.trial()), (true, Some(1)));
+    assert!(!health.begin_return_probe(ms(1000)) && health.begin_return_probe(ms(1010)));
+    health.record_answer();
+    assert_eq!(
+        (health.accepts_work(), health.trial_limit()),
+        (true, Some(1))
+    );
     health.eject(ms(2000), ms(1000), ms(60_000), 0.0);
     assert_eq!(health.state, State::Ejected(ms(4000)));
-    assert!(health.due(ms(4000)));
-    health.answered();
-    assert!(!health.good(3) && !health.good(3) && health.good(3));
+    assert!(health.begin_return_probe(ms(4000)));
+    health.record_answer();
+    assert!(!health.record_success(3) && !health.record_success(3) && health.record_success(3));
     assert_eq!(health.state, State::Up);
-    let struck = (0..STRIKES)
-        .filter(|&i| health.strike(ms(5000 + u64::from(i))))
+    let struck = (0..EJECTION_THRESHOLD)
+        .filter(|&i| health.record_failure(ms(5000 + u64::from(i))))
         .count();
     assert_eq!(struck, 1, "only the last strike is one too many");
 }
@@ -325,7 +328,7 @@
         4,
         "no more than the bucket holds"
     );
-    budget.fill(ms(1000), 2.0, 4.0, 0);
+    budget.refill(ms(1000), 2.0, 4.0, 0);
     assert_eq!((0..10).filter(|_| budget.take()).count(), 2);
     assert!(budget.granted <= budget.earned());
 }
@@ -335,20 +338,20 @@
     // Requests 1, 2, 3 are in flight when an endpoint dies. 2 and 3 complete elsewhere; 1 runs
     // alone and takes the next endpoint down: two endpoints are lost, and 1 is condemned.
     let mut table = crash::Table::new(64);
-    table.scene(ms(0), 0, vec![1, 2, 3]);
-    assert_eq!(table.dead(ms(1), 0), [1, 2, 3]);
+    table.open_incident(ms(0), 0, vec![1, 2, 3]);
+    assert_eq!(table.record_dead(ms(1), 0), [1, 2, 3]);
     table.clear(2);
     table.clear(3);
-    assert!(table.suspect(1) && !table.suspect(2));
-    table.scene(ms(5000), 7, vec![1]);
-    assert!(table.dead(ms(5001), 7).is_empty());
-    assert!(table.pending(1));
+    assert!(table.is_suspect(1) && !table.is_suspect(2));
+    table.open_incident(ms(5000), 7, vec![1]);
+    assert!(table.record_dead(ms(5001), 7).is_empty());
+    assert!(table.is_pending(1));
     assert!(
-        table.settle(ms(5002)).is_empty(),
+        table.conclude(ms(5002)).is_empty(),
         "the verdict waits out the window"
     );
-    assert_eq!(table.settle(ms(5001) + crash::WINDOW), [1]);
-    assert!(table.condemned(1) && !table.condemned(2));
+    assert_eq!(table.conclude(ms(5001) + crash::CORRELATION_WINDOW), [1]);
+    assert!(table.is_condemned(1) && !table.is_condemned(2));
 }
 
 #[test]
@@ -356,15 +359,15 @@
     // Request 1 is suspect after a death and runs alone when a whole zone dies under it: several
     // endpoints died together, so none of these deaths speaks against what each one ran.
     let mut table = crash::Table::new(64);
-    table.scene(ms(0), 0, vec![1, 2]);
-    table.dead(ms(1), 0);
+    table.open_incident(ms(0), 0, vec![1, 2]);
+    table.record_dead(ms(1), 0);
     let prints = [vec![1], vec![4], vec![5]];
     for (endpoint, prints) in (10..).zip(prints) {
-        table.scene(ms(9000), endpoint, prints);
+        table.open_incident(ms(9000), endpoint, prints);
     }
     for endpoint in 10..13 {
-        table.dead(ms(9001 + u64::from(endpoint)), endpoint);
+        table.record_dead(ms(9001 + u64::from(endpoint)), endpoint);
     }
-    assert!(table.settle(ms(20_000)).is_empty());
-    assert!(!table.suspect(4) && !table.suspect(5));
+    assert!(table.conclude(ms(20_000)).is_empty());
+    assert!(!table.is_suspect(4) && !table.is_suspect(5));
 }
--- a/crates/route/tests/recover.rs
+++ b/crates/route/tests/recover.rs
@@ -197,7 +197,7 @@
     let (_, hops) = started(&out, 1).expect("starts");
     let leaves = hops[0].endpoint;
     let mut view = bench.view.clone();
-    view.open[leaves as usize] = false;
+    view.available[leaves as usize] = false;
     bench.show(view);
     for id in 2..20 {
         let out = bench.on(Event::Arrive(fixture::request(id, LATE)));
--- a/crates/route/tests/runs.rs
+++ b/crates/route/tests/runs.rs
@@ -101,7 +101,7 @@
     // Parents of one school ask about the same menu: all prompts are alike. At 0.6 of the bound
     // each must start soon, though the endpoints that the prefix names can't take them all.
     let bundle = fixture::fleet(4, 24, 1);
-    let per_second = route::plan::bound(&bundle, 0) * 0.6 / 32.0;
+    let per_second = route::plan::max_throughput(&bundle, 0) * 0.6 / 32.0;
     let mut world = world::World::new(bundle, 3, 1, router);
     for i in 0..(per_second * 10.0) as u64 {
         let base = fixture::request(i.into(), std::time::Duration::from_secs(60));
@@ -112,8 +112,8 @@
             i as usize % 3,
             Request {
                 prefix,
-                prompt: 576,
-                most: 32,
+                prompt_tokens: 576,
+                max_tokens: 32,
                 ..base
             },
         );
--- a/crates/route/tests/support/baseline.rs
+++ b/crates/route/tests/support/baseline.rs
@@ -99,7 +99,7 @@
         let free = |e: &EndpointId| {
             let row = &self.rows[*e as usize];
             let slots = view.bundle.endpoints[*e as usize].slots;
-            view.open[*e as usize] && row.own < slots && row.hold <= now
+            view.available[*e as usize] && row.own < slots && row.hold <= now
         };
         let load = |e: &EndpointId| self.rows[*e as usize].own + self.rows[*e as usize].others;
         let open: Vec<EndpointId> = ids.iter().copied().filter(free).collect();
--- a/crates/route/tests/support/case.rs
+++ b/crates/route/tests/support/case.rs
@@ -171,8 +171,8 @@
             },
             priority: rng.random_range(0..3),
             repeatable: !service && rng.random_bool(0.8),
-            most: rng.random_range(1..60),
-            prompt: rng.random_range(1..800),
+            max_tokens: rng.random_range(1..60),
+            prompt_tokens: rng.random_range(1..800),
             prefix: (0..4).map(|b| rng.random_range(0..3) * 10 + b).collect(),
             fingerprint: print + 1000,
             ..base
--- a/crates/route/tests/support/fixture.rs
+++ b/crates/route/tests/support/fixture.rs
@@ -139,7 +139,7 @@
     View {
         bundle: bundle.clone(),
         zone,
-        open: vec![true; bundle.endpoints.len()],
+        available: vec![true; bundle.endpoints.len()],
         ejected: Vec::new(),
         suspects: Vec::new(),
         pending: Vec::new(),
@@ -151,7 +151,7 @@
             };
             bundle.teams.len()
         ],
-        retries: 1.0,
+        retry_rate: 1.0,
         leaving: false,
     }
 }
@@ -165,8 +165,8 @@
         priority: 1,
         repeatable: true,
         deadline,
-        prompt: 64,
-        most: 8,
+        prompt_tokens: 64,
+        max_tokens: 8,
         prefix: Vec::new(),
         fingerprint: id as u64 ^ 0x5eed,
     }
--- a/crates/route/tests/support/world.rs
+++ b/crates/route/tests/support/world.rs
@@ -349,7 +349,7 @@
         }
         call.latest = now;
         call.first.get_or_insert(now);
-        if call.tokens > call.request.most {
+        if call.tokens > call.request.max_tokens {
             self.wrong.push(format!("{id:x}: a token twice"));
         }
     }
@@ -438,7 +438,7 @@
         let call = self.calls.get_mut(&id).expect("known");
         call.outcome = Some(outcome);
         call.refusal = refusal;
-        let whole = call.tokens == call.request.most;
+        let whole = call.tokens == call.request.max_tokens;
         let service = matches!(call.request.target, Target::Service(_));
         if outcome == Outcome::Complete && !whole && !service {
             self.wrong
@@ -460,7 +460,7 @@
         if call.ended.is_some() {
             self.wrong.push(format!("{id:x}: started after its end"));
         }
-        let left = call.request.most.saturating_sub(call.tokens);
+        let left = call.request.max_tokens.saturating_sub(call.tokens);
         let stream = Stream {
             hops,
             hosts,
@@ -552,7 +552,7 @@
         let cost = Cost {
             layers: hop.to - hop.from,
             prompt: if first {
-                call.request.prompt + call.tokens
+                call.request.prompt_tokens + call.tokens
             } else {
                 0
             },
@@ -711,7 +711,7 @@
     fn listed(&mut self, host: usize, open: bool) {
         for node in 0..self.nodes.len() {
             if let Some(id) = self.id(node, host) {
-                self.nodes[node].view.open[id as usize] = open;
+                self.nodes[node].view.available[id as usize] = open;
                 self.show(node);
             }
         }
@@ -726,7 +726,7 @@
             bundle.number += 1;
             bundle.endpoints.rotate_left(1);
             bundle.teams.rotate_left(1);
-            view.open.rotate_left(1);
+            view.available.rotate_left(1);
             view.shares.rotate_left(1);
             let ids = view
                 .ejected
