--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -19,7 +19,7 @@
 use viz::{IntoResponse, Request, Response, Router};
 
 /// Questions that may wait for control; one more is answered with an error at once.
-pub const QUESTIONS: usize = 64;
+pub const MAX_PENDING_REQUESTS: usize = 64;
 /// Longest time that control or a worker has to answer.
 const ANSWER_TIME: Duration = Duration::from_secs(2);
 /// Longest time that a published version has to be settled.
@@ -27,7 +27,7 @@
 
 /// What the admin listener asks control.
 #[derive(Debug)]
-pub enum Question {
+pub enum ControlRequest {
     /// The state of this node.
     Status(oneshot::Sender<Status>),
     /// The versions that were in force.
@@ -107,7 +107,7 @@
 /// What the handlers share.
 pub struct Shared {
     /// Where questions to control go.
-    pub control: mpsc::Sender<Question>,
+    pub control: mpsc::Sender<ControlRequest>,
     /// The workers.
     pub workers: Vec<Tx>,
     /// The metrics page.
@@ -142,7 +142,7 @@
         let s = s.clone();
         async move {
             reply(
-                ask(&s, ANSWER_TIME, Question::Status)
+                ask(&s, ANSWER_TIME, ControlRequest::Status)
                     .await
                     .map(|v| json(&v)),
             )
@@ -153,7 +153,7 @@
         let s = s.clone();
         async move {
             reply(
-                ask(&s, ANSWER_TIME, Question::History)
+                ask(&s, ANSWER_TIME, ControlRequest::History)
                     .await
                     .map(|v| json(&v)),
             )
@@ -164,7 +164,7 @@
         let s = s.clone();
         async move {
             reply(
-                ask(&s, ANSWER_TIME, Question::Fleet)
+                ask(&s, ANSWER_TIME, ControlRequest::Fleet)
                     .await
                     .map(|v| json(&v)),
             )
@@ -198,20 +198,20 @@
 async fn ask<T>(
     state: &Shared,
     limit: Duration,
-    question: impl FnOnce(oneshot::Sender<T>) -> Question,
+    request: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
 ) -> Result<T> {
     let busy = || {
         let message = "control does not answer in time";
         Error::new(StatusCode::SERVICE_UNAVAILABLE, "control_busy", message)
     };
     let (tx, rx) = oneshot::channel();
-    state.control.try_send(question(tx)).map_err(|_| busy())?;
+    state.control.try_send(request(tx)).map_err(|_| busy())?;
     let answer = timeout(limit, rx).await;
     answer.ok().and_then(|a| a.ok()).ok_or_else(busy)
 }
 
 async fn ready(state: &Shared) -> Result<Response> {
-    let status = ask(state, ANSWER_TIME, Question::Status).await?;
+    let status = ask(state, ANSWER_TIME, ControlRequest::Status).await?;
     let mut response = json(&status);
     if !status.ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -220,7 +220,7 @@
 }
 
 async fn head(state: &Shared) -> Result<Response> {
-    let head = ask(state, ANSWER_TIME, Question::Head).await?;
+    let head = ask(state, ANSWER_TIME, ControlRequest::Head).await?;
     let head = head.ok_or_else(|| {
         let message = "no bundle is in force on this node yet";
         Error::new(StatusCode::NOT_FOUND, "no_bundle", message)
@@ -237,7 +237,7 @@
 }
 
 async fn dump(state: &Shared, req: &Request) -> Result<Response> {
-    let mut parts = ask(state, ANSWER_TIME, Question::Dump).await?;
+    let mut parts = ask(state, ANSWER_TIME, ControlRequest::Dump).await?;
     for (number, tx) in state.workers.iter().enumerate() {
         parts.push(worker_dump(number, tx).await);
     }
@@ -265,7 +265,7 @@
 
 async fn publish(state: &Shared, mut req: Request) -> Result<Response> {
     let body = reading::body(&mut req, &state.limits).await?;
-    let answer = ask(state, PUBLISH_TIME, |tx| Question::Publish(body, tx)).await?;
+    let answer = ask(state, PUBLISH_TIME, |tx| ControlRequest::Publish(body, tx)).await?;
     let mut response = json(&answer);
     *response.status_mut() = match answer.outcome {
         Word::Accepted => StatusCode::OK,
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -29,7 +29,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         // After the answer's end the core knows the id no more, and this says nothing.
-        let _ = self.tx.send(Command::Left(self.id));
+        let _ = self.tx.send(Command::CallerLeft(self.id));
     }
 }
 
--- a/crates/entry/src/api/ask.rs
+++ b/crates/entry/src/api/ask.rs
@@ -99,7 +99,7 @@
         let model = self
             .model
             .filter(|m| !m.is_empty())
-            .ok_or_else(|| Error::value("model", "no model is named"))?;
+            .ok_or_else(|| Error::invalid_value("model", "no model is named"))?;
         Ok(Ask {
             kind,
             model,
@@ -130,7 +130,10 @@
         ];
         match given.iter().find(|(_, given)| *given) {
             None => Ok(()),
-            Some((param, _)) => Err(Error::value(param, format!("{param} is not supported"))),
+            Some((param, _)) => Err(Error::invalid_value(
+                param,
+                format!("{param} is not supported"),
+            )),
         }
     }
 
@@ -142,7 +145,7 @@
         };
         match u32::try_from(value) {
             Ok(most) if most > 0 => Ok(Some(most)),
-            _ => Err(Error::value(
+            _ => Err(Error::invalid_value(
                 param,
                 format!("the number of tokens must be from 1 to {}", u32::MAX),
             )),
@@ -172,14 +175,14 @@
         Some(RawStop::Many(stops)) => stops,
     };
     if stops.len() > STOPS {
-        return Err(Error::value(
+        return Err(Error::invalid_value(
             "stop",
             format!("more than {STOPS} stop sequences"),
         ));
     }
     if stops.iter().any(|s| s.is_empty() || s.len() > STOP_BYTES) {
         let message = format!("a stop sequence is empty or longer than {STOP_BYTES} bytes");
-        return Err(Error::value("stop", message));
+        return Err(Error::invalid_value("stop", message));
     }
     Ok(stops)
 }
--- a/crates/entry/src/api/chat.rs
+++ b/crates/entry/src/api/chat.rs
@@ -42,10 +42,10 @@
     let raw: RawChat = parse(body)?;
     let messages = raw.messages.unwrap_or_default();
     if messages.is_empty() {
-        return Err(Error::value("messages", "there is no message"));
+        return Err(Error::invalid_value("messages", "there is no message"));
     }
     if messages.len() > MESSAGES {
-        return Err(Error::value(
+        return Err(Error::invalid_value(
             "messages",
             format!("more than {MESSAGES} messages"),
         ));
@@ -62,7 +62,7 @@
         let place = format!("messages[{i}]");
         if !ROLES.contains(&message.role.as_str()) {
             let text = format!("role {:?} is not supported", message.role);
-            return Err(Error::value(&format!("{place}.role"), text));
+            return Err(Error::invalid_value(&format!("{place}.role"), text));
         }
         let text = text(message.content, &place)?;
         let _ = write!(prompt, "<|{}|>\n{text}\n", message.role);
@@ -73,7 +73,7 @@
 
 fn text(content: Option<RawContent>, place: &str) -> Result<String> {
     match content {
-        None => Err(Error::value(
+        None => Err(Error::invalid_value(
             &format!("{place}.content"),
             "there is no content",
         )),
@@ -89,7 +89,7 @@
             ("text", Some(text)) => joined.push_str(&text),
             _ => {
                 let place = format!("{place}.content[{i}]");
-                return Err(Error::value(
+                return Err(Error::invalid_value(
                     &place,
                     "only parts of type text are supported",
                 ));
--- a/crates/entry/src/api/completion.rs
+++ b/crates/entry/src/api/completion.rs
@@ -33,10 +33,13 @@
         Some(RawPrompt::Many(prompts)) => prompts,
     };
     if prompts.len() > 1 {
-        return Err(Error::value("prompt", "only one prompt is supported"));
+        return Err(Error::invalid_value(
+            "prompt",
+            "only one prompt is supported",
+        ));
     }
     let prompt = prompts.pop().filter(|p| !p.is_empty());
-    prompt.ok_or_else(|| Error::value("prompt", "there is no prompt"))
+    prompt.ok_or_else(|| Error::invalid_value("prompt", "there is no prompt"))
 }
 
 /// The choice.
--- a/crates/entry/src/api/error.rs
+++ b/crates/entry/src/api/error.rs
@@ -28,11 +28,11 @@
     /// When to come back.
     pub retry_after: Option<Duration>,
     /// Base URL of the node that has the request's key; it alone can answer.
-    pub node: Option<String>,
+    pub owner_url: Option<String>,
     /// Id of the request, once it has one.
-    pub request: Option<Id>,
+    pub request_id: Option<Id>,
     /// The method that the path takes, for a request with another one.
-    pub allow: Option<&'static str>,
+    pub allowed_method: Option<&'static str>,
 }
 
 #[derive(Serialize)]
@@ -59,14 +59,14 @@
             param: None,
             outcome: Outcome::NotRun,
             retry_after: None,
-            node: None,
-            request: None,
-            allow: None,
+            owner_url: None,
+            request_id: None,
+            allowed_method: None,
         }
     }
 
     /// A value that was understood but can't be served.
-    pub fn value(param: &str, message: impl Into<String>) -> Self {
+    pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
         let mut error = Self::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "invalid_value",
@@ -77,7 +77,7 @@
     }
 
     /// A request that may have run and won't be repeated.
-    pub fn unknown() -> Self {
+    pub fn outcome_unknown() -> Self {
         let message = "the request may have run, in part or in whole, and was not repeated";
         let mut error = Self::new(StatusCode::BAD_GATEWAY, "outcome_unknown", message);
         error.outcome = Outcome::Unknown;
@@ -85,26 +85,26 @@
     }
 
     /// The error for a request that ended with `outcome` without a whole answer.
-    pub fn ended(outcome: Outcome) -> Self {
+    pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun => Self::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not_run",
                 "the request was not run",
             ),
-            Outcome::Complete | Outcome::Unknown => Self::unknown(),
+            Outcome::Complete | Outcome::Unknown => Self::outcome_unknown(),
         }
     }
 
     /// The same error with a time to come back.
-    pub fn retry_after(mut self, after: Duration) -> Self {
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
     /// The same error, of the request with this id.
-    pub fn of(mut self, request: Id) -> Self {
-        self.request = Some(request);
+    pub fn with_request_id(mut self, id: Id) -> Self {
+        self.request_id = Some(id);
         self
     }
 
@@ -112,7 +112,7 @@
     pub fn json(&self) -> String {
         let detail = Detail {
             message: &self.message,
-            r#type: kind(self.status),
+            r#type: error_type(self.status),
             param: self.param.as_deref(),
             code: self.code,
             outcome: self.outcome.as_str(),
@@ -167,12 +167,12 @@
         let mut response = Response::new(Body::from(http_body_util::Full::from(self.json())));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
-        if let Some(id) = self.request {
-            super::header::put_request(headers, id);
+        if let Some(id) = self.request_id {
+            super::header::insert_request_id(headers, id);
         }
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(super::header::OUTCOME, outcome(self.outcome));
-        if let Some(method) = self.allow {
+        if let Some(method) = self.allowed_method {
             headers.insert(ALLOW, HeaderValue::from_static(method));
         }
         // Clients of this API repeat a request on any 5xx by themselves; this header stops them.
@@ -183,11 +183,11 @@
                 HeaderValue::from_static("false"),
             );
         }
-        if let Some(node) = self.node.and_then(|n| HeaderValue::from_str(&n).ok()) {
+        if let Some(node) = self.owner_url.and_then(|n| HeaderValue::from_str(&n).ok()) {
             headers.insert(super::header::NODE, node);
         }
         if let Some(after) = self.retry_after {
-            headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(after)));
+            headers.insert(RETRY_AFTER, HeaderValue::from(rounded_up_seconds(after)));
         }
         response
     }
@@ -199,11 +199,11 @@
 }
 
 /// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
-fn whole_seconds(after: Duration) -> u64 {
+fn rounded_up_seconds(after: Duration) -> u64 {
     after.as_millis().div_ceil(1000).max(1) as u64
 }
 
-fn kind(status: StatusCode) -> &'static str {
+fn error_type(status: StatusCode) -> &'static str {
     match status.as_u16() {
         401 => "authentication_error",
         403 => "permission_error",
--- a/crates/entry/src/api/header.rs
+++ b/crates/entry/src/api/header.rs
@@ -19,7 +19,7 @@
 /// `true` for an answer that comes whole or not at all.
 pub const WHOLE: HeaderName = HeaderName::from_static("x-wigeonshelf-whole");
 /// Id of the request, in every answer.
-pub const REQUEST: HeaderName = HeaderName::from_static("x-request-id");
+pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Names a request so that sending it again gives the first run's answer.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Base URL of the node that has the request's key.
@@ -35,9 +35,9 @@
 const KEY_BYTES: usize = 256;
 
 /// Puts a request's id into the headers of its answer, as 32 hexadecimal digits.
-pub fn put_request(headers: &mut HeaderMap, id: Id) {
+pub fn insert_request_id(headers: &mut HeaderMap, id: Id) {
     if let Ok(value) = HeaderValue::try_from(format!("{id:032x}")) {
-        headers.insert(REQUEST, value);
+        headers.insert(REQUEST_ID, value);
     }
 }
 
@@ -95,9 +95,9 @@
     let Some(name) = text(headers, &PRIORITY)? else {
         return Ok(team.usual);
     };
-    let priority = bundle
-        .priority(name)
-        .ok_or_else(|| Error::value(PRIORITY.as_str(), format!("no priority is called {name}")))?;
+    let priority = bundle.priority(name).ok_or_else(|| {
+        Error::invalid_value(PRIORITY.as_str(), format!("no priority is called {name}"))
+    })?;
     if priority < team.top {
         let message = format!("team {} may not ask for priority {name}", team.name);
         return Err(Error::new(
@@ -114,7 +114,7 @@
         return Ok(None);
     };
     let millis: u64 = value.parse().map_err(|_| {
-        Error::value(
+        Error::invalid_value(
             DEADLINE.as_str(),
             "the deadline is not a number of milliseconds",
         )
@@ -127,7 +127,7 @@
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(Error::value(
+        Some(_) => Err(Error::invalid_value(
             name.as_str(),
             "the value is neither true nor false",
         )),
@@ -140,7 +140,7 @@
     };
     if key.is_empty() || key.len() > KEY_BYTES {
         let message = format!("the key is empty or longer than {KEY_BYTES} bytes");
-        return Err(Error::value(IDEMPOTENCY_KEY.as_str(), message));
+        return Err(Error::invalid_value(IDEMPOTENCY_KEY.as_str(), message));
     }
     Ok(Some(key.to_owned()))
 }
@@ -152,13 +152,13 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Error::value(
+        return Err(Error::invalid_value(
             name.as_str(),
             "the header is given more than once",
         ));
     }
     let text = value
         .to_str()
-        .map_err(|_| Error::value(name.as_str(), "the value is not plain text"))?;
+        .map_err(|_| Error::invalid_value(name.as_str(), "the value is not plain text"))?;
     Ok(Some(text.trim()))
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Runs one attempt of a request on its endpoints and tells the core what happens.
 
-use crate::claim::MOST_KEPT;
+use crate::claim::MAX_CACHED_BODY_BYTES;
 use crate::core::{Command, Tx};
 use bytes::{Bytes, BytesMut};
 use engine::chain::{self, Job, Token};
@@ -184,7 +184,7 @@
 
 impl Copy {
     fn push(&mut self, chunk: &[u8]) {
-        self.long |= self.bytes.len() + chunk.len() > MOST_KEPT;
+        self.long |= self.bytes.len() + chunk.len() > MAX_CACHED_BODY_BYTES;
         if self.long {
             self.bytes.clear();
         } else {
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Most bytes of a plain service's answer that are kept for resends.
-pub const MOST_KEPT: usize = 256 << 10;
+pub const MAX_CACHED_BODY_BYTES: usize = 256 << 10;
 
 /// A key with what it stands for.
 #[derive(Clone, Copy, Debug)]
@@ -26,13 +26,13 @@
 
 /// A worker's question.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct Request {
     /// The request.
     pub id: Id,
     /// Its key.
     pub claim: Claim,
     /// Time left until the request's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// A run that ended.
@@ -45,23 +45,23 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Its answer, if it is whole and not too long.
-    pub kept: Option<Arc<Kept>>,
+    pub answer: Option<Arc<CachedAnswer>>,
 }
 
 /// The answer of a run, for resends.
 #[derive(Clone, Debug)]
-pub enum Kept {
+pub enum CachedAnswer {
     /// Of a completion.
-    Tokens(Vec<Token>, crate::core::End),
+    Completion(Vec<Token>, crate::core::End),
     /// Of a plain service.
     Call(Box<http::response::Parts>, Bytes),
 }
 
-impl Kept {
+impl CachedAnswer {
     /// Bytes that it takes, roughly.
     pub fn size(&self) -> usize {
         match self {
-            Self::Tokens(tokens, _) => tokens
+            Self::Completion(tokens, _) => tokens
                 .iter()
                 .map(|t| size_of::<Token>() + t.text.len())
                 .sum(),
@@ -76,7 +76,7 @@
     /// The key is this request's: run it.
     Run,
     /// Give it this answer of the key's run.
-    Replay(Arc<Kept>),
+    Replay(Arc<CachedAnswer>),
     /// Give it this error.
     Error(Box<Error>),
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -17,7 +17,7 @@
 use crate::claim;
 use crate::metrics::Metrics;
 use crate::ring;
-use crate::snapshot::{Board, Snapshot};
+use crate::snapshot::{SharedSnapshot, Snapshot};
 use arc_swap::ArcSwap;
 use bundle::id::EndpointId;
 use engine::chain::{Stop, Token};
@@ -36,7 +36,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub use message::{Arrival, Command, Demand, End, Note, Notice, Reply};
+pub use message::{Arrival, Command, ControlEvent, Demand, End, Reply, WorkerEvent};
 use session::{Running, Session};
 
 /// Sends commands to a core.
@@ -66,17 +66,17 @@
     router: Router,
     sessions: HashMap<Id, Session>,
     snapshot: Option<Arc<Snapshot>>,
-    board: Board,
+    shared_snapshot: SharedSnapshot,
     pool: Pool,
     tx: Tx,
-    notes: ring::Sender<Note>,
+    worker_events: ring::Sender<WorkerEvent>,
     metrics: Metrics,
     start: Instant,
     reports: Reports,
     told: Instant,
     actions: Vec<Action>,
     /// Notes that must reach control and found the ring full.
-    outbox: VecDeque<Note>,
+    outbox: VecDeque<WorkerEvent>,
 }
 
 /// The newest counters and gauges of a router, for the metrics page.
@@ -87,14 +87,14 @@
     /// The router.
     pub router: Router,
     /// Where control publishes.
-    pub board: Board,
+    pub shared_snapshot: SharedSnapshot,
     /// Connections of this worker.
     pub pool: Pool,
     /// Where commands go.
     pub tx: Tx,
     /// Where notes to control go. When the ring is full the newest is dropped and counted: what
     /// it told is told again by the next failure.
-    pub notes: ring::Sender<Note>,
+    pub worker_events: ring::Sender<WorkerEvent>,
     /// Counters.
     pub metrics: Metrics,
     /// Zero of the router's time.
@@ -110,10 +110,10 @@
             router: parts.router,
             sessions: HashMap::new(),
             snapshot: None,
-            board: parts.board,
+            shared_snapshot: parts.shared_snapshot,
             pool: parts.pool,
             tx: parts.tx,
-            notes: parts.notes,
+            worker_events: parts.worker_events,
             metrics: parts.metrics,
             start: parts.start,
             reports: parts.reports,
@@ -127,7 +127,7 @@
     pub async fn run(
         mut self,
         mut rx: Rx,
-        mut notices: ring::Receiver<Notice>,
+        mut control_events: ring::Receiver<ControlEvent>,
         stop: CancellationToken,
     ) {
         let mut tick = tokio::time::interval(TICK);
@@ -137,7 +137,7 @@
                 biased;
                 () = stop.cancelled() => return,
                 _ = tick.tick() => self.tick(),
-                Some(notice) = notices.pop() => self.notice(notice),
+                Some(notice) = control_events.pop() => self.notice(notice),
                 Some(command) = rx.recv() => self.command(command),
             }
         }
@@ -165,16 +165,16 @@
         };
         let accounts = self.router.accounts().iter();
         let demands = accounts.map(|a| Demand {
-            asked: a.admitted + a.refused,
+            received: a.admitted + a.refused,
             in_flight: a.in_flight,
         });
-        let note = Note::Demand(snapshot.view.bundle.digest, demands.collect());
-        let _ = self.notes.push(note);
+        let note = WorkerEvent::Demand(snapshot.view.bundle.digest, demands.collect());
+        let _ = self.worker_events.push(note);
     }
 
     /// Takes the newest snapshot, if there is a new one.
     fn refresh(&mut self) {
-        let newest = self.board.load();
+        let newest = self.shared_snapshot.load();
         let Some(newest) = newest.as_ref() else {
             return;
         };
@@ -186,10 +186,10 @@
         self.handle(Event::View(newest.view.clone()));
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: ControlEvent) {
         match notice {
-            Notice::Claim(id, verdict) => self.claimed(id, verdict),
-            Notice::Load(name, report) => {
+            ControlEvent::Claim(id, verdict) => self.claimed(id, verdict),
+            ControlEvent::Load(name, report) => {
                 if let Some(endpoint) = self.endpoint(&name) {
                     self.handle(Event::Load(endpoint, report));
                 }
@@ -202,7 +202,7 @@
             Command::Arrive(arrival) => self.arrive(arrival),
             Command::Chain(id, attempt, event) => self.chain(id, attempt, event),
             Command::Call(id, attempt, event) => self.call(id, attempt, event),
-            Command::Left(id) => self.left(id),
+            Command::CallerLeft(id) => self.left(id),
             Command::Probed(name, alive) => {
                 if let Some(endpoint) = self.endpoint(&name) {
                     self.handle(Event::Probed(endpoint, alive));
@@ -210,7 +210,7 @@
             }
             Command::Ticket(reply) => {
                 // When the ring is full the caller's channel closes, and it is told to come back.
-                let _ = self.notes.push(Note::Ticket(reply));
+                let _ = self.worker_events.push(WorkerEvent::Ticket(reply));
             }
             Command::Dump(reply) => {
                 let _ = reply.send(self.dump());
@@ -243,10 +243,10 @@
             self.sessions.insert(id, session);
             return self.handle(Event::Arrive(arrival.request));
         };
-        let ask = claim::Ask {
+        let request = claim::Request {
             id,
             claim,
-            left: arrival.request.deadline.saturating_sub(self.now()),
+            time_left: arrival.request.deadline.saturating_sub(self.now()),
         };
         self.sessions.insert(
             id,
@@ -256,7 +256,11 @@
                 ..session
             },
         );
-        if self.notes.push(Note::Claim(ask)).is_err() {
+        if self
+            .worker_events
+            .push(WorkerEvent::Claim(request))
+            .is_err()
+        {
             self.sessions
                 .get_mut(&id)
                 .into_iter()
@@ -391,14 +395,18 @@
 
     fn observe(&mut self, observation: Observation) {
         let note = match observation {
-            Observation::Ejected(e) => self.stage(&sole_hop(e)).map(|s| Note::Ejected(s.name)),
-            Observation::Restored(e) => self.stage(&sole_hop(e)).map(|s| Note::Restored(s.name)),
-            Observation::Suspect(fingerprint) => Some(Note::Suspect(fingerprint)),
-            Observation::Pending(fingerprint) => Some(Note::Pending(fingerprint)),
-            Observation::Condemned(fingerprint) => Some(Note::Condemned(fingerprint)),
+            Observation::Ejected(e) => self
+                .stage(&sole_hop(e))
+                .map(|s| WorkerEvent::Ejected(s.name)),
+            Observation::Restored(e) => self
+                .stage(&sole_hop(e))
+                .map(|s| WorkerEvent::Restored(s.name)),
+            Observation::Suspect(fingerprint) => Some(WorkerEvent::Suspect(fingerprint)),
+            Observation::Pending(fingerprint) => Some(WorkerEvent::Pending(fingerprint)),
+            Observation::Condemned(fingerprint) => Some(WorkerEvent::Condemned(fingerprint)),
         };
         if let Some(note) = note {
-            let _ = self.notes.push(note);
+            let _ = self.worker_events.push(note);
         }
     }
 
--- a/crates/entry/src/core/claims.rs
+++ b/crates/entry/src/core/claims.rs
@@ -1,11 +1,11 @@
 //! What claims decide: whether a request with an idempotency key runs here, waits, or gets the
 //! answer that was kept.
 
-use super::message::{Note, Reply};
+use super::message::{Reply, WorkerEvent};
 use super::session::Session;
 use super::{Core, WHOLE_CALL};
 use crate::attempt::Work;
-use crate::claim::{self, Kept, Verdict};
+use crate::claim::{self, CachedAnswer, Verdict};
 use route::event::Event;
 use route::outcome::Outcome;
 use route::request::Id;
@@ -16,7 +16,7 @@
     pub(super) fn claimed(&mut self, id: Id, verdict: Verdict) {
         match verdict {
             Verdict::Run => self.run_claimed(id),
-            Verdict::Replay(kept) => self.replay(id, &kept),
+            Verdict::Replay(answer) => self.replay(id, &answer),
             Verdict::Error(error) => {
                 if let Some(session) = self.sessions.remove(&id) {
                     self.metrics.ended(error.outcome);
@@ -37,7 +37,7 @@
     }
 
     /// Gives a resend the answer of its key's run.
-    pub(super) fn replay(&mut self, id: Id, kept: &Kept) {
+    pub(super) fn replay(&mut self, id: Id, answer: &CachedAnswer) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
@@ -45,17 +45,17 @@
         let reply = |reply| {
             let _ = session.reply.send(reply);
         };
-        match (kept, &session.work) {
-            (Kept::Tokens(tokens, end), _) => {
+        match (answer, &session.work) {
+            (CachedAnswer::Completion(tokens, end), _) => {
                 tokens.iter().for_each(|t| reply(Reply::Token(t.clone())));
                 reply(Reply::Done(*end));
             }
-            (Kept::Call(head, body), Work::Call(call)) => {
+            (CachedAnswer::Call(head, body), Work::Call(call)) => {
                 reply(Reply::Head(head.clone()));
                 let _ = call.chunks.try_send(body.clone());
                 reply(Reply::Done(WHOLE_CALL));
             }
-            (Kept::Call(..), Work::Tokens(_)) => {}
+            (CachedAnswer::Call(..), Work::Tokens(_)) => {}
         }
     }
 
@@ -65,18 +65,18 @@
             return;
         };
         if session.unclaimed.is_some() {
-            self.outbox.push_back(Note::Unclaim(id));
+            self.outbox.push_back(WorkerEvent::ClaimAbandoned(id));
         } else {
-            let kept = (outcome == Outcome::Complete)
-                .then(|| session.kept())
+            let answer = (outcome == Outcome::Complete)
+                .then(|| session.cached_answer())
                 .flatten();
             let ended = claim::Ended {
                 id,
                 hash,
                 outcome,
-                kept: kept.map(Arc::new),
+                answer: answer.map(Arc::new),
             };
-            self.outbox.push_back(Note::Ended(ended));
+            self.outbox.push_back(WorkerEvent::Ended(ended));
         }
         self.post();
     }
@@ -84,7 +84,7 @@
     /// Sends notes that must reach control, in order.
     pub(super) fn post(&mut self) {
         while let Some(note) = self.outbox.pop_front() {
-            if let Err(note) = self.notes.push(note) {
+            if let Err(note) = self.worker_events.push(note) {
                 self.outbox.push_front(note);
                 return;
             }
--- a/crates/entry/src/core/message.rs
+++ b/crates/entry/src/core/message.rs
@@ -23,7 +23,7 @@
     /// Something happened in a call of a plain service.
     Call(Id, Attempt, CallEvent),
     /// The caller went away, or has all it wants.
-    Left(Id),
+    CallerLeft(Id),
     /// A probe ended; whether the named endpoint answered.
     Probed(Arc<str>, bool),
     /// Asks for a ticket.
@@ -73,7 +73,7 @@
 
 /// Something a core tells control.
 #[derive(Debug)]
-pub enum Note {
+pub enum WorkerEvent {
     /// A named endpoint was taken out of use.
     Ejected(Arc<str>),
     /// A named endpoint is back in use.
@@ -87,9 +87,9 @@
     /// What teams ask of this worker, by team of the bundle with this digest.
     Demand(Digest, Vec<Demand>),
     /// A request asks for its key.
-    Claim(claim::Ask),
+    Claim(claim::Request),
     /// The caller of a request that waits for its key went away.
-    Unclaim(Id),
+    ClaimAbandoned(Id),
     /// A run under a key ended.
     Ended(claim::Ended),
     /// A caller asks for a ticket.
@@ -100,14 +100,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// Requests that came since the start, refused ones included.
-    pub asked: u64,
+    pub received: u64,
     /// Requests in flight.
     pub in_flight: u32,
 }
 
 /// Something control tells a core.
 #[derive(Clone, Debug)]
-pub enum Notice {
+pub enum ControlEvent {
     /// Load of a named endpoint.
     Load(Arc<str>, Report),
     /// What becomes of a request that asked for its key.
--- a/crates/entry/src/core/session.rs
+++ b/crates/entry/src/core/session.rs
@@ -2,7 +2,7 @@
 
 use super::message::{End, Reply};
 use crate::attempt::{Stage, Work};
-use crate::claim::Kept;
+use crate::claim::CachedAnswer;
 use bytes::Bytes;
 use engine::chain::Token;
 use lease::claim::Hash;
@@ -34,16 +34,16 @@
 
 impl Session {
     /// The whole answer, for resends.
-    pub(super) fn kept(&self) -> Option<Kept> {
+    pub(super) fn cached_answer(&self) -> Option<CachedAnswer> {
         match &self.work {
             Work::Tokens(_) => {
                 let end = End {
                     outcome: Outcome::Complete,
                     ..self.end
                 };
-                Some(Kept::Tokens(self.had.clone(), end))
+                Some(CachedAnswer::Completion(self.had.clone(), end))
             }
-            Work::Call(_) => Some(Kept::Call(self.head.clone()?, self.body.clone()?)),
+            Work::Call(_) => Some(CachedAnswer::Call(self.head.clone()?, self.body.clone()?)),
         }
     }
 }
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -7,11 +7,11 @@
 pub mod key;
 
 use crate::api::error::Error;
-use crate::api::header::{REQUEST, put_request};
+use crate::api::header::{REQUEST_ID, insert_request_id};
 use crate::core::Tx;
-use crate::limits::{Ask, Limits};
+use crate::limits::{Limits, RequestLimits};
 use crate::metrics::Metrics;
-use crate::snapshot::{Board, Snapshot};
+use crate::snapshot::{SharedSnapshot, Snapshot};
 use engine::pool::Pool;
 use http::StatusCode;
 use rand::rngs::StdRng;
@@ -30,13 +30,13 @@
     /// The worker's core.
     pub tx: Tx,
     /// Where control publishes.
-    pub board: Board,
+    pub shared_snapshot: SharedSnapshot,
     /// Connections of this worker.
     pub pool: Pool,
     /// Bounds of the listener.
     pub limits: Limits,
     /// Bounds of what a caller may ask for.
-    pub ask: Ask,
+    pub request_limits: RequestLimits,
     /// Seconds for which callers may keep an address answer.
     pub address_ttl: u64,
     /// Counters.
@@ -53,9 +53,10 @@
 impl Shared {
     /// The newest snapshot, or a refusal while no bundle is in force.
     pub fn snapshot(&self) -> Result<Arc<Snapshot>, Error> {
-        self.board.load_full().ok_or_else(|| {
+        self.shared_snapshot.load_full().ok_or_else(|| {
             let message = "no bundle is in force on this node yet";
-            Error::new(StatusCode::SERVICE_UNAVAILABLE, "starting", message).retry_after(STARTING)
+            Error::new(StatusCode::SERVICE_UNAVAILABLE, "starting", message)
+                .with_retry_after(STARTING)
         })
     }
 
@@ -72,8 +73,8 @@
 
     /// The router's time after `wait` from now, bounded by the longest deadline.
     pub fn deadline(&self, wait: Option<Duration>) -> route::Now {
-        let wait = wait.unwrap_or(self.ask.usual_deadline);
-        self.start.elapsed() + wait.min(self.ask.longest_deadline)
+        let wait = wait.unwrap_or(self.request_limits.default_deadline);
+        self.start.elapsed() + wait.min(self.request_limits.max_deadline)
     }
 }
 
@@ -124,8 +125,8 @@
         state.metrics.rejected(error.code);
         error.into_response()
     });
-    if !response.headers().contains_key(REQUEST) {
-        put_request(response.headers_mut(), state.draw_id());
+    if !response.headers().contains_key(REQUEST_ID) {
+        insert_request_id(response.headers_mut(), state.draw_id());
     }
     Ok(response)
 }
@@ -143,7 +144,7 @@
             let message = format!("{path} takes {method} only");
             let status = StatusCode::METHOD_NOT_ALLOWED;
             let mut error = Error::new(status, "method_not_allowed", message);
-            error.allow = Some(method);
+            error.allowed_method = Some(method);
             error
         }
         None => Error::new(
@@ -156,8 +157,8 @@
 
 /// The same answer or error, with the request's id.
 fn with_id(result: Result<Response, Error>, id: Id) -> Result<Response, Error> {
-    let mut response = result.map_err(|error| error.of(id))?;
-    put_request(response.headers_mut(), id);
+    let mut response = result.map_err(|error| error.with_request_id(id))?;
+    insert_request_id(response.headers_mut(), id);
     Ok(response)
 }
 
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -161,8 +161,8 @@
         Some(Reply::Head(parts)) => Ok(streamed(*parts, flow)),
         Some(Reply::Refused(refusal)) => Err(refusal.into()),
         Some(Reply::Error(error)) => Err(*error),
-        Some(Reply::Done(End { outcome, .. })) => Err(Error::ended(outcome)),
-        Some(Reply::Token(_)) | None => Err(Error::unknown()),
+        Some(Reply::Done(End { outcome, .. })) => Err(Error::from_outcome(outcome)),
+        Some(Reply::Token(_)) | None => Err(Error::outcome_unknown()),
     }
 }
 
--- a/crates/entry/src/handler/complete.rs
+++ b/crates/entry/src/handler/complete.rs
@@ -107,7 +107,9 @@
     let context = bundle.models[usize::from(model)].context;
     let prompt = ask.prompt_tokens();
     let room = context.saturating_sub(prompt);
-    let most = ask.most.unwrap_or(state.ask.usual_tokens.min(room));
+    let most = ask
+        .most
+        .unwrap_or(state.request_limits.default_max_tokens.min(room));
     if most == 0 || most > room {
         let message = format!(
             "about {prompt} tokens of prompt and {most} of answer exceed the context of {context}"
@@ -194,7 +196,9 @@
         return match first {
             Reply::Refused(refusal) => Err(refusal.into()),
             Reply::Error(error) => Err(*error),
-            Reply::Done(end) if end.outcome != Outcome::Complete => Err(Error::ended(end.outcome)),
+            Reply::Done(end) if end.outcome != Outcome::Complete => {
+                Err(Error::from_outcome(end.outcome))
+            }
             first => Ok(stream(answer, first)),
         };
     }
@@ -216,7 +220,7 @@
                 text.push_str(&rest);
                 return Ok((text, end));
             }
-            Part::End(_, end) => return Err(Error::ended(end.outcome)),
+            Part::End(_, end) => return Err(Error::from_outcome(end.outcome)),
         }
     }
 }
--- a/crates/entry/src/handler/forward.rs
+++ b/crates/entry/src/handler/forward.rs
@@ -50,10 +50,10 @@
         left: Duration,
     ) -> Result<Response> {
         let error = match result {
-            Err(error) if error.node.is_some() && !self.handed => error,
+            Err(error) if error.owner_url.is_some() && !self.handed => error,
             other => return other,
         };
-        let Some(addr) = error.node.as_deref().and_then(plain) else {
+        let Some(addr) = error.owner_url.as_deref().and_then(plain) else {
             return Err(error);
         };
         match self.forward(state, addr, body, left).await {
--- a/crates/entry/src/handler/key.rs
+++ b/crates/entry/src/handler/key.rs
@@ -27,7 +27,7 @@
     };
     let team = &bundle.teams[usize::from(header.team)].name;
     let form = Form::parse(team, key)
-        .map_err(|e| Error::value(IDEMPOTENCY_KEY.as_str(), e.to_string()))?;
+        .map_err(|e| Error::invalid_value(IDEMPOTENCY_KEY.as_str(), e.to_string()))?;
     Ok(Some(Claim {
         form,
         fingerprint: request.fingerprint,
@@ -48,7 +48,8 @@
     let ticket = timeout(TICKET_TIME, rx).await.ok().and_then(|t| t.ok());
     let ticket = ticket.ok_or_else(|| {
         let message = "no ticket could be issued in time";
-        Error::new(StatusCode::SERVICE_UNAVAILABLE, "no_ticket", message).retry_after(TICKET_TIME)
+        Error::new(StatusCode::SERVICE_UNAVAILABLE, "no_ticket", message)
+            .with_retry_after(TICKET_TIME)
     })?;
     Ok(json(&Ticket { ticket }))
 }
--- a/crates/entry/src/reading.rs
+++ b/crates/entry/src/reading.rs
@@ -11,12 +11,12 @@
 /// comes too slowly is given up on, so that slow callers can't pile up memory.
 pub async fn body(req: &mut Request, limits: &Limits) -> Result<Bytes> {
     let declared = viz::RequestExt::content_length(req).unwrap_or(0);
-    if declared > limits.body_bytes as u64 {
+    if declared > limits.max_body_bytes as u64 {
         return Err(too_large(limits));
     }
     let body = std::mem::replace(req.body_mut(), Body::Empty);
-    let collected = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(limits.body_time, collected).await {
+    let collected = Limited::new(body, limits.max_body_bytes).collect();
+    match tokio::time::timeout(limits.body_timeout, collected).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(limits)),
         Ok(Err(_)) => Err(Error::new(
@@ -33,6 +33,6 @@
 }
 
 fn too_large(limits: &Limits) -> Error {
-    let message = format!("the body is longer than {} bytes", limits.body_bytes);
+    let message = format!("the body is longer than {} bytes", limits.max_body_bytes);
     Error::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -13,7 +13,7 @@
 
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::tls::Store;
+use crate::tls::ReloadableConfig;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
 use std::net::SocketAddr;
@@ -47,14 +47,14 @@
     /// Bounds.
     pub limits: Limits,
     /// Certificate, if it speaks TLS.
-    pub tls: Option<Arc<Store>>,
+    pub tls: Option<Arc<ReloadableConfig>>,
     /// Counters.
     pub metrics: Metrics,
 }
 
 /// When a listener ends.
 #[derive(Clone, Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     /// Callers are told to go elsewhere; all that comes is still served.
     pub drain: CancellationToken,
     /// No connection is accepted any more; returns once all have ended.
@@ -65,15 +65,15 @@
 
 impl Server {
     /// Serves until `stop.close`, then until every connection has ended or `stop.kill`.
-    pub async fn run(self, stop: Stop) {
+    pub async fn run(self, shutdown: Shutdown) {
         let tracker = TaskTracker::new();
-        let room = Arc::new(Semaphore::new(self.limits.connections));
+        let room = Arc::new(Semaphore::new(self.limits.max_connections));
         let shared = Arc::new(self);
         loop {
             let accepted = tokio::select! {
                 biased;
-                () = stop.close.cancelled() => break,
-                () = stop.kill.cancelled() => break,
+                () = shutdown.close.cancelled() => break,
+                () = shutdown.kill.cancelled() => break,
                 accepted = shared.listener.accept() => accepted,
             };
             let Ok((stream, addr)) = accepted else {
@@ -87,11 +87,11 @@
                 continue;
             };
             let shared = shared.clone();
-            let stop = stop.clone();
+            let shutdown = shutdown.clone();
             tracker.spawn(async move {
                 tokio::select! {
-                    () = stop.kill.cancelled() => {}
-                    () = shared.connection(stream, addr, &stop) => {}
+                    () = shutdown.kill.cancelled() => {}
+                    () = shared.connection(stream, addr, &shutdown) => {}
                 }
                 drop(permit);
             });
@@ -100,25 +100,25 @@
         tracker.wait().await;
     }
 
-    async fn connection(&self, stream: TcpStream, addr: SocketAddr, stop: &Stop) {
+    async fn connection(&self, stream: TcpStream, addr: SocketAddr, shutdown: &Shutdown) {
         let _ = stream.set_nodelay(true);
         let Some(tls) = &self.tls else {
-            return self.http(stream, addr, stop).await;
+            return self.http(stream, addr, shutdown).await;
         };
         let acceptor = tokio_rustls::TlsAcceptor::from(tls.config());
-        let handshake = timeout(self.limits.head_time, acceptor.accept(stream));
+        let handshake = timeout(self.limits.head_timeout, acceptor.accept(stream));
         if let Ok(Ok(stream)) = handshake.await {
-            self.http(stream, addr, stop).await;
+            self.http(stream, addr, shutdown).await;
         }
     }
 
-    async fn http<I>(&self, io: I, addr: SocketAddr, stop: &Stop)
+    async fn http<I>(&self, io: I, addr: SocketAddr, shutdown: &Shutdown)
     where
         I: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let busy = Arc::new(Busy::default());
         let inner = Responder::new(self.tree.clone(), Some(addr));
-        let service = Watched::new(inner, busy.clone(), stop.drain.clone());
+        let service = Watched::new(inner, busy.clone(), shutdown.drain.clone());
         let builder = self.builder();
         let mut conn = pin!(builder.serve_connection(TokioIo::new(io), service));
         let mut idle_since = Instant::now();
@@ -128,13 +128,13 @@
         loop {
             tokio::select! {
                 _ = conn.as_mut() => return,
-                () = stop.close.cancelled(), if !closed => {
+                () = shutdown.close.cancelled(), if !closed => {
                     closed = true;
                     conn.as_mut().graceful_shutdown();
                 }
                 _ = check.tick() => {}
             }
-            if stop.drain.is_cancelled() && busy.http2() && !told {
+            if shutdown.drain.is_cancelled() && busy.http2() && !told {
                 told = true;
                 conn.as_mut().graceful_shutdown();
             }
@@ -151,8 +151,8 @@
     /// this bound, callers that connect and say nothing would use up the connections.
     fn idle_bound(&self, busy: &Busy) -> Duration {
         match busy.begun() {
-            false => self.limits.head_time,
-            true => self.limits.idle_time,
+            false => self.limits.head_timeout,
+            true => self.limits.idle_timeout,
         }
     }
 
@@ -161,17 +161,17 @@
         builder
             .http1()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.limits.head_time)
-            .max_buf_size(self.limits.head_bytes.max(8 << 10));
+            .header_read_timeout(self.limits.head_timeout)
+            .max_buf_size(self.limits.max_head_bytes.max(8 << 10));
         builder
             .http2()
             .timer(TokioTimer::new())
-            .max_concurrent_streams(self.limits.streams)
-            .max_header_list_size(u32::try_from(self.limits.head_bytes).unwrap_or(u32::MAX))
+            .max_concurrent_streams(self.limits.max_streams)
+            .max_header_list_size(u32::try_from(self.limits.max_head_bytes).unwrap_or(u32::MAX))
             .max_pending_accept_reset_streams(RESETS)
             .max_send_buf_size(SEND_BUFFER)
-            .keep_alive_interval(self.limits.idle_time / 4)
-            .keep_alive_timeout(self.limits.head_time);
+            .keep_alive_interval(self.limits.idle_timeout / 4)
+            .keep_alive_timeout(self.limits.head_timeout);
         builder
     }
 }
--- a/crates/entry/src/server/watch.rs
+++ b/crates/entry/src/server/watch.rs
@@ -120,7 +120,7 @@
     } else {
         return None;
     };
-    Some(error.of(rand::random()))
+    Some(error.with_request_id(rand::random()))
 }
 
 /// Whose turn it is in one request: the node's while its next part is being made, the caller's once
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -17,4 +17,4 @@
 }
 
 /// The place where control puts the newest snapshot; empty until a bundle is in force.
-pub type Board = Arc<ArcSwapOption<Snapshot>>;
+pub type SharedSnapshot = Arc<ArcSwapOption<Snapshot>>;
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -116,7 +116,7 @@
             Part::Text(text) if text.is_empty() => {}
             Part::Text(text) => self.text(&text),
             Part::End(rest, end) if end.outcome == Outcome::Complete => self.whole(&rest, end),
-            Part::End(_, end) => self.broken(Error::ended(end.outcome)),
+            Part::End(_, end) => self.broken(Error::from_outcome(end.outcome)),
             Part::Refused(error) => self.broken(error),
         }
     }
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -100,13 +100,13 @@
 }
 
 /// The configuration in use, replaced when the files change.
-pub struct Store {
+pub struct ReloadableConfig {
     files: Files,
     config: ArcSwap<ServerConfig>,
     written: std::sync::Mutex<Written>,
 }
 
-impl Store {
+impl ReloadableConfig {
     /// Loads the files for the first time.
     pub fn open(files: Files) -> Result<Self> {
         let written = files.written();
--- a/crates/entry/src/worker.rs
+++ b/crates/entry/src/worker.rs
@@ -1,13 +1,13 @@
 //! A request worker: one thread with its own runtime, router, connections and listener.
 
-use crate::core::{self, Core, Note, Notice, Reports, Rx, Tx};
+use crate::core::{self, ControlEvent, Core, Reports, Rx, Tx, WorkerEvent};
 use crate::handler::{self, Shared};
-use crate::limits::{Ask, Limits};
+use crate::limits::{Limits, RequestLimits};
 use crate::metrics::Metrics;
 use crate::ring;
-use crate::server::{Server, Stop};
-use crate::snapshot::Board;
-use crate::tls::Store;
+use crate::server::{Server, Shutdown};
+use crate::snapshot::SharedSnapshot;
+use crate::tls::ReloadableConfig;
 use engine::pool::Pool;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
     /// Bounds of the listener.
     pub limits: Limits,
     /// Bounds of what a caller may ask for.
-    pub ask: Ask,
+    pub request_limits: RequestLimits,
     /// Seconds for which callers may keep an address answer.
     pub address_ttl: u64,
     /// Settings of the router.
@@ -38,19 +38,19 @@
     /// Seed of the router.
     pub seed: u64,
     /// Certificate of the callers' listener.
-    pub tls: Option<Arc<Store>>,
+    pub tls: Option<Arc<ReloadableConfig>>,
     /// Where control publishes.
-    pub board: Board,
+    pub shared_snapshot: SharedSnapshot,
     /// Counters.
     pub metrics: Metrics,
     /// What control tells.
-    pub notices: ring::Receiver<Notice>,
+    pub control_events: ring::Receiver<ControlEvent>,
     /// What is told to control.
-    pub notes: ring::Sender<Note>,
+    pub worker_events: ring::Sender<WorkerEvent>,
     /// Where the router's counters are put.
     pub reports: Reports,
     /// When it ends.
-    pub stop: Stop,
+    pub shutdown: Shutdown,
 }
 
 /// A started worker.
@@ -86,23 +86,23 @@
         let pool = Pool::default();
         let core = Core::new(core::Parts {
             router: Router::new(self.seed, self.route),
-            board: self.board.clone(),
+            shared_snapshot: self.shared_snapshot.clone(),
             pool: pool.clone(),
             tx: tx.clone(),
-            notes: self.notes,
+            worker_events: self.worker_events,
             metrics: self.metrics.clone(),
             start,
             reports: self.reports,
         });
         // The core outlives the listener: requests in flight need it until the last has ended.
         let end = CancellationToken::new();
-        let running = tokio::spawn(core.run(rx, self.notices, end.clone()));
+        let running = tokio::spawn(core.run(rx, self.control_events, end.clone()));
         let shared = Shared {
             tx,
-            board: self.board,
+            shared_snapshot: self.shared_snapshot,
             pool,
             limits: self.limits.clone(),
-            ask: self.ask,
+            request_limits: self.request_limits,
             address_ttl: self.address_ttl,
             metrics: self.metrics.clone(),
             start,
@@ -115,7 +115,7 @@
             tls: self.tls,
             metrics: self.metrics,
         };
-        server.run(self.stop).await;
+        server.run(self.shutdown).await;
         end.cancel();
         let _ = running.await;
         Ok(())
--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -1,6 +1,6 @@
 //! Certificates that are replaced while a node runs.
 
-use entry::tls::{Error, Files, Store};
+use entry::tls::{Error, Files, ReloadableConfig};
 use std::fs;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
     let (old, new) = (pair(), pair());
     folder.certificate(&old.certificate, 1);
     folder.key(&old.key, 1);
-    let store = Store::open(folder.files.clone()).expect("a store");
+    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
     let first = store.config();
     assert!(!store.reload().expect("unchanged"));
     folder.certificate(&new.certificate, 2);
@@ -87,7 +87,7 @@
     let good = pair();
     folder.certificate(&good.certificate, 1);
     folder.key(&good.key, 1);
-    let store = Store::open(folder.files.clone()).expect("a store");
+    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
     let first = store.config();
     folder.key("no key at all", 2);
     assert!(matches!(store.reload(), Err(Error::Pem(..))));
@@ -112,7 +112,7 @@
     };
     folder.certificate(&certificate(), 1);
     folder.key(&key.serialize_pem(), 9);
-    let store = Store::open(folder.files.clone()).expect("a store");
+    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
     folder.certificate(&certificate(), 5);
     assert!(store.reload().expect("changed"));
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -21,11 +21,11 @@
 
 use crate::process::{Ends, runtime};
 use crate::settings::Settings;
-use entry::admin::Question;
-use entry::core::{Note, Notice};
+use entry::admin::ControlRequest;
+use entry::core::{ControlEvent, WorkerEvent};
 use entry::ring;
-use entry::snapshot::Board;
-use entry::tls::Store;
+use entry::snapshot::SharedSnapshot;
+use entry::tls::ReloadableConfig;
 use eyre::{Result, WrapErr};
 use input::{INPUTS, Input, Inputs};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -48,9 +48,9 @@
 /// The rings to and from one worker.
 pub struct Worker {
     /// To it. A full ring drops the newest notice: a load report is followed by a newer one.
-    pub notices: ring::Sender<Notice>,
+    pub notices: ring::Sender<ControlEvent>,
     /// From it.
-    pub noted: ring::Receiver<Note>,
+    pub noted: ring::Receiver<WorkerEvent>,
 }
 
 /// What control is made of.
@@ -64,15 +64,15 @@
     /// Seed of its generators.
     pub seed: u64,
     /// Where it publishes, by worker.
-    pub boards: Vec<Board>,
+    pub boards: Vec<SharedSnapshot>,
     /// Questions of the admin listener.
-    pub asked: mpsc::Receiver<Question>,
+    pub asked: mpsc::Receiver<ControlRequest>,
     /// The workers.
     pub workers: Vec<Worker>,
     /// When it ends.
     pub ends: Ends,
     /// Certificates to read again when their files change.
-    pub tls: Vec<Arc<Store>>,
+    pub tls: Vec<Arc<ReloadableConfig>>,
     /// Gives out the node's metrics; held as long as control runs.
     pub provider: SdkMeterProvider,
 }
@@ -139,7 +139,7 @@
 async fn serve(
     mut state: State,
     mut inputs: mpsc::Receiver<Input>,
-    mut asked: mpsc::Receiver<Question>,
+    mut asked: mpsc::Receiver<ControlRequest>,
     cancel: CancellationToken,
 ) {
     let mut tick = tokio::time::interval(member::event::TICK);
@@ -159,7 +159,7 @@
     state.quit();
 }
 
-async fn notes(worker: usize, mut noted: ring::Receiver<Note>, inputs: Inputs) {
+async fn notes(worker: usize, mut noted: ring::Receiver<WorkerEvent>, inputs: Inputs) {
     while let Some(note) = noted.pop().await {
         if inputs.send(Input::Note(worker, note)).await.is_err() {
             return;
@@ -175,7 +175,7 @@
     }
 }
 
-async fn reload(stores: Vec<Arc<Store>>) {
+async fn reload(stores: Vec<Arc<ReloadableConfig>>) {
     let mut period = tokio::time::interval(TLS_PERIOD);
     loop {
         period.tick().await;
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -5,7 +5,7 @@
 use crate::settings::Platform;
 use bytes::Bytes;
 use entry::api::error::Error;
-use entry::claim::{Ask, Ended, Kept, Verdict};
+use entry::claim::{CachedAnswer, Ended, Request, Verdict};
 use http::StatusCode;
 use lease::Owner;
 use lease::claim::{self, Action, Event, Settings, Table, Why, home};
@@ -45,7 +45,7 @@
     /// By request that runs: those that wait for its answer.
     followers: BTreeMap<Id, Vec<Id>>,
     /// By request that ended: its answer.
-    kept: BTreeMap<Id, Arc<Kept>>,
+    kept: BTreeMap<Id, Arc<CachedAnswer>>,
     actions: Vec<Action>,
     told: Vec<Told>,
 }
@@ -85,13 +85,13 @@
     }
 
     /// A worker asks for the key of a request.
-    pub fn ask(&mut self, now: Duration, worker: usize, ask: Ask, owners: &impl Owners) {
+    pub fn ask(&mut self, now: Duration, worker: usize, ask: Request, owners: &impl Owners) {
         self.asked.insert(ask.id, worker);
         let event = Event::Ask(claim::Ask {
             request: ask.id,
             form: ask.claim.form,
             fingerprint: ask.claim.fingerprint,
-            deadline: now + ask.left,
+            deadline: now + ask.time_left,
         });
         self.handle(now, event, owners);
     }
@@ -112,16 +112,16 @@
 
     /// A run ended: its answer is kept, and given to those that wait for it.
     pub fn ended(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
-        let size = ended.kept.as_ref().map_or(0, |k| k.size());
+        let size = ended.answer.as_ref().map_or(0, |k| k.size());
         let followers = self.followers.remove(&ended.id).unwrap_or_default();
         for follower in followers {
-            let verdict = match &ended.kept {
+            let verdict = match &ended.answer {
                 Some(kept) => Verdict::Replay(kept.clone()),
                 None => Verdict::Error(Box::new(gone(ended.outcome))),
             };
             self.tell(follower, verdict);
         }
-        if let Some(kept) = ended.kept {
+        if let Some(kept) = ended.answer {
             self.kept.insert(ended.id, kept);
         }
         let event = Event::Ended(ended.hash, to_lease(ended.outcome), size);
@@ -241,8 +241,8 @@
             error.outcome = Outcome::Complete;
             error
         }
-        Outcome::NotRun => Error::ended(Outcome::NotRun).retry_after(LATER),
-        Outcome::Unknown => Error::unknown(),
+        Outcome::NotRun => Error::from_outcome(Outcome::NotRun).with_retry_after(LATER),
+        Outcome::Unknown => Error::outcome_unknown(),
     }
 }
 
@@ -257,7 +257,7 @@
         None => gone(outcome),
     };
     error.outcome = outcome;
-    error.node = url;
+    error.owner_url = url;
     error
 }
 
--- a/crates/node/src/control/demand.rs
+++ b/crates/node/src/control/demand.rs
@@ -59,11 +59,11 @@
         row.asked.resize(teams.len(), 0);
         if !first && time > 0.0 {
             for (i, team) in teams.iter().enumerate() {
-                let newest = team.asked.saturating_sub(row.asked[i]) as f64 / time;
+                let newest = team.received.saturating_sub(row.asked[i]) as f64 / time;
                 row.rate[i] += NEWEST * (newest - row.rate[i]);
             }
         }
-        row.asked = teams.iter().map(|t| t.asked).collect();
+        row.asked = teams.iter().map(|t| t.received).collect();
         row.in_flight = teams.iter().map(|t| t.in_flight).collect();
         row.at = now;
     }
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -2,7 +2,7 @@
 
 use super::rolls::Ordered;
 use engine::load::Report;
-use entry::core::Note;
+use entry::core::WorkerEvent;
 use platform::instance::Instance;
 use platform::{Offset, Page};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     /// Records of a peer that has a newer bundle in force; none if it could not give them.
     Records(Option<Vec<u8>>),
     /// A worker observed something.
-    Note(usize, Note),
+    Note(usize, WorkerEvent),
     /// Something happened to the claims' streams.
     Claim(lease::claim::Event),
     /// Something happened to the leases' stream.
--- a/crates/node/src/control/loads.rs
+++ b/crates/node/src/control/loads.rs
@@ -3,7 +3,7 @@
 use super::input::{Input, Inputs};
 use engine::load::Report;
 use engine::pool::Pool;
-use entry::snapshot::Board;
+use entry::snapshot::SharedSnapshot;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const MOST: usize = 128;
 
 /// Asks the endpoints in turn until control is gone.
-pub async fn poll(board: Board, inputs: Inputs) {
+pub async fn poll(board: SharedSnapshot, inputs: Inputs) {
     let pool = Pool::default();
     let mut period = tokio::time::interval(PERIOD);
     let mut from = 0;
@@ -41,7 +41,7 @@
 }
 
 /// The next endpoints that run model stages.
-fn targets(board: &Board, from: &mut usize) -> Vec<Target> {
+fn targets(board: &SharedSnapshot, from: &mut usize) -> Vec<Target> {
     let Some(snapshot) = board.load_full() else {
         return Vec::new();
     };
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -16,10 +16,10 @@
 use crate::settings::Settings;
 use bundle::checkpoint::{self, Policy};
 use bundle::fold::Fold;
-use entry::admin::Question;
-use entry::core::{Note, Notice};
+use entry::admin::ControlRequest;
+use entry::core::{ControlEvent, WorkerEvent};
 use entry::ring;
-use entry::snapshot::Board;
+use entry::snapshot::SharedSnapshot;
 use lease::Owner;
 use member::action::Action;
 use member::event::Event;
@@ -62,13 +62,13 @@
     /// Seed of the group.
     pub seed: u64,
     /// Where snapshots go, by worker.
-    pub boards: Vec<Board>,
+    pub boards: Vec<SharedSnapshot>,
     /// The link to peers.
     pub link: Link,
     /// Where tasks put what they find.
     pub inputs: Inputs,
     /// Rings to the workers.
-    pub notices: Vec<ring::Sender<Notice>>,
+    pub notices: Vec<ring::Sender<ControlEvent>>,
     /// Set when the node begins to leave.
     pub leave: CancellationToken,
 }
@@ -79,10 +79,10 @@
     /// The callers' listener as others reach it.
     callers: SocketAddr,
     incarnation: u64,
-    boards: Vec<Board>,
+    boards: Vec<SharedSnapshot>,
     link: Link,
     inputs: Inputs,
-    notices: Vec<ring::Sender<Notice>>,
+    notices: Vec<ring::Sender<ControlEvent>>,
     leave: CancellationToken,
     start: Instant,
     fold: Fold,
@@ -203,20 +203,20 @@
     }
 
     /// Takes a question of the admin listener.
-    pub fn question(&mut self, question: Question) {
+    pub fn question(&mut self, question: ControlRequest) {
         match question {
-            Question::Status(reply) => {
+            ControlRequest::Status(reply) => {
                 let _ = reply.send(self.status());
             }
-            Question::History(reply) => {
+            ControlRequest::History(reply) => {
                 let _ = reply.send(self.history());
             }
-            Question::Fleet(reply) => self.fleet(reply),
-            Question::Head(reply) => {
+            ControlRequest::Fleet(reply) => self.fleet(reply),
+            ControlRequest::Head(reply) => {
                 let _ = reply.send(self.fold.full());
             }
-            Question::Publish(body, reply) => self.submit(body, reply),
-            Question::Dump(reply) => {
+            ControlRequest::Publish(body, reply) => self.submit(body, reply),
+            ControlRequest::Dump(reply) => {
                 let _ = reply.send(self.dump());
             }
         }
@@ -281,31 +281,31 @@
         Some(Observation::Load(load))
     }
 
-    fn note(&mut self, worker: usize, note: Note) {
+    fn note(&mut self, worker: usize, note: WorkerEvent) {
         let item = match note {
-            Note::Demand(bundle, teams) => {
+            WorkerEvent::Demand(bundle, teams) => {
                 let now = self.now();
                 return self.demand.take(now, worker, bundle, &teams);
             }
-            Note::Claim(ask) => return self.ask_claim(worker, ask),
-            Note::Unclaim(id) => return self.unclaim(id),
-            Note::Ended(ended) => return self.end_claim(ended),
-            Note::Ticket(reply) => {
+            WorkerEvent::Claim(ask) => return self.ask_claim(worker, ask),
+            WorkerEvent::ClaimAbandoned(id) => return self.unclaim(id),
+            WorkerEvent::Ended(ended) => return self.end_claim(ended),
+            WorkerEvent::Ticket(reply) => {
                 let now = self.now();
                 let _ = reply.send(self.claims.ticket(now));
                 return;
             }
-            Note::Ejected(name) => ejection(&name, true),
-            Note::Restored(name) => ejection(&name, false),
-            Note::Suspect(fingerprint) => Observation::Suspect {
+            WorkerEvent::Ejected(name) => ejection(&name, true),
+            WorkerEvent::Restored(name) => ejection(&name, false),
+            WorkerEvent::Suspect(fingerprint) => Observation::Suspect {
                 fingerprint,
                 ttl: SUSPECT_TIME,
             },
-            Note::Pending(fingerprint) => Observation::Pending {
+            WorkerEvent::Pending(fingerprint) => Observation::Pending {
                 fingerprint,
                 ttl: PENDING_TIME,
             },
-            Note::Condemned(fingerprint) => {
+            WorkerEvent::Condemned(fingerprint) => {
                 log::warn!("requests with fingerprint {fingerprint:016x} crash endpoints");
                 Observation::Condemned {
                     fingerprint,
--- a/crates/node/src/control/state/keys.rs
+++ b/crates/node/src/control/state/keys.rs
@@ -3,8 +3,8 @@
 use super::State;
 use crate::control::claims::Owners;
 use crate::control::observed;
-use entry::claim::{Ask, Ended};
-use entry::core::Notice;
+use entry::claim::{Ended, Request};
+use entry::core::ControlEvent;
 use lease::Owner;
 use lease::claim::Event;
 use member::group::Group;
@@ -34,7 +34,7 @@
     }
 
     /// A worker asks for a key.
-    pub(super) fn ask_claim(&mut self, worker: usize, ask: Ask) {
+    pub(super) fn ask_claim(&mut self, worker: usize, ask: Request) {
         let now = self.now();
         self.claims.ask(now, worker, ask, &Known(&self.group));
         self.tell_claims();
@@ -76,11 +76,11 @@
     fn tell_claims(&mut self) {
         self.verdicts.extend(self.claims.told());
         while let Some(told) = self.verdicts.pop_front() {
-            let notice = Notice::Claim(told.id, told.verdict);
+            let notice = ControlEvent::Claim(told.id, told.verdict);
             let Some(ring) = self.notices.get_mut(told.worker) else {
                 continue;
             };
-            if let Err(Notice::Claim(id, verdict)) = ring.push(notice) {
+            if let Err(ControlEvent::Claim(id, verdict)) = ring.push(notice) {
                 let worker = told.worker;
                 self.verdicts.push_front(crate::control::claims::Told {
                     worker,
--- a/crates/node/src/control/state/orders.rs
+++ b/crates/node/src/control/state/orders.rs
@@ -3,7 +3,7 @@
 use super::State;
 use crate::control::rolls::Source;
 use engine::load::Report;
-use entry::core::Notice;
+use entry::core::ControlEvent;
 use lease::hold::Event;
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
             age: report.age,
         };
         for ring in &mut self.notices {
-            let _ = ring.push(Notice::Load(name.clone(), load));
+            let _ = ring.push(ControlEvent::Load(name.clone(), load));
         }
         if self.endpoints.take(name, report) {
             self.dirty = true;
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -12,9 +12,9 @@
 use entry::core::{Reports, Tx};
 use entry::listener;
 use entry::metrics::Metrics;
-use entry::server::{Server, Stop};
-use entry::snapshot::Board;
-use entry::tls::Store;
+use entry::server::{Server, Shutdown};
+use entry::snapshot::SharedSnapshot;
+use entry::tls::ReloadableConfig;
 use entry::worker::{Handle, Worker};
 use eyre::{Result, WrapErr};
 use opentelemetry::metrics::MeterProvider;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ends {
     /// The listeners and the workers.
-    pub serving: Stop,
+    pub serving: Shutdown,
     /// The node begins to leave.
     pub leave: CancellationToken,
     /// Control and admin end, after the workers have.
@@ -69,7 +69,7 @@
         let provider = provider(&registry)?;
         let meter = provider.meter("wigeonshelf");
         let metrics = Metrics::new(&meter);
-        let (questions, asked) = mpsc::channel(admin::QUESTIONS);
+        let (questions, asked) = mpsc::channel(admin::MAX_PENDING_REQUESTS);
         let admin_listener = listener::open(settings.admin.listen)
             .wrap_err_with(|| format!("admin listener {}", settings.admin.listen))?;
         let (reserved, callers) = listener::reserve(settings.callers.listen)
@@ -86,7 +86,7 @@
             let (notes, noted) = entry::ring::ring(RING);
             let (notices, noticed) = entry::ring::ring(RING);
             rings.push(control::Worker { notices, noted });
-            let board = Board::default();
+            let board = SharedSnapshot::default();
             boards.push(board.clone());
             let report = Reports::default();
             reports.push(report.clone());
@@ -94,17 +94,17 @@
                 number,
                 listener: listener::open(callers)?,
                 limits: settings.callers.limits.clone(),
-                ask: settings.ask.clone(),
+                request_limits: settings.ask.clone(),
                 address_ttl: settings.node.address_ttl.as_secs(),
                 route: settings.route.clone(),
                 seed: seeds.worker(number),
                 tls: tls.clone(),
-                board,
+                shared_snapshot: board,
                 metrics: metrics.clone(),
-                notices: noticed,
-                notes,
+                control_events: noticed,
+                worker_events: notes,
                 reports: report,
-                stop: ends.serving.clone(),
+                shutdown: ends.serving.clone(),
             };
             workers.push(worker.start()?);
         }
@@ -206,26 +206,26 @@
     Ok(SdkMeterProvider::builder().with_reader(exporter).build())
 }
 
-fn open_tls(listener: &Listener) -> Result<Option<Arc<Store>>> {
+fn open_tls(listener: &Listener) -> Result<Option<Arc<ReloadableConfig>>> {
     let Some(files) = &listener.tls else {
         return Ok(None);
     };
-    Ok(Some(Arc::new(Store::open(files.clone())?)))
+    Ok(Some(Arc::new(ReloadableConfig::open(files.clone())?)))
 }
 
 struct AdminParts {
     listener: std::net::TcpListener,
     settings: Listener,
-    control: mpsc::Sender<admin::Question>,
+    control: mpsc::Sender<admin::ControlRequest>,
     workers: Vec<Tx>,
     registry: Registry,
     metrics: Metrics,
-    tls: Option<Arc<Store>>,
+    tls: Option<Arc<ReloadableConfig>>,
 }
 
 /// The admin listener serves until control ends: an operator can look at a node that leaves.
 fn start_admin(parts: AdminParts, ends: &Ends) -> Result<JoinHandle<Result<()>>> {
-    let stop = Stop {
+    let stop = Shutdown {
         drain: ends.control.clone(),
         close: ends.control.clone(),
         kill: ends.serving.kill.clone(),
@@ -237,7 +237,7 @@
     })?)
 }
 
-async fn serve_admin(parts: AdminParts, stop: Stop) -> Result<()> {
+async fn serve_admin(parts: AdminParts, stop: Shutdown) -> Result<()> {
     let shared = admin::Shared {
         control: parts.control,
         workers: parts.workers,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -10,7 +10,7 @@
 pub mod value;
 
 use bundle::signer::Signer;
-use entry::limits::{Ask, Limits};
+use entry::limits::{Limits, RequestLimits};
 use entry::tls::Files;
 use finding::Finding;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// Persons whose signature on a bundle counts.
     pub trust: Vec<Signer>,
     /// Bounds of what a caller may ask for.
-    pub ask: Ask,
+    pub ask: RequestLimits,
     /// Settings of the routers.
     pub route: route::settings::Settings,
     /// Settings of the rolls.
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -6,7 +6,7 @@
 use super::value::{self, addr, addrs, key, level, limit, name, peer_key, time, up_to};
 use super::{Format, Listener, Logging, Node, Peers, Platform, Result, Settings};
 use bundle::signer::Signer;
-use entry::limits::{Ask, Limits};
+use entry::limits::{Limits, RequestLimits};
 use entry::tls::Files;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -116,18 +116,28 @@
     let listen = section.required("listen", addr, findings);
     let advertise = section.optional("advertise", addr, findings);
     let limits = Limits {
-        connections: section.or(
+        max_connections: section.or(
             "connections",
-            usual.connections,
+            usual.max_connections,
             up_to(MOST_CONNECTIONS),
             findings,
         ),
-        streams: section.or("streams", usual.streams, streams, findings),
-        head_bytes: section.or("head_bytes", usual.head_bytes, up_to(MOST_HEAD), findings),
-        body_bytes: section.or("body_bytes", usual.body_bytes, up_to(MOST_BODY), findings),
-        head_time: section.or("head_time", usual.head_time, limit, findings),
-        body_time: section.or("body_time", usual.body_time, limit, findings),
-        idle_time: section.or("idle_time", usual.idle_time, limit, findings),
+        max_streams: section.or("streams", usual.max_streams, streams, findings),
+        max_head_bytes: section.or(
+            "head_bytes",
+            usual.max_head_bytes,
+            up_to(MOST_HEAD),
+            findings,
+        ),
+        max_body_bytes: section.or(
+            "body_bytes",
+            usual.max_body_bytes,
+            up_to(MOST_BODY),
+            findings,
+        ),
+        head_timeout: section.or("head_time", usual.head_timeout, limit, findings),
+        body_timeout: section.or("body_time", usual.body_timeout, limit, findings),
+        idle_timeout: section.or("idle_time", usual.idle_timeout, limit, findings),
     };
     told(&section, listen, advertise, findings);
     let tls = tls(&mut section, findings);
@@ -243,15 +253,15 @@
     signers
 }
 
-fn ask(text: &Text, findings: &mut Vec<Finding>) -> Ask {
+fn ask(text: &Text, findings: &mut Vec<Finding>) -> RequestLimits {
     let mut section = Section::new(text, LIMITS);
-    let usual = Ask::default();
-    let ask = Ask {
-        usual_deadline: section.or("usual_deadline", usual.usual_deadline, limit, findings),
-        longest_deadline: section.or("longest_deadline", usual.longest_deadline, limit, findings),
-        usual_tokens: section.or("usual_tokens", usual.usual_tokens, tokens, findings),
+    let usual = RequestLimits::default();
+    let ask = RequestLimits {
+        default_deadline: section.or("usual_deadline", usual.default_deadline, limit, findings),
+        max_deadline: section.or("longest_deadline", usual.max_deadline, limit, findings),
+        default_max_tokens: section.or("usual_tokens", usual.default_max_tokens, tokens, findings),
     };
-    if ask.usual_deadline > ask.longest_deadline {
+    if ask.default_deadline > ask.max_deadline {
         findings.push(section.about("usual_deadline", "longer than longest_deadline"));
     }
     section.finish(findings);
