--- a/crates/entry/src/address.rs
+++ b/crates/entry/src/address.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// Smallest chance weight: a node that reports itself full is still named, late.
-const LEAST_FREE: f64 = 0.01;
+const MIN_FREE_FRACTION: f64 = 0.01;
 
 /// An entry node that takes new callers.
 #[derive(Clone, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 
 /// One line of the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Line {
+pub struct Item {
     /// Base URL.
     pub url: String,
     /// Availability zone.
@@ -40,46 +40,46 @@
 
 /// The answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Answer {
+pub struct List {
     /// Seconds for which the caller may keep it.
     pub ttl_seconds: u64,
     /// Entry nodes, best first.
-    pub addresses: Vec<Line>,
+    pub addresses: Vec<Item>,
 }
 
 /// Orders `addresses` for a caller in `zone` of `region`; at most `most` lines.
-pub fn answer(
+pub fn list(
     addresses: &[Address],
-    place: &Place,
+    location: &Location,
     ttl_seconds: u64,
-    most: usize,
+    max: usize,
     rng: &mut StdRng,
-) -> Answer {
-    let mut keyed: Vec<(u8, f64, &Address)> = addresses
+) -> List {
+    let mut ranked: Vec<(u8, f64, &Address)> = addresses
         .iter()
-        .map(|a| (distance(a, place), race(a.free, rng), a))
+        .map(|a| (distance(a, location), exponential_draw(a.free, rng), a))
         .collect();
-    keyed.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    let lines = keyed.iter().take(most).map(|(_, _, a)| line(a));
-    Answer {
+    ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    let items = ranked.iter().take(max).map(|(_, _, a)| item(a));
+    List {
         ttl_seconds,
-        addresses: lines.collect(),
+        addresses: items.collect(),
     }
 }
 
 /// Where the caller is, as far as known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Availability zone.
     pub zone: String,
     /// Region.
     pub region: String,
 }
 
-fn distance(address: &Address, place: &Place) -> u8 {
-    if address.zone == place.zone {
+fn distance(address: &Address, location: &Location) -> u8 {
+    if address.zone == location.zone {
         0
-    } else if address.region == place.region {
+    } else if address.region == location.region {
         1
     } else {
         2
@@ -88,14 +88,14 @@
 
 /// An exponential draw with rate `free`: the smallest of several is each one's with a chance in
 /// proportion to its rate.
-fn race(free: f64, rng: &mut StdRng) -> f64 {
+fn exponential_draw(free: f64, rng: &mut StdRng) -> f64 {
     let u: f64 = rng.random();
-    -(1.0 - u).ln() / free.clamp(LEAST_FREE, 1.0)
+    -(1.0 - u).ln() / free.clamp(MIN_FREE_FRACTION, 1.0)
 }
 
-fn line(address: &Address) -> Line {
+fn item(address: &Address) -> Item {
     let scheme = if address.tls { "https" } else { "http" };
-    Line {
+    Item {
         url: format!("{scheme}://{}", address.addr),
         zone: address.zone.clone(),
     }
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -5,8 +5,8 @@
 use crate::api::error::Error;
 use crate::core::{Command, Tx};
 use crate::limits::Limits;
-use crate::reading;
-use crate::response::{json, typed};
+use crate::request_body;
+use crate::response::{json, with_content_type};
 use bundle::answer::{Answer, Word};
 use bytes::Bytes;
 use http::StatusCode;
@@ -21,9 +21,9 @@
 /// Questions that may wait for control; one more is answered with an error at once.
 pub const MAX_PENDING_REQUESTS: usize = 64;
 /// Longest time that control or a worker has to answer.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest time that a published version has to be settled.
-const PUBLISH_TIME: Duration = Duration::from_secs(30);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What the admin listener asks control.
 #[derive(Debug)]
@@ -125,24 +125,24 @@
     let s = state.clone();
     router = router.get("/readyz", move |_: Request| {
         let s = s.clone();
-        async move { reply(ready(&s).await) }
+        async move { into_answer(ready(&s).await) }
     });
     let s = state.clone();
     router = router.get("/metrics", move |_: Request| {
         let s = s.clone();
-        async move { reply(metrics(&s)) }
+        async move { into_answer(metrics(&s)) }
     });
     let s = state.clone();
     router = router.get("/dump", move |req: Request| {
         let s = s.clone();
-        async move { reply(dump(&s, &req).await) }
+        async move { into_answer(dump(&s, &req).await) }
     });
     let s = state.clone();
     router = router.get("/admin/v1/status", move |_: Request| {
         let s = s.clone();
         async move {
-            reply(
-                ask(&s, ANSWER_TIME, ControlRequest::Status)
+            into_answer(
+                query_control(&s, CONTROL_TIMEOUT, ControlRequest::Status)
                     .await
                     .map(|v| json(&v)),
             )
@@ -152,8 +152,8 @@
     router = router.get("/admin/v1/history", move |_: Request| {
         let s = s.clone();
         async move {
-            reply(
-                ask(&s, ANSWER_TIME, ControlRequest::History)
+            into_answer(
+                query_control(&s, CONTROL_TIMEOUT, ControlRequest::History)
                     .await
                     .map(|v| json(&v)),
             )
@@ -163,8 +163,8 @@
     router = router.get("/admin/v1/fleet", move |_: Request| {
         let s = s.clone();
         async move {
-            reply(
-                ask(&s, ANSWER_TIME, ControlRequest::Fleet)
+            into_answer(
+                query_control(&s, CONTROL_TIMEOUT, ControlRequest::Fleet)
                     .await
                     .map(|v| json(&v)),
             )
@@ -173,12 +173,12 @@
     let s = state.clone();
     router = router.get("/admin/v1/head", move |_: Request| {
         let s = s.clone();
-        async move { reply(head(&s).await) }
+        async move { into_answer(head(&s).await) }
     });
     let s = state;
     router = router.post("/admin/v1/bundles", move |req: Request| {
         let s = s.clone();
-        async move { reply(publish(&s, req).await) }
+        async move { into_answer(publish(&s, req).await) }
     });
     router.any("/*", |_: Request| async {
         let error = Error::new(
@@ -190,12 +190,12 @@
     })
 }
 
-fn reply(result: Result<Response>) -> viz::Result<Response> {
+fn into_answer(result: Result<Response>) -> viz::Result<Response> {
     Ok(result.unwrap_or_else(IntoResponse::into_response))
 }
 
 /// Asks control and waits for its answer, both within bounds.
-async fn ask<T>(
+async fn query_control<T>(
     state: &Shared,
     limit: Duration,
     request: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
@@ -211,7 +211,7 @@
 }
 
 async fn ready(state: &Shared) -> Result<Response> {
-    let status = ask(state, ANSWER_TIME, ControlRequest::Status).await?;
+    let status = query_control(state, CONTROL_TIMEOUT, ControlRequest::Status).await?;
     let mut response = json(&status);
     if !status.ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -220,12 +220,12 @@
 }
 
 async fn head(state: &Shared) -> Result<Response> {
-    let head = ask(state, ANSWER_TIME, ControlRequest::Head).await?;
+    let head = query_control(state, CONTROL_TIMEOUT, ControlRequest::Head).await?;
     let head = head.ok_or_else(|| {
         let message = "no bundle is in force on this node yet";
         Error::new(StatusCode::NOT_FOUND, "no_bundle", message)
     })?;
-    Ok(typed(head, "application/json"))
+    Ok(with_content_type(head, "application/json"))
 }
 
 fn metrics(state: &Shared) -> Result<Response> {
@@ -233,29 +233,29 @@
     let mut text = Vec::new();
     let encoded = encoder.encode(&state.registry.gather(), &mut text);
     encoded.map_err(|e| Error::new(StatusCode::INTERNAL_SERVER_ERROR, "metrics", e.to_string()))?;
-    Ok(typed(text, "text/plain; version=0.0.4"))
+    Ok(with_content_type(text, "text/plain; version=0.0.4"))
 }
 
 async fn dump(state: &Shared, req: &Request) -> Result<Response> {
-    let mut parts = ask(state, ANSWER_TIME, ControlRequest::Dump).await?;
+    let mut parts = query_control(state, CONTROL_TIMEOUT, ControlRequest::Dump).await?;
     for (number, tx) in state.workers.iter().enumerate() {
         parts.push(worker_dump(number, tx).await);
     }
-    let asked = viz::RequestExt::query_string(req).unwrap_or("");
-    if asked.split('&').any(|p| p == "format=json") {
+    let query = viz::RequestExt::query_string(req).unwrap_or("");
+    if query.split('&').any(|p| p == "format=json") {
         return Ok(json(&parts));
     }
     let sections = parts
         .iter()
         .map(|p| format!("== {} ==\n{}\n", p.part, p.text));
     let text: String = sections.collect();
-    Ok(typed(text, "text/plain; charset=utf-8"))
+    Ok(with_content_type(text, "text/plain; charset=utf-8"))
 }
 
 async fn worker_dump(number: usize, worker: &Tx) -> Part {
     let (tx, rx) = oneshot::channel();
     let _ = worker.send(Command::Dump(tx));
-    let answer = timeout(ANSWER_TIME, rx).await;
+    let answer = timeout(CONTROL_TIMEOUT, rx).await;
     let text = answer.ok().and_then(|a| a.ok());
     Part {
         part: format!("worker {number}"),
@@ -264,8 +264,11 @@
 }
 
 async fn publish(state: &Shared, mut req: Request) -> Result<Response> {
-    let body = reading::body(&mut req, &state.limits).await?;
-    let answer = ask(state, PUBLISH_TIME, |tx| ControlRequest::Publish(body, tx)).await?;
+    let body = request_body::read(&mut req, &state.limits).await?;
+    let answer = query_control(state, PUBLISH_TIMEOUT, |tx| {
+        ControlRequest::Publish(body, tx)
+    })
+    .await?;
     let mut response = json(&answer);
     *response.status_mut() = match answer.outcome {
         Word::Accepted => StatusCode::OK,
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,9 +1,9 @@
 //! An answer in the making, as a handler sees it.
 
-use crate::api::ask::{Ask, Kind};
 use crate::api::chat::Usage;
 use crate::api::error::Error;
-use crate::api::stop::Cutter;
+use crate::api::params::{Kind, Params};
+use crate::api::stop::Filter;
 use crate::core::{Command, End, Reply, Tx};
 use crate::metrics::Metrics;
 use engine::chain::Stop;
@@ -46,45 +46,45 @@
 
 /// An answer in the making.
 pub struct Answer {
-    ask: Ask,
+    params: Params,
     id: String,
     created: u64,
     replies: mpsc::UnboundedReceiver<Reply>,
     guard: Option<Guard>,
-    cutter: Cutter,
-    tokens: u32,
-    last: Instant,
+    filter: Filter,
+    token_count: u32,
+    last_token_at: Instant,
     metrics: Metrics,
 }
 
 impl Answer {
     /// The answer to `ask`, whose parts come from `replies`.
     pub fn new(
-        ask: Ask,
+        params: Params,
         guard: Guard,
         replies: mpsc::UnboundedReceiver<Reply>,
         metrics: Metrics,
     ) -> Self {
-        let prefix = match ask.kind {
+        let prefix = match params.kind {
             Kind::Chat => "chatcmpl",
             Kind::Text => "cmpl",
         };
         Self {
             id: format!("{prefix}-{:032x}", guard.id),
             created: unix_time(),
-            cutter: Cutter::new(ask.stops.clone()),
-            ask,
+            filter: Filter::new(params.stops.clone()),
+            params,
             replies,
             guard: Some(guard),
-            tokens: 0,
-            last: Instant::now(),
+            token_count: 0,
+            last_token_at: Instant::now(),
             metrics,
         }
     }
 
     /// Which API.
     pub fn kind(&self) -> Kind {
-        self.ask.kind
+        self.params.kind
     }
 
     /// Id of the answer.
@@ -99,22 +99,22 @@
 
     /// Model, as named by the caller.
     pub fn model(&self) -> &str {
-        &self.ask.model
+        &self.params.model
     }
 
     /// Whether the answer is streamed.
     pub fn wants_stream(&self) -> bool {
-        self.ask.stream
+        self.params.stream
     }
 
     /// Whether a streamed answer ends with its usage.
     pub fn wants_usage(&self) -> bool {
-        self.ask.usage
+        self.params.include_usage
     }
 
     /// Tokens used.
     pub fn usage(&self, end: End) -> Usage {
-        Usage::new(end.prompt_tokens, self.tokens)
+        Usage::new(end.prompt_tokens, self.token_count)
     }
 
     /// Why it ended, in the API's words.
@@ -126,7 +126,7 @@
     }
 
     /// The next reply as it comes; a core that is gone leaves the outcome unknown.
-    pub async fn reply(&mut self) -> Reply {
+    pub async fn next_reply(&mut self) -> Reply {
         self.replies.recv().await.unwrap_or(Reply::Done(End {
             outcome: Outcome::Unknown,
             stop: Stop::End,
@@ -135,16 +135,16 @@
     }
 
     /// The next part.
-    pub async fn next(&mut self) -> Part {
-        let reply = self.reply().await;
+    pub async fn next_part(&mut self) -> Part {
+        let reply = self.next_reply().await;
         self.part(reply)
     }
 
     /// Turns a reply into a part.
     pub fn part(&mut self, reply: Reply) -> Part {
         match reply {
-            Reply::Token(token) => self.token(&token.text),
-            Reply::Done(end) => Part::End(self.cutter.finish(), end),
+            Reply::Token(token) => self.push_token(&token.text),
+            Reply::Done(end) => Part::End(self.filter.finish(), end),
             Reply::Refused(refusal) => Part::Refused(refusal.into()),
             Reply::Error(error) => Part::Refused(*error),
             // The head of a plain service's answer never comes for a completion.
@@ -152,19 +152,19 @@
         }
     }
 
-    fn token(&mut self, text: &str) -> Part {
-        self.time();
-        self.tokens += 1;
-        let given = self.cutter.push(text);
-        if !self.cutter.done() {
-            return Part::Text(given);
+    fn push_token(&mut self, text: &str) -> Part {
+        self.record_latency();
+        self.token_count += 1;
+        let released = self.filter.push(text);
+        if !self.filter.done() {
+            return Part::Text(released);
         }
         // The answer is whole for the caller; the rest of the work is cancelled. The engines' count
         // of the prompt would come with the end that is not waited for.
         self.guard = None;
-        let prompt_tokens = self.ask.prompt_tokens();
+        let prompt_tokens = self.params.prompt_tokens();
         Part::End(
-            given,
+            released,
             End {
                 outcome: Outcome::Complete,
                 stop: Stop::End,
@@ -173,15 +173,15 @@
         )
     }
 
-    fn time(&mut self) {
+    fn record_latency(&mut self) {
         let now = Instant::now();
-        let gap = (now - self.last).as_secs_f64();
-        let times = match self.tokens {
+        let gap = (now - self.last_token_at).as_secs_f64();
+        let histogram = match self.token_count {
             0 => &self.metrics.first_token,
             _ => &self.metrics.inter_token,
         };
-        times.record(gap, &[]);
-        self.last = now;
+        histogram.record(gap, &[]);
+        self.last_token_at = now;
     }
 }
 
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,10 +1,10 @@
 //! The callers' API: bodies, answers and errors in the shapes that chat-completion clients read.
 
-pub mod ask;
 pub mod chat;
 pub mod chunk;
 pub mod completion;
 pub mod error;
 pub mod header;
 pub mod models;
+pub mod params;
 pub mod stop;
--- a/crates/entry/src/api/chat.rs
+++ b/crates/entry/src/api/chat.rs
@@ -1,13 +1,13 @@
 //! Bodies and answers of `POST /v1/chat/completions`.
 
-use super::ask::{Ask, Kind, Raw, parse};
 use super::error::{Error, Result};
+use super::params::{Kind, Params, Raw, parse};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
 /// Most messages in one request.
-const MESSAGES: usize = 4096;
+const MAX_MESSAGES: usize = 4096;
 /// Roles that a message may have.
 const ROLES: [&str; 4] = ["system", "developer", "user", "assistant"];
 
@@ -38,16 +38,16 @@
 }
 
 /// Reads and checks a body.
-pub fn read(body: &[u8]) -> Result<Ask> {
+pub fn read(body: &[u8]) -> Result<Params> {
     let raw: RawChat = parse(body)?;
     let messages = raw.messages.unwrap_or_default();
     if messages.is_empty() {
         return Err(Error::invalid_value("messages", "there is no message"));
     }
-    if messages.len() > MESSAGES {
+    if messages.len() > MAX_MESSAGES {
         return Err(Error::invalid_value(
             "messages",
-            format!("more than {MESSAGES} messages"),
+            format!("more than {MAX_MESSAGES} messages"),
         ));
     }
     let prompt = prompt(messages)?;
@@ -59,38 +59,38 @@
 fn prompt(messages: Vec<RawMessage>) -> Result<Bytes> {
     let mut prompt = String::new();
     for (i, message) in messages.into_iter().enumerate() {
-        let place = format!("messages[{i}]");
+        let path = format!("messages[{i}]");
         if !ROLES.contains(&message.role.as_str()) {
             let text = format!("role {:?} is not supported", message.role);
-            return Err(Error::invalid_value(&format!("{place}.role"), text));
+            return Err(Error::invalid_value(&format!("{path}.role"), text));
         }
-        let text = text(message.content, &place)?;
+        let text = text(message.content, &path)?;
         let _ = write!(prompt, "<|{}|>\n{text}\n", message.role);
     }
     prompt.push_str("<|assistant|>\n");
     Ok(Bytes::from(prompt))
 }
 
-fn text(content: Option<RawContent>, place: &str) -> Result<String> {
+fn text(content: Option<RawContent>, path: &str) -> Result<String> {
     match content {
         None => Err(Error::invalid_value(
-            &format!("{place}.content"),
+            &format!("{path}.content"),
             "there is no content",
         )),
         Some(RawContent::Text(text)) => Ok(text),
-        Some(RawContent::Parts(parts)) => join(parts, place),
+        Some(RawContent::Parts(parts)) => join(parts, path),
     }
 }
 
-fn join(parts: Vec<RawPart>, place: &str) -> Result<String> {
+fn join(parts: Vec<RawPart>, path: &str) -> Result<String> {
     let mut joined = String::new();
     for (i, part) in parts.into_iter().enumerate() {
         match (part.r#type.as_str(), part.text) {
             ("text", Some(text)) => joined.push_str(&text),
             _ => {
-                let place = format!("{place}.content[{i}]");
+                let path = format!("{path}.content[{i}]");
                 return Err(Error::invalid_value(
-                    &place,
+                    &path,
                     "only parts of type text are supported",
                 ));
             }
--- a/crates/entry/src/api/completion.rs
+++ b/crates/entry/src/api/completion.rs
@@ -1,7 +1,7 @@
 //! Bodies and answers of `POST /v1/completions`.
 
-use super::ask::{Ask, Kind, Raw, parse};
 use super::error::{Error, Result};
+use super::params::{Kind, Params, Raw, parse};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 }
 
 /// Reads and checks a body.
-pub fn read(body: &[u8]) -> Result<Ask> {
+pub fn read(body: &[u8]) -> Result<Params> {
     let raw: RawCompletion = parse(body)?;
     let prompt = prompt(raw.prompt)?;
     raw.shared.check(Kind::Text, Bytes::from(prompt))
--- a/crates/entry/src/api/error.rs
+++ b/crates/entry/src/api/error.rs
@@ -171,7 +171,7 @@
             super::header::insert_request_id(headers, id);
         }
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(super::header::OUTCOME, outcome(self.outcome));
+        headers.insert(super::header::OUTCOME, outcome_value(self.outcome));
         if let Some(method) = self.allowed_method {
             headers.insert(ALLOW, HeaderValue::from_static(method));
         }
@@ -183,8 +183,8 @@
                 HeaderValue::from_static("false"),
             );
         }
-        if let Some(node) = self.owner_url.and_then(|n| HeaderValue::from_str(&n).ok()) {
-            headers.insert(super::header::NODE, node);
+        if let Some(url) = self.owner_url.and_then(|n| HeaderValue::from_str(&n).ok()) {
+            headers.insert(super::header::NODE, url);
         }
         if let Some(after) = self.retry_after {
             headers.insert(RETRY_AFTER, HeaderValue::from(rounded_up_seconds(after)));
@@ -194,7 +194,7 @@
 }
 
 /// The outcome as a header's value.
-pub fn outcome(outcome: Outcome) -> HeaderValue {
+pub fn outcome_value(outcome: Outcome) -> HeaderValue {
     HeaderValue::from_static(outcome.as_str())
 }
 
--- a/crates/entry/src/api/header.rs
+++ b/crates/entry/src/api/header.rs
@@ -32,7 +32,7 @@
 /// Scheme of the `authorization` header; schemes have no case.
 const BEARER: &str = "Bearer";
 /// Longest idempotency key, in bytes.
-const KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Puts a request's id into the headers of its answer, as 32 hexadecimal digits.
 pub fn insert_request_id(headers: &mut HeaderMap, id: Id) {
@@ -55,7 +55,7 @@
     /// Whether the answer must come whole or not at all.
     pub whole: bool,
     /// Idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
 impl Header {
@@ -68,7 +68,7 @@
             deadline: deadline(headers)?,
             repeatable: flag(headers, &REPEATABLE)?,
             whole: flag(headers, &WHOLE)?.unwrap_or(false),
-            key: key(headers)?,
+            idempotency_key: idempotency_key(headers)?,
         })
     }
 }
@@ -134,12 +134,12 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>> {
+fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>> {
     let Some(key) = text(headers, &IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > KEY_BYTES {
-        let message = format!("the key is empty or longer than {KEY_BYTES} bytes");
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let message = format!("the key is empty or longer than {MAX_KEY_BYTES} bytes");
         return Err(Error::invalid_value(IDEMPOTENCY_KEY.as_str(), message));
     }
     Ok(Some(key.to_owned()))
--- a/crates/entry/src/api/models.rs
+++ b/crates/entry/src/api/models.rs
@@ -39,9 +39,9 @@
         if !allowed(bundle, team, id) {
             continue;
         }
-        data.push(entry(model.name.clone()));
+        data.push(model_entry(model.name.clone()));
         let adapters = model.adapters.iter();
-        data.extend(adapters.map(|a| entry(format!("{}:{a}", model.name))));
+        data.extend(adapters.map(|a| model_entry(format!("{}:{a}", model.name))));
     }
     List {
         object: "list",
@@ -49,7 +49,7 @@
     }
 }
 
-fn entry(id: String) -> Model {
+fn model_entry(id: String) -> Model {
     Model {
         id,
         object: "model",
--- a/crates/entry/src/api/ask.rs
+++ b/crates/entry/src/api/params.rs
@@ -7,9 +7,9 @@
 /// Bytes of a prompt that make a token, for the estimate.
 const BYTES_PER_TOKEN: usize = 4;
 /// Most stop sequences in one request.
-const STOPS: usize = 4;
+const MAX_STOP_SEQUENCES: usize = 4;
 /// Longest stop sequence, in bytes.
-const STOP_BYTES: usize = 256;
+const MAX_STOP_BYTES: usize = 256;
 
 /// Which of the two APIs is spoken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 
 impl Kind {
     /// The field that the prompt is made of.
-    pub fn field(self) -> &'static str {
+    pub fn prompt_field(self) -> &'static str {
         match self {
             Self::Chat => "messages",
             Self::Text => "prompt",
@@ -32,7 +32,7 @@
 
 /// A checked completion request, before the bundle is looked at.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct Params {
     /// Which API.
     pub kind: Kind,
     /// Model, as named by the caller: `model` or `model:adapter`.
@@ -42,16 +42,16 @@
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether a streamed answer ends with its usage.
-    pub usage: bool,
+    pub include_usage: bool,
     /// Most tokens to generate, if named.
-    pub most: Option<u32>,
+    pub max_tokens: Option<u32>,
     /// Seed of the sampling.
     pub seed: u64,
     /// Sequences at which the answer ends; they are not part of it.
     pub stops: Vec<String>,
 }
 
-impl Ask {
+impl Params {
     /// An estimate of the prompt's tokens; the engines' own count comes with the answer's end.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
@@ -92,24 +92,24 @@
 
 impl Raw {
     /// Checks the shared fields and joins them with the prompt.
-    pub fn check(self, kind: Kind, prompt: Bytes) -> Result<Ask> {
+    pub fn check(self, kind: Kind, prompt: Bytes) -> Result<Params> {
         self.refuse_unsupported()?;
-        let most = self.most()?;
+        let max_tokens = self.validated_max_tokens()?;
         let stops = stops(self.stop)?;
         let model = self
             .model
             .filter(|m| !m.is_empty())
             .ok_or_else(|| Error::invalid_value("model", "no model is named"))?;
-        Ok(Ask {
+        Ok(Params {
             kind,
             model,
             prompt,
             stream: self.stream.unwrap_or(false),
-            usage: self
+            include_usage: self
                 .stream_options
                 .and_then(|o| o.include_usage)
                 .unwrap_or(false),
-            most,
+            max_tokens,
             seed: self.seed.unwrap_or(0) as u64,
             stops,
         })
@@ -118,17 +118,17 @@
     /// An option that the engines would not honour is refused: an answer that silently left it out
     /// would not be the answer asked for.
     fn refuse_unsupported(&self) -> Result<()> {
-        let given = [
+        let options = [
             ("n", self.n.is_some_and(|n| n != 1)),
             ("best_of", self.best_of.is_some_and(|n| n != 1)),
-            ("logprobs", asks(&self.logprobs)),
-            ("tools", asks(&self.tools)),
-            ("functions", asks(&self.functions)),
-            ("response_format", asks_format(&self.response_format)),
+            ("logprobs", is_requested(&self.logprobs)),
+            ("tools", is_requested(&self.tools)),
+            ("functions", is_requested(&self.functions)),
+            ("response_format", requests_format(&self.response_format)),
             ("echo", self.echo == Some(true)),
             ("suffix", self.suffix.is_some()),
         ];
-        match given.iter().find(|(_, given)| *given) {
+        match options.iter().find(|(_, given)| *given) {
             None => Ok(()),
             Some((param, _)) => Err(Error::invalid_value(
                 param,
@@ -137,14 +137,14 @@
         }
     }
 
-    fn most(&self) -> Result<Option<u32>> {
+    fn validated_max_tokens(&self) -> Result<Option<u32>> {
         let (param, value) = match (self.max_completion_tokens, self.max_tokens) {
-            (Some(most), _) => ("max_completion_tokens", most),
-            (None, Some(most)) => ("max_tokens", most),
+            (Some(max), _) => ("max_completion_tokens", max),
+            (None, Some(max)) => ("max_tokens", max),
             (None, None) => return Ok(None),
         };
         match u32::try_from(value) {
-            Ok(most) if most > 0 => Ok(Some(most)),
+            Ok(max) if max > 0 => Ok(Some(max)),
             _ => Err(Error::invalid_value(
                 param,
                 format!("the number of tokens must be from 1 to {}", u32::MAX),
@@ -153,7 +153,7 @@
     }
 }
 
-fn asks(value: &Option<serde_json::Value>) -> bool {
+fn is_requested(value: &Option<serde_json::Value>) -> bool {
     use serde_json::Value;
     match value {
         None | Some(Value::Null | Value::Bool(false)) => false,
@@ -162,7 +162,7 @@
     }
 }
 
-fn asks_format(value: &Option<serde_json::Value>) -> bool {
+fn requests_format(value: &Option<serde_json::Value>) -> bool {
     value
         .as_ref()
         .is_some_and(|v| v.get("type").and_then(|t| t.as_str()) != Some("text"))
@@ -174,14 +174,17 @@
         Some(RawStop::One(stop)) => vec![stop],
         Some(RawStop::Many(stops)) => stops,
     };
-    if stops.len() > STOPS {
+    if stops.len() > MAX_STOP_SEQUENCES {
         return Err(Error::invalid_value(
             "stop",
-            format!("more than {STOPS} stop sequences"),
+            format!("more than {MAX_STOP_SEQUENCES} stop sequences"),
         ));
     }
-    if stops.iter().any(|s| s.is_empty() || s.len() > STOP_BYTES) {
-        let message = format!("a stop sequence is empty or longer than {STOP_BYTES} bytes");
+    if stops
+        .iter()
+        .any(|s| s.is_empty() || s.len() > MAX_STOP_BYTES)
+    {
+        let message = format!("a stop sequence is empty or longer than {MAX_STOP_BYTES} bytes");
         return Err(Error::invalid_value("stop", message));
     }
     Ok(stops)
--- a/crates/entry/src/api/stop.rs
+++ b/crates/entry/src/api/stop.rs
@@ -5,13 +5,13 @@
 
 /// Text of an answer, as far as it may be given to the caller.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Filter {
     stops: Vec<String>,
     held: String,
     done: bool,
 }
 
-impl Cutter {
+impl Filter {
     /// A cutter for `stops`.
     pub fn new(stops: Vec<String>) -> Self {
         Self {
@@ -39,7 +39,7 @@
             self.held.truncate(at);
             return std::mem::take(&mut self.held);
         }
-        let keep = self.open_tail();
+        let keep = self.partial_match_len();
         let rest = self.held.split_off(self.held.len() - keep);
         std::mem::replace(&mut self.held, rest)
     }
@@ -54,12 +54,12 @@
     /// with the sequences `abc` and `b`, the text `abc` has met `b` before `c` comes.
     fn first_stop(&self) -> Option<usize> {
         let stops = self.stops.iter();
-        let met = stops.filter_map(|s| self.held.find(s.as_str()).map(|at| (at + s.len(), at)));
-        met.min().map(|(_, at)| at)
+        let matches = stops.filter_map(|s| self.held.find(s.as_str()).map(|at| (at + s.len(), at)));
+        matches.min().map(|(_, at)| at)
     }
 
     /// Bytes at the end of the held text that begin some stop sequence.
-    fn open_tail(&self) -> usize {
+    fn partial_match_len(&self) -> usize {
         let stops = self.stops.iter();
         stops.map(|s| overlap(&self.held, s)).max().unwrap_or(0)
     }
@@ -67,8 +67,8 @@
 
 /// Length of the longest proper prefix of `stop` that ends `text`.
 fn overlap(text: &str, stop: &str) -> usize {
-    let most = text.len().min(stop.len() - 1);
-    (1..=most)
+    let longest = text.len().min(stop.len() - 1);
+    (1..=longest)
         .rev()
         .find(|&n| stop.is_char_boundary(n) && text.ends_with(&stop[..n]))
         .unwrap_or(0)
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -17,10 +17,10 @@
 use tokio_util::sync::CancellationToken;
 
 /// Chunks of a plain service's answer that may wait for a slow caller.
-pub const CHUNKS: usize = 16;
+pub const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// An answer that broke off after its head.
-const CUT: service::Failure = service::Failure {
+const BODY_INTERRUPTED: service::Failure = service::Failure {
     cause: service::Cause::Reset,
     sent: true,
 };
@@ -37,11 +37,11 @@
     /// Text.
     pub text: Bytes,
     /// Most tokens to generate.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Seed of the sampling.
     pub seed: u64,
     /// Rank of the priority.
-    pub rank: u32,
+    pub priority_rank: u32,
 }
 
 /// A call of a plain service.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub enum Work {
     /// Tokens of a model.
-    Tokens(Arc<Prompt>),
+    Completion(Arc<Prompt>),
     /// A call of a plain service.
     Call(Call),
 }
@@ -108,7 +108,12 @@
 }
 
 /// Runs a completion from the prompt and the tokens already had.
-pub async fn tokens(cx: Context, prompt: Arc<Prompt>, had: Vec<Token>, stages: Vec<Stage>) {
+pub async fn run_completion(
+    cx: Context,
+    prompt: Arc<Prompt>,
+    generated: Vec<Token>,
+    stages: Vec<Stage>,
+) {
     let job = Job {
         request: cx.id,
         attempt: cx.attempt,
@@ -116,16 +121,16 @@
         version: prompt.version.clone(),
         adapter: prompt.adapter.clone(),
         prompt: prompt.text.clone(),
-        tokens: had,
-        most: prompt.most,
+        tokens: generated,
+        most: prompt.max_tokens,
         seed: prompt.seed,
-        priority_rank: prompt.rank,
+        priority_rank: prompt.priority_rank,
         hops: stages.iter().map(hop).collect(),
     };
-    let mut out = |event| {
+    let mut forward = |event| {
         let _ = cx.tx.send(Command::Chain(cx.id, cx.attempt, event));
     };
-    chain::run(&cx.pool, job, &mut out, cx.cancel.clone()).await;
+    chain::run(&cx.pool, job, &mut forward, cx.cancel.clone()).await;
 }
 
 fn hop(stage: &Stage) -> chain::Hop {
@@ -137,7 +142,7 @@
 }
 
 /// Runs a call of a plain service.
-pub async fn call(cx: Context, call: Call, stage: Stage) {
+pub async fn run_call(cx: Context, call: Call, stage: Stage) {
     let cancel = cx.cancel.clone();
     tokio::select! {
         biased;
@@ -162,10 +167,10 @@
     let (parts, body) = response.into_parts();
     cx.call_event(CallEvent::Head(Box::new(parts)));
     let mut body = body.into_data_stream();
-    let mut copy = Copy::default();
+    let mut copy = BodyCopy::default();
     while let Some(chunk) = body.next().await {
         let Ok(chunk) = chunk else {
-            return CallEvent::Failed(CUT);
+            return CallEvent::Failed(BODY_INTERRUPTED);
         };
         copy.push(&chunk);
         // A caller who left has no receiver any more. The core cancels this attempt, unless it may
@@ -177,15 +182,15 @@
 
 /// A copy of a body, given up when it gets too long.
 #[derive(Default)]
-struct Copy {
+struct BodyCopy {
     bytes: BytesMut,
-    long: bool,
+    too_long: bool,
 }
 
-impl Copy {
+impl BodyCopy {
     fn push(&mut self, chunk: &[u8]) {
-        self.long |= self.bytes.len() + chunk.len() > MAX_CACHED_BODY_BYTES;
-        if self.long {
+        self.too_long |= self.bytes.len() + chunk.len() > MAX_CACHED_BODY_BYTES;
+        if self.too_long {
             self.bytes.clear();
         } else {
             self.bytes.extend_from_slice(chunk);
@@ -193,6 +198,6 @@
     }
 
     fn finish(self) -> Option<Bytes> {
-        (!self.long).then(|| self.bytes.freeze())
+        (!self.too_long).then(|| self.bytes.freeze())
     }
 }
--- a/crates/entry/src/cause.rs
+++ b/crates/entry/src/cause.rs
@@ -3,26 +3,26 @@
 use route::failure::Cause;
 
 /// The cause of a failed attempt on a pipeline.
-pub fn chain(cause: engine::chain::Cause) -> Cause {
-    use engine::chain::Cause as From;
+pub fn from_chain(cause: engine::chain::Cause) -> Cause {
+    use engine::chain::Cause as Source;
     match cause {
-        From::Connect => Cause::Connect,
-        From::Busy => Cause::Busy,
-        From::Leaving => Cause::Leaving,
-        From::Unfit => Cause::Unfit,
-        From::Reset => Cause::Reset,
-        From::Protocol => Cause::Protocol,
-        From::Internal => Cause::Internal,
+        Source::Connect => Cause::Connect,
+        Source::Busy => Cause::Busy,
+        Source::Leaving => Cause::Leaving,
+        Source::Unfit => Cause::Unfit,
+        Source::Reset => Cause::Reset,
+        Source::Protocol => Cause::Protocol,
+        Source::Internal => Cause::Internal,
     }
 }
 
 /// The cause of a failed call of a plain service.
-pub fn service(cause: engine::service::Cause) -> Cause {
-    use engine::service::Cause as From;
+pub fn from_service(cause: engine::service::Cause) -> Cause {
+    use engine::service::Cause as Source;
     match cause {
-        From::Connect => Cause::Connect,
-        From::Reset => Cause::Reset,
-        From::Silent => Cause::Silent,
-        From::Protocol => Cause::Protocol,
+        Source::Connect => Cause::Connect,
+        Source::Reset => Cause::Reset,
+        Source::Silent => Cause::Silent,
+        Source::Protocol => Cause::Protocol,
     }
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -45,17 +45,17 @@
 pub type Rx = mpsc::UnboundedReceiver<Command>;
 
 /// Longest time that a probe on a new connection may take.
-const PROBE_TIME: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often counters and demand are given out.
-const TELL_PERIOD: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The refusal when control can't take one more question.
-const OVERFULL: Refusal = Refusal {
+const CONTROL_QUEUE_FULL: Refusal = Refusal {
     reason: Reason::Overload,
     retry_after: Some(Duration::from_secs(1)),
 };
 /// The end of a plain service's whole answer.
-const WHOLE_CALL: End = End {
+const COMPLETE_CALL_END: End = End {
     outcome: Outcome::Complete,
     stop: Stop::End,
     prompt_tokens: 0,
@@ -73,7 +73,7 @@
     metrics: Metrics,
     start: Instant,
     reports: Reports,
-    told: Instant,
+    reported_at: Instant,
     actions: Vec<Action>,
     /// Notes that must reach control and found the ring full.
     outbox: VecDeque<WorkerEvent>,
@@ -117,7 +117,7 @@
             metrics: parts.metrics,
             start: parts.start,
             reports: parts.reports,
-            told: parts.start,
+            reported_at: parts.start,
             actions: Vec::new(),
             outbox: VecDeque::new(),
         }
@@ -137,8 +137,8 @@
                 biased;
                 () = stop.cancelled() => return,
                 _ = tick.tick() => self.tick(),
-                Some(notice) = control_events.pop() => self.notice(notice),
-                Some(command) = rx.recv() => self.command(command),
+                Some(event) = control_events.pop() => self.handle_control_event(event),
+                Some(command) = rx.recv() => self.handle_command(command),
             }
         }
     }
@@ -148,17 +148,17 @@
     }
 
     fn tick(&mut self) {
-        self.post();
+        self.flush_outbox();
         self.refresh();
         self.handle(Event::Tick);
-        if self.told.elapsed() >= TELL_PERIOD {
-            self.told = Instant::now();
-            self.tell();
+        if self.reported_at.elapsed() >= REPORT_INTERVAL {
+            self.reported_at = Instant::now();
+            self.report();
         }
     }
 
     /// Gives out the router's counters, and tells control what teams ask for.
-    fn tell(&mut self) {
+    fn report(&mut self) {
         self.reports.store(Arc::new(self.router.report()));
         let Some(snapshot) = &self.snapshot else {
             return;
@@ -168,8 +168,8 @@
             received: a.admitted + a.refused,
             in_flight: a.in_flight,
         });
-        let note = WorkerEvent::Demand(snapshot.view.bundle.digest, demands.collect());
-        let _ = self.worker_events.push(note);
+        let event = WorkerEvent::Demand(snapshot.view.bundle.digest, demands.collect());
+        let _ = self.worker_events.push(event);
     }
 
     /// Takes the newest snapshot, if there is a new one.
@@ -186,25 +186,25 @@
         self.handle(Event::View(newest.view.clone()));
     }
 
-    fn notice(&mut self, notice: ControlEvent) {
-        match notice {
-            ControlEvent::Claim(id, verdict) => self.claimed(id, verdict),
+    fn handle_control_event(&mut self, event: ControlEvent) {
+        match event {
+            ControlEvent::Claim(id, verdict) => self.handle_verdict(id, verdict),
             ControlEvent::Load(name, report) => {
-                if let Some(endpoint) = self.endpoint(&name) {
+                if let Some(endpoint) = self.endpoint_id(&name) {
                     self.handle(Event::Load(endpoint, report));
                 }
             }
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Arrive(arrival) => self.arrive(arrival),
-            Command::Chain(id, attempt, event) => self.chain(id, attempt, event),
-            Command::Call(id, attempt, event) => self.call(id, attempt, event),
-            Command::CallerLeft(id) => self.left(id),
+            Command::Chain(id, attempt, event) => self.handle_chain_event(id, attempt, event),
+            Command::Call(id, attempt, event) => self.handle_call_event(id, attempt, event),
+            Command::CallerLeft(id) => self.caller_left(id),
             Command::Probed(name, alive) => {
-                if let Some(endpoint) = self.endpoint(&name) {
+                if let Some(endpoint) = self.endpoint_id(&name) {
                     self.handle(Event::Probed(endpoint, alive));
                 }
             }
@@ -224,14 +224,14 @@
         let session = Session {
             work: arrival.work,
             reply: arrival.reply,
-            had: Vec::new(),
+            generated: Vec::new(),
             end: End {
                 outcome: Outcome::Unknown,
                 stop: Stop::End,
                 prompt_tokens: 0,
             },
             repeatable: arrival.request.repeatable,
-            hash: None,
+            key_hash: None,
             unclaimed: None,
             head: None,
             body: None,
@@ -251,7 +251,7 @@
         self.sessions.insert(
             id,
             Session {
-                hash: Some(claim.form.hash()),
+                key_hash: Some(claim.form.hash()),
                 unclaimed: Some(arrival.request),
                 ..session
             },
@@ -264,14 +264,14 @@
             self.sessions
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|s| s.hash = None);
-            self.refuse(id, OVERFULL);
+                .for_each(|s| s.key_hash = None);
+            self.refuse(id, CONTROL_QUEUE_FULL);
         }
     }
 
     /// Work that may be repeated is cancelled down to the engines. Work that may not goes on once
     /// it is under way: cut off halfway, its effect would be neither there nor safely absent.
-    fn left(&mut self, id: Id) {
+    fn caller_left(&mut self, id: Id) {
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
@@ -282,7 +282,7 @@
             self.handle(Event::Left(id));
         }
         if let Some(session) = self.remove(id) {
-            self.ended(id, &session, Outcome::NotRun);
+            self.notify_run_ended(id, &session, Outcome::NotRun);
         }
     }
 
@@ -291,12 +291,12 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.apply(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Start(id, attempt, hops) => self.start_attempt(id, attempt, &hops),
             Action::Cancel(id, attempt) => self.cancel(id, attempt),
@@ -304,7 +304,7 @@
             Action::Finish(id, outcome) => self.finish(id, outcome),
             Action::Probe(endpoint) => self.probe(endpoint),
             Action::Disconnect(endpoint) => {
-                if let Some(stage) = self.stage(&sole_hop(endpoint)) {
+                if let Some(stage) = self.stage(&endpoint_hop(endpoint)) {
                     self.pool.forget(stage.addr);
                 }
             }
@@ -331,11 +331,11 @@
             cancel,
         };
         self.metrics.attempts.add(1, &[]);
-        if session.had.is_empty() {
-            renew(&mut session.work, self.snapshot.as_deref());
+        if session.generated.is_empty() {
+            update_version(&mut session.work, self.snapshot.as_deref());
         }
         match &session.work {
-            Work::Tokens(prompt) => spawn_tokens(cx, prompt, &session.had, stages),
+            Work::Completion(prompt) => spawn_completion(cx, prompt, &session.generated, stages),
             Work::Call(call) => spawn_call(cx, call, stages),
         }
     }
@@ -354,8 +354,8 @@
         let Some(session) = self.remove(id) else {
             return;
         };
-        self.metrics.refused(refusal.reason);
-        self.ended(id, &session, Outcome::NotRun);
+        self.metrics.record_refusal(refusal.reason);
+        self.notify_run_ended(id, &session, Outcome::NotRun);
         let _ = session.reply.send(Reply::Refused(refusal));
     }
 
@@ -363,13 +363,13 @@
         let Some(session) = self.remove(id) else {
             return;
         };
-        self.metrics.ended(outcome);
+        self.metrics.record_end(outcome);
         let end = End {
             outcome,
             ..session.end
         };
         let _ = session.reply.send(Reply::Done(end));
-        self.ended(id, &session, outcome);
+        self.notify_run_ended(id, &session, outcome);
     }
 
     /// Takes a session out of the table and ends its attempt.
@@ -382,31 +382,31 @@
     }
 
     fn probe(&mut self, endpoint: EndpointId) {
-        let Some(stage) = self.stage(&sole_hop(endpoint)) else {
+        let Some(stage) = self.stage(&endpoint_hop(endpoint)) else {
             return;
         };
         let pool = self.pool.clone();
         let tx = self.tx.clone();
         tokio::spawn(async move {
-            let alive = pool.probe(stage.addr, PROBE_TIME).await;
+            let alive = pool.probe(stage.addr, PROBE_TIMEOUT).await;
             let _ = tx.send(Command::Probed(stage.name, alive));
         });
     }
 
     fn observe(&mut self, observation: Observation) {
-        let note = match observation {
+        let event = match observation {
             Observation::Ejected(e) => self
-                .stage(&sole_hop(e))
+                .stage(&endpoint_hop(e))
                 .map(|s| WorkerEvent::Ejected(s.name)),
             Observation::Restored(e) => self
-                .stage(&sole_hop(e))
+                .stage(&endpoint_hop(e))
                 .map(|s| WorkerEvent::Restored(s.name)),
             Observation::Suspect(fingerprint) => Some(WorkerEvent::Suspect(fingerprint)),
             Observation::Pending(fingerprint) => Some(WorkerEvent::Pending(fingerprint)),
             Observation::Condemned(fingerprint) => Some(WorkerEvent::Condemned(fingerprint)),
         };
-        if let Some(note) = note {
-            let _ = self.worker_events.push(note);
+        if let Some(event) = event {
+            let _ = self.worker_events.push(event);
         }
     }
 
@@ -416,7 +416,7 @@
 }
 
 /// A hop that only names its endpoint.
-fn sole_hop(endpoint: EndpointId) -> Hop {
+fn endpoint_hop(endpoint: EndpointId) -> Hop {
     Hop {
         endpoint,
         from: 0,
@@ -426,8 +426,8 @@
 
 /// A request without a token yet may run on the version that is served now; one that has tokens
 /// goes on with its own, since an answer of two versions would be wrong.
-fn renew(work: &mut Work, snapshot: Option<&Snapshot>) {
-    let (Work::Tokens(prompt), Some(snapshot)) = (work, snapshot) else {
+fn update_version(work: &mut Work, snapshot: Option<&Snapshot>) {
+    let (Work::Completion(prompt), Some(snapshot)) = (work, snapshot) else {
         return;
     };
     let model = snapshot.view.bundle.model(&prompt.model);
@@ -437,12 +437,17 @@
     }
 }
 
-fn spawn_tokens(cx: Context, prompt: &Arc<Prompt>, had: &[Token], stages: Vec<Stage>) {
-    tokio::spawn(attempt::tokens(cx, prompt.clone(), had.to_vec(), stages));
+fn spawn_completion(cx: Context, prompt: &Arc<Prompt>, generated: &[Token], stages: Vec<Stage>) {
+    tokio::spawn(attempt::run_completion(
+        cx,
+        prompt.clone(),
+        generated.to_vec(),
+        stages,
+    ));
 }
 
 fn spawn_call(cx: Context, call: &Call, mut stages: Vec<Stage>) {
     if let Some(stage) = stages.pop() {
-        tokio::spawn(attempt::call(cx, call.clone(), stage));
+        tokio::spawn(attempt::run_call(cx, call.clone(), stage));
     }
 }
--- a/crates/entry/src/core/claims.rs
+++ b/crates/entry/src/core/claims.rs
@@ -3,7 +3,7 @@
 
 use super::message::{Reply, WorkerEvent};
 use super::session::Session;
-use super::{Core, WHOLE_CALL};
+use super::{COMPLETE_CALL_END, Core};
 use crate::attempt::Work;
 use crate::claim::{self, CachedAnswer, Verdict};
 use route::event::Event;
@@ -13,13 +13,13 @@
 
 impl Core {
     /// What becomes of a request that asked for its key.
-    pub(super) fn claimed(&mut self, id: Id, verdict: Verdict) {
+    pub(super) fn handle_verdict(&mut self, id: Id, verdict: Verdict) {
         match verdict {
             Verdict::Run => self.run_claimed(id),
             Verdict::Replay(answer) => self.replay(id, &answer),
             Verdict::Error(error) => {
                 if let Some(session) = self.sessions.remove(&id) {
-                    self.metrics.ended(error.outcome);
+                    self.metrics.record_end(error.outcome);
                     let _ = session.reply.send(Reply::Error(error));
                 }
             }
@@ -53,15 +53,15 @@
             (CachedAnswer::Call(head, body), Work::Call(call)) => {
                 reply(Reply::Head(head.clone()));
                 let _ = call.chunks.try_send(body.clone());
-                reply(Reply::Done(WHOLE_CALL));
+                reply(Reply::Done(COMPLETE_CALL_END));
             }
-            (CachedAnswer::Call(..), Work::Tokens(_)) => {}
+            (CachedAnswer::Call(..), Work::Completion(_)) => {}
         }
     }
 
     /// Tells control that a run under a key ended. Lost, the key would stay taken.
-    pub(super) fn ended(&mut self, id: Id, session: &Session, outcome: Outcome) {
-        let Some(hash) = session.hash else {
+    pub(super) fn notify_run_ended(&mut self, id: Id, session: &Session, outcome: Outcome) {
+        let Some(hash) = session.key_hash else {
             return;
         };
         if session.unclaimed.is_some() {
@@ -78,14 +78,14 @@
             };
             self.outbox.push_back(WorkerEvent::Ended(ended));
         }
-        self.post();
+        self.flush_outbox();
     }
 
     /// Sends notes that must reach control, in order.
-    pub(super) fn post(&mut self) {
-        while let Some(note) = self.outbox.pop_front() {
-            if let Err(note) = self.worker_events.push(note) {
-                self.outbox.push_front(note);
+    pub(super) fn flush_outbox(&mut self) {
+        while let Some(event) = self.outbox.pop_front() {
+            if let Err(event) = self.worker_events.push(event) {
+                self.outbox.push_front(event);
                 return;
             }
         }
--- a/crates/entry/src/core/progress.rs
+++ b/crates/entry/src/core/progress.rs
@@ -17,24 +17,24 @@
 
 impl Core {
     /// The session, if `attempt` is its current one. What an ended attempt still sends stops here.
-    pub(super) fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Session> {
+    pub(super) fn current_session(&mut self, id: Id, attempt: Attempt) -> Option<&mut Session> {
         let session = self.sessions.get_mut(&id);
         let session = session.filter(|s| s.running.as_ref().is_some_and(|r| r.attempt == attempt));
         if session.is_none() {
-            self.metrics.stale.add(1, &[]);
+            self.metrics.stale_events.add(1, &[]);
         }
         session
     }
 
-    pub(super) fn chain(&mut self, id: Id, attempt: Attempt, event: chain::Event) {
-        let Some(session) = self.current(id, attempt) else {
+    pub(super) fn handle_chain_event(&mut self, id: Id, attempt: Attempt, event: chain::Event) {
+        let Some(session) = self.current_session(id, attempt) else {
             return;
         };
         match event {
             chain::Event::Sent => {}
             chain::Event::Progress { hop, .. } => self.handle(Event::Progress(id, attempt, hop)),
             chain::Event::Token(token) => {
-                session.had.push(token.clone());
+                session.generated.push(token.clone());
                 let _ = session.reply.send(Reply::Token(token));
                 self.metrics.tokens.add(1, &[]);
                 self.handle(Event::Token(id, attempt));
@@ -56,21 +56,22 @@
                 sent,
                 retry_after,
             } => {
-                let place = usize::from(hop);
-                let failure = self.failure(id, place, cause::chain(cause), sent, retry_after);
+                let position = usize::from(hop);
+                let failure =
+                    self.failure(id, position, cause::from_chain(cause), sent, retry_after);
                 self.handle(Event::Failed(id, attempt, failure));
             }
         }
     }
 
-    pub(super) fn call(&mut self, id: Id, attempt: Attempt, event: CallEvent) {
-        let Some(session) = self.current(id, attempt) else {
+    pub(super) fn handle_call_event(&mut self, id: Id, attempt: Attempt, event: CallEvent) {
+        let Some(session) = self.current_session(id, attempt) else {
             return;
         };
         match event {
             CallEvent::Head(parts) => {
                 session.committed = true;
-                session.head = session.hash.map(|_| parts.clone());
+                session.head = session.key_hash.map(|_| parts.clone());
                 let _ = session.reply.send(Reply::Head(parts));
                 self.handle(Event::Progress(id, attempt, 0));
             }
@@ -80,8 +81,13 @@
             }
             CallEvent::Failed(failure) => {
                 let committed = session.committed;
-                let failure =
-                    self.failure(id, 0, cause::service(failure.cause), failure.sent, None);
+                let failure = self.failure(
+                    id,
+                    0,
+                    cause::from_service(failure.cause),
+                    failure.sent,
+                    None,
+                );
                 if committed {
                     // Part of the answer is with the caller: a second run would be appended to it.
                     self.finish(id, Outcome::Unknown);
@@ -115,7 +121,7 @@
     }
 
     /// Id of a named endpoint in the bundle that the router knows.
-    pub(super) fn endpoint(&self, name: &str) -> Option<EndpointId> {
+    pub(super) fn endpoint_id(&self, name: &str) -> Option<EndpointId> {
         let snapshot = self.snapshot.as_ref()?;
         snapshot.view.bundle.endpoint(name)
     }
@@ -123,11 +129,11 @@
     /// Name and address of an endpoint.
     pub(super) fn stage(&self, hop: &Hop) -> Option<Stage> {
         let snapshot = self.snapshot.as_ref()?;
-        let row = snapshot.view.bundle.endpoints.get(hop.endpoint as usize)?;
+        let endpoint = snapshot.view.bundle.endpoints.get(hop.endpoint as usize)?;
         Some(Stage {
             endpoint: hop.endpoint,
-            name: row.name.as_str().into(),
-            addr: row.addr,
+            name: endpoint.name.as_str().into(),
+            addr: endpoint.addr,
             from: hop.from,
             to: hop.to,
         })
--- a/crates/entry/src/core/session.rs
+++ b/crates/entry/src/core/session.rs
@@ -16,11 +16,11 @@
 pub(super) struct Session {
     pub(super) work: Work,
     pub(super) reply: mpsc::UnboundedSender<Reply>,
-    pub(super) had: Vec<Token>,
+    pub(super) generated: Vec<Token>,
     pub(super) end: End,
     pub(super) repeatable: bool,
     /// The key's hash, if it runs under a key.
-    pub(super) hash: Option<Hash>,
+    pub(super) key_hash: Option<Hash>,
     /// The request, while it waits for its key.
     pub(super) unclaimed: Option<Request>,
     /// Head of a plain service's answer, to be kept for resends.
@@ -36,12 +36,12 @@
     /// The whole answer, for resends.
     pub(super) fn cached_answer(&self) -> Option<CachedAnswer> {
         match &self.work {
-            Work::Tokens(_) => {
+            Work::Completion(_) => {
                 let end = End {
                     outcome: Outcome::Complete,
                     ..self.end
                 };
-                Some(CachedAnswer::Completion(self.had.clone(), end))
+                Some(CachedAnswer::Completion(self.generated.clone(), end))
             }
             Work::Call(_) => Some(CachedAnswer::Call(self.head.clone()?, self.body.clone()?)),
         }
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -23,7 +23,7 @@
 use viz::{IntoResponse, Request, Response, Router};
 
 /// Time to come back when no bundle is in force yet.
-const STARTING: Duration = Duration::from_secs(1);
+const STARTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What the handlers of one worker share.
 pub struct Shared {
@@ -56,12 +56,12 @@
         self.shared_snapshot.load_full().ok_or_else(|| {
             let message = "no bundle is in force on this node yet";
             Error::new(StatusCode::SERVICE_UNAVAILABLE, "starting", message)
-                .with_retry_after(STARTING)
+                .with_retry_after(STARTING_RETRY_AFTER)
         })
     }
 
     /// An id that no other request has, on any node: 128 random bits.
-    pub fn draw_id(&self) -> Id {
+    pub fn new_id(&self) -> Id {
         use rand::RngExt;
         self.rng().random()
     }
@@ -84,55 +84,55 @@
     let s = state.clone();
     router = router.post("/v1/chat/completions", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, complete::chat(&s, req).await) }
+        async move { finish(&s, complete::chat(&s, req).await) }
     });
     let s = state.clone();
     router = router.post("/v1/completions", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, complete::text(&s, req).await) }
+        async move { finish(&s, complete::text(&s, req).await) }
     });
     let s = state.clone();
     router = router.get("/v1/models", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, discover::models(&s, &req)) }
+        async move { finish(&s, discover::models(&s, &req)) }
     });
     let s = state.clone();
     router = router.get("/v1/addresses", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, discover::addresses(&s, &req)) }
+        async move { finish(&s, discover::addresses(&s, &req)) }
     });
     let s = state.clone();
     router = router.post("/v1/tickets", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, key::ticket(&s, &req).await) }
+        async move { finish(&s, key::ticket(&s, &req).await) }
     });
     let s = state.clone();
     router = router.any("/services/:service/*", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, call::service(&s, req).await) }
+        async move { finish(&s, call::service(&s, req).await) }
     });
     let s = state;
     router.any("/*", move |req: Request| {
         let s = s.clone();
-        async move { answer(&s, Err(unknown(&req))) }
+        async move { finish(&s, Err(unknown_route(&req))) }
     })
 }
 
 /// Counts an error and turns either into an answer of the listener. Every answer has an id, also
 /// the one to a request that never got as far as a router: a caller can name it to the operators.
-fn answer(state: &Shared, result: Result<Response, Error>) -> viz::Result<Response> {
+fn finish(state: &Shared, result: Result<Response, Error>) -> viz::Result<Response> {
     let mut response = result.unwrap_or_else(|error| {
-        state.metrics.rejected(error.code);
+        state.metrics.record_rejection(error.code);
         error.into_response()
     });
     if !response.headers().contains_key(REQUEST_ID) {
-        insert_request_id(response.headers_mut(), state.draw_id());
+        insert_request_id(response.headers_mut(), state.new_id());
     }
     Ok(response)
 }
 
 /// The error for a path or method that nothing serves.
-fn unknown(req: &Request) -> Error {
+fn unknown_route(req: &Request) -> Error {
     let path = req.uri().path();
     let known = match path {
         "/v1/chat/completions" | "/v1/completions" | "/v1/tickets" => Some("POST"),
@@ -156,13 +156,13 @@
 }
 
 /// The same answer or error, with the request's id.
-fn with_id(result: Result<Response, Error>, id: Id) -> Result<Response, Error> {
+fn with_request_id(result: Result<Response, Error>, id: Id) -> Result<Response, Error> {
     let mut response = result.map_err(|error| error.with_request_id(id))?;
     insert_request_id(response.headers_mut(), id);
     Ok(response)
 }
 
 /// The caller's address, if the listener knows it.
-fn caller(req: &Request) -> Option<SocketAddr> {
+fn caller_addr(req: &Request) -> Option<SocketAddr> {
     viz::RequestExt::remote_addr(req).copied()
 }
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -2,14 +2,14 @@
 
 use super::complete::fingerprint;
 use super::forward::Original;
-use super::{Shared, caller, with_id};
+use super::{Shared, caller_addr, with_request_id};
 use crate::answer::Guard;
 use crate::api::error::{Error, Result};
 use crate::api::header::{DEADLINE, Header, OUTCOME, PRIORITY, REPEATABLE, WHOLE};
-use crate::attempt::{CHUNKS, Call, Work};
+use crate::attempt::{Call, MAX_BUFFERED_CHUNKS, Work};
 use crate::claim::Claim;
 use crate::core::{Arrival, Command, End, Reply};
-use crate::reading;
+use crate::request_body;
 use bytes::Bytes;
 use futures::{Stream, stream};
 use http::header::{
@@ -25,7 +25,7 @@
 use viz::{Body, Request, Response};
 
 /// Where services are served.
-const ROOT: &str = "/services/";
+const PATH_PREFIX: &str = "/services/";
 /// Headers that belong to one connection only, and those that are for this node only.
 const NOT_FORWARDED: [HeaderName; 12] = [
     AUTHORIZATION,
@@ -50,22 +50,22 @@
     let bundle = &snapshot.view.bundle;
     let header = Header::check(req.headers(), bundle)?;
     let path = req.uri().path_and_query().map_or("", |p| p.as_str());
-    let (name, rest) = split(path);
+    let (name, rest) = split_path(path);
     let service = bundle.service(name).ok_or_else(|| {
         let message = format!("no service is called {name}");
         Error::new(StatusCode::NOT_FOUND, "service_not_found", message)
     })?;
-    let usual = bundle.services[usize::from(service)].repeatable;
+    let service_repeatable = bundle.services[usize::from(service)].repeatable;
     // A caller can forbid a repeat, but can't allow one that the operators have forbidden.
-    let repeatable = usual && header.repeatable.unwrap_or(true);
-    let head = forwarded(&req, rest)?;
+    let repeatable = service_repeatable && header.repeatable.unwrap_or(true);
+    let head = service_head(&req, rest)?;
     let fingerprint_path = path.to_owned();
     let original = Original::of(&req);
-    let body = reading::body(&mut req, &state.limits).await?;
+    let body = request_body::read(&mut req, &state.limits).await?;
     let team = &bundle.teams[usize::from(header.team)].name;
-    let (chunks, pieces) = mpsc::channel(CHUNKS);
+    let (chunk_tx, chunk_rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let request = Routed {
-        id: state.draw_id(),
+        id: state.new_id(),
         team: header.team,
         target: Target::Service(service),
         priority: header.priority,
@@ -85,24 +85,24 @@
     let work = Call {
         head: Arc::new(head),
         body: body.clone(),
-        chunks,
+        chunks: chunk_tx,
         limit,
     };
-    let left = limit.head;
-    let answer = run(state, request, work, claim, pieces).await;
-    let answer = original.or_forward(state, answer, body, left).await;
-    with_id(answer, id)
+    let time_left = limit.head;
+    let answer = submit(state, request, work, claim, chunk_rx).await;
+    let answer = original.or_forward(state, answer, body, time_left).await;
+    with_request_id(answer, id)
 }
 
 /// Splits `/services/NAME/rest?query` into the name and `/rest?query`.
-fn split(path: &str) -> (&str, &str) {
-    let path = path.strip_prefix(ROOT).unwrap_or(path);
+fn split_path(path: &str) -> (&str, &str) {
+    let path = path.strip_prefix(PATH_PREFIX).unwrap_or(path);
     let end = path.find(['/', '?']).unwrap_or(path.len());
     path.split_at(end)
 }
 
 /// The head that the service sees.
-fn forwarded(req: &Request, rest: &str) -> Result<http::request::Parts> {
+fn service_head(req: &Request, rest: &str) -> Result<http::request::Parts> {
     let path = if rest.starts_with('/') {
         rest.to_owned()
     } else {
@@ -119,7 +119,7 @@
     head.method = req.method().clone();
     head.uri = uri;
     head.headers = forward_headers(req.headers());
-    if let Some(addr) = caller(req) {
+    if let Some(addr) = caller_addr(req) {
         let text = addr.ip().to_string();
         if let Ok(value) = HeaderValue::from_str(&text) {
             head.headers.insert(FORWARDED_FOR, value);
@@ -136,18 +136,18 @@
         .collect()
 }
 
-async fn run(
+async fn submit(
     state: &Shared,
     request: Routed,
     call: Call,
     claim: Option<Claim>,
-    pieces: mpsc::Receiver<Bytes>,
+    chunk_rx: mpsc::Receiver<Bytes>,
 ) -> Result<Response> {
     let (reply, replies) = mpsc::unbounded_channel();
-    let mut flow = Flow {
+    let mut body = ResponseBody {
         guard: Guard::new(request.id, state.tx.clone()),
         replies,
-        pieces,
+        chunks: chunk_rx,
         ended: false,
     };
     let arrival = Arrival {
@@ -157,8 +157,8 @@
         reply,
     };
     let _ = state.tx.send(Command::Arrive(arrival));
-    match flow.replies.recv().await {
-        Some(Reply::Head(parts)) => Ok(streamed(*parts, flow)),
+    match body.replies.recv().await {
+        Some(Reply::Head(parts)) => Ok(streaming_response(*parts, body)),
         Some(Reply::Refused(refusal)) => Err(refusal.into()),
         Some(Reply::Error(error)) => Err(*error),
         Some(Reply::Done(End { outcome, .. })) => Err(Error::from_outcome(outcome)),
@@ -167,40 +167,40 @@
 }
 
 /// An answer of a plain service on its way to the caller.
-struct Flow {
+struct ResponseBody {
     #[expect(dead_code, reason = "tells the core when it is dropped")]
     guard: Guard,
     replies: mpsc::UnboundedReceiver<Reply>,
-    pieces: mpsc::Receiver<Bytes>,
+    chunks: mpsc::Receiver<Bytes>,
     ended: bool,
 }
 
-fn streamed(mut parts: http::response::Parts, flow: Flow) -> Response {
+fn streaming_response(mut parts: http::response::Parts, body: ResponseBody) -> Response {
     for name in [CONNECTION, TRANSFER_ENCODING, TE, TRAILER, UPGRADE] {
         parts.headers.remove(name);
     }
     // The outcome is not known yet: an answer that is not whole is broken off by the transport.
     parts.headers.remove(&OUTCOME);
-    Response::from_parts(parts, Body::from_stream(pieces(flow)))
+    Response::from_parts(parts, Body::from_stream(body_stream(body)))
 }
 
-fn pieces(flow: Flow) -> impl Stream<Item = io::Result<Bytes>> + Send {
-    stream::unfold(flow, |mut flow| async move {
-        let item = flow.next().await?;
-        Some((item, flow))
+fn body_stream(body: ResponseBody) -> impl Stream<Item = io::Result<Bytes>> + Send {
+    stream::unfold(body, |mut body| async move {
+        let item = body.next().await?;
+        Some((item, body))
     })
 }
 
-impl Flow {
+impl ResponseBody {
     /// The next piece. The attempt sends every piece before it tells the core that it ended, so
     /// what is still in the channel then is the rest of the answer.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.ended {
-            return self.pieces.try_recv().ok().map(Ok);
+            return self.chunks.try_recv().ok().map(Ok);
         }
         tokio::select! {
             biased;
-            Some(piece) = self.pieces.recv() => Some(Ok(piece)),
+            Some(chunk) = self.chunks.recv() => Some(Ok(chunk)),
             reply = self.replies.recv() => self.end(reply),
         }
     }
@@ -211,7 +211,7 @@
             Some(Reply::Done(End {
                 outcome: Outcome::Complete,
                 ..
-            })) => self.pieces.try_recv().ok().map(Ok),
+            })) => self.chunks.try_recv().ok().map(Ok),
             _ => Some(Err(io::Error::other("the answer is not whole"))),
         }
     }
--- a/crates/entry/src/handler/complete.rs
+++ b/crates/entry/src/handler/complete.rs
@@ -1,18 +1,18 @@
 //! Chat and text completions.
 
 use super::forward::Original;
-use super::{Shared, with_id};
+use super::{Shared, with_request_id};
 use crate::answer::{Answer, Guard, Part};
-use crate::api::ask::{Ask, Kind};
 use crate::api::chunk::Chunk;
-use crate::api::error::{Error, Result, outcome};
+use crate::api::error::{Error, Result, outcome_value};
 use crate::api::header::{Header, OUTCOME};
+use crate::api::params::{Kind, Params};
 use crate::api::{chat, completion, models};
 use crate::attempt::{Prompt, Work};
 use crate::core::{Arrival, Command, End, Reply};
 use crate::response::json;
 use crate::snapshot::Snapshot;
-use crate::{reading, sse};
+use crate::{request_body, sse};
 use bundle::Bundle;
 use bundle::id::{AdapterId, ModelId};
 use http::StatusCode;
@@ -25,9 +25,9 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 /// Bytes of a prompt per block of the prefix hashes.
-const BLOCK: usize = 256;
+const PREFIX_BLOCK_BYTES: usize = 256;
 /// Most blocks that are hashed: longer common prefixes count as equal.
-const BLOCKS: usize = 64;
+const MAX_PREFIX_BLOCKS: usize = 64;
 
 /// `POST /v1/chat/completions`.
 pub async fn chat(state: &Shared, req: Request) -> Result<Response> {
@@ -42,44 +42,46 @@
 async fn complete(
     state: &Shared,
     mut req: Request,
-    read: fn(&[u8]) -> Result<Ask>,
+    read: fn(&[u8]) -> Result<Params>,
 ) -> Result<Response> {
     // The key is checked before the body is read: a stranger costs no memory.
     let snapshot = state.snapshot()?;
     let bundle = &snapshot.view.bundle;
     let header = Header::check(req.headers(), bundle)?;
     let original = Original::of(&req);
-    let body = reading::body(&mut req, &state.limits).await?;
-    let ask = read(&body)?;
-    let target = target(bundle, &header, &ask)?;
-    let most = most(state, bundle, target.model, &ask)?;
-    let (mut arrival, answer) = arrive(state, &snapshot, &header, ask, &target, most, &body);
+    let body = request_body::read(&mut req, &state.limits).await?;
+    let params = read(&body)?;
+    let resolved = resolve_model(bundle, &header, &params)?;
+    let max_tokens = max_tokens(state, bundle, resolved.model, &params)?;
+    let (mut arrival, answer) = prepare(
+        state, &snapshot, &header, params, &resolved, max_tokens, &body,
+    );
     arrival.claim = super::key::claim(&header, bundle, &arrival.request)?;
     let id = arrival.request.id;
-    let left = arrival
+    let time_left = arrival
         .request
         .deadline
         .saturating_sub(state.start.elapsed());
     let _ = state.tx.send(Command::Arrive(arrival));
     let result = respond(answer, header.whole).await;
-    let response = original.or_forward(state, result, body, left).await;
-    with_id(response, id)
+    let response = original.or_forward(state, result, body, time_left).await;
+    with_request_id(response, id)
 }
 
 /// The model and adapter that a request names.
-struct Named {
+struct ResolvedModel {
     model: ModelId,
     adapter: Option<(AdapterId, String)>,
 }
 
-fn target(bundle: &Bundle, header: &Header, ask: &Ask) -> Result<Named> {
+fn resolve_model(bundle: &Bundle, header: &Header, params: &Params) -> Result<ResolvedModel> {
     let unknown = || {
-        let message = format!("no model is called {}", ask.model);
+        let message = format!("no model is called {}", params.model);
         Error::new(StatusCode::NOT_FOUND, "model_not_found", message)
     };
-    let (name, adapter) = match ask.model.split_once(':') {
+    let (name, adapter) = match params.model.split_once(':') {
         Some((name, adapter)) => (name, Some(adapter)),
-        None => (ask.model.as_str(), None),
+        None => (params.model.as_str(), None),
     };
     let model = bundle.model(name).ok_or_else(unknown)?;
     if !models::allowed(bundle, header.team, model) {
@@ -99,77 +101,79 @@
             Some((id.ok_or_else(unknown)?, adapter.to_owned()))
         }
     };
-    Ok(Named { model, adapter })
+    Ok(ResolvedModel { model, adapter })
 }
 
 /// Most tokens to generate, within what the model's context leaves.
-fn most(state: &Shared, bundle: &Bundle, model: ModelId, ask: &Ask) -> Result<u32> {
+fn max_tokens(state: &Shared, bundle: &Bundle, model: ModelId, params: &Params) -> Result<u32> {
     let context = bundle.models[usize::from(model)].context;
-    let prompt = ask.prompt_tokens();
-    let room = context.saturating_sub(prompt);
-    let most = ask
-        .most
-        .unwrap_or(state.request_limits.default_max_tokens.min(room));
-    if most == 0 || most > room {
+    let prompt = params.prompt_tokens();
+    let available = context.saturating_sub(prompt);
+    let max_tokens = params
+        .max_tokens
+        .unwrap_or(state.request_limits.default_max_tokens.min(available));
+    if max_tokens == 0 || max_tokens > available {
         let message = format!(
-            "about {prompt} tokens of prompt and {most} of answer exceed the context of {context}"
+            "about {prompt} tokens of prompt and {max_tokens} of answer exceed the context of {context}"
         );
         let mut error = Error::new(StatusCode::BAD_REQUEST, "context_length_exceeded", message);
-        error.param = Some(ask.kind.field().to_owned());
+        error.param = Some(params.kind.prompt_field().to_owned());
         return Err(error);
     }
-    Ok(most)
+    Ok(max_tokens)
 }
 
-fn arrive(
+fn prepare(
     state: &Shared,
     snapshot: &Snapshot,
     header: &Header,
-    ask: Ask,
-    named: &Named,
-    most: u32,
+    params: Params,
+    resolved: &ResolvedModel,
+    max_tokens: u32,
     body: &[u8],
 ) -> (Arrival, Answer) {
     let bundle = &snapshot.view.bundle;
-    let model = &bundle.models[usize::from(named.model)];
-    let adapter = named.adapter.as_ref();
+    let model = &bundle.models[usize::from(resolved.model)];
+    let adapter = resolved.adapter.as_ref();
     let request = Routed {
-        id: state.draw_id(),
+        id: state.new_id(),
         team: header.team,
-        target: Target::Model(named.model, adapter.map(|(id, _)| *id)),
+        target: Target::Model(resolved.model, adapter.map(|(id, _)| *id)),
         priority: header.priority,
         repeatable: header.repeatable.unwrap_or(true),
         deadline: state.deadline(header.deadline),
-        prompt_tokens: ask.prompt_tokens(),
-        max_tokens: most,
-        prefix: prefix(&ask.model, &ask.prompt),
+        prompt_tokens: params.prompt_tokens(),
+        max_tokens,
+        prefix: prefix_hashes(&params.model, &params.prompt),
         fingerprint: fingerprint(&bundle.teams[usize::from(header.team)].name, "", body),
     };
     let prompt = Prompt {
         model: model.name.clone(),
-        version: snapshot.versions[usize::from(named.model)].clone(),
+        version: snapshot.versions[usize::from(resolved.model)].clone(),
         adapter: adapter.map(|(_, name)| name.clone()),
-        text: ask.prompt.clone(),
-        most,
-        seed: ask.seed,
-        rank: bundle.priorities[usize::from(header.priority)].rank,
+        text: params.prompt.clone(),
+        max_tokens,
+        seed: params.seed,
+        priority_rank: bundle.priorities[usize::from(header.priority)].rank,
     };
     let (reply, replies) = mpsc::unbounded_channel();
     let guard = Guard::new(request.id, state.tx.clone());
     let arrival = Arrival {
         request,
-        work: Work::Tokens(Arc::new(prompt)),
+        work: Work::Completion(Arc::new(prompt)),
         claim: None,
         reply,
     };
-    let answer = Answer::new(ask, guard, replies, state.metrics.clone());
+    let answer = Answer::new(params, guard, replies, state.metrics.clone());
     (arrival, answer)
 }
 
 /// Chained hashes of the prompt's blocks: equal up to where two prompts for one model differ.
-fn prefix(model: &str, prompt: &[u8]) -> Vec<u64> {
+fn prefix_hashes(model: &str, prompt: &[u8]) -> Vec<u64> {
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
-    let blocks = prompt.chunks_exact(BLOCK).take(BLOCKS);
+    let blocks = prompt
+        .chunks_exact(PREFIX_BLOCK_BYTES)
+        .take(MAX_PREFIX_BLOCKS);
     blocks
         .map(|block| {
             hash = xxh3_64_with_seed(block, hash);
@@ -192,28 +196,28 @@
 /// Waits for the first reply, so that a refusal still has its own status, then answers.
 async fn respond(mut answer: Answer, whole: bool) -> Result<Response> {
     if answer.wants_stream() && !whole {
-        let first = answer.reply().await;
+        let first = answer.next_reply().await;
         return match first {
             Reply::Refused(refusal) => Err(refusal.into()),
             Reply::Error(error) => Err(*error),
             Reply::Done(end) if end.outcome != Outcome::Complete => {
                 Err(Error::from_outcome(end.outcome))
             }
-            first => Ok(stream(answer, first)),
+            first => Ok(stream_response(answer, first)),
         };
     }
     let (text, end) = collect(&mut answer).await?;
     if answer.wants_stream() {
-        return Ok(stream_whole(answer, text, end));
+        return Ok(buffered_stream_response(answer, text, end));
     }
-    Ok(unstreamed(&answer, &text, end))
+    Ok(json_response(&answer, &text, end))
 }
 
 /// The whole text, or an error: a part of an answer is never given as JSON.
 async fn collect(answer: &mut Answer) -> Result<(String, End)> {
     let mut text = String::new();
     loop {
-        match answer.next().await {
+        match answer.next_part().await {
             Part::Text(more) => text.push_str(&more),
             Part::Refused(error) => return Err(error),
             Part::End(rest, end) if end.outcome == Outcome::Complete => {
@@ -225,14 +229,14 @@
     }
 }
 
-fn stream(answer: Answer, first: Reply) -> Response {
+fn stream_response(answer: Answer, first: Reply) -> Response {
     event_stream(Body::from_stream(sse::body(answer, first)))
 }
 
-fn stream_whole(answer: Answer, text: String, end: End) -> Response {
-    let mut response = event_stream(Body::from_stream(sse::whole(answer, text, end)));
+fn buffered_stream_response(answer: Answer, text: String, end: End) -> Response {
+    let mut response = event_stream(Body::from_stream(sse::complete_body(answer, text, end)));
     let headers = response.headers_mut();
-    headers.insert(OUTCOME, outcome(end.outcome));
+    headers.insert(OUTCOME, outcome_value(end.outcome));
     response
 }
 
@@ -244,12 +248,14 @@
     response
 }
 
-fn unstreamed(answer: &Answer, text: &str, end: End) -> Response {
+fn json_response(answer: &Answer, text: &str, end: End) -> Response {
     let mut response = match answer.kind() {
         Kind::Chat => json(&chat_answer(answer, text, end)),
         Kind::Text => json(&text_answer(answer, text, end)),
     };
-    response.headers_mut().insert(OUTCOME, outcome(end.outcome));
+    response
+        .headers_mut()
+        .insert(OUTCOME, outcome_value(end.outcome));
     response
 }
 
--- a/crates/entry/src/handler/discover.rs
+++ b/crates/entry/src/handler/discover.rs
@@ -1,14 +1,14 @@
 //! What callers ask before they send work: models and addresses.
 
 use super::Shared;
-use crate::address::{self, Place};
+use crate::address::{self, Location};
 use crate::api::error::Result;
 use crate::api::{header, models};
 use crate::response::json;
 use viz::{Request, RequestExt, Response};
 
 /// Most addresses in one answer: a caller needs a few, and at full size the list is long.
-const MOST_ADDRESSES: usize = 16;
+const MAX_ADDRESSES: usize = 16;
 
 /// `GET /v1/models`.
 pub fn models(state: &Shared, req: &Request) -> Result<Response> {
@@ -29,19 +29,19 @@
     let snapshot = state.snapshot()?;
     let view = &snapshot.view;
     let zones = &view.bundle.zones;
-    let asked = req.query::<Query>().ok().and_then(|q| q.zone);
-    let named = asked.and_then(|name| zones.iter().find(|z| z.name == name));
+    let requested = req.query::<Query>().ok().and_then(|q| q.zone);
+    let named = requested.and_then(|name| zones.iter().find(|z| z.name == name));
     let zone = named.or_else(|| zones.get(usize::from(view.zone)));
-    let place = zone.map_or_else(Place::default, |z| Place {
+    let location = zone.map_or_else(Location::default, |z| Location {
         zone: z.name.clone(),
         region: z.region.clone(),
     });
-    let answer = address::answer(
+    let list = address::list(
         &snapshot.addresses,
-        &place,
+        &location,
         state.address_ttl,
-        MOST_ADDRESSES,
+        MAX_ADDRESSES,
         &mut state.rng(),
     );
-    Ok(json(&answer))
+    Ok(json(&list))
 }
--- a/crates/entry/src/handler/forward.rs
+++ b/crates/entry/src/handler/forward.rs
@@ -21,14 +21,14 @@
     method: Method,
     uri: Uri,
     headers: HeaderMap,
-    handed: bool,
+    forwarded: bool,
 }
 
 impl Original {
     /// Keeps what is needed of `req`.
     pub fn of(req: &Request) -> Self {
         let mut headers = req.headers().clone();
-        let handed = headers.insert(HOP, HeaderValue::from_static("1")).is_some();
+        let forwarded = headers.insert(HOP, HeaderValue::from_static("1")).is_some();
         headers.remove(CONNECTION);
         headers.remove(CONTENT_LENGTH);
         headers.remove(TRANSFER_ENCODING);
@@ -36,7 +36,7 @@
             method: req.method().clone(),
             uri: req.uri().clone(),
             headers,
-            handed,
+            forwarded,
         }
     }
 
@@ -47,16 +47,16 @@
         state: &Shared,
         result: Result<Response>,
         body: Bytes,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<Response> {
         let error = match result {
-            Err(error) if error.owner_url.is_some() && !self.handed => error,
+            Err(error) if error.owner_url.is_some() && !self.forwarded => error,
             other => return other,
         };
-        let Some(addr) = error.owner_url.as_deref().and_then(plain) else {
+        let Some(addr) = error.owner_url.as_deref().and_then(plain_http_addr) else {
             return Err(error);
         };
-        match self.forward(state, addr, body, left).await {
+        match self.forward(state, addr, body, time_left).await {
             Some(response) => Ok(response),
             None => Err(error),
         }
@@ -67,14 +67,14 @@
         state: &Shared,
         addr: SocketAddr,
         body: Bytes,
-        left: Duration,
+        time_left: Duration,
     ) -> Option<Response> {
         let mut request = http::Request::new(body);
         *request.method_mut() = self.method;
         *request.uri_mut() = self.uri;
         *request.headers_mut() = self.headers;
         let limit = Limit {
-            head: left,
+            head: time_left,
             fresh: false,
         };
         let sent = AtomicBool::new(false);
@@ -89,6 +89,6 @@
 
 /// The address of a node that speaks HTTP without TLS. One that speaks TLS is named to the caller
 /// instead: this node can't vouch for its certificate.
-fn plain(url: &str) -> Option<SocketAddr> {
+fn plain_http_addr(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.parse().ok()
 }
--- a/crates/entry/src/handler/key.rs
+++ b/crates/entry/src/handler/key.rs
@@ -17,12 +17,16 @@
 use viz::{Request, Response};
 
 /// Longest time for a ticket.
-const TICKET_TIME: Duration = Duration::from_secs(1);
+const TICKET_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The claim of a request that may not be repeated and has a key. A request that may be repeated
 /// needs none: its second run does no harm.
 pub fn claim(header: &Header, bundle: &Bundle, request: &Routed) -> Result<Option<Claim>> {
-    let Some(key) = header.key.as_deref().filter(|_| !request.repeatable) else {
+    let Some(key) = header
+        .idempotency_key
+        .as_deref()
+        .filter(|_| !request.repeatable)
+    else {
         return Ok(None);
     };
     let team = &bundle.teams[usize::from(header.team)].name;
@@ -45,11 +49,11 @@
     header::team(req.headers(), &snapshot.view.bundle)?;
     let (tx, rx) = oneshot::channel();
     let _ = state.tx.send(Command::Ticket(tx));
-    let ticket = timeout(TICKET_TIME, rx).await.ok().and_then(|t| t.ok());
+    let ticket = timeout(TICKET_TIMEOUT, rx).await.ok().and_then(|t| t.ok());
     let ticket = ticket.ok_or_else(|| {
         let message = "no ticket could be issued in time";
         Error::new(StatusCode::SERVICE_UNAVAILABLE, "no_ticket", message)
-            .with_retry_after(TICKET_TIME)
+            .with_retry_after(TICKET_TIMEOUT)
     })?;
     Ok(json(&Ticket { ticket }))
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod limits;
 pub mod listener;
 pub mod metrics;
-pub mod reading;
+pub mod request_body;
 pub mod response;
 pub mod ring;
 pub mod server;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -28,9 +28,9 @@
     /// Requests handed to the node that has their key.
     pub forwarded: Counter<u64>,
     /// Events of ended attempts that were dropped.
-    pub stale: Counter<u64>,
+    pub stale_events: Counter<u64>,
     /// Connections closed at once because the listener was full.
-    pub overfull: Counter<u64>,
+    pub refused_connections: Counter<u64>,
     /// Seconds from arrival to the first token.
     pub first_token: Histogram<f64>,
     /// Seconds between two tokens of an answer.
@@ -53,33 +53,33 @@
             tokens: counter("wigeonshelf_tokens"),
             replayed: counter("wigeonshelf_replayed"),
             forwarded: counter("wigeonshelf_forwarded"),
-            stale: counter("wigeonshelf_stale_events"),
-            overfull: counter("wigeonshelf_connections_refused"),
+            stale_events: counter("wigeonshelf_stale_events"),
+            refused_connections: counter("wigeonshelf_connections_refused"),
             first_token: time("wigeonshelf_first_token"),
             inter_token: time("wigeonshelf_inter_token"),
         }
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn record_end(&self, outcome: Outcome) {
         self.requests
             .add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
     /// Counts a refusal; it is an ended request too.
-    pub fn refused(&self, reason: Reason) {
-        self.ended(Outcome::NotRun);
+    pub fn record_refusal(&self, reason: Reason) {
+        self.record_end(Outcome::NotRun);
         self.refusals
-            .add(1, &[KeyValue::new("reason", word(reason))]);
+            .add(1, &[KeyValue::new("reason", reason_label(reason))]);
     }
 
     /// Counts an error given before the request reached a router.
-    pub fn rejected(&self, code: &'static str) {
+    pub fn record_rejection(&self, code: &'static str) {
         self.rejects.add(1, &[KeyValue::new("code", code)]);
     }
 }
 
-fn word(reason: Reason) -> &'static str {
+fn reason_label(reason: Reason) -> &'static str {
     match reason {
         Reason::Limit => "limit",
         Reason::Overload => "overload",
--- a/crates/entry/src/reading.rs
+++ b/crates/entry/src/request_body.rs
@@ -9,7 +9,7 @@
 
 /// The whole body. A declared length over the bound is refused before a byte is read; a body that
 /// comes too slowly is given up on, so that slow callers can't pile up memory.
-pub async fn body(req: &mut Request, limits: &Limits) -> Result<Bytes> {
+pub async fn read(req: &mut Request, limits: &Limits) -> Result<Bytes> {
     let declared = viz::RequestExt::content_length(req).unwrap_or(0);
     if declared > limits.max_body_bytes as u64 {
         return Err(too_large(limits));
--- a/crates/entry/src/response.rs
+++ b/crates/entry/src/response.rs
@@ -9,13 +9,13 @@
 /// An answer with `value` as JSON.
 pub fn json<T: Serialize>(value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    typed(body, "application/json")
+    with_content_type(body, "application/json")
 }
 
 /// An answer with a body of the media type `kind`.
-pub fn typed(body: impl Into<Bytes>, kind: &'static str) -> Response {
+pub fn with_content_type(body: impl Into<Bytes>, media_type: &'static str) -> Response {
     let mut response = Response::new(Body::from(Full::from(body.into())));
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(media_type));
     response
 }
--- a/crates/entry/src/ring.rs
+++ b/crates/entry/src/ring.rs
@@ -9,9 +9,9 @@
 use tokio::sync::Notify;
 
 /// Wakes the consumer when it is dropped.
-struct Bell(Arc<Notify>);
+struct WakeOnDrop(Arc<Notify>);
 
-impl Drop for Bell {
+impl Drop for WakeOnDrop {
     fn drop(&mut self) {
         self.0.notify_one();
     }
@@ -22,28 +22,28 @@
     ring: rtrb::Producer<T>,
     /// Dropped after the ring's end, in the order of the fields. Rung before it, the consumer could
     /// look while the ring still counts as held, and sleep for good.
-    bell: Bell,
-    full: Arc<AtomicU64>,
+    wake: WakeOnDrop,
+    overflows: Arc<AtomicU64>,
 }
 
 /// The consuming end.
 pub struct Receiver<T> {
     ring: rtrb::Consumer<T>,
-    wake: Arc<Notify>,
+    notify: Arc<Notify>,
 }
 
 /// A ring that holds `capacity` values.
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
-    let wake = Arc::new(Notify::new());
+    let notify = Arc::new(Notify::new());
     let sender = Sender {
         ring: producer,
-        bell: Bell(wake.clone()),
-        full: Arc::default(),
+        wake: WakeOnDrop(notify.clone()),
+        overflows: Arc::default(),
     };
     let receiver = Receiver {
         ring: consumer,
-        wake,
+        notify,
     };
     (sender, receiver)
 }
@@ -56,15 +56,15 @@
         }
         let pushed = self.ring.push(value);
         if pushed.is_err() {
-            self.full.fetch_add(1, Ordering::Relaxed);
+            self.overflows.fetch_add(1, Ordering::Relaxed);
         }
-        self.bell.0.notify_one();
+        self.wake.0.notify_one();
         pushed.map_err(|rtrb::PushError::Full(value)| value)
     }
 
     /// Counter of values that found the ring full.
-    pub fn full(&self) -> Arc<AtomicU64> {
-        self.full.clone()
+    pub fn overflows(&self) -> Arc<AtomicU64> {
+        self.overflows.clone()
     }
 }
 
@@ -73,14 +73,14 @@
     pub async fn pop(&mut self) -> Option<T> {
         loop {
             // Read before the pop: a producer that pushes and then goes must not be missed.
-            let gone = self.ring.is_abandoned();
+            let producer_dropped = self.ring.is_abandoned();
             if let Ok(value) = self.ring.pop() {
                 return Some(value);
             }
-            if gone {
+            if producer_dropped {
                 return None;
             }
-            self.wake.notified().await;
+            self.notify.notified().await;
         }
     }
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -9,11 +9,12 @@
 //! is not read is idle too: its caller may never read it, and the connection, the request and the
 //! endpoint that serves it would be taken for good.
 
-mod watch;
+mod activity;
 
 use crate::limits::Limits;
 use crate::metrics::Metrics;
 use crate::tls::ReloadableConfig;
+use activity::{Activity, TrackedService};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
 use std::net::SocketAddr;
@@ -27,16 +28,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 use viz::{Responder, Tree};
-use watch::{Busy, Watched};
 
 /// Pause after a failed accept, so that a lack of file descriptors does not spin the thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often a connection is looked at for being idle.
-const IDLE_CHECK: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Frames that a caller may reset before the connection is closed, against reset floods.
-const RESETS: usize = 64;
+const MAX_PENDING_RESETS: usize = 64;
 /// Bytes that wait for a caller who reads slowly, per stream.
-const SEND_BUFFER: usize = 64 << 10;
+const MAX_SEND_BUFFER_BYTES: usize = 64 << 10;
 
 /// What a listener is made of.
 pub struct Server {
@@ -67,7 +67,7 @@
     /// Serves until `stop.close`, then until every connection has ended or `stop.kill`.
     pub async fn run(self, shutdown: Shutdown) {
         let tracker = TaskTracker::new();
-        let room = Arc::new(Semaphore::new(self.limits.max_connections));
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
         let shared = Arc::new(self);
         loop {
             let accepted = tokio::select! {
@@ -77,13 +77,13 @@
                 accepted = shared.listener.accept() => accepted,
             };
             let Ok((stream, addr)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             // Over the bound the connection is closed at once: the caller sees it and goes to
             // another address, instead of waiting in a queue that it can't see.
-            let Ok(permit) = room.clone().try_acquire_owned() else {
-                shared.metrics.overfull.add(1, &[]);
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
+                shared.metrics.refused_connections.add(1, &[]);
                 continue;
             };
             let shared = shared.clone();
@@ -116,32 +116,32 @@
     where
         I: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
-        let busy = Arc::new(Busy::default());
+        let activity = Arc::new(Activity::default());
         let inner = Responder::new(self.tree.clone(), Some(addr));
-        let service = Watched::new(inner, busy.clone(), shutdown.drain.clone());
+        let service = TrackedService::new(inner, activity.clone(), shutdown.drain.clone());
         let builder = self.builder();
         let mut conn = pin!(builder.serve_connection(TokioIo::new(io), service));
         let mut idle_since = Instant::now();
-        let mut told = false;
-        let mut closed = false;
-        let mut check = tokio::time::interval(IDLE_CHECK);
+        let mut goaway_sent = false;
+        let mut closing = false;
+        let mut check = tokio::time::interval(IDLE_CHECK_INTERVAL);
         loop {
             tokio::select! {
                 _ = conn.as_mut() => return,
-                () = shutdown.close.cancelled(), if !closed => {
-                    closed = true;
+                () = shutdown.close.cancelled(), if !closing => {
+                    closing = true;
                     conn.as_mut().graceful_shutdown();
                 }
                 _ = check.tick() => {}
             }
-            if shutdown.drain.is_cancelled() && busy.http2() && !told {
-                told = true;
+            if shutdown.drain.is_cancelled() && activity.http2() && !goaway_sent {
+                goaway_sent = true;
                 conn.as_mut().graceful_shutdown();
             }
-            if busy.moved() {
+            if activity.has_progressed() {
                 idle_since = Instant::now();
             }
-            if idle_since.elapsed() > self.idle_bound(&busy) {
+            if idle_since.elapsed() > self.idle_limit(&activity) {
                 return;
             }
         }
@@ -149,8 +149,8 @@
 
     /// A connection that has not brought its first request yet has the time of a head; without
     /// this bound, callers that connect and say nothing would use up the connections.
-    fn idle_bound(&self, busy: &Busy) -> Duration {
-        match busy.begun() {
+    fn idle_limit(&self, activity: &Activity) -> Duration {
+        match activity.has_requests() {
             false => self.limits.head_timeout,
             true => self.limits.idle_timeout,
         }
@@ -168,8 +168,8 @@
             .timer(TokioTimer::new())
             .max_concurrent_streams(self.limits.max_streams)
             .max_header_list_size(u32::try_from(self.limits.max_head_bytes).unwrap_or(u32::MAX))
-            .max_pending_accept_reset_streams(RESETS)
-            .max_send_buf_size(SEND_BUFFER)
+            .max_pending_accept_reset_streams(MAX_PENDING_RESETS)
+            .max_send_buf_size(MAX_SEND_BUFFER_BYTES)
             .keep_alive_interval(self.limits.idle_timeout / 4)
             .keep_alive_timeout(self.limits.head_timeout);
         builder
--- a/crates/entry/src/server/watch.rs
+++ b/crates/entry/src/server/activity.rs
@@ -30,21 +30,21 @@
 
 /// What goes on in one connection.
 #[derive(Default)]
-pub(super) struct Busy {
+pub(super) struct Activity {
     /// Requests whose next part the node has to make, so that the caller can only wait. One whose
     /// part is made and not yet taken is not among them: it waits for the caller, who may never
     /// read it.
-    making: AtomicUsize,
+    pending_on_node: AtomicUsize,
     /// Requests that came and parts of answers that were asked for.
     steps: AtomicUsize,
     /// The steps at the last look.
-    seen: AtomicUsize,
+    last_steps: AtomicUsize,
     http2: AtomicBool,
 }
 
-impl Busy {
+impl Activity {
     /// Whether a request came.
-    pub(super) fn begun(&self) -> bool {
+    pub(super) fn has_requests(&self) -> bool {
         self.steps.load(Ordering::Relaxed) > 0
     }
 
@@ -54,41 +54,45 @@
     }
 
     /// Whether the node is at work, or anything went on since the last look.
-    pub(super) fn moved(&self) -> bool {
+    pub(super) fn has_progressed(&self) -> bool {
         let steps = self.steps.load(Ordering::Relaxed);
-        let seen = self.seen.swap(steps, Ordering::Relaxed);
-        steps != seen || self.making.load(Ordering::Relaxed) > 0
+        let last_steps = self.last_steps.swap(steps, Ordering::Relaxed);
+        steps != last_steps || self.pending_on_node.load(Ordering::Relaxed) > 0
     }
 }
 
 /// Watches the requests of one connection, bodies of answers included.
-pub(super) struct Watched {
+pub(super) struct TrackedService {
     inner: Responder<SocketAddr>,
-    busy: Arc<Busy>,
+    activity: Arc<Activity>,
     drain: CancellationToken,
 }
 
-impl Watched {
+impl TrackedService {
     /// Requests of one connection, told to `busy`, go to `inner`.
     pub(super) fn new(
         inner: Responder<SocketAddr>,
-        busy: Arc<Busy>,
+        activity: Arc<Activity>,
         drain: CancellationToken,
     ) -> Self {
-        Self { inner, busy, drain }
+        Self {
+            inner,
+            activity,
+            drain,
+        }
     }
 }
 
-impl Service<Request<Incoming>> for Watched {
+impl Service<Request<Incoming>> for TrackedService {
     type Response = Response;
     type Error = Infallible;
     type Future = futures::future::BoxFuture<'static, Result<Response, Infallible>>;
 
     fn call(&self, req: Request<Incoming>) -> Self::Future {
-        let mut turn = Turn::new(self.busy.clone());
-        turn.take();
+        let mut request = RequestActivity::new(self.activity.clone());
+        request.begin_step();
         let http2 = req.version() == http::Version::HTTP_2;
-        self.busy.http2.store(http2, Ordering::Relaxed);
+        self.activity.http2.store(http2, Ordering::Relaxed);
         if let Some(error) = unroutable(&req) {
             return Box::pin(async move { Ok(error.into_response()) });
         }
@@ -100,7 +104,7 @@
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
-            Ok(response.map(|body| watched(body, turn)))
+            Ok(response.map(|body| track_body(body, request)))
         })
     }
 }
@@ -125,47 +129,54 @@
 
 /// Whose turn it is in one request: the node's while its next part is being made, the caller's once
 /// it is there to be read.
-struct Turn {
-    busy: Arc<Busy>,
-    node: bool,
+struct RequestActivity {
+    activity: Arc<Activity>,
+    node_busy: bool,
 }
 
-impl Turn {
-    fn new(busy: Arc<Busy>) -> Self {
-        Self { busy, node: false }
+impl RequestActivity {
+    fn new(activity: Arc<Activity>) -> Self {
+        Self {
+            activity,
+            node_busy: false,
+        }
     }
 
     /// The next part is asked for.
-    fn take(&mut self) {
-        self.busy.steps.fetch_add(1, Ordering::Relaxed);
-        if !self.node {
-            self.node = true;
-            self.busy.making.fetch_add(1, Ordering::Relaxed);
+    fn begin_step(&mut self) {
+        self.activity.steps.fetch_add(1, Ordering::Relaxed);
+        if !self.node_busy {
+            self.node_busy = true;
+            self.activity
+                .pending_on_node
+                .fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// The part is there.
-    fn pass(&mut self) {
-        if self.node {
-            self.node = false;
-            self.busy.making.fetch_sub(1, Ordering::Relaxed);
+    fn end_step(&mut self) {
+        if self.node_busy {
+            self.node_busy = false;
+            self.activity
+                .pending_on_node
+                .fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Drop for Turn {
+impl Drop for RequestActivity {
     fn drop(&mut self) {
-        self.pass();
+        self.end_step();
     }
 }
 
 /// A body that tells whose turn it is.
-struct Parts {
+struct TrackedBody {
     body: viz::Body,
-    turn: Turn,
+    request: RequestActivity,
 }
 
-impl Body for Parts {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = viz::Error;
 
@@ -173,10 +184,10 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, viz::Error>>> {
-        self.turn.take();
+        self.request.begin_step();
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         if frame.is_ready() {
-            self.turn.pass();
+            self.request.end_step();
         }
         frame
     }
@@ -191,9 +202,9 @@
 }
 
 /// The same body, watched until it has been sent or dropped.
-fn watched(body: viz::Body, turn: Turn) -> viz::Body {
+fn track_body(body: viz::Body, request: RequestActivity) -> viz::Body {
     if body.is_end_stream() {
         return body;
     }
-    viz::Body::wrap(Parts { body, turn })
+    viz::Body::wrap(TrackedBody { body, request })
 }
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -5,11 +5,11 @@
 //! marks sees the difference too.
 
 use crate::answer::{Answer, Part};
-use crate::api::ask::Kind;
 use crate::api::chat::{ChunkChoice, Delta, Usage};
 use crate::api::chunk::Chunk;
 use crate::api::completion;
 use crate::api::error::Error;
+use crate::api::params::Kind;
 use crate::core::{End, Reply};
 use bytes::Bytes;
 use futures::Stream;
@@ -31,15 +31,15 @@
 /// An answer being streamed.
 struct Events {
     answer: Answer,
-    ready: VecDeque<Bytes>,
+    queue: VecDeque<Bytes>,
     state: State,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Open,
-    Whole,
-    Broken,
+    Complete,
+    Failed,
     Ended,
 }
 
@@ -47,11 +47,11 @@
 pub fn body(answer: Answer, first: Reply) -> impl Stream<Item = io::Result<Bytes>> + Send {
     let mut events = Events {
         answer,
-        ready: VecDeque::new(),
+        queue: VecDeque::new(),
         state: State::Open,
     };
-    events.head();
-    events.take(first);
+    events.push_role();
+    events.push_reply(first);
     stream::unfold(events, |mut events| async move {
         let item = events.next().await?;
         Some((item, events))
@@ -59,34 +59,34 @@
 }
 
 /// The body of a streamed answer that is already whole.
-pub fn whole(
+pub fn complete_body(
     answer: Answer,
     text: String,
     end: End,
 ) -> impl Stream<Item = io::Result<Bytes>> + Send {
     let mut events = Events {
         answer,
-        ready: VecDeque::new(),
+        queue: VecDeque::new(),
         state: State::Open,
     };
-    events.head();
-    events.whole(&text, end);
-    stream::iter(events.ready.into_iter().map(Ok))
+    events.push_role();
+    events.push_end(&text, end);
+    stream::iter(events.queue.into_iter().map(Ok))
 }
 
 impl Events {
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
-            if let Some(bytes) = self.ready.pop_front() {
+            if let Some(bytes) = self.queue.pop_front() {
                 return Some(Ok(bytes));
             }
             match self.state {
                 State::Open => {
-                    let part = self.answer.next().await;
-                    self.part(part);
+                    let part = self.answer.next_part().await;
+                    self.push_part(part);
                 }
-                State::Whole | State::Ended => return None,
-                State::Broken => {
+                State::Complete | State::Ended => return None,
+                State::Failed => {
                     self.state = State::Ended;
                     // Lets the error event leave before the connection is broken off.
                     tokio::task::yield_now().await;
@@ -96,68 +96,68 @@
         }
     }
 
-    fn head(&mut self) {
+    fn push_role(&mut self) {
         if self.answer.kind() == Kind::Chat {
             let delta = Delta {
                 role: Some("assistant"),
                 content: Some(""),
             };
-            self.chat(delta, None, None);
+            self.push_chat(delta, None, None);
         }
     }
 
-    fn take(&mut self, reply: Reply) {
+    fn push_reply(&mut self, reply: Reply) {
         let part = self.answer.part(reply);
-        self.part(part);
+        self.push_part(part);
     }
 
-    fn part(&mut self, part: Part) {
+    fn push_part(&mut self, part: Part) {
         match part {
             Part::Text(text) if text.is_empty() => {}
-            Part::Text(text) => self.text(&text),
-            Part::End(rest, end) if end.outcome == Outcome::Complete => self.whole(&rest, end),
-            Part::End(_, end) => self.broken(Error::from_outcome(end.outcome)),
-            Part::Refused(error) => self.broken(error),
+            Part::Text(text) => self.push_text(&text),
+            Part::End(rest, end) if end.outcome == Outcome::Complete => self.push_end(&rest, end),
+            Part::End(_, end) => self.push_error(Error::from_outcome(end.outcome)),
+            Part::Refused(error) => self.push_error(error),
         }
     }
 
-    fn text(&mut self, text: &str) {
+    fn push_text(&mut self, text: &str) {
         match self.answer.kind() {
             Kind::Chat => {
                 let delta = Delta {
                     role: None,
                     content: Some(text),
                 };
-                self.chat(delta, None, None);
+                self.push_chat(delta, None, None);
             }
-            Kind::Text => self.completion(text, None, None),
+            Kind::Text => self.push_completion(text, None, None),
         }
     }
 
-    fn whole(&mut self, rest: &str, end: End) {
+    fn push_end(&mut self, rest: &str, end: End) {
         if !rest.is_empty() {
-            self.text(rest);
+            self.push_text(rest);
         }
         let reason = Some(self.answer.finish_reason(end));
-        let word = Some(end.outcome.as_str());
+        let outcome = Some(end.outcome.as_str());
         match self.answer.kind() {
-            Kind::Chat => self.chat(Delta::default(), reason, word),
-            Kind::Text => self.completion("", reason, word),
+            Kind::Chat => self.push_chat(Delta::default(), reason, outcome),
+            Kind::Text => self.push_completion("", reason, outcome),
         }
         if self.answer.wants_usage() {
             let usage = self.answer.usage(end);
-            self.usage(usage);
+            self.push_usage(usage);
         }
-        self.ready.push_back(event(DONE));
-        self.state = State::Whole;
+        self.queue.push_back(event(DONE));
+        self.state = State::Complete;
     }
 
-    fn broken(&mut self, error: Error) {
-        self.ready.push_back(event(&error.json()));
-        self.state = State::Broken;
+    fn push_error(&mut self, error: Error) {
+        self.queue.push_back(event(&error.json()));
+        self.state = State::Failed;
     }
 
-    fn chat(
+    fn push_chat(
         &mut self,
         delta: Delta<'_>,
         finish_reason: Option<&'static str>,
@@ -168,17 +168,17 @@
             delta,
             finish_reason,
         };
-        self.chunk(CHAT, vec![choice], None, outcome);
+        self.push_chunk(CHAT, vec![choice], None, outcome);
     }
 
-    fn chunk<C: Serialize>(
+    fn push_chunk<C: Serialize>(
         &mut self,
         object: &'static str,
         choices: Vec<C>,
         usage: Option<Usage>,
         outcome: Option<&'static str>,
     ) {
-        let chunk = json(&Chunk {
+        let chunk = json_event(&Chunk {
             id: self.answer.id(),
             object,
             created: self.answer.created(),
@@ -187,10 +187,10 @@
             usage,
             outcome,
         });
-        self.ready.push_back(chunk);
+        self.queue.push_back(chunk);
     }
 
-    fn completion(
+    fn push_completion(
         &mut self,
         text: &str,
         finish_reason: Option<&'static str>,
@@ -201,19 +201,19 @@
             text,
             finish_reason,
         };
-        self.chunk(TEXT, vec![choice], None, outcome);
+        self.push_chunk(TEXT, vec![choice], None, outcome);
     }
 
-    fn usage(&mut self, usage: Usage) {
+    fn push_usage(&mut self, usage: Usage) {
         let object = match self.answer.kind() {
             Kind::Chat => CHAT,
             Kind::Text => TEXT,
         };
-        self.chunk(object, NO_CHOICE, Some(usage), None);
+        self.push_chunk(object, NO_CHOICE, Some(usage), None);
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Bytes {
+fn json_event<T: Serialize>(value: &T) -> Bytes {
     event(&serde_json::to_string(value).unwrap_or_default())
 }
 
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -63,9 +63,9 @@
 
     /// When each of the two was written. The younger time alone would hide a certificate that is
     /// new here and was made before the key's file was written.
-    fn written(&self) -> Written {
+    fn modified(&self) -> ModifiedTimes {
         let time = |path: &Path| fs::metadata(path).and_then(|m| m.modified()).ok();
-        Written {
+        ModifiedTimes {
             certificate: time(&self.certificate),
             key: time(&self.key),
         }
@@ -74,7 +74,7 @@
 
 /// When the files were written, as far as the file system tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Written {
+struct ModifiedTimes {
     certificate: Option<SystemTime>,
     key: Option<SystemTime>,
 }
@@ -103,18 +103,18 @@
 pub struct ReloadableConfig {
     files: Files,
     config: ArcSwap<ServerConfig>,
-    written: std::sync::Mutex<Written>,
+    modified: std::sync::Mutex<ModifiedTimes>,
 }
 
 impl ReloadableConfig {
     /// Loads the files for the first time.
     pub fn open(files: Files) -> Result<Self> {
-        let written = files.written();
+        let modified = files.modified();
         let config = files.load()?;
         Ok(Self {
             files,
             config: ArcSwap::new(config),
-            written: std::sync::Mutex::new(written),
+            modified: std::sync::Mutex::new(modified),
         })
     }
 
@@ -126,14 +126,14 @@
     /// Loads the files again if they changed; whether they did. Files that don't fit leave the
     /// old configuration in use: a renewal writes two files, and between them they don't fit.
     pub fn reload(&self) -> Result<bool> {
-        let now = self.files.written();
-        let mut written = self.written.lock().unwrap_or_else(|e| e.into_inner());
-        if *written == now {
+        let now = self.files.modified();
+        let mut modified = self.modified.lock().unwrap_or_else(|e| e.into_inner());
+        if *modified == now {
             return Ok(false);
         }
         let config = self.files.load()?;
         self.config.store(config);
-        *written = now;
+        *modified = now;
         Ok(true)
     }
 }
--- a/crates/entry/tests/address.rs
+++ b/crates/entry/tests/address.rs
@@ -1,6 +1,6 @@
 //! The order of the addresses that a caller is told.
 
-use entry::address::{Address, Place, answer};
+use entry::address::{Address, Location, list};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -15,18 +15,18 @@
     }
 }
 
-fn place() -> Place {
-    Place {
+fn location() -> Location {
+    Location {
         zone: "a".to_owned(),
         region: "south".to_owned(),
     }
 }
 
-fn urls(nodes: &[Address], most: usize, seed: u64) -> Vec<String> {
+fn urls(nodes: &[Address], max: usize, seed: u64) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let answer = answer(nodes, &place(), 5, most, &mut rng);
-    assert_eq!(answer.ttl_seconds, 5);
-    answer.addresses.into_iter().map(|l| l.url).collect()
+    let list = list(nodes, &location(), 5, max, &mut rng);
+    assert_eq!(list.ttl_seconds, 5);
+    list.addresses.into_iter().map(|l| l.url).collect()
 }
 
 #[test]
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn answer_is_bounded_and_the_same_for_the_same_seed() {
+fn list_is_bounded_and_deterministic_for_a_seed() {
     let nodes: Vec<Address> = (1..100).map(|i| node(i, "a", "south", 0.5)).collect();
     let first = urls(&nodes, 16, 3);
     assert_eq!(first.len(), 16);
@@ -62,7 +62,7 @@
 // Callers take the first address. They spread over the nodes by free capacity; if all were told
 // the node with the most, they would meet there.
 #[test]
-fn first_place_is_drawn_by_free_capacity() {
+fn first_address_is_drawn_by_free_capacity() {
     const DRAWS: usize = 4000;
     let nodes = [
         node(1, "a", "south", 0.8),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn odd_reports_of_load_do_no_harm() {
+fn invalid_free_fractions_are_tolerated() {
     let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 7.0];
     let nodes: Vec<Address> = (1..)
         .zip(odd)
--- a/crates/entry/tests/ask.rs
+++ b/crates/entry/tests/ask.rs
@@ -1,11 +1,11 @@
 //! Bodies of completions: what is read, and what is told about what can't be.
 
-use entry::api::ask::{Ask, Kind};
 use entry::api::error::Error;
+use entry::api::params::{Kind, Params};
 use entry::api::{chat, completion};
 use serde_json::{Value, json};
 
-fn chat_body(change: impl FnOnce(&mut Value)) -> Result<Ask, Error> {
+fn chat_body(change: impl FnOnce(&mut Value)) -> Result<Params, Error> {
     let mut body = json!({
         "model": "menu",
         "messages": [{"role": "user", "content": "hello"}],
@@ -14,13 +14,13 @@
     chat::read(body.to_string().as_bytes())
 }
 
-fn text_body(change: impl FnOnce(&mut Value)) -> Result<Ask, Error> {
+fn text_body(change: impl FnOnce(&mut Value)) -> Result<Params, Error> {
     let mut body = json!({"model": "menu", "prompt": "hello"});
     change(&mut body);
     completion::read(body.to_string().as_bytes())
 }
 
-fn told(result: Result<Ask, Error>) -> (u16, &'static str, Option<String>) {
+fn error_fields(result: Result<Params, Error>) -> (u16, &'static str, Option<String>) {
     let error = result.expect_err("an error");
     (error.status.as_u16(), error.code, error.param)
 }
@@ -30,22 +30,30 @@
 }
 
 #[test]
-fn least_body_has_the_usual_values() {
-    let ask = chat_body(|_| {}).expect("an ask");
-    assert_eq!(ask.kind, Kind::Chat);
-    assert_eq!(&ask.prompt[..], b"<|user|>\nhello\n<|assistant|>\n");
+fn minimal_body_gets_the_defaults() {
+    let params = chat_body(|_| {}).expect("an ask");
+    assert_eq!(params.kind, Kind::Chat);
+    assert_eq!(&params.prompt[..], b"<|user|>\nhello\n<|assistant|>\n");
     assert_eq!(
-        (ask.stream, ask.usage, ask.most, ask.seed),
+        (
+            params.stream,
+            params.include_usage,
+            params.max_tokens,
+            params.seed
+        ),
         (false, false, None, 0)
     );
-    assert!(ask.stops.is_empty());
-    let ask = text_body(|_| {}).expect("an ask");
-    assert_eq!((ask.kind, &ask.prompt[..]), (Kind::Text, &b"hello"[..]));
+    assert!(params.stops.is_empty());
+    let params = text_body(|_| {}).expect("an ask");
+    assert_eq!(
+        (params.kind, &params.prompt[..]),
+        (Kind::Text, &b"hello"[..])
+    );
 }
 
 #[test]
 fn every_field_is_read() {
-    let ask = chat_body(|b| {
+    let params = chat_body(|b| {
         b["messages"] = json!([
             {"role": "developer", "content": "be short"},
             {"role": "user", "content": [{"type": "text", "text": "a"}, {"type": "text", "text": "b"}]},
@@ -61,19 +69,19 @@
         b["response_format"] = json!({"type": "text"});
         b["user"] = json!("someone");
     });
-    let ask = ask.expect("an ask");
+    let params = params.expect("an ask");
     assert_eq!(
-        &ask.prompt[..],
+        &params.prompt[..],
         b"<|developer|>\nbe short\n<|user|>\nab\n<|assistant|>\n"
     );
-    assert!(ask.stream && ask.usage);
-    assert_eq!((ask.most, ask.seed), (Some(9), u64::MAX));
-    assert_eq!(ask.stops, ["x", "yz"]);
+    assert!(params.stream && params.include_usage);
+    assert_eq!((params.max_tokens, params.seed), (Some(9), u64::MAX));
+    assert_eq!(params.stops, ["x", "yz"]);
 }
 
 #[test]
-fn null_is_as_good_as_absent() {
-    let ask = chat_body(|b| {
+fn null_is_treated_as_absent() {
+    let params = chat_body(|b| {
         for field in [
             "stream",
             "stream_options",
@@ -86,13 +94,13 @@
             b[field] = Value::Null;
         }
     });
-    assert_eq!(ask, chat_body(|_| {}));
+    assert_eq!(params, chat_body(|_| {}));
 }
 
 // The caller is told which field is at fault. An option that was silently left out would give an
 // answer other than the one asked for.
 #[test]
-fn unsupported_options_are_named() {
+fn errors_name_the_unsupported_option() {
     let given = [
         ("n", json!(2)),
         ("best_of", json!(3)),
@@ -105,15 +113,18 @@
     ];
     for (field, value) in given {
         assert_eq!(
-            told(chat_body(|b| b[field] = value.clone())),
+            error_fields(chat_body(|b| b[field] = value.clone())),
+            invalid(field)
+        );
+        assert_eq!(
+            error_fields(text_body(|b| b[field] = value)),
             invalid(field)
         );
-        assert_eq!(told(text_body(|b| b[field] = value)), invalid(field));
     }
 }
 
 #[test]
-fn values_out_of_range_are_named() {
+fn errors_name_the_field_out_of_range() {
     let given = [
         ("max_tokens", json!(0)),
         ("max_tokens", json!(-4)),
@@ -126,10 +137,13 @@
         ("messages", json!([])),
     ];
     for (field, value) in given {
-        assert_eq!(told(chat_body(|b| b[field] = value)), invalid(field));
+        assert_eq!(
+            error_fields(chat_body(|b| b[field] = value)),
+            invalid(field)
+        );
     }
     assert_eq!(
-        told(chat_body(|b| b["messages"] = Value::Null)),
+        error_fields(chat_body(|b| b["messages"] = Value::Null)),
         invalid("messages")
     );
     for prompt in [
@@ -139,15 +153,18 @@
         json!(["a", "b"]),
         Value::Null,
     ] {
-        assert_eq!(told(text_body(|b| b["prompt"] = prompt)), invalid("prompt"));
+        assert_eq!(
+            error_fields(text_body(|b| b["prompt"] = prompt)),
+            invalid("prompt")
+        );
     }
 }
 
 #[test]
-fn messages_are_named_by_their_place() {
+fn errors_in_messages_name_their_index() {
     let bad = |message: Value| {
         let good = json!({"role": "user", "content": "a"});
-        told(chat_body(|b| b["messages"] = json!([good, message])))
+        error_fields(chat_body(|b| b["messages"] = json!([good, message])))
     };
     assert_eq!(
         bad(json!({"role": "tool", "content": "a"})),
@@ -161,7 +178,7 @@
     );
     let many = vec![json!({"role": "user", "content": "a"}); 4097];
     assert_eq!(
-        told(chat_body(|b| b["messages"] = json!(many))),
+        error_fields(chat_body(|b| b["messages"] = json!(many))),
         invalid("messages")
     );
 }
@@ -181,15 +198,15 @@
         ("messages", json!([{"role": "user", "content": 5}])),
     ];
     for (field, value) in given {
-        let (status, code, _) = told(chat_body(|b| b[field] = value));
+        let (status, code, _) = error_fields(chat_body(|b| b[field] = value));
         assert_eq!((status, code), (422, "invalid_type"), "{field}");
     }
-    let (status, code, _) = told(chat::read(b"[1, 2]"));
+    let (status, code, _) = error_fields(chat::read(b"[1, 2]"));
     assert_eq!((status, code), (422, "invalid_type"));
 }
 
 #[test]
-fn what_is_no_json_is_400() {
+fn invalid_json_is_400() {
     let deep = format!("{}{}", "{\"model\":".repeat(5000), "}".repeat(5000));
     let unread = format!(
         "{{\"other\":{}{}}}",
@@ -208,7 +225,7 @@
         .chain([deep.as_bytes(), unread.as_bytes()]);
     for body in bodies {
         for read in [chat::read, completion::read] {
-            let (status, code, _) = told(read(body));
+            let (status, code, _) = error_fields(read(body));
             assert_eq!(
                 (status, code),
                 (400, "invalid_json"),
@@ -222,10 +239,10 @@
 // A field of a message that nothing reads is skipped however deep it is, without a stack frame for
 // each level: a body within its bound can't overflow the stack.
 #[test]
-fn depth_of_an_unread_field_does_no_harm() {
+fn deeply_nested_unknown_field_does_not_overflow_the_stack() {
     let deep = format!("{}{}", "[".repeat(400_000), "]".repeat(400_000));
     let message = format!("{{\"role\":\"user\",\"content\":\"a\",\"other\":{deep}}}");
     let body = format!("{{\"model\":\"menu\",\"messages\":[{message}]}}");
-    let ask = chat::read(body.as_bytes()).expect("an ask");
-    assert_eq!(&ask.prompt[..], b"<|user|>\na\n<|assistant|>\n");
+    let params = chat::read(body.as_bytes()).expect("an ask");
+    assert_eq!(&params.prompt[..], b"<|user|>\na\n<|assistant|>\n");
 }
--- a/crates/entry/tests/garbage.rs
+++ b/crates/entry/tests/garbage.rs
@@ -12,14 +12,14 @@
 
 const SEEDS: u64 = 20_000;
 /// Bytes that mean something to a reader of JSON or of headers.
-const TELLING: &[u8] = b"{}[]\",:\\/-+.eE0129 \t\r\nntfu\x00\x1f\x7f\xc3\xbf\xff";
-const GOOD: [&str; 4] = [
+const SYNTAX_BYTES: &[u8] = b"{}[]\",:\\/-+.eE0129 \t\r\nntfu\x00\x1f\x7f\xc3\xbf\xff";
+const VALID_BODIES: [&str; 4] = [
     r#"{"model":"menu","messages":[{"role":"user","content":"a"},{"role":"system","content":[{"type":"text","text":"b"}]}],"stop":["x","y"],"seed":-5,"max_tokens":7}"#,
     r#"{"model":"menu:allergen","prompt":["hello"],"stream":true,"stream_options":{"include_usage":true},"n":1,"best_of":null}"#,
     r#"{"model":"menu","prompt":"\u00e9\ud83d\ude00","stop":"\n\n","logprobs":null,"tools":[],"response_format":{"type":"text"}}"#,
     r#"{"messages":[{"role":"assistant","content":null}],"model":"m","max_completion_tokens":1e3}"#,
 ];
-const NAMES: [&str; 6] = [
+const HEADER_NAMES: [&str; 6] = [
     "authorization",
     "x-wigeonshelf-priority",
     "x-wigeonshelf-deadline-ms",
@@ -27,17 +27,17 @@
     "x-wigeonshelf-whole",
     "idempotency-key",
 ];
-const VALUES: [&str; 6] = ["alarm", "1500", "true", "false", "1764712345-a", "tk-0-0-0"];
+const HEADER_VALUES: [&str; 6] = ["alarm", "1500", "true", "false", "1764712345-a", "tk-0-0-0"];
 
 fn byte(rng: &mut ChaCha8Rng) -> u8 {
     match rng.random_bool(0.5) {
-        true => TELLING[rng.random_range(0..TELLING.len())],
+        true => SYNTAX_BYTES[rng.random_range(0..SYNTAX_BYTES.len())],
         false => rng.random(),
     }
 }
 
-fn garbage(rng: &mut ChaCha8Rng, most: usize) -> Vec<u8> {
-    let length = rng.random_range(0..=most);
+fn garbage(rng: &mut ChaCha8Rng, max_len: usize) -> Vec<u8> {
+    let length = rng.random_range(0..=max_len);
     (0..length).map(|_| byte(rng)).collect()
 }
 
@@ -65,7 +65,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut body = match rng.random_bool(0.2) {
             true => garbage(&mut rng, 200),
-            false => GOOD[rng.random_range(0..GOOD.len())].as_bytes().to_vec(),
+            false => VALID_BODIES[rng.random_range(0..VALID_BODIES.len())]
+                .as_bytes()
+                .to_vec(),
         };
         mutate(&mut rng, &mut body);
         for result in [chat::read(&body), completion::read(&body)] {
@@ -96,7 +98,7 @@
             HeaderValue::from_str(&bearer).expect("a value"),
         );
         for _ in 0..rng.random_range(0..4) {
-            let mut value = VALUES[rng.random_range(0..VALUES.len())]
+            let mut value = HEADER_VALUES[rng.random_range(0..HEADER_VALUES.len())]
                 .as_bytes()
                 .to_vec();
             match rng.random_range(0..4) {
@@ -106,7 +108,8 @@
             }
             // What the HTTP library refuses never reaches the check.
             if let Ok(value) = HeaderValue::from_bytes(&value) {
-                let name = HeaderName::from_static(NAMES[rng.random_range(0..NAMES.len())]);
+                let name =
+                    HeaderName::from_static(HEADER_NAMES[rng.random_range(0..HEADER_NAMES.len())]);
                 headers.append(name, value);
             }
         }
--- a/crates/entry/tests/header.rs
+++ b/crates/entry/tests/header.rs
@@ -19,13 +19,13 @@
     Header::check(&headers, &BUNDLE)
 }
 
-fn told(result: Result<Header, Error>) -> (u16, &'static str) {
+fn status_and_code(result: Result<Header, Error>) -> (u16, &'static str) {
     let error = result.expect_err("an error");
     (error.status.as_u16(), error.code)
 }
 
 #[test]
-fn key_alone_gives_the_usual_values() {
+fn key_alone_gives_the_defaults() {
     let header = check(KITCHENS_KEY, &[]).expect("a header");
     assert_eq!(Some(header.team), BUNDLE.team("kitchens"));
     assert_eq!(Some(header.priority), BUNDLE.priority("normal"));
@@ -33,7 +33,7 @@
         (header.deadline, header.repeatable, header.whole),
         (None, None, false)
     );
-    assert_eq!(header.key, None);
+    assert_eq!(header.idempotency_key, None);
 }
 
 #[test]
@@ -49,7 +49,7 @@
     assert_eq!(Some(header.priority), BUNDLE.priority("alarm"));
     assert_eq!(header.deadline, Some(Duration::from_millis(1500)));
     assert_eq!((header.repeatable, header.whole), (Some(false), true));
-    assert_eq!(header.key.as_deref(), Some("1764712345-lock"));
+    assert_eq!(header.idempotency_key.as_deref(), Some("1764712345-lock"));
 }
 
 #[test]
@@ -62,7 +62,7 @@
                 HeaderValue::from_str(value).expect("a value"),
             );
         }
-        told(Header::check(&headers, &BUNDLE))
+        status_and_code(Header::check(&headers, &BUNDLE))
     };
     let unauthorized = (401, "invalid_api_key");
     for value in [
@@ -78,14 +78,14 @@
     // Of two keys, two hops could read a different one.
     let second = format!("Bearer {DUTY_KEY}");
     assert_eq!(
-        told(check(KITCHENS_KEY, &[("authorization", &second)])),
+        status_and_code(check(KITCHENS_KEY, &[("authorization", &second)])),
         unauthorized
     );
 }
 
 // The name of a scheme has no case (RFC 9110, 11.1), and some clients send it in lower case.
 #[test]
-fn scheme_has_no_case() {
+fn scheme_is_case_insensitive() {
     for scheme in ["bearer", "BEARER", "Bearer"] {
         let mut headers = HeaderMap::new();
         let value = format!("{scheme} {KITCHENS_KEY}");
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn wrong_values_are_named() {
+fn errors_name_the_invalid_header() {
     let forbidden = check(KITCHENS_KEY, &[("x-wigeonshelf-priority", "alarm")]);
-    assert_eq!(told(forbidden), (403, "priority_not_allowed"));
+    assert_eq!(status_and_code(forbidden), (403, "priority_not_allowed"));
     let long = "k".repeat(257);
     let given = [
         ("x-wigeonshelf-priority", "none-such"),
@@ -122,10 +122,13 @@
 
 // Two hops that read a header given twice differently would disagree on what was asked for.
 #[test]
-fn header_given_twice_is_refused() {
+fn repeated_header_is_rejected() {
     let twice = [
         ("x-wigeonshelf-repeatable", "false"),
         ("x-wigeonshelf-repeatable", "true"),
     ];
-    assert_eq!(told(check(DUTY_KEY, &twice)), (422, "invalid_value"));
+    assert_eq!(
+        status_and_code(check(DUTY_KEY, &twice)),
+        (422, "invalid_value")
+    );
 }
--- a/crates/entry/tests/ring.rs
+++ b/crates/entry/tests/ring.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// Longest time for something that must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[tokio::test]
-async fn full_ring_gives_the_value_back_and_counts_it() {
+async fn full_ring_returns_the_value_and_counts_it() {
     let (mut sender, mut receiver) = ring(2);
     assert_eq!((sender.push(1), sender.push(2)), (Ok(()), Ok(())));
     assert_eq!((sender.push(3), sender.push(4)), (Err(3), Err(4)));
-    assert_eq!(sender.full().load(Ordering::Relaxed), 2);
+    assert_eq!(sender.overflows().load(Ordering::Relaxed), 2);
     assert_eq!(receiver.pop().await, Some(1));
     assert_eq!(sender.push(5), Ok(()));
     assert_eq!(
@@ -25,15 +25,15 @@
 }
 
 #[tokio::test]
-async fn ring_without_a_consumer_takes_nothing() {
+async fn push_fails_without_a_consumer() {
     let (mut sender, receiver) = ring(2);
     drop(receiver);
     assert_eq!(sender.push(1), Err(1));
-    assert_eq!(sender.full().load(Ordering::Relaxed), 0);
+    assert_eq!(sender.overflows().load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test]
-async fn what_was_pushed_is_popped_after_the_producer_is_gone() {
+async fn queued_values_are_popped_after_the_producer_is_dropped() {
     let (mut sender, mut receiver) = ring(4);
     assert_eq!((sender.push(1), sender.push(2)), (Ok(()), Ok(())));
     drop(sender);
@@ -47,7 +47,7 @@
 /// A task that is polled again inside its wake-up, as one on another thread may be.
 struct Eager {
     task: Mutex<Pin<Box<dyn Future<Output = Option<u32>> + Send>>>,
-    ended: Mutex<Option<Option<u32>>>,
+    result: Mutex<Option<Option<u32>>>,
 }
 
 impl Wake for Eager {
@@ -56,7 +56,7 @@
         let mut context = Context::from_waker(&waker);
         let mut task = self.task.lock().expect("task");
         if let Poll::Ready(value) = task.as_mut().poll(&mut context) {
-            *self.ended.lock().expect("ended") = Some(value);
+            *self.result.lock().expect("ended") = Some(value);
         }
     }
 }
@@ -64,16 +64,16 @@
 // A duty never ends: its producer goes and wakes it, and it looks at once, before the producer's
 // end of the ring is marked as gone. It goes back to sleep, and nothing wakes it again.
 #[test]
-fn the_end_is_not_slept_through() {
+fn dropped_producer_wakes_the_consumer() {
     let (sender, mut receiver) = ring(4);
     let eager = Arc::new(Eager {
         task: Mutex::new(Box::pin(async move { receiver.pop().await })),
-        ended: Mutex::default(),
+        result: Mutex::default(),
     });
     eager.clone().wake();
-    assert_eq!(*eager.ended.lock().expect("ended"), None);
+    assert_eq!(*eager.result.lock().expect("ended"), None);
     drop(sender);
-    assert_eq!(*eager.ended.lock().expect("ended"), Some(None));
+    assert_eq!(*eager.result.lock().expect("ended"), Some(None));
 }
 
 // A consumer that sleeps through a push would stop a duty for good. The producer, on its own thread,
@@ -96,7 +96,7 @@
         }
         assert_eq!(receiver.pop().await, None);
     };
-    tokio::time::timeout(PATIENCE, all)
+    tokio::time::timeout(TIMEOUT, all)
         .await
         .expect("a value was slept through");
     producer.join().expect("producer");
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -1,15 +1,15 @@
 //! Stop sequences over the bounds of tokens.
 
-use entry::api::stop::Cutter;
+use entry::api::stop::Filter;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 /// What is given for `tokens`, and whether a sequence was met.
 fn cut(stops: &[&str], tokens: &[&str]) -> (String, bool) {
-    let mut cutter = Cutter::new(stops.iter().map(|s| (*s).to_owned()).collect());
-    let mut given: String = tokens.iter().map(|t| cutter.push(t)).collect();
-    given.push_str(&cutter.finish());
-    (given, cutter.done())
+    let mut filter = Filter::new(stops.iter().map(|s| (*s).to_owned()).collect());
+    let mut released: String = tokens.iter().map(|t| filter.push(t)).collect();
+    released.push_str(&filter.finish());
+    (released, filter.done())
 }
 
 #[test]
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn text_that_can_begin_no_sequence_is_given_at_once() {
-    let mut cutter = Cutter::new(vec!["END".to_owned()]);
-    assert_eq!(cutter.push("some E"), "some ");
-    assert_eq!(cutter.push("x"), "Ex");
+fn text_that_begins_no_sequence_is_released_at_once() {
+    let mut filter = Filter::new(vec!["END".to_owned()]);
+    assert_eq!(filter.push("some E"), "some ");
+    assert_eq!(filter.push("x"), "Ex");
 }
 
 #[test]
-fn text_of_several_bytes_is_not_split() {
+fn multibyte_characters_are_not_split() {
     assert_eq!(
         cut(&["ö!"], &["sch", "ö", "n ö", "!"]),
         ("schön ".to_owned(), true)
@@ -51,19 +51,19 @@
 // Two callers who ask the same get the same answer, however the model cut the text into tokens: the
 // sequence that is complete first ends the answer.
 #[test]
-fn answer_does_not_depend_on_where_tokens_end() {
+fn answer_does_not_depend_on_token_boundaries() {
     const LETTERS: [char; 4] = ['a', 'b', 'c', 'ö'];
     for seed in 0..2000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut word = |most: usize| -> String {
-            let length = rng.random_range(1..=most);
+        let mut random_text = |max_len: usize| -> String {
+            let length = rng.random_range(1..=max_len);
             (0..length)
                 .map(|_| LETTERS[rng.random_range(0..LETTERS.len())])
                 .collect()
         };
-        let stops = [word(3), word(4)];
+        let stops = [random_text(3), random_text(4)];
         let stops: Vec<&str> = stops.iter().map(String::as_str).collect();
-        let pieces: Vec<String> = (0..8).map(|_| word(4)).collect();
+        let pieces: Vec<String> = (0..8).map(|_| random_text(4)).collect();
         let text = pieces.concat();
         let pieces: Vec<&str> = pieces.iter().map(String::as_str).collect();
         let letters: Vec<String> = text.chars().map(String::from).collect();
--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -62,23 +62,23 @@
 // Callers keep being served with the old pair while a renewal is half done: the new certificate is
 // there and the new key is not. Once both fit, new connections get the new pair.
 #[test]
-fn half_a_renewal_keeps_the_old_pair() {
+fn partial_renewal_keeps_the_old_pair() {
     let folder = Folder::new("half");
     let (old, new) = (pair(), pair());
     folder.certificate(&old.certificate, 1);
     folder.key(&old.key, 1);
-    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
-    let first = store.config();
-    assert!(!store.reload().expect("unchanged"));
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
+    let first = config.config();
+    assert!(!config.reload().expect("unchanged"));
     folder.certificate(&new.certificate, 2);
     for _ in 0..2 {
-        assert!(matches!(store.reload(), Err(Error::Pair(_))));
-        assert!(Arc::ptr_eq(&first, &store.config()));
+        assert!(matches!(config.reload(), Err(Error::Pair(_))));
+        assert!(Arc::ptr_eq(&first, &config.config()));
     }
     folder.key(&new.key, 3);
-    assert!(store.reload().expect("changed"));
-    assert!(!Arc::ptr_eq(&first, &store.config()));
-    assert!(!store.reload().expect("unchanged"));
+    assert!(config.reload().expect("changed"));
+    assert!(!Arc::ptr_eq(&first, &config.config()));
+    assert!(!config.reload().expect("unchanged"));
 }
 
 #[test]
@@ -87,22 +87,22 @@
     let good = pair();
     folder.certificate(&good.certificate, 1);
     folder.key(&good.key, 1);
-    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
-    let first = store.config();
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
+    let first = config.config();
     folder.key("no key at all", 2);
-    assert!(matches!(store.reload(), Err(Error::Pem(..))));
+    assert!(matches!(config.reload(), Err(Error::Pem(..))));
     folder.certificate("", 3);
-    assert!(matches!(store.reload(), Err(Error::Pem(..))));
+    assert!(matches!(config.reload(), Err(Error::Pem(..))));
     fs::remove_file(&folder.files.certificate).expect("removed");
-    assert!(matches!(store.reload(), Err(Error::File(..))));
-    assert!(Arc::ptr_eq(&first, &store.config()));
+    assert!(matches!(config.reload(), Err(Error::File(..))));
+    assert!(Arc::ptr_eq(&first, &config.config()));
 }
 
 // An operator moves a certificate into place that was made before the key's file was last written
 // (the key is the same). The younger of the two times stays as it was, and the new certificate must
 // be seen all the same, or the old one is served until it runs out.
 #[test]
-fn certificate_older_than_its_key_is_seen() {
+fn certificate_older_than_its_key_is_loaded() {
     let folder = Folder::new("older");
     let key = rcgen::KeyPair::generate().expect("a key");
     let certificate = || {
@@ -112,7 +112,7 @@
     };
     folder.certificate(&certificate(), 1);
     folder.key(&key.serialize_pem(), 9);
-    let store = ReloadableConfig::open(folder.files.clone()).expect("a store");
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
     folder.certificate(&certificate(), 5);
-    assert!(store.reload().expect("changed"));
+    assert!(config.reload().expect("changed"));
 }
