--- a/crates/route/src/action.rs
+++ b/crates/route/src/action.rs
@@ -1,4 +1,4 @@
-//! What a router asks its entry to do.
+//! Actions that a router requests from its caller, the entry.
 
 use crate::Attempt;
 use crate::outcome::Outcome;
@@ -6,48 +6,48 @@
 use crate::request::Id;
 use bundle::id::{EndpointId, Layer};
 
-/// One endpoint's part of a pipeline; `from == to == 0` for a plain service.
+/// One stage of a chain: an endpoint and the layers it runs; `from == to == 0` for a plain service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// The endpoint.
+    /// Endpoint that runs the stage.
     pub endpoint: EndpointId,
-    /// First layer it runs.
+    /// First layer that the endpoint runs.
     pub from: Layer,
     /// One past the last layer it runs.
     pub to: Layer,
 }
 
-/// Something that control tells the other nodes.
+/// Observation that the control part of the node publishes to the other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// Endpoint taken out of use after failures, until probed alive again.
+    /// The endpoint was ejected after failures and stays out of use until a probe is answered.
     Ejected(EndpointId),
-    /// Endpoint back in use.
+    /// The endpoint is back in use after an ejection.
     Restored(EndpointId),
-    /// A request with this fingerprint was in flight when an endpoint died.
+    /// A request with this fingerprint was in flight on an endpoint that died.
     Suspect(u64),
-    /// A request with this fingerprint was alone on an endpoint that died: it is held back
-    /// everywhere until the verdict, [`crate::crash::CORRELATION_WINDOW`] later.
+    /// A request with this fingerprint ran alone on an endpoint that died. All nodes hold it back
+    /// until the verdict, [`crate::crash::CORRELATION_WINDOW`] later.
     Pending(u64),
-    /// Requests with this fingerprint crash endpoints and are refused everywhere.
+    /// Requests with this fingerprint crash endpoints; all nodes refuse them.
     Condemned(u64),
 }
 
-/// An action.
+/// Action to be carried out by the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Run an attempt on this chain, from the prompt and the tokens already had.
+    /// Starts an attempt on this chain; it resumes from the prompt and the tokens generated so far.
     Start(Id, Attempt, Vec<Hop>),
-    /// Stop an attempt: cancel it on its endpoints and drop what still comes from it.
+    /// Stops an attempt: cancels it on its endpoints and drops frames that still arrive from it.
     Cancel(Id, Attempt),
-    /// Give the caller a refusal: the request was truly not run.
+    /// Refuses a request. No endpoint has run any part of it.
     Refuse(Id, Refusal),
-    /// End the caller's answer.
+    /// Ends the answer to the caller.
     Finish(Id, Outcome),
-    /// Ask an endpoint, on a new connection, whether it lives.
+    /// Checks on a new connection whether an endpoint is alive.
     Probe(EndpointId),
-    /// Drop pooled connections to an endpoint: they went silent.
+    /// Drops the pooled connections to an endpoint, since they became unresponsive.
     Disconnect(EndpointId),
-    /// Tell the other nodes.
+    /// Publishes an observation to the other nodes.
     Observe(Observation),
 }
--- a/crates/route/src/audit.rs
+++ b/crates/route/src/audit.rs
@@ -1,7 +1,7 @@
-//! Audit of what a router is told and says, apart from the code that decides.
+//! Audit of a router's events and actions, independent of the code that decides.
 //!
-//! It keeps a small account of each live request from events and actions alone, and reports
-//! every action that breaks a promise to the caller. The router runs one over itself.
+//! Keeps a small record of each live request, built from events and actions alone, and reports
+//! every action that violates a guarantee to the caller. Each router audits itself.
 
 use crate::action::{Action, Hop};
 use crate::chain;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Account of one live request.
+/// Record of one live request.
 #[derive(Clone, Debug)]
 struct Record {
     target: Target,
@@ -27,7 +27,7 @@
     left: bool,
 }
 
-/// Accounts of all live requests.
+/// Records of all live requests.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
     bundle: Arc<Bundle>,
@@ -37,12 +37,12 @@
 }
 
 impl Audit {
-    /// Takes in an event, before the router handles it.
+    /// Records an event before the router handles it.
     pub fn event(&mut self, event: &Event) {
         match event {
             Event::View(view) => self.view(view),
             Event::Arrive(request) => {
-                let life = Record {
+                let record = Record {
                     target: request.target,
                     repeatable: request.repeatable,
                     fingerprint: request.fingerprint,
@@ -52,19 +52,19 @@
                     sent: false,
                     left: false,
                 };
-                self.records.entry(request.id).or_insert(life);
+                self.records.entry(request.id).or_insert(record);
             }
             Event::Finished(id, attempt) => {
-                if let Some(life) = self.current(*id, *attempt) {
-                    life.complete = true;
-                    life.running = false;
-                    life.sent = true;
+                if let Some(record) = self.current(*id, *attempt) {
+                    record.complete = true;
+                    record.running = false;
+                    record.sent = true;
                 }
             }
             Event::Failed(id, attempt, failure) => {
-                if let Some(life) = self.current(*id, *attempt) {
-                    life.running = false;
-                    life.sent |= failure.sent;
+                if let Some(record) = self.current(*id, *attempt) {
+                    record.running = false;
+                    record.sent |= failure.sent;
                 }
             }
             Event::Left(id) => {
@@ -85,15 +85,15 @@
 
     fn view(&mut self, view: &View) {
         let bundle = view.bundle.clone();
-        for life in self.records.values_mut() {
-            life.target = renamed(&self.bundle, &bundle, life.target);
+        for record in self.records.values_mut() {
+            record.target = renamed(&self.bundle, &bundle, record.target);
         }
         self.bundle = bundle;
         self.available.clone_from(&view.available);
         self.condemned.extend(&view.condemned);
     }
 
-    /// Takes in an action; returns what it breaks.
+    /// Records an action; returns the invariants that it violates.
     pub fn action(&mut self, action: &Action) -> Vec<Finding> {
         match action {
             Action::Start(id, attempt, hops) => self.start(*id, *attempt, hops),
@@ -113,79 +113,84 @@
             place: Place::Request(id, attempt),
             fault,
         };
-        let Some(life) = self.records.get_mut(&id).filter(|l| !l.left) else {
+        let Some(record) = self.records.get_mut(&id).filter(|l| !l.left) else {
             return vec![at(Fault::Ended)];
         };
-        let mut faults = chain::check(&self.bundle, life.target, hops);
-        if life.running || attempt <= life.attempt {
+        let mut faults = chain::check(&self.bundle, record.target, hops);
+        if record.running || attempt <= record.attempt {
             faults.push(Fault::Twice);
         }
-        if life.sent && !life.repeatable {
+        if record.sent && !record.repeatable {
             faults.push(Fault::Repeated);
         }
-        if self.condemned.contains(&life.fingerprint) {
+        if self.condemned.contains(&record.fingerprint) {
             faults.push(Fault::Condemned);
         }
-        let shut = |h: &&Hop| {
+        let unavailable = |h: &&Hop| {
             !self
                 .available
                 .get(h.endpoint as usize)
                 .copied()
                 .unwrap_or(false)
         };
-        faults.extend(hops.iter().filter(shut).map(|h| Fault::Closed(h.endpoint)));
-        life.attempt = attempt;
-        life.running = true;
+        faults.extend(
+            hops.iter()
+                .filter(unavailable)
+                .map(|h| Fault::Closed(h.endpoint)),
+        );
+        record.attempt = attempt;
+        record.running = true;
         faults.into_iter().map(at).collect()
     }
 
     fn cancel(&mut self, id: Id, attempt: Attempt) -> Vec<Finding> {
         let place = Place::Request(id, attempt);
-        let Some(life) = self.current(id, attempt) else {
+        let Some(record) = self.current(id, attempt) else {
             return vec![Finding {
                 place,
                 fault: Fault::Ended,
             }];
         };
-        life.running = false;
-        life.sent = true;
+        record.running = false;
+        record.sent = true;
         Vec::new()
     }
 
     fn end(&mut self, id: Id, outcome: Outcome) -> Vec<Finding> {
-        let Some(life) = self.records.remove(&id).filter(|l| !l.left) else {
+        let Some(record) = self.records.remove(&id).filter(|l| !l.left) else {
             return vec![Finding {
                 place: Place::Request(id, 0),
                 fault: Fault::Ended,
             }];
         };
         let mut faults = Vec::new();
-        if life.running {
+        if record.running {
             faults.push(Fault::Twice);
         }
         match outcome {
-            Outcome::Complete if !life.complete => faults.push(Fault::Partial),
-            Outcome::NotRun if life.sent => faults.push(Fault::Sent),
+            Outcome::Complete if !record.complete => faults.push(Fault::Partial),
+            Outcome::NotRun if record.sent => faults.push(Fault::Sent),
             _ => {}
         }
-        let place = Place::Request(id, life.attempt);
+        let place = Place::Request(id, record.attempt);
         faults
             .into_iter()
             .map(|fault| Finding { place, fault })
             .collect()
     }
 
-    /// After all actions of one event: forgets requests whose caller left; what of them still
-    /// runs is a finding.
+    /// Forgets a request whose caller disconnected, after all actions of that event. Reports a
+    /// finding if an attempt of it still runs.
     pub fn end_left(&mut self, event: &Event) -> Vec<Finding> {
         let Event::Left(id) = event else {
             return Vec::new();
         };
-        let Some(life) = self.records.remove(id) else {
+        let Some(record) = self.records.remove(id) else {
             return Vec::new();
         };
-        let place = Place::Request(*id, life.attempt);
-        life.running
+        let place = Place::Request(*id, record.attempt);
+        record
+            .running
             .then_some(Finding {
                 place,
                 fault: Fault::Twice,
@@ -194,13 +199,13 @@
             .collect()
     }
 
-    /// Live requests.
+    /// Returns the number of live requests.
     pub fn live_count(&self) -> usize {
         self.records.len()
     }
 }
 
-/// The target of the same name in a new bundle; one out of range if it is gone.
+/// Returns the target of the same name in a new bundle, or an id out of range if there is none.
 fn renamed(old: &Bundle, new: &Bundle, target: Target) -> Target {
     match target {
         Target::Model(model, adapter) => {
--- a/crates/route/src/chain.rs
+++ b/crates/route/src/chain.rs
@@ -1,4 +1,5 @@
-//! Chains: the endpoints that run one attempt, and the check that they cover the layers once.
+//! Validation of chains: the endpoints that run one attempt must cover the model's layers exactly
+//! once.
 
 use crate::action::Hop;
 use crate::finding::Fault;
@@ -6,7 +7,8 @@
 use bundle::Bundle;
 use bundle::id::{Layer, ModelId};
 
-/// Every fault of a chain for `target`, by the bundle alone: it shares no code with the plan.
+/// Returns every fault of a chain for `target`. Uses the bundle only and shares no code with the
+/// planner, so that a fault of the planner can't hide itself.
 pub fn check(bundle: &Bundle, target: Target, hops: &[Hop]) -> Vec<Fault> {
     match target {
         Target::Model(model, _) => check_layers(bundle, model, hops),
@@ -27,10 +29,10 @@
 
 fn check_layers(bundle: &Bundle, model: ModelId, hops: &[Hop]) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut at: Layer = 0;
+    let mut boundary: Layer = 0;
     for hop in hops {
-        if hop.from != at || hop.to <= hop.from {
-            faults.push(Fault::Gap(hop.from, at));
+        if hop.from != boundary || hop.to <= hop.from {
+            faults.push(Fault::Gap(hop.from, boundary));
         }
         let row = bundle.endpoints.get(hop.endpoint as usize);
         let holds = row.is_some_and(|e| {
@@ -41,11 +43,11 @@
         if !holds {
             faults.push(Fault::Span(hop.endpoint));
         }
-        at = hop.to;
+        boundary = hop.to;
     }
     let all = bundle.models.get(model as usize).map_or(0, |m| m.layers);
-    if at != all || hops.is_empty() {
-        faults.push(Fault::Gap(at, all));
+    if boundary != all || hops.is_empty() {
+        faults.push(Fault::Gap(boundary, all));
     }
     faults
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,8 +1,10 @@
-//! Choice of a chain: for each hop a few stages are drawn by flow share and the best is taken.
+//! Selection of a chain: for each hop, draws a few stages weighted by planned flow and takes the
+//! cheapest.
 //!
-//! Draws by flow share keep many routers from following the same late report; the best of a few
-//! by in-flight work over flow keeps each router's own work in proportion to the flow. When no
-//! drawn stage takes work, a search over all stages finds a chain if there is one.
+//! Random draws keep many routers from all following the same stale load report. Taking the best of
+//! a few, by in-flight work over planned flow, keeps each router's own work in proportion to the
+//! flow. If none of the drawn stages accepts work, a search over all stages finds a chain if one
+//! exists.
 
 use crate::plan::Links;
 use crate::plan::graph::{Graph, Stage, Successor};
@@ -12,38 +14,40 @@
 pub mod locality;
 pub mod search;
 
-/// What the choice asks of endpoints and links.
+/// Load of endpoints and links, as needed by the selection.
 pub trait Load {
-    /// Streams on an endpoint with one more, times how much slower than aimed it is; `None` if it
-    /// takes no work.
+    /// Number of streams on an endpoint including the new one, multiplied by the endpoint's
+    /// slowdown against its target time; `None` if it accepts no work.
     fn endpoint(&self, endpoint: EndpointId) -> Option<f64>;
-    /// Streams over a pair of zones, see [`Links::at`]; `None` if it takes no more.
+    /// Number of streams over a pair of zones (see [`Links::pair_index`]); `None` if the link
+    /// accepts no more.
     fn link(&self, pair: usize) -> Option<f64>;
 }
 
-/// Factor on the cost of a stage that is likely to have the prefix in its cache.
+/// Factor on the cost of a stage that is likely to have the prompt's prefix in its cache.
 const CACHED_COST_FACTOR: f64 = 0.5;
-/// Latency weighs as this many times itself, since each token pays it.
+/// Weight of the one-way latency in the cost of a stage: each token pays it in both directions.
 const LATENCY_WEIGHT: f64 = 2.0;
 
-/// A choice over one graph.
+/// Selection over one graph.
 pub struct Choice<'a, L> {
-    /// The graph.
+    /// Graph to select from.
     pub graph: &'a Graph,
     /// Links between zones.
     pub links: &'a Links,
-    /// The router's zone.
+    /// Availability zone of the router.
     pub zone: ZoneId,
-    /// Loads.
+    /// Current loads.
     pub load: &'a L,
-    /// Stages drawn for each hop.
+    /// Number of stages drawn for each hop.
     pub draws: usize,
     /// Endpoints that are likely to have a part of the prompt in their cache.
     pub cached: &'a [EndpointId],
 }
 
 impl<L: Load> Choice<'_, L> {
-    /// Draws a chain, as indexes of stages; `None` if some hop drew none that takes work.
+    /// Draws a chain and returns its stage indexes; `None` if for some hop no drawn stage accepts
+    /// work.
     pub fn draw(&self, rng: &mut impl Rng) -> Option<Vec<usize>> {
         let mut chain: Vec<usize> = Vec::new();
         let mut port = Graph::START;
@@ -70,8 +74,8 @@
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, s)| s)
     }
 
-    /// Expected time of a token at a stage reached from `zone`, in seconds; `None` if it takes
-    /// no work.
+    /// Returns the expected time per token in seconds at a stage reached from `zone`; `None` if the
+    /// stage accepts no work.
     pub fn cost(&self, zone: ZoneId, stage: usize) -> Option<f64> {
         let row: &Stage = &self.graph.stages[stage];
         let flow = self.graph.flows[stage];
@@ -80,7 +84,7 @@
         if self.cached.contains(&row.endpoint) {
             cost *= CACHED_COST_FACTOR;
         }
-        // Only activations load a link; the token itself, sent to the first hop, does not.
+        // Only activations load a link. The first hop receives a token, which is negligible.
         let link = if row.from == 0 {
             0.0
         } else {
@@ -96,7 +100,7 @@
     }
 }
 
-/// Draws one of `nexts` by flow; their `sum` grows.
+/// Draws one of `nexts` with a probability proportional to its flow.
 fn draw(nexts: &[Successor], rng: &mut impl Rng) -> Option<usize> {
     let total = nexts.last()?.cumulative_flow;
     let at = rng.random::<f64>() * total;
--- a/crates/route/src/choose/search.rs
+++ b/crates/route/src/choose/search.rs
@@ -1,9 +1,9 @@
-//! Search over all stages for the cheapest chain that takes work.
+//! Exhaustive search for the cheapest chain that accepts work.
 
 use super::{Choice, Load};
 use bundle::id::ZoneId;
 
-/// Cheapest way found to a layer boundary in a zone.
+/// Cheapest path found to a layer boundary in a zone.
 #[derive(Clone, Copy)]
 struct Best {
     cost: f64,
@@ -12,12 +12,13 @@
 }
 
 impl<L: Load> Choice<'_, L> {
-    /// The cheapest chain over all stages, boundary by boundary; `None` if no chain takes work.
+    /// Returns the cheapest chain over all stages by dynamic programming over the layer boundaries;
+    /// `None` if no chain accepts work.
     pub fn search(&self) -> Option<Vec<usize>> {
         let graph = self.graph;
         let mut bests: Vec<Option<Best>> = vec![None; graph.port_count()];
-        for &cut in graph.layer_boundaries() {
-            for stage in graph.stages_from(cut) {
+        for &boundary in graph.layer_boundaries() {
+            for stage in graph.stages_from(boundary) {
                 self.relax(&mut bests, stage);
             }
         }
@@ -30,8 +31,9 @@
 
     fn relax(&self, bests: &mut [Option<Best>], stage: usize) {
         let row = &self.graph.stages[stage];
-        let ways = self.arrivals(bests, row.from);
-        let costs = ways.filter_map(|(base, zone)| Some((base + self.cost(zone, stage)?, zone)));
+        let arrivals = self.arrivals(bests, row.from);
+        let costs =
+            arrivals.filter_map(|(base, zone)| Some((base + self.cost(zone, stage)?, zone)));
         let Some((cost, zone)) = costs.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return;
         };
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Costs and zones from which a stage that starts at `layer` can be reached.
+    /// Returns the costs and zones from which a stage that starts at `layer` can be reached.
     fn arrivals<'b>(
         &'b self,
         bests: &'b [Option<Best>],
--- a/crates/route/src/crash.rs
+++ b/crates/route/src/crash.rs
@@ -1,26 +1,30 @@
-//! Requests that crash endpoints, found by what was in flight at each death.
+//! Detection of requests that crash endpoints, by what was in flight at each death.
 //!
-//! What was in flight when an endpoint died becomes suspect and then runs alone: no neighbours
-//! to lose or to blame. A suspect that completes is cleared; one that dies alone is condemned
-//! and refused everywhere. When several endpoints die together (a lost rack or zone), requests
-//! seen in only one of these deaths are not blamed, so that such a loss neither slows recovery
-//! by isolation nor condemns the innocent; for this a verdict waits out a short window.
+//! All requests in flight on an endpoint that dies become suspect and then run alone, so that no
+//! other requests are lost or suspected with them. A suspect that completes is cleared; one whose
+//! endpoint dies again is condemned and refused by all nodes. When several endpoints die together
+//! (loss of a rack or a zone), requests seen in only one of these deaths are not suspected.
+//! Otherwise isolation would slow the recovery, and harmless requests would be condemned. For this
+//! reason a verdict is delayed by a short window.
 
 use crate::Now;
 use bundle::id::EndpointId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Deaths within this time may have one cause.
+/// Maximum time between deaths that may have a common cause.
 pub const CORRELATION_WINDOW: Duration = Duration::from_millis(1500);
-/// Deaths within the window from which they count as one loss.
+/// Number of endpoints that must die within the window for their deaths to count as one mass
+/// failure.
 pub const MASS_FAILURE_ENDPOINTS: usize = 3;
-/// Deaths in company, at different times, that condemn as one alone does.
-const MAX_SHARED_DEATHS: u32 = 3;
-/// Broken connections with a living endpoint that count as one death: it may have restarted.
+/// Number of deaths beside other requests, at different times, after which a request is condemned
+/// as if it had run alone.
+const SHARED_DEATHS_TO_CONDEMN: u32 = 3;
+/// Number of connections broken by an endpoint that is alive which count as one death, since the
+/// endpoint may have restarted.
 const BREAKS_PER_DEATH: u32 = 2;
 
-/// What speaks against a fingerprint.
+/// Evidence against a fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Evidence {
     deaths: u32,
@@ -28,7 +32,7 @@
     latest: Now,
 }
 
-/// What was in flight at an endpoint that may have died.
+/// Requests in flight on an endpoint that may have died.
 #[derive(Clone, Debug, PartialEq)]
 struct Incident {
     at: Now,
@@ -36,7 +40,7 @@
     fingerprints: Vec<u64>,
 }
 
-/// The table.
+/// Suspects, pending verdicts and condemned fingerprints.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     evidence: BTreeMap<u64, Evidence>,
@@ -46,57 +50,58 @@
     incidents: BTreeMap<EndpointId, Incident>,
     deaths: VecDeque<Incident>,
     verdicts: Vec<(Now, u64)>,
-    /// Verdicts under way at other nodes.
+    /// Fingerprints with a pending verdict at another node.
     remote_pending: BTreeSet<u64>,
-    /// Verdicts under way here that the other nodes have not been told of.
+    /// Fingerprints with a pending verdict here that is not yet published to the other nodes.
     unpublished_pending: Vec<u64>,
     capacity: usize,
 }
 
 impl Table {
-    /// A table that remembers at most `most` fingerprints of each sort.
-    pub fn new(most: usize) -> Self {
+    /// Creates a table that keeps at most `most` fingerprints of each kind.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            capacity: most,
+            capacity,
             ..Self::default()
         }
     }
 
-    /// Takes in what other nodes know.
+    /// Replaces the suspects and pending verdicts reported by other nodes and adds their condemned
+    /// fingerprints.
     pub fn update_remote(&mut self, suspects: &[u64], pending: &[u64], condemned: &[u64]) {
         self.remote_suspects = suspects.iter().copied().collect();
         self.remote_pending = pending.iter().copied().collect();
         self.condemned.extend(condemned);
     }
 
-    /// Renames endpoints after a new bundle.
+    /// Translates endpoint ids to those of a new bundle.
     pub fn remap_endpoints(&mut self, moved: &[Option<EndpointId>]) {
-        let open = std::mem::take(&mut self.incidents).into_values();
-        let kept = open.filter_map(|s| {
+        let incidents = std::mem::take(&mut self.incidents).into_values();
+        let kept = incidents.filter_map(|s| {
             let endpoint = moved.get(s.endpoint as usize).copied()??;
             Some((endpoint, Incident { endpoint, ..s }))
         });
         self.incidents = kept.collect();
     }
 
-    /// Whether requests like this one are refused.
+    /// Returns whether requests with this fingerprint are refused.
     pub fn is_condemned(&self, fingerprint: u64) -> bool {
         self.condemned.contains(&fingerprint)
     }
 
-    /// Whether a verdict on this one is under way, here or at another node. Run meanwhile, a
-    /// resend would cost one more endpoint to learn what the verdict will tell.
+    /// Returns whether a verdict on this fingerprint is pending, here or at another node. Running a
+    /// resent request before the verdict would risk one more endpoint without adding information.
     pub fn is_pending(&self, fingerprint: u64) -> bool {
         self.verdicts.iter().any(|&(_, p)| p == fingerprint)
             || self.remote_pending.contains(&fingerprint)
     }
 
-    /// Verdicts under way that the other nodes are to be told of.
+    /// Takes the pending verdicts that are to be published to the other nodes.
     pub fn take_pending(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.unpublished_pending)
     }
 
-    /// Whether this one must run alone.
+    /// Returns whether requests with this fingerprint must run alone.
     pub fn is_suspect(&self, fingerprint: u64) -> bool {
         let own = self
             .evidence
@@ -105,7 +110,7 @@
         own || (self.remote_suspects.contains(&fingerprint) && !self.cleared.contains(&fingerprint))
     }
 
-    /// An endpoint shows signs of death with `prints` in flight.
+    /// Records that an endpoint may have died with `fingerprints` in flight.
     pub fn open_incident(&mut self, at: Now, endpoint: EndpointId, fingerprints: Vec<u64>) {
         self.incidents.entry(endpoint).or_insert(Incident {
             at,
@@ -114,22 +119,27 @@
         });
     }
 
-    /// The endpoint lives: only connections broke, or it restarted at once. Returns the new
-    /// suspects.
-    pub fn record_alive(&mut self, now: Now, endpoint: EndpointId, broke: bool) -> Vec<u64> {
-        let Some(scene) = self.incidents.remove(&endpoint) else {
+    /// Closes the incident of an endpoint that is alive: only connections broke, or it restarted
+    /// quickly. Returns the new suspects.
+    pub fn record_alive(
+        &mut self,
+        now: Now,
+        endpoint: EndpointId,
+        connection_lost: bool,
+    ) -> Vec<u64> {
+        let Some(incident) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
-        if !broke {
+        if !connection_lost {
             return Vec::new();
         }
         let mut fingerprints = Vec::new();
-        for fingerprint in scene.fingerprints {
-            let mark = self.evidence.entry(fingerprint).or_default();
-            mark.connection_losses += 1;
-            mark.latest = now;
-            if mark.connection_losses >= BREAKS_PER_DEATH {
-                mark.connection_losses = 0;
+        for fingerprint in incident.fingerprints {
+            let evidence = self.evidence.entry(fingerprint).or_default();
+            evidence.connection_losses += 1;
+            evidence.latest = now;
+            if evidence.connection_losses >= BREAKS_PER_DEATH {
+                evidence.connection_losses = 0;
                 fingerprints.push(fingerprint);
             }
         }
@@ -141,45 +151,44 @@
         })
     }
 
-    /// The endpoint is dead. Returns the new suspects.
+    /// Closes the incident of a dead endpoint. Returns the new suspects.
     pub fn record_dead(&mut self, now: Now, endpoint: EndpointId) -> Vec<u64> {
-        let Some(mut scene) = self.incidents.remove(&endpoint) else {
+        let Some(mut incident) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
-        scene.at = now;
-        self.record_death(scene)
+        incident.at = now;
+        self.record_death(incident)
     }
 
-    fn record_death(&mut self, scene: Incident) -> Vec<u64> {
-        if scene.fingerprints.is_empty() {
+    fn record_death(&mut self, incident: Incident) -> Vec<u64> {
+        if incident.fingerprints.is_empty() {
             return Vec::new();
         }
-        let alone = scene.fingerprints.len() == 1;
-        let mut fresh = Vec::new();
-        for &fingerprint in &scene.fingerprints {
-            let before = self.is_suspect(fingerprint);
-            let mark = self.evidence.entry(fingerprint).or_default();
-            mark.deaths += 1;
-            mark.latest = scene.at;
-            if (before && alone) || mark.deaths >= MAX_SHARED_DEATHS {
+        let alone = incident.fingerprints.len() == 1;
+        let mut new_suspects = Vec::new();
+        for &fingerprint in &incident.fingerprints {
+            let known = self.is_suspect(fingerprint);
+            let evidence = self.evidence.entry(fingerprint).or_default();
+            evidence.deaths += 1;
+            evidence.latest = incident.at;
+            if (known && alone) || evidence.deaths >= SHARED_DEATHS_TO_CONDEMN {
                 self.verdicts
-                    .push((scene.at + CORRELATION_WINDOW, fingerprint));
+                    .push((incident.at + CORRELATION_WINDOW, fingerprint));
                 self.unpublished_pending.push(fingerprint);
             }
-            if !before {
+            if !known {
                 self.cleared.remove(&fingerprint);
-                fresh.push(fingerprint);
+                new_suspects.push(fingerprint);
             }
         }
-        self.deaths.push_back(scene);
+        self.deaths.push_back(incident);
         self.discount_mass_failure();
         self.evict();
-        fresh.retain(|&p| self.is_suspect(p));
-        fresh
+        new_suspects.retain(|&p| self.is_suspect(p));
+        new_suspects
     }
 
-    /// When many endpoints died together, drops what speaks against requests seen in one of
-    /// these deaths only.
+    /// After a mass failure, discounts the deaths of requests that were seen in only one of them.
     fn discount_mass_failure(&mut self) {
         let latest = self.deaths.back().map_or(Now::ZERO, |s| s.at);
         while self
@@ -203,8 +212,8 @@
     }
 
     fn discount(&mut self, fingerprint: u64) {
-        if let Some(mark) = self.evidence.get_mut(&fingerprint) {
-            mark.deaths = mark.deaths.saturating_sub(1);
+        if let Some(evidence) = self.evidence.get_mut(&fingerprint) {
+            evidence.deaths = evidence.deaths.saturating_sub(1);
         }
         self.deaths
             .iter_mut()
@@ -212,7 +221,7 @@
         self.verdicts.retain(|&(_, p)| p != fingerprint);
     }
 
-    /// Verdicts that are due: the fingerprints condemned now.
+    /// Concludes the verdicts that are due; returns the newly condemned fingerprints.
     pub fn conclude(&mut self, now: Now) -> Vec<u64> {
         let due = self.verdicts.extract_if(.., |&mut (at, _)| at <= now);
         let mut fingerprints: Vec<_> = due.map(|(_, fingerprint)| fingerprint).collect();
@@ -221,10 +230,10 @@
         fingerprints
     }
 
-    /// A request completed: it does not crash endpoints.
+    /// Clears a fingerprint: a request with it completed without crashing an endpoint.
     pub fn clear(&mut self, fingerprint: u64) {
-        let marked = self.evidence.remove(&fingerprint).is_some();
-        if marked || self.remote_suspects.contains(&fingerprint) {
+        let had_evidence = self.evidence.remove(&fingerprint).is_some();
+        if had_evidence || self.remote_suspects.contains(&fingerprint) {
             self.cleared.insert(fingerprint);
         }
         self.verdicts.retain(|&(_, p)| p != fingerprint);
@@ -247,7 +256,7 @@
         }
     }
 
-    /// Suspects by own evidence, and condemned fingerprints.
+    /// Returns the number of suspects by this router's own evidence and of condemned fingerprints.
     pub fn counts(&self) -> (usize, usize) {
         let suspects = self.evidence.values().filter(|m| m.deaths > 0).count();
         (suspects, self.condemned.len())
--- a/crates/route/src/event.rs
+++ b/crates/route/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a router.
+//! Events that a router handles.
 
 use crate::Attempt;
 use crate::failure::Failure;
@@ -8,30 +8,30 @@
 use bundle::id::EndpointId;
 use std::sync::Arc;
 
-/// An event.
+/// Input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Control published a new view. The first one comes before anything else.
+    /// Control published a new view. The first view precedes all other events.
     View(Arc<View>),
     /// A request arrived.
     Arrive(Request),
-    /// A hop of an attempt did its part of the current step.
+    /// A hop of an attempt completed its part of the current step.
     Progress(Id, Attempt, u8),
-    /// An attempt made one more token.
+    /// An attempt generated one more token.
     Token(Id, Attempt),
-    /// An attempt made its last token, or a plain service's answer is whole.
+    /// An attempt generated its last token, or the answer of a plain service is complete.
     Finished(Id, Attempt),
     /// An attempt failed.
     Failed(Id, Attempt, Failure),
-    /// The caller went away.
+    /// The caller disconnected.
     Left(Id),
-    /// A probe on a new connection ended; whether the endpoint answered.
+    /// A probe on a new connection ended; the flag tells whether the endpoint answered.
     Probed(EndpointId, bool),
     /// An endpoint reported its load.
     Load(EndpointId, Report),
-    /// Time passed; comes at least every [`crate::event::TICK`].
+    /// Time passed. Sent at least every [`crate::event::TICK`].
     Tick,
 }
 
-/// Longest time between two ticks.
+/// Maximum time between two ticks.
 pub const TICK: std::time::Duration = std::time::Duration::from_millis(20);
--- a/crates/route/src/failure.rs
+++ b/crates/route/src/failure.rs
@@ -1,38 +1,38 @@
-//! How an attempt failed.
+//! Failures of attempts.
 
 use bundle::id::EndpointId;
 use std::time::Duration;
 
-/// What went wrong.
+/// Cause of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// No connection could be made.
+    /// The connection could not be established.
     Connect,
-    /// The endpoint refused before running anything: it is full.
+    /// The endpoint refused before running anything because it is at capacity.
     Busy,
-    /// The endpoint refused before running anything: it is leaving.
+    /// The endpoint refused before running anything because it is leaving.
     Leaving,
-    /// The endpoint refused before running anything: it does not serve this.
+    /// The endpoint refused before running anything because it does not serve the model or service.
     Unfit,
-    /// The connection broke.
+    /// The connection was reset or closed.
     Reset,
-    /// The connection is open and nothing comes.
+    /// The connection is open but delivers nothing.
     Silent,
-    /// What came broke the protocol: wrong request, attempt, step or layers.
+    /// The endpoint violated the protocol: frames for the wrong request, attempt, step or layers.
     Protocol,
-    /// The endpoint answered that it could not compute.
+    /// The endpoint reported that it could not compute.
     Internal,
 }
 
-/// A failed attempt.
+/// Report of a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The endpoint that failed.
+    /// Endpoint that failed.
     pub endpoint: EndpointId,
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: Cause,
-    /// Whether a byte that could start the work left for any endpoint, in this attempt.
+    /// Whether a byte that could start the work was sent to any endpoint in this attempt.
     pub sent: bool,
-    /// When the endpoint asked to be tried again.
+    /// Delay after which the endpoint asked to be tried again.
     pub retry_after: Option<Duration>,
 }
--- a/crates/route/src/finding.rs
+++ b/crates/route/src/finding.rs
@@ -1,45 +1,45 @@
-//! What a check of the invariants found.
+//! Violations of invariants found by the router's checks.
 
 use crate::Attempt;
 use crate::request::Id;
 use bundle::id::{EndpointId, Layer, TeamId};
 use std::fmt;
 
-/// Where a finding was made.
+/// Subject of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// A request, at the number of its latest attempt.
+    /// Request, with the number of its latest attempt.
     Request(Id, Attempt),
-    /// An endpoint.
+    /// Endpoint.
     Endpoint(EndpointId),
-    /// A team.
+    /// Team.
     Team(TeamId),
-    /// The queues.
+    /// Queues of all models and services.
     Queue,
-    /// The retry budget.
+    /// Retry budget.
     Budget,
 }
 
-/// What is wrong.
+/// Violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A chain's next layer is the first number and should be the second.
+    /// A chain continues at the first layer but should continue at the second.
     Gap(Layer, Layer),
     /// A hop runs layers that its endpoint does not hold.
     Span(EndpointId),
-    /// An action on a request that is not live (never arrived or already ended).
+    /// An action concerns a request that is not live: it never arrived or has already ended.
     Ended,
-    /// A second attempt of a request that must not be repeated.
+    /// A request that must not be repeated got a second attempt.
     Repeated,
-    /// A refusal though a byte that could start the work may have left.
+    /// A request was refused although a byte that could start the work may have been sent.
     Sent,
-    /// An attempt started while another one runs.
+    /// An attempt was started while another one runs.
     Twice,
-    /// An answer was called whole without its last token.
+    /// An answer was reported complete without its last token.
     Partial,
-    /// New work for an endpoint that takes none.
+    /// New work was sent to an endpoint that accepts none.
     Closed(EndpointId),
-    /// Work of a suspect beside other work.
+    /// A suspect runs on an endpoint beside other work.
     Shared(EndpointId),
     /// A condemned request was started.
     Condemned,
@@ -51,12 +51,12 @@
     Order,
 }
 
-/// A finding.
+/// One violation of an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where.
+    /// Subject of the violation.
     pub place: Place,
-    /// What.
+    /// Violated invariant.
     pub fault: Fault,
 }
 
--- a/crates/route/src/fleet.rs
+++ b/crates/route/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The endpoints as this router knows them; rows outlive a bundle and are matched by name.
+//! State of the endpoints as seen by this router. Rows persist across bundles and are matched by
+//! name.
 
 use crate::Now;
 use crate::concurrency::Limiter;
@@ -10,35 +11,37 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How long changes of the own work in flight are remembered, to compare with late reports.
-const HISTORY_LENGTH: Duration = Duration::from_secs(3);
-/// Time without progress in which the memory of slowness fades to half.
+/// How long changes of the router's own in-flight count are kept, to subtract the count at the time
+/// of a load report that arrives late.
+const HISTORY_SPAN: Duration = Duration::from_secs(3);
+/// Time without progress after which a measured slowdown counts half.
 const SLOWDOWN_HALF_LIFE: Duration = Duration::from_secs(5);
-/// Reports older than this say nothing.
+/// Age above which a load report is ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Its name in the bundle.
+    /// Name of the endpoint in the bundle.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneId,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is live, ready and not leaving.
+    /// Whether the endpoint is live, ready and not leaving.
     pub available: bool,
-    /// Its health.
+    /// Health of the endpoint.
     pub health: Health,
-    /// Its pace.
+    /// Concurrency limit of the endpoint.
     pub limiter: Limiter,
-    /// Hops of this router's attempts that run on it.
+    /// Number of hops of this router's attempts that run on the endpoint.
     pub in_flight: u32,
-    /// No new work before this time: it answered that it is full or unfit.
+    /// Time before which the endpoint gets no new work, after it answered that it is full, leaving
+    /// or unfit.
     pub backoff_until: Now,
-    /// The suspect it is kept for.
+    /// Suspect that the endpoint is reserved for.
     pub reserved_for: Option<Id>,
-    /// When a hop last made progress.
+    /// Time of the latest progress of any hop.
     pub last_progress: Now,
     remote_load: Option<(Now, f64)>,
     history: VecDeque<(Now, u32)>,
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Takes in a load report: what others run is what it says less the own work at its time.
+    /// Records a load report. The load of other routers is the reported load less this router's own
+    /// at that time.
     pub fn record_report(&mut self, now: Now, report: &Report) {
         let at = now.saturating_sub(report.age);
         let own = self
@@ -75,8 +79,8 @@
         self.remote_load = Some((at, f64::from(total.saturating_sub(own))));
     }
 
-    /// Estimated work of other routers, discounted by the report's age so that many routers do
-    /// not all follow the same late report.
+    /// Estimates the load of other routers, discounted by the report's age so that many routers do
+    /// not all follow the same stale report.
     pub fn estimated_remote_load(&self, now: Now, half_life: Duration) -> f64 {
         let Some((at, others)) = self.remote_load else {
             return 0.0;
@@ -85,32 +89,32 @@
         if age > MAX_REPORT_AGE {
             return 0.0;
         }
-        let half = half_life.as_secs_f64();
-        others * half / (half + age.as_secs_f64())
+        let half_life_secs = half_life.as_secs_f64();
+        others * half_life_secs / (half_life_secs + age.as_secs_f64())
     }
 
-    /// Counts a hop that starts or ends.
-    pub fn set_in_flight(&mut self, now: Now, flying: u32) {
-        self.in_flight = flying;
-        self.history.push_back((now, flying));
-        while self.history.len() > 1 && self.history[1].0 + HISTORY_LENGTH < now {
+    /// Sets the number of hops in flight and records the change.
+    pub fn set_in_flight(&mut self, now: Now, in_flight: u32) {
+        self.in_flight = in_flight;
+        self.history.push_back((now, in_flight));
+        while self.history.len() > 1 && self.history[1].0 + HISTORY_SPAN < now {
             self.history.pop_front();
         }
     }
 
-    /// How many times slower than aimed it is, at least 1. Fades while nothing runs here, so that
-    /// an endpoint which was slow is tried again.
+    /// Returns how many times slower than its target the endpoint is, at least 1. Decays while
+    /// nothing runs there, so that an endpoint that was slow is tried again.
     pub fn slowdown(&self, now: Now) -> f64 {
         let idle = now.saturating_sub(self.last_progress).as_secs_f64();
         (self.limiter.slowdown / (1.0 + idle / SLOWDOWN_HALF_LIFE.as_secs_f64())).max(1.0)
     }
 
-    /// Whether it takes new work at all.
+    /// Returns whether the endpoint accepts new work.
     pub fn accepts_work(&self, now: Now) -> bool {
         self.available && self.health.accepts_work() && self.backoff_until <= now
     }
 
-    /// Requests of this router it may run at once now.
+    /// Returns how many of this router's requests may run there at once.
     pub fn limit(&self) -> u32 {
         let limit = (self.limiter.limit as u32).clamp(1, self.slots.max(1));
         self.health
@@ -122,39 +126,39 @@
 /// All endpoints of the bundle in force.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Rows by endpoint.
+    /// State by endpoint.
     pub rows: Vec<Row>,
-    /// By pair of zones: hops of this router that cross it.
+    /// Number of this router's hops that cross a pair of zones, by pair.
     pub crossings: Vec<u32>,
 }
 
 impl Fleet {
-    /// Takes in a bundle; returns the new id of each old endpoint.
+    /// Adopts a bundle; returns the new id of each old endpoint.
     pub fn apply_bundle(&mut self, bundle: &Bundle) -> Vec<Option<EndpointId>> {
         let mut old: BTreeMap<String, (usize, Row)> = std::mem::take(&mut self.rows)
             .into_iter()
             .enumerate()
             .map(|(i, r)| (r.name.clone(), (i, r)))
             .collect();
-        let mut moved = vec![None; old.len()];
+        let mut new_ids = vec![None; old.len()];
         for (id, row) in bundle.endpoints.iter().enumerate() {
-            let fresh = Row::new(&row.name, row.zone, row.slots);
+            let created = Row::new(&row.name, row.zone, row.slots);
             let mut kept = match old.remove(&row.name) {
-                Some((was, kept)) => {
-                    moved[was] = Some(id as EndpointId);
+                Some((old_id, kept)) => {
+                    new_ids[old_id] = Some(id as EndpointId);
                     kept
                 }
-                None => fresh,
+                None => created,
             };
             kept.zone = row.zone;
             kept.slots = row.slots;
             kept.limiter.resize(row.slots);
             self.rows.push(kept);
         }
-        moved
+        new_ids
     }
 
-    /// Counts a hop that crosses a pair of zones.
+    /// Adds a hop that crosses a pair of zones.
     pub fn add_crossing(&mut self, pair: usize) {
         self.crossings
             .get_mut(pair)
@@ -162,7 +166,7 @@
             .for_each(|n| *n += 1);
     }
 
-    /// Uncounts a hop that crossed a pair of zones.
+    /// Removes a hop that crossed a pair of zones.
     pub fn remove_crossing(&mut self, pair: usize) {
         self.crossings
             .get_mut(pair)
@@ -170,12 +174,12 @@
             .for_each(|n| *n = n.saturating_sub(1));
     }
 
-    /// The row of `id`.
+    /// Returns the row of `id`.
     pub fn get(&self, id: EndpointId) -> Option<&Row> {
         self.rows.get(id as usize)
     }
 
-    /// The row of `id`.
+    /// Returns the row of `id`.
     pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Row> {
         self.rows.get_mut(id as usize)
     }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,56 +1,57 @@
-//! Health of one endpoint: up, asked whether it lives, ejected, or on trial after an ejection.
+//! Health of one endpoint: up, probed, ejected, or on trial after an ejection (outlier ejection).
 //!
-//! A failure alone never ejects: it only leads to a probe on a new connection, since an open
-//! connection can go silent or break while the endpoint is well. Only a probe without an answer,
-//! or failures in a row that a probe can't explain, take the endpoint out.
+//! A single failure never ejects an endpoint; it triggers a probe on a new connection, since an
+//! open connection can stall or break while the endpoint is healthy. An endpoint is ejected only if
+//! a probe stays unanswered, or after consecutive failures that a probe can't explain.
 
 use crate::Now;
 use std::time::Duration;
 
-/// Failures in a row, though probes are answered, after which an endpoint is ejected.
+/// Consecutive failures after which an endpoint is ejected although it answers probes.
 pub const EJECTION_THRESHOLD: u32 = 4;
-/// Time after which earlier strikes are forgotten.
+/// Age of the latest failure above which the count of consecutive failures restarts at zero.
 const FAILURE_MEMORY: Duration = Duration::from_secs(10);
 
-/// State.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum State {
-    /// In use.
+    /// In use; accepts new work.
     #[default]
     Up,
-    /// Asked on a new connection since this time; no new work until it answers.
+    /// Probed on a new connection since this time; gets no new work until it answers.
     Probing(Now),
-    /// Out of use until this time, then probed.
+    /// Ejected until this time, then probed.
     Ejected(Now),
-    /// Answered a probe after an ejection; has this many good attempts so far.
+    /// On trial: answered a probe after an ejection; the value counts its successful attempts since
+    /// then.
     Trial(u32),
 }
 
-/// Health of one endpoint.
+/// Health of one endpoint and its count of failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
-    /// State.
+    /// Current state.
     pub state: State,
-    /// Ejections in a row.
+    /// Consecutive ejections; the duration of an ejection doubles with each.
     pub ejections: u32,
-    /// Whether the probe under way is for the return from an ejection.
+    /// Whether the probe in flight decides on the return from an ejection.
     pub returning: bool,
     failures: u32,
     last_failure: Now,
 }
 
 impl Health {
-    /// Whether new work may be sent.
+    /// Returns whether new work may be sent.
     pub fn accepts_work(&self) -> bool {
         matches!(self.state, State::Up | State::Trial(_))
     }
 
-    /// Whether it is out of use: ejected, or probed for its return.
+    /// Returns whether the endpoint is ejected or is probed for its return.
     pub fn is_ejected(&self) -> bool {
         matches!(self.state, State::Ejected(_)) || self.returning
     }
 
-    /// Requests it may run at once while on trial.
+    /// Returns the maximum number of concurrent requests while on trial, `None` otherwise.
     pub fn trial_limit(&self) -> Option<u32> {
         match self.state {
             State::Trial(good) => Some(1 + good),
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Whether a probe should be sent because of a failure; the state then waits for it.
+    /// Moves a usable endpoint to [`State::Probing`] after a failure; returns whether a probe is to
+    /// be sent.
     pub fn begin_probe(&mut self, now: Now) -> bool {
         let ask = self.accepts_work();
         if ask {
@@ -67,7 +69,8 @@
         ask
     }
 
-    /// Counts a failure that a probe can't explain; whether it is the one too many.
+    /// Counts a failure that a probe can't explain; returns whether [`EJECTION_THRESHOLD`] is
+    /// reached.
     pub fn record_failure(&mut self, now: Now) -> bool {
         if self.last_failure + FAILURE_MEMORY < now {
             self.failures = 0;
@@ -77,17 +80,19 @@
         self.failures >= EJECTION_THRESHOLD
     }
 
-    /// Takes it out of use; `jitter` in 0..1 spreads the returns.
-    pub fn eject(&mut self, now: Now, first: Duration, most: Duration, jitter: f64) {
+    /// Ejects the endpoint for `first`, doubled with each consecutive ejection up to `most`.
+    /// `jitter` in 0..1 spreads the returns of endpoints that were ejected together.
+    pub fn eject(&mut self, now: Now, min: Duration, max: Duration, jitter: f64) {
         let factor = 2_u32.saturating_pow(self.ejections.min(16));
-        let time = first.saturating_mul(factor).min(most);
+        let time = min.saturating_mul(factor).min(max);
         self.ejections += 1;
         self.returning = false;
         self.failures = 0;
         self.state = State::Ejected(now + time.mul_f64(1.0 + jitter / 2.0));
     }
 
-    /// Whether its time out of use is over; the state then waits for a probe.
+    /// Moves an endpoint whose ejection has expired to [`State::Probing`]; returns whether a probe
+    /// is to be sent.
     pub fn begin_return_probe(&mut self, now: Now) -> bool {
         let due = matches!(self.state, State::Ejected(until) if until <= now);
         if due {
@@ -97,7 +102,7 @@
         due
     }
 
-    /// The probe was answered.
+    /// Records an answered probe: back in use, or on trial if the endpoint was ejected.
     pub fn record_answer(&mut self) {
         self.state = if self.returning || self.ejections > 0 {
             State::Trial(0)
@@ -107,7 +112,8 @@
         self.returning = false;
     }
 
-    /// An attempt ended well; whether this restored the endpoint.
+    /// Records a successful attempt; returns whether it completed the trial and restored the
+    /// endpoint.
     pub fn record_success(&mut self, trials: u32) -> bool {
         self.failures = 0;
         let State::Trial(good) = self.state else {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,11 +1,12 @@
 //! Routing decisions of one request worker, without I/O.
 //!
-//! Inputs are [`event::Event`]s with the time they came at; outputs are [`action::Action`]s that
-//! the entry carries out. [`router::Router`] holds the state. Time is a [`Now`] that is passed in
-//! and chance a seeded generator, so that the same events give the same actions.
+//! Inputs are [`event::Event`]s with the time of their arrival; outputs are [`action::Action`]s
+//! that the entry carries out. [`router::Router`] holds the state. The time is passed in as a
+//! [`Now`] and randomness comes from a seeded generator, so that the same events yield the same
+//! actions.
 //!
-//! Left to others: sockets and frames (`engine`), callers' HTTP (`entry`), claims of idempotency
-//! keys (`lease`), spread of observations between nodes (`member`).
+//! Out of scope: sockets and frames (`engine`), HTTP with callers (`entry`), claims of idempotency
+//! keys (`lease`), dissemination of observations between nodes (`member`).
 
 use std::time::Duration;
 
@@ -37,5 +38,5 @@
 
 /// Time since the process started, on the monotonic clock.
 pub type Now = Duration;
-/// Number of a request's attempt, from 1; frames of an older attempt are dropped.
+/// Number of an attempt of a request, from 1; frames of an older attempt are dropped.
 pub type Attempt = u32;
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -1,16 +1,16 @@
-//! Load as endpoints report it, some time late.
+//! Load reports of endpoints, which arrive with a delay.
 
 use std::time::Duration;
 
-/// A load report.
+/// Load report of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
     /// Time between two tokens of one stream.
     pub inter_token: Duration,
-    /// How old the report was when it came.
+    /// Age of the report on arrival.
     pub age: Duration,
 }
--- a/crates/route/src/meter.rs
+++ b/crates/route/src/meter.rs
@@ -1,21 +1,21 @@
-//! Measured times of a line: how fast it starts requests and how long they take.
+//! Measurements of a line: its start rate and the durations of its requests.
 
 use crate::Now;
 use std::time::Duration;
 
-/// Part that one measurement has in an average.
+/// Weight of one measurement in an exponentially weighted average.
 const SMOOTHING_FACTOR: f64 = 0.1;
-/// Time over which starts are counted.
+/// Window over which starts are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Measures of one line; zero where not known yet.
+/// Averages of one line; zero while unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Meter {
     /// Time to the first token, in seconds.
     pub first_token: f64,
     /// Time between tokens, in seconds.
     pub token_gap: f64,
-    /// Tokens made, as a part of the most asked for.
+    /// Number of generated tokens, as a fraction of the maximum requested.
     pub token_fraction: f64,
     /// Requests started per second while others waited.
     pub start_rate: f64,
@@ -26,8 +26,9 @@
 }
 
 impl Meter {
-    /// A request started; whether others still wait. Time without any start is not counted: a line
-    /// that was idle would look slow, and a burst after it would be refused as overload.
+    /// Records the start of a request; `waiting` tells whether others still wait. Time without any
+    /// start is not counted. Otherwise a line that was idle would appear slow, and the next burst
+    /// would be refused as overload.
     pub fn record_start(&mut self, now: Now, waiting: bool) {
         let idle = now.saturating_sub(self.last_start) >= RATE_WINDOW;
         self.last_start = now;
@@ -50,38 +51,40 @@
         if self.saw_waiting {
             smooth(&mut self.start_rate, rate, SMOOTHING_FACTOR * 5.0);
         } else if self.start_rate > 0.0 {
-            // Nobody waited, so more could have been started: it can only raise a known rate.
+            // No request waited, so that more could have been started; the measurement can only
+            // raise a known rate.
             self.start_rate = self.start_rate.max(rate);
         }
         self.starts = 0;
         self.saw_waiting = false;
     }
 
-    /// A first token came after `took`.
+    /// Records the time to the first token.
     pub fn record_first_token(&mut self, took: Duration) {
         smooth(&mut self.first_token, took.as_secs_f64(), SMOOTHING_FACTOR);
     }
 
-    /// A request made `made` of at most `most` tokens after the first one in `took`.
-    pub fn record_end(&mut self, made: u32, most: u32, took: Duration) {
-        let part = f64::from(made) / f64::from(most.max(1));
+    /// Records a request that generated `tokens` of at most `max_tokens` tokens, in `took` after
+    /// the first one.
+    pub fn record_end(&mut self, tokens: u32, max_tokens: u32, took: Duration) {
+        let part = f64::from(tokens) / f64::from(max_tokens.max(1));
         smooth(&mut self.token_fraction, part.min(1.0), SMOOTHING_FACTOR);
-        if made > 1 {
+        if tokens > 1 {
             smooth(
                 &mut self.token_gap,
-                took.as_secs_f64() / f64::from(made - 1),
+                took.as_secs_f64() / f64::from(tokens - 1),
                 SMOOTHING_FACTOR,
             );
         }
     }
 
-    /// Expected time of a request that may make `most` tokens.
-    pub fn service_time(&self, most: u32) -> Duration {
-        let tokens = f64::from(most) * self.token_fraction;
+    /// Returns the expected duration of a request that may generate `max_tokens` tokens.
+    pub fn service_time(&self, max_tokens: u32) -> Duration {
+        let tokens = f64::from(max_tokens) * self.token_fraction;
         Duration::from_secs_f64(self.first_token + tokens * self.token_gap)
     }
 
-    /// Expected wait behind `ahead` requests.
+    /// Returns the expected wait behind `ahead` requests.
     pub fn expected_wait(&self, ahead: f64) -> Duration {
         let wait = if self.start_rate > 0.0 {
             ahead / self.start_rate
--- a/crates/route/src/outcome.rs
+++ b/crates/route/src/outcome.rs
@@ -1,20 +1,20 @@
-//! The outcomes a caller can be told.
+//! Outcomes that are reported to a caller.
 
 use std::fmt;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// No byte that could start the work left for any endpoint.
+    /// No byte that could start the work was sent to any endpoint.
     NotRun,
-    /// It may have run, in part or in whole, and won't be repeated.
+    /// The request may have run, partly or entirely, and won't be repeated.
     Unknown,
 }
 
 impl Outcome {
-    /// The word used in headers and in a stream's last event.
+    /// Returns the value used in headers and in the last event of a stream.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
--- a/crates/route/src/plan.rs
+++ b/crates/route/src/plan.rs
@@ -1,10 +1,11 @@
-//! Plans: for each model the layered graph of its endpoints, its maximum flow and flow shares.
+//! Planner: builds, for each model, the layered graph of its endpoints with its maximum flow and
+//! the flow through each stage.
 //!
-//! Endpoints with the same layers in the same availability zone are one edge of the network;
-//! their flow is split by capacity, so that none of them idles beside a full one. Edges are
-//! filled nearest first (same zone, same region, any), so that slow links carry only what the
-//! near ones can't. A link's capacity is applied at each layer boundary by itself; a model with
-//! several boundaries on one link is bounded from above by this, not exactly.
+//! Endpoints with the same layers in the same availability zone form one edge of the network; its
+//! flow is split by capacity, so that no endpoint idles beside a full one. Edges are filled nearest
+//! first (same zone, same region, any), so that slow links carry only what nearer links can't. A
+//! link's capacity is applied at each layer boundary separately. For a model with several
+//! boundaries on one link, the result is therefore an upper bound and not exact.
 
 use crate::view::View;
 use bundle::Bundle;
@@ -18,35 +19,44 @@
 
 use graph::{Graph, Stage};
 
-/// The most tokens per second that the hardware of `bundle` allows `model`, over all nodes.
+/// Returns the maximum throughput of `model` in tokens per second that the hardware in `bundle`
+/// allows, over all nodes.
 pub fn max_throughput(bundle: &Bundle, model: ModelId) -> f64 {
     let links = Links::new(bundle);
     Graph::new(bundle, &links, model, &stages(bundle, model, |_| true)).max_flow
 }
 
-/// The plans of all models and services.
+/// Plans of all models and services.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// By model: the graph over all usable endpoints.
+    /// Graph over all usable endpoints, by model.
     pub full: Vec<Graph>,
-    /// By model: the graph over the preferred subset, when there are many endpoints.
+    /// Graph over the preferred subset of endpoints, by model; `None` for a model with few
+    /// endpoints.
     pub subset: Vec<Option<Graph>>,
-    /// By service: the endpoints that serve it.
+    /// Endpoints that serve a service, by service.
     pub services: Vec<Vec<EndpointId>>,
     /// Links between zones.
     pub links: Links,
 }
 
 impl Plan {
-    /// Plans over the endpoints that `usable` accepts.
-    pub fn new(view: &View, usable: impl Fn(EndpointId) -> bool, seed: u64, most: usize) -> Self {
+    /// Plans over the endpoints that `usable` accepts. A model with more than `max_stages` stages
+    /// also gets a graph over a subset of about `max_stages` stages.
+    pub fn new(
+        view: &View,
+        usable: impl Fn(EndpointId) -> bool,
+        seed: u64,
+        max_stages: usize,
+    ) -> Self {
         let bundle = &*view.bundle;
         let links = Links::new(bundle);
         let mut plan = Self::default();
         for model in 0..bundle.models.len() as ModelId {
             let all = stages(bundle, model, &usable);
             plan.full.push(Graph::new(bundle, &links, model, &all));
-            let near = (all.len() > most).then(|| nearest_stages(view, &all, seed, most));
+            let near =
+                (all.len() > max_stages).then(|| nearest_stages(view, &all, seed, max_stages));
             plan.subset
                 .push(near.map(|near| Graph::new(bundle, &links, model, &near)));
         }
@@ -63,7 +73,7 @@
 }
 
 impl Plan {
-    /// Whether some model or service is not served.
+    /// Returns whether some model or service can't be served.
     pub fn has_unserved(&self) -> bool {
         let model = self.full.iter().any(|g| g.max_flow <= 0.0);
         model || self.services.iter().any(Vec::is_empty)
@@ -80,7 +90,7 @@
     0..bundle.endpoints.len() as EndpointId
 }
 
-/// The usable parts of `model`, in the order of endpoints.
+/// Returns the stages of `model` on usable endpoints, in the order of endpoints.
 fn stages(bundle: &Bundle, model: ModelId, usable: impl Fn(EndpointId) -> bool) -> Vec<Stage> {
     let mut stages = Vec::new();
     for id in endpoint_ids(bundle).filter(|&e| usable(e)) {
@@ -105,9 +115,9 @@
     stages
 }
 
-/// Of each range of layers the nearest stages, about `most` in all; among equally near ones by a
-/// hash with the router's seed, so that routers take different ones.
-fn nearest_stages(view: &View, all: &[Stage], seed: u64, most: usize) -> Vec<Stage> {
+/// Returns the nearest stages of each range of layers, about `max_stages` in total. Equally near
+/// stages are ordered by a hash with the router's seed, so that routers prefer different ones.
+fn nearest_stages(view: &View, all: &[Stage], seed: u64, max_stages: usize) -> Vec<Stage> {
     let mut ranges: BTreeMap<(Layer, Layer), Vec<Stage>> = BTreeMap::new();
     for stage in all {
         ranges
@@ -117,7 +127,7 @@
     }
     let mut near = Vec::new();
     for mut range in ranges.into_values() {
-        let keep = (range.len() * most)
+        let keep = (range.len() * max_stages)
             .div_ceil(all.len())
             .max(MIN_STAGES_PER_RANGE);
         range.sort_by_key(|s| {
@@ -131,10 +141,10 @@
     near
 }
 
-/// Stages of each range of layers that a subset keeps at least.
+/// Minimum number of stages that a subset keeps of each range of layers.
 const MIN_STAGES_PER_RANGE: usize = 4;
 
-/// 0 within a zone, 1 within a region, 2 beyond.
+/// Returns the distance of two zones: 0 within a zone, 1 within a region, 2 otherwise.
 pub fn distance(bundle: &Bundle, a: ZoneId, b: ZoneId) -> u8 {
     let region = |z: ZoneId| bundle.zones.get(z as usize).map(|z| z.region.as_str());
     match (a == b, region(a) == region(b)) {
@@ -148,7 +158,7 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(&stage.name_hash.to_le_bytes(), seed)
 }
 
-/// Links by pair of zones; a pair that the bundle does not name is unbounded and has no latency.
+/// Links by pair of zones. A pair that the bundle does not list is unbounded and has no latency.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     zones: usize,
@@ -157,7 +167,7 @@
 }
 
 impl Links {
-    /// The links of `bundle`.
+    /// Reads the links of `bundle`.
     pub fn new(bundle: &Bundle) -> Self {
         let zones = bundle.zones.len();
         let mut links = Self {
@@ -179,17 +189,17 @@
         }
     }
 
-    /// Index of a pair of zones.
+    /// Returns the index of a pair of zones.
     pub fn pair_index(&self, a: ZoneId, b: ZoneId) -> usize {
         a as usize * self.zones + b as usize
     }
 
-    /// Number of pairs.
+    /// Returns the number of pairs.
     pub fn pair_count(&self) -> usize {
         self.zones * self.zones
     }
 
-    /// One-way latency.
+    /// Returns the one-way latency between two zones.
     pub fn latency(&self, a: ZoneId, b: ZoneId) -> Duration {
         self.latency
             .get(self.pair_index(a, b))
@@ -197,12 +207,12 @@
             .unwrap_or_default()
     }
 
-    /// Tokens' activations per second.
+    /// Returns the capacity between two zones, in activations of tokens per second.
     pub fn rate(&self, a: ZoneId, b: ZoneId) -> f64 {
         self.rate_at(self.pair_index(a, b))
     }
 
-    /// Tokens' activations per second over a pair.
+    /// Returns the capacity of a pair, in activations of tokens per second.
     pub fn rate_at(&self, pair: usize) -> f64 {
         self.rate.get(pair).copied().unwrap_or(flow::UNBOUNDED)
     }
--- a/crates/route/src/plan/flow.rs
+++ b/crates/route/src/plan/flow.rs
@@ -1,16 +1,16 @@
-//! Maximum flow by Dinic's algorithm, on capacities in tokens per second.
+//! Maximum flow by Dinic's algorithm, with capacities in tokens per second.
 
 /// Index of a node.
 pub type Node = usize;
 /// Index of an edge; its reverse is `edge ^ 1`.
 pub type Edge = usize;
 
-/// Capacity that never binds.
+/// Capacity that is never reached.
 pub const UNBOUNDED: f64 = 1e12;
-/// Flow below which an edge counts as full.
+/// Residual capacity below which an edge counts as saturated.
 const EPSILON: f64 = 1e-6;
 
-/// A network with the flow found so far.
+/// Flow network and its current flow.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
     heads: Vec<Node>,
@@ -21,7 +21,7 @@
 }
 
 impl Network {
-    /// A network of `nodes` nodes without edges.
+    /// Creates a network of `nodes` nodes without edges.
     pub fn new(nodes: usize) -> Self {
         Self {
             outgoing: vec![Vec::new(); nodes],
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds an edge that carries `capacity` tokens per second.
+    /// Adds an edge with a capacity of `capacity` tokens per second.
     pub fn add_edge(&mut self, from: Node, to: Node, capacity: f64) -> Edge {
         let edge = self.heads.len();
         self.heads.extend([to, from]);
@@ -41,13 +41,13 @@
         edge
     }
 
-    /// The flow on `edge`.
+    /// Returns the flow on `edge`.
     pub fn flow(&self, edge: Edge) -> f64 {
         self.residual[edge ^ 1]
     }
 
-    /// Adds all the flow that fits from `source` to `sink`; returns what was added. Edges may
-    /// be added between two calls: the earlier ones are filled first.
+    /// Augments the flow from `source` to `sink` to its maximum and returns the increase. Edges may
+    /// be added between two calls; edges that were added earlier are filled first.
     pub fn augment(&mut self, source: Node, sink: Node) -> f64 {
         let mut total = 0.0;
         while self.assign_levels(source, sink) {
@@ -63,7 +63,8 @@
         total
     }
 
-    /// Breadth-first distances over edges with spare capacity; whether `sink` is in reach.
+    /// Assigns breadth-first levels over edges with residual capacity; returns whether `sink` is
+    /// reachable.
     fn assign_levels(&mut self, source: Node, sink: Node) -> bool {
         self.level.fill(u32::MAX);
         self.level[source] = 0;
@@ -82,7 +83,7 @@
         self.level[sink] != u32::MAX
     }
 
-    /// Pushes at most `limit` along one path of growing distance.
+    /// Pushes at most `limit` along one path of ascending levels; returns the flow pushed.
     fn push(&mut self, node: Node, sink: Node, limit: f64) -> f64 {
         if node == sink {
             return limit;
--- a/crates/route/src/plan/graph.rs
+++ b/crates/route/src/plan/graph.rs
@@ -1,4 +1,4 @@
-//! The layered graph of one model.
+//! Layered graph of one model.
 
 use super::flow::{Edge, Network, UNBOUNDED};
 use super::{Links, distance};
@@ -6,59 +6,60 @@
 use bundle::id::{EndpointId, Layer, ModelId, ZoneId};
 use std::collections::BTreeMap;
 
-/// An endpoint's part of a model.
+/// Contiguous layers of a model on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
-    /// The endpoint.
+    /// Endpoint that holds the layers.
     pub endpoint: EndpointId,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneId,
     /// First layer.
     pub from: Layer,
     /// One past the last layer.
     pub to: Layer,
-    /// Tokens per second through these layers.
+    /// Throughput of these layers in tokens per second.
     pub rate: f64,
-    /// Hash of the endpoint's name, alike on all nodes.
+    /// Hash of the endpoint's name, equal on all nodes.
     pub name_hash: u64,
 }
 
-/// A stage that a chain can go on with.
+/// Stage that a chain can continue with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Successor {
     /// Index in [`Graph::stages`].
     pub stage: usize,
-    /// Flow that arrives at the stage this way, and at those before it in the list, in tokens
-    /// per second.
+    /// Cumulative flow: from the port to this stage and to all stages before it in the list, in
+    /// tokens per second.
     pub cumulative_flow: f64,
 }
 
-/// A place where a chain can stand: a layer boundary, in a zone; [`Graph::START`] before all.
+/// Position of a chain between two stages: a layer boundary in a zone, or [`Graph::START`] before
+/// the first stage.
 pub type Port = usize;
 
-/// The graph: stages and the flow between them.
+/// Stages of a model and the flow between them.
 #[derive(Clone, Debug, Default)]
 pub struct Graph {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
     /// Maximum flow in tokens per second.
     pub max_flow: f64,
     /// Stages, sorted by first layer.
     pub stages: Vec<Stage>,
-    /// By stage: its flow in tokens per second.
+    /// Flow through a stage in tokens per second, by stage.
     pub flows: Vec<f64>,
-    /// By layer boundary: first stage that starts there, in [`Graph::stages`].
+    /// Layers at which some stage starts or ends, and both ends of the model, in ascending order.
     layer_boundaries: Vec<Layer>,
     zones: usize,
     successors: Vec<Vec<Successor>>,
 }
 
 impl Graph {
-    /// The port before the first layer.
+    /// Port before the first layer.
     pub const START: Port = 0;
 
-    /// The graph of `stages`. Where no chain of whole stages covers the model, stages may be
-    /// entered in their middle.
+    /// Builds the graph of `stages`. If no chain of whole stages covers the model, stages may be
+    /// entered at an inner layer.
     pub fn new(bundle: &Bundle, links: &Links, model: ModelId, stages: &[Stage]) -> Self {
         let layers = bundle.models[model as usize].layers;
         let graph = Self::solve(bundle, links, layers, stages.to_vec());
@@ -87,35 +88,35 @@
         graph
     }
 
-    /// The port after `stage`.
+    /// Returns the port after `stage`.
     pub fn port_after(&self, stage: &Stage) -> Port {
-        let cut = self.layer_boundaries.partition_point(|&c| c < stage.to);
-        1 + cut * self.zones + stage.zone as usize
+        let boundary = self.layer_boundaries.partition_point(|&c| c < stage.to);
+        1 + boundary * self.zones + stage.zone as usize
     }
 
-    /// Ways on from a port, by flow.
+    /// Returns the stages that can follow a port, with their flow.
     pub fn successors(&self, port: Port) -> &[Successor] {
         self.successors.get(port).map_or(&[], Vec::as_slice)
     }
 
-    /// Number of ports.
+    /// Returns the number of ports.
     pub fn port_count(&self) -> usize {
         1 + self.layer_boundaries.len() * self.zones
     }
 
-    /// The stages that start at `layer`, as a range of indexes.
+    /// Returns the stages that start at `layer`, as a range of indexes.
     pub fn stages_from(&self, layer: Layer) -> std::ops::Range<usize> {
         let first = self.stages.partition_point(|s| s.from < layer);
         first..self.stages.partition_point(|s| s.from <= layer)
     }
 
-    /// The ports after `layer` with their zones.
+    /// Returns the ports at the boundary `layer`, with their zones.
     pub fn ports_at(&self, layer: Layer) -> impl Iterator<Item = (Port, ZoneId)> + use<> {
         let first = 1 + self.layer_boundaries.partition_point(|&c| c < layer) * self.zones;
         (0..self.zones).map(move |z| (first + z, z as ZoneId))
     }
 
-    /// Layer boundaries in order.
+    /// Returns the layer boundaries in ascending order.
     pub fn layer_boundaries(&self) -> &[Layer] {
         &self.layer_boundaries
     }
@@ -129,7 +130,8 @@
     }
 }
 
-/// Stages with an extra entry at each other stage's end that lies within them.
+/// Returns `stages` and, for each end of another stage that lies inside of one, the remainder of
+/// that stage from there.
 fn with_inner_entries(stages: &[Stage]) -> Vec<Stage> {
     let mut ends: Vec<_> = stages.iter().map(|s| s.to).collect();
     ends.sort_unstable();
@@ -149,15 +151,15 @@
     all
 }
 
-/// Stages with the same layers in the same zone: one edge.
+/// Stages with the same layers in the same zone, which form one edge.
 struct Group {
     stages: std::ops::Range<usize>,
     rate: f64,
     edge: Edge,
 }
 
-/// A network under construction. Each port is two nodes: activations that came out of a stage in
-/// a zone, and activations that a stage in a zone can take in.
+/// Network under construction. Each port consists of two nodes: one for activations produced by the
+/// stages of a zone, one for activations to be consumed by the stages of a zone.
 struct Builder {
     net: Network,
     source: usize,
@@ -203,15 +205,15 @@
 
     /// Adds the links between zones at distance `reach`, at each inner boundary.
     fn add_links(&mut self, graph: &Graph, bundle: &Bundle, links: &Links, reach: u8) {
-        for cut in 1..graph.layer_boundaries.len().saturating_sub(1) {
+        for boundary in 1..graph.layer_boundaries.len().saturating_sub(1) {
             for a in 0..graph.zones {
                 for b in 0..graph.zones {
                     let (from, to) = (a as ZoneId, b as ZoneId);
                     if distance(bundle, from, to) != reach {
                         continue;
                     }
-                    let port = 1 + cut * graph.zones + a;
-                    let intake = graph.port_count() + 1 + cut * graph.zones + b;
+                    let port = 1 + boundary * graph.zones + a;
+                    let intake = graph.port_count() + 1 + boundary * graph.zones + b;
                     let edge = self.net.add_edge(port, intake, links.rate(from, to));
                     self.link_edges.insert((port, to), edge);
                 }
@@ -219,7 +221,8 @@
         }
     }
 
-    /// Splits the flow of each group by rate, and says where each port's flow goes.
+    /// Splits the flow of each group among its stages by rate and records the flow from each port
+    /// to its successors.
     fn assign_flows(&self, graph: &mut Graph) {
         graph.flows = vec![0.0; graph.stages.len()];
         graph.successors = vec![Vec::new(); graph.port_count()];
@@ -229,31 +232,33 @@
             *arriving.entry(intake).or_default() += self.net.flow(group.edge);
         }
         for group in &self.groups {
-            let through = self.net.flow(group.edge);
-            let lead = graph.stages[group.stages.start];
-            let total = arriving[&intake(graph, &lead)];
+            let group_flow = self.net.flow(group.edge);
+            let first_stage = graph.stages[group.stages.start];
+            let total = arriving[&intake(graph, &first_stage)];
             for at in group.stages.clone() {
-                graph.flows[at] = through * graph.stages[at].rate / group.rate;
+                graph.flows[at] = group_flow * graph.stages[at].rate / group.rate;
             }
-            if through <= 0.0 || total <= 0.0 {
+            if group_flow <= 0.0 || total <= 0.0 {
                 continue;
             }
-            self.assign_group_flow(graph, group, lead, total);
+            self.assign_group_flow(graph, group, first_stage, total);
         }
     }
 
-    fn assign_group_flow(&self, graph: &mut Graph, group: &Group, lead: Stage, total: f64) {
-        if lead.from == 0 {
+    fn assign_group_flow(&self, graph: &mut Graph, group: &Group, first_stage: Stage, total: f64) {
+        if first_stage.from == 0 {
             for stage in group.stages.clone() {
                 let flow = graph.flows[stage];
                 append(&mut graph.successors[Graph::START], stage, flow);
             }
             return;
         }
-        let cut = graph.layer_boundaries.partition_point(|&c| c < lead.from);
+        let boundary = graph
+            .layer_boundaries
+            .partition_point(|&c| c < first_stage.from);
         for zone in 0..graph.zones {
-            let port = 1 + cut * graph.zones + zone;
-            let Some(&edge) = self.link_edges.get(&(port, lead.zone)) else {
+            let port = 1 + boundary * graph.zones + zone;
+            let Some(&edge) = self.link_edges.get(&(port, first_stage.zone)) else {
                 continue;
             };
             let link = self.net.flow(edge);
@@ -275,8 +280,8 @@
     }
 }
 
-/// Node where activations wait for a stage like `stage`.
+/// Returns the node from which a stage like `stage` consumes activations.
 fn intake(graph: &Graph, stage: &Stage) -> usize {
-    let cut = graph.layer_boundaries.partition_point(|&c| c < stage.from);
-    graph.port_count() + 1 + cut * graph.zones + stage.zone as usize
+    let boundary = graph.layer_boundaries.partition_point(|&c| c < stage.from);
+    graph.port_count() + 1 + boundary * graph.zones + stage.zone as usize
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,47 +1,47 @@
-//! Queues: a line for each model and service; urgent work first, fair shares below.
+//! Queues: one line for each model and service, with urgent requests first and fair shares below.
 //!
-//! Within a line, urgent requests go strictly by priority, then by arrival. The others are
-//! shared by stride scheduling on two levels: between priorities by their weight, then between
-//! teams by theirs. A lane that was idle starts at its level's present pass: idle time earns no
-//! credit. Suspects wait apart, since they need endpoints for themselves.
+//! Within a line, urgent requests are ordered strictly by priority, then by arrival. The others are
+//! ordered by stride scheduling on two levels: among priorities by their weights, then among teams
+//! by theirs. A lane that was idle starts at the current pass of its level, so that idle time earns
+//! no credit. Suspects wait separately, since they need endpoints of their own.
 
 use crate::request::{Id, Target};
 use bundle::id::{PriorityId, TeamId};
 use std::collections::BTreeMap;
 
-/// What the queue needs to know of a request.
+/// Entry of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// The request.
+    /// Id of the request.
     pub id: Id,
-    /// Place in the order of arrival.
+    /// Sequence number of the request's arrival.
     pub seq: u64,
-    /// Its line.
+    /// Line that the request waits in.
     pub line: Target,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: PriorityId,
-    /// Its team.
+    /// Team of the request.
     pub team: TeamId,
-    /// How it waits.
+    /// Scheduling rank.
     pub rank: Rank,
-    /// Weight of its priority.
+    /// Weight of the priority.
     pub priority_weight: u32,
-    /// Weight of its team.
+    /// Weight of the team.
     pub team_weight: u32,
 }
 
-/// How a request waits.
+/// Scheduling rank of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// Strictly before what is not urgent.
+    /// Strictly before requests that are not urgent.
     Urgent,
-    /// Needs endpoints for itself; whether it is urgent.
+    /// Needs endpoints of its own; the flag tells whether it is urgent.
     Suspect(bool),
-    /// By fair shares.
+    /// Ordered by fair shares.
     Fair,
 }
 
-/// The line that a target waits in: adapters of a model share its line.
+/// Returns the line of a target. All adapters of a model share one line.
 pub fn line(target: Target) -> Target {
     match target {
         Target::Model(model, _) => Target::Model(model, None),
@@ -49,10 +49,10 @@
     }
 }
 
-/// Requests of one lane in a window.
+/// Maximum number of requests that one lane contributes to a window.
 const WINDOW_PER_LANE: usize = 8;
 
-/// One line.
+/// Requests that wait for one model or service.
 #[derive(Clone, Debug, Default)]
 pub struct Line {
     urgent: BTreeMap<(PriorityId, u64), Id>,
@@ -66,7 +66,7 @@
 struct Class {
     weight: u32,
     pass: f64,
-    /// Pass of the lane served last.
+    /// Pass of the lane that was served last.
     current_pass: f64,
     len: usize,
     lanes: BTreeMap<TeamId, Lane>,
@@ -79,13 +79,13 @@
     ids: BTreeMap<u64, Id>,
 }
 
-/// All lines.
+/// Lines of all models and services.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     lines: BTreeMap<Target, Line>,
-    /// Urgent requests that wait.
+    /// Number of waiting urgent requests.
     pub urgent_count: usize,
-    /// Other requests that wait.
+    /// Number of other waiting requests.
     pub fair_count: usize,
 }
 
@@ -93,7 +93,7 @@
     /// Adds a request.
     pub fn push(&mut self, entry: &Entry) {
         let line = self.lines.entry(entry.line).or_default();
-        let fresh = match entry.rank {
+        let inserted = match entry.rank {
             Rank::Urgent => line
                 .urgent
                 .insert((entry.priority, entry.seq), entry.id)
@@ -104,13 +104,13 @@
                 .is_none(),
             Rank::Fair => line.insert_fair(entry),
         };
-        if fresh {
+        if inserted {
             line.len += 1;
             *self.counter(entry.rank) += 1;
         }
     }
 
-    /// Removes a request; whether it was there.
+    /// Removes a request; returns whether it was present.
     pub fn remove(&mut self, entry: &Entry) -> bool {
         let Some(line) = self.lines.get_mut(&entry.line) else {
             return false;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Lines in which something waits.
+    /// Returns the lines that have waiting requests.
     pub fn lines(&self) -> Vec<Target> {
         self.lines
             .iter()
@@ -143,28 +143,32 @@
             .collect()
     }
 
-    /// The line of `target`.
+    /// Returns the line of `target`.
     pub fn line(&self, target: Target) -> Option<&Line> {
         self.lines.get(&target)
     }
 
-    /// Charges `cost` to a request's team and priority.
+    /// Charges `cost` to the team and the priority of a request.
     pub fn charge(&mut self, entry: &Entry, cost: f64) {
         if let Some(line) = self.lines.get_mut(&entry.line) {
             line.charge(entry, cost);
         }
     }
 
-    /// Forgets everything that waits, as before it is pushed again under new ids.
+    /// Removes all requests. Used before they are pushed again under the ids of a new bundle.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Recount of what waits: urgent and fair.
+    /// Recounts the waiting requests: urgent ones and others.
     pub fn recount(&self) -> (usize, usize) {
         let mut count = (0, 0);
         for line in self.lines.values() {
-            let urgent = line.suspects.keys().filter(|(late, _)| !late).count();
+            let urgent = line
+                .suspects
+                .keys()
+                .filter(|(not_urgent, _)| !not_urgent)
+                .count();
             count.0 += line.urgent.len() + urgent;
             count.1 += line.suspects.len() - urgent;
             count.1 += line
@@ -179,28 +183,29 @@
 }
 
 impl Line {
-    /// Requests that wait here.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits here.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Urgent requests, first to go first.
+    /// Returns the urgent requests in scheduling order.
     pub fn urgent(&self) -> impl Iterator<Item = Id> + '_ {
         self.urgent.values().copied()
     }
 
-    /// Suspects, first to go first.
+    /// Returns the suspects in scheduling order.
     pub fn suspects(&self) -> impl Iterator<Item = Id> + '_ {
         self.suspects.values().copied()
     }
 
-    /// The first `most` requests that are next by fair shares, each lane's first ones together.
-    pub fn window(&self, most: usize) -> Vec<Id> {
+    /// Returns the first `max` requests in the order of fair shares; the requests of one lane stay
+    /// together.
+    pub fn window(&self, max: usize) -> Vec<Id> {
         let mut classes: Vec<_> = self.classes.values().filter(|c| c.len > 0).collect();
         classes.sort_by(|a, b| a.pass.total_cmp(&b.pass));
         let mut ids = Vec::new();
@@ -211,9 +216,9 @@
                 ids.extend(
                     lane.ids
                         .values()
-                        .take((most - ids.len()).min(WINDOW_PER_LANE)),
+                        .take((max - ids.len()).min(WINDOW_PER_LANE)),
                 );
-                if ids.len() == most {
+                if ids.len() == max {
                     return ids;
                 }
             }
@@ -221,7 +226,7 @@
         ids
     }
 
-    /// Requests expected to start before a new one of `team` at `priority`, by fair shares.
+    /// Estimates how many requests start before a new one of `team` at `priority`, by fair shares.
     pub fn expected_ahead(
         &self,
         priority: PriorityId,
@@ -237,7 +242,7 @@
             .map(|c| c.weight)
             .sum();
         let own = self.classes.get(&priority);
-        let (lanes, mine, all) = own.map_or((0, 0, 0), |c| {
+        let (lanes, own_waiting, all) = own.map_or((0, 0, 0), |c| {
             let busy = c
                 .lanes
                 .iter()
@@ -250,8 +255,8 @@
         } else {
             classes
         };
-        let within =
-            (mine as f64 * f64::from(lanes + weight) / f64::from(weight.max(1))).min(all as f64);
+        let within = (own_waiting as f64 * f64::from(lanes + weight) / f64::from(weight.max(1)))
+            .min(all as f64);
         let across = within * f64::from(others + class) / f64::from(class.max(1));
         urgent + across.min((self.len as f64 - urgent).max(0.0))
     }
@@ -269,9 +274,9 @@
         if lane.ids.is_empty() {
             lane.pass = lane.pass.max(now);
         }
-        let fresh = lane.ids.insert(entry.seq, entry.id).is_none();
-        class.len += usize::from(fresh);
-        fresh
+        let inserted = lane.ids.insert(entry.seq, entry.id).is_none();
+        class.len += usize::from(inserted);
+        inserted
     }
 
     fn remove_fair(&mut self, entry: &Entry) -> bool {
--- a/crates/route/src/refusal.rs
+++ b/crates/route/src/refusal.rs
@@ -1,29 +1,29 @@
-//! Refusals: the request was truly not run.
+//! Refusals: the request was not run, not even in part.
 
 use std::time::Duration;
 
-/// Why a request was refused.
+/// Reason of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The team is over its rate or its requests in flight.
+    /// The team exceeds its rate or its number of requests in flight.
     Limit,
     /// The queue is full or the deadline can't be met.
     Overload,
-    /// The deadline passed while it waited.
+    /// The deadline passed while the request waited.
     Deadline,
-    /// No pipeline covers the model, or nothing serves the service.
+    /// No chain covers the model, or no endpoint serves the service.
     NoEndpoint,
-    /// Requests like this one crash endpoints.
+    /// Requests with this fingerprint crash endpoints.
     Condemned,
-    /// The node leaves.
+    /// The node is leaving.
     Leaving,
 }
 
-/// A refusal.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back, if that can help.
+    /// Delay after which the caller may retry; `None` if a retry can't help.
     pub retry_after: Option<Duration>,
 }
--- a/crates/route/src/report.rs
+++ b/crates/route/src/report.rs
@@ -2,17 +2,17 @@
 
 use std::fmt;
 
-/// Defines the report's fields once, for the struct and its text form.
+/// Defines the fields of the report once, for the struct and its text form.
 macro_rules! report {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counters (since the start) and gauges (now).
+        /// Counters (since the start) and gauges (current values).
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct Report {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl Report {
-            /// Names and values, in a fixed order.
+            /// Returns names and values in a fixed order.
             pub fn rows(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name),)*]
             }
@@ -23,7 +23,7 @@
 report! {
     /// Counter: requests that arrived.
     arrived,
-    /// Counter: requests whose answer was whole.
+    /// Counter: requests with a complete answer.
     complete,
     /// Counter: requests that ended with an unknown outcome.
     unknown,
@@ -33,31 +33,31 @@
     refused_overload,
     /// Counter: requests refused because the deadline passed while they waited.
     refused_deadline,
-    /// Counter: requests refused because nothing serves them.
+    /// Counter: requests refused because no endpoint serves them.
     refused_no_endpoint,
-    /// Counter: requests refused because such requests crash endpoints.
+    /// Counter: requests refused because requests with their fingerprint crash endpoints.
     refused_condemned,
-    /// Counter: requests refused because the node leaves.
+    /// Counter: requests refused because the node is leaving.
     refused_leaving,
-    /// Counter: requests whose caller went away.
+    /// Counter: requests whose caller disconnected.
     left,
     /// Counter: attempts started.
     attempts,
     /// Counter: attempts started after a failure, granted by the retry budget.
     retries,
-    /// Counter: attempts started again after a pause for urgent work.
+    /// Counter: attempts resumed after a pause for urgent work.
     resumed,
     /// Counter: attempts paused for urgent work.
     paused,
-    /// Counter: attempts moved so that a suspect runs alone.
+    /// Counter: attempts moved to other endpoints so that a suspect runs alone.
     moved,
     /// Counter: attempts moved away from endpoints that became slow.
     slow,
     /// Counter: attempts that failed.
     failed,
-    /// Counter: answers that an endpoint is full.
+    /// Counter: refusals by endpoints that are full.
     busy,
-    /// Counter: events of attempts that had ended.
+    /// Counter: events of attempts that had already ended.
     stale,
     /// Counter: probes sent.
     probes,
@@ -65,31 +65,31 @@
     ejected,
     /// Counter: endpoints restored.
     restored,
-    /// Counter: silent connections dropped at a living endpoint.
+    /// Counter: probes that found an endpoint alive behind silent connections, which were dropped.
     silent,
     /// Counter: fingerprints that became suspect.
     suspected,
     /// Counter: fingerprints condemned.
     condemned,
-    /// Counter: choices that had to search, since no drawn stage took work.
+    /// Counter: chain selections that needed a search because no drawn stage accepted work.
     searched,
-    /// Counter: findings of the invariants' checks; must stay 0.
+    /// Counter: violated invariants; must stay 0.
     findings,
-    /// Gauge: requests that wait and are urgent.
+    /// Gauge: waiting requests that are urgent.
     waiting_urgent,
-    /// Gauge: requests that wait and are not urgent.
+    /// Gauge: waiting requests that are not urgent.
     waiting,
     /// Gauge: requests that wait for the retry budget or a probe.
     parked,
-    /// Gauge: requests that run.
+    /// Gauge: running requests.
     running,
-    /// Gauge: endpoints that take no work because of their health.
+    /// Gauge: endpoints that accept no work because of their health.
     out,
-    /// Gauge: retries saved up.
+    /// Gauge: retries available in the budget.
     budget,
-    /// Gauge: suspects by own evidence.
+    /// Gauge: suspects by this router's own evidence.
     suspects,
-    /// Gauge: prefixes remembered.
+    /// Gauge: remembered prefixes.
     prefixes,
 }
 
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,41 +1,42 @@
-//! What the router needs to know of a request.
+//! Requests as the router sees them.
 
 use crate::Now;
 use bundle::id::{AdapterId, ModelId, PriorityId, ServiceId, TeamId};
 
-/// Id of a request, unique over all nodes.
+/// Id of a request, unique across all nodes.
 pub type Id = u128;
 
-/// What a request asks for.
+/// Model or service that a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
-    /// Tokens of a model.
+    /// Generation of tokens by a model, optionally with an adapter.
     Model(ModelId, Option<AdapterId>),
-    /// A call of a plain service.
+    /// Call of a plain service.
     Service(ServiceId),
 }
 
-/// A request that arrived.
+/// Request to be routed.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: Id,
-    /// The caller's team.
+    /// Team of the caller.
     pub team: TeamId,
-    /// What it asks for.
+    /// Model or service that is requested.
     pub target: Target,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: PriorityId,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When its answer has lost its worth.
+    /// Time after which the answer is of no use to the caller.
     pub deadline: Now,
-    /// Length of the prompt, in tokens, as estimated by the entry.
+    /// Length of the prompt in tokens, as estimated by the entry.
     pub prompt_tokens: u32,
-    /// Most tokens it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Chained hashes of the prompt's blocks, longest common prefix first.
+    /// Chained hashes of the prompt's blocks, the first block first: equal hashes stand for equal
+    /// prefixes.
     pub prefix: Vec<u64>,
-    /// Hash of the team and the whole body: equal for a resend.
+    /// Hash of the team and the whole body; equal for a request that is sent again.
     pub fingerprint: u64,
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,29 +1,30 @@
-//! Retry budget: a token bucket fed by first attempts and by the fleet's budget.
+//! Retry budget: a token bucket filled by first attempts and by the fleet's budget.
 //!
-//! Without it, a lost zone makes each node send each request several times into what is left.
-//! First attempts earn a fraction of a retry each, so retries stay a fraction of the work. The
-//! bucket holds a burst as large as half of what runs, so that one loss is recovered at once.
+//! Without a budget, each node would retry each request several times on the remaining endpoints
+//! when a zone is lost. Each first attempt earns a fraction of a retry, so that retries stay a
+//! fraction of the work. The capacity is at least half of the number of running requests, so that
+//! the loss of many attempts at once is recovered immediately.
 
 use crate::Now;
 
-/// Part of the running requests that the bucket can hold.
+/// Capacity of the bucket, as a fraction of the running requests.
 const RUNNING_FRACTION: f64 = 0.5;
 
-/// One retry, in the units that are counted: sums of fractions stay exact.
+/// Units of one retry; integer units keep sums of fractions exact.
 const UNITS_PER_RETRY: f64 = 1e6;
 
-/// The budget.
+/// Retry budget of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
     level: u64,
     earned: u64,
     refilled_at: Now,
-    /// Retries granted so far.
+    /// Number of retries granted.
     pub granted: u64,
 }
 
 impl Budget {
-    /// A budget with `burst` retries saved up.
+    /// Creates a budget with `burst` retries available.
     pub fn new(burst: f64) -> Self {
         let level = units(burst);
         Self {
@@ -34,24 +35,25 @@
         }
     }
 
-    /// Whole retries saved up.
+    /// Returns the number of whole retries available.
     pub fn level(&self) -> u64 {
         self.level / units(1.0)
     }
 
-    /// Whole retries put in so far, with the first filling.
+    /// Returns the number of whole retries added, including the initial burst.
     pub fn earned(&self) -> u64 {
         self.earned / units(1.0)
     }
 
-    /// Adds the fleet's `rate` per second since the last call.
+    /// Adds `rate` retries per second, the share of the fleet's budget, for the time since the last
+    /// call.
     pub fn refill(&mut self, now: Now, rate: f64, burst: f64, running: usize) {
         let time = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         self.add(time * rate.max(0.0), burst, running);
     }
 
-    /// Adds what a first attempt earns.
+    /// Adds the retries earned by a first attempt.
     pub fn earn(&mut self, ratio: f64, burst: f64, running: usize) {
         self.add(ratio, burst, running);
     }
@@ -63,7 +65,7 @@
         self.earned += added;
     }
 
-    /// Takes one retry; whether there was one.
+    /// Takes one retry; returns whether one was available.
     pub fn take(&mut self) -> bool {
         let Some(level) = self.level.checked_sub(units(1.0)) else {
             return false;
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: events in, actions out.
+//! The router: handles events and returns actions.
 
 use crate::Now;
 use crate::action::{Action, Observation};
@@ -40,10 +40,10 @@
 mod update;
 mod verdict;
 
-/// Requests above which debug builds check all invariants on ticks only.
+/// Number of jobs above which debug builds check all invariants on ticks only.
 const MAX_CHECKED_JOBS: usize = 256;
 
-/// Decisions of one request worker.
+/// State and decisions of one request worker.
 pub struct Router {
     seed: u64,
     limits: Settings,
@@ -51,7 +51,7 @@
     view: Option<Arc<View>>,
     fleet: Fleet,
     plan: Plan,
-    /// Number of the plan.
+    /// Number of the current plan.
     epoch: u64,
     recoverable: update::Recoverable,
     locality: Locality,
@@ -60,23 +60,23 @@
     budget: Budget,
     crash: crash::Table,
     jobs: BTreeMap<Id, Job>,
-    /// Requests by deadline, until it passes.
+    /// Requests by deadline; an entry is removed once its deadline passes.
     deadlines: BTreeSet<(Now, Id)>,
-    /// Requests that wait for the budget or a probe; urgent ones first.
+    /// Requests that wait for the retry budget or a probe, urgent ones first.
     parked: BTreeSet<(bool, u64, Id)>,
     meters: BTreeMap<Target, Meter>,
     reservations: BTreeMap<Target, isolate::Reservation>,
-    /// Whether any endpoint may be kept for a suspect.
+    /// Whether any endpoint may be reserved for a suspect.
     has_reservations: bool,
     /// Endpoints under probe because a connection broke.
     broken_connections: BTreeSet<EndpointId>,
-    /// Endpoints that other nodes have ejected, as last told.
+    /// Endpoints that other nodes have ejected, as of the latest view.
     remote_ejected: Vec<EndpointId>,
     seq: u64,
     ticks: u64,
-    /// When the last tick came.
+    /// Time of the latest tick.
     last_tick: Now,
-    /// Whether work that waits may now find a place.
+    /// Whether waiting requests may be able to start now.
     dispatch_needed: bool,
     /// Whether the plan is out of date.
     plan_stale: bool,
@@ -87,7 +87,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing yet; its draws follow `seed`.
+    /// Creates a router without a view; `seed` determines its random draws.
     pub fn new(seed: u64, limits: Settings) -> Self {
         Self {
             seed,
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Handles one event; appends what is to be done to `out`. In debug builds a broken
-    /// invariant panics; in release builds it is counted, and told by [`Router::verify`].
+    /// Handles one event and appends the resulting actions to `out`. A violated invariant panics in
+    /// debug builds; in release builds it is counted and reported by [`Router::verify`].
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         self.audit.event(&event);
         let tick = matches!(event, Event::Tick);
-        let left = matches!(event, Event::Left(_)).then(|| event.clone());
+        let departed = matches!(event, Event::Left(_)).then(|| event.clone());
         self.apply_event(now, event);
         self.replan();
         let dispatched = self.dispatch_needed;
@@ -141,8 +141,8 @@
         for action in &self.actions {
             self.findings.extend(self.audit.action(action));
         }
-        if let Some(left) = left {
-            self.findings.extend(self.audit.end_left(&left));
+        if let Some(departed) = departed {
+            self.findings.extend(self.audit.end_left(&departed));
         }
         out.append(&mut self.actions);
         if cfg!(debug_assertions) && (tick || self.jobs.len() <= MAX_CHECKED_JOBS) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Counters and gauges.
+    /// Returns counters and gauges.
     pub fn report(&self) -> Report {
         let mut report = self.report;
         report.findings = self.findings.len() as u64;
@@ -197,7 +197,7 @@
         report
     }
 
-    /// Accounts by team of the view's bundle.
+    /// Returns the accounts of the teams of the view's bundle.
     pub fn accounts(&self) -> &[crate::share::Account] {
         &self.shares.accounts
     }
@@ -210,7 +210,7 @@
         self.actions.push(Action::Observe(observation));
     }
 
-    /// Ends a request for its caller.
+    /// Ends a request with an outcome for its caller.
     fn finish(&mut self, now: Now, id: Id, outcome: Outcome) {
         if self.remove(now, id).is_some() {
             match outcome {
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Ends a request that can't go on: refused if it truly did not run, else unknown.
+    /// Ends a request that can't continue: refused if no part of it can have run, otherwise with an
+    /// unknown outcome.
     fn terminate(
         &mut self,
         now: Now,
@@ -260,7 +261,7 @@
         self.actions.push(Action::Refuse(id, refusal));
     }
 
-    /// Removes a request from every table; cancels its attempt if one runs.
+    /// Removes a request from all tables and cancels its running attempt.
     fn remove(&mut self, now: Now, id: Id) -> Option<Job> {
         self.cancel(now, id);
         self.dequeue(id);
@@ -272,7 +273,7 @@
         Some(job)
     }
 
-    /// Takes a request out of its line.
+    /// Removes a request from its line.
     fn dequeue(&mut self, id: Id) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Stops the running attempt of a request, if there is one.
+    /// Cancels the running attempt of a request, if there is one.
     fn cancel(&mut self, now: Now, id: Id) {
         if let Some(attempt) = self.release(now, id) {
             self.actions.push(Action::Cancel(id, attempt));
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Frees what the running attempt holds; returns its number.
+    /// Releases the resources of the running attempt; returns the number of the attempt.
     fn release(&mut self, now: Now, id: Id) -> Option<crate::Attempt> {
         let job = self.jobs.get_mut(&id)?;
         let run = job.run.take()?;
@@ -301,8 +302,8 @@
         let attempt = job.attempt;
         for endpoint in run.endpoints.iter().flatten() {
             if let Some(row) = self.fleet.get_mut(*endpoint) {
-                let flying = row.in_flight.saturating_sub(1);
-                row.set_in_flight(now, flying);
+                let in_flight = row.in_flight.saturating_sub(1);
+                row.set_in_flight(now, in_flight);
             }
         }
         for &(a, b) in &run.zone_pairs {
--- a/crates/route/src/router/admit.rs
+++ b/crates/route/src/router/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: limits first, then whether the deadline can be met.
+//! Admission: checks the queue and the deadline, then the limits of the team.
 
 use super::Router;
 use super::pick::salt_prefix;
@@ -9,9 +9,9 @@
 use crate::request::{Id, Request, Target};
 use std::time::Duration;
 
-/// When to come back while nothing serves a request.
+/// Retry-after delay while nothing serves a request.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Bounds of the time that an overloaded router asks to wait.
+/// Minimum and maximum retry-after delay of an overloaded router.
 const OVERLOAD_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(30));
 
@@ -46,7 +46,7 @@
         self.enqueue(now, id);
     }
 
-    /// Whether a request is taken in; its team's account is charged if so.
+    /// Decides whether to admit a request; charges its team's account if so.
     fn admit(&mut self, now: Now, request: &Request) -> Result<(), Refusal> {
         let refuse = |reason, retry_after| {
             Err(Refusal {
@@ -73,13 +73,14 @@
         if let Some(refusal) = self.check_overload(now, request, urgent) {
             return Err(refusal);
         }
-        let taken = self
+        let admitted = self
             .shares
             .admit(now, request.team, urgent, self.limits.team_burst);
-        taken.or_else(|wait| refuse(Reason::Limit, Some(wait)))
+        admitted.or_else(|wait| refuse(Reason::Limit, Some(wait)))
     }
 
-    /// Whether a chain exists, be it full, or comes back after an ejection.
+    /// Returns whether a chain exists, even if it is full, or would exist once ejected endpoints
+    /// return.
     pub(super) fn is_served(&self, target: Target) -> bool {
         match target {
             Target::Model(model, _) => {
@@ -107,8 +108,8 @@
         row.is_some_and(|p| p.urgent)
     }
 
-    /// A refusal if the queue is full or the deadline out of reach. An urgent request is only
-    /// refused by a full queue of urgent ones: a late alarm is worth more than none.
+    /// Returns a refusal if the queue is full or the deadline can't be met. An urgent request is
+    /// refused only if the queue of urgent ones is full: a late alarm is better than none.
     fn check_overload(&self, now: Now, request: &Request, urgent: bool) -> Option<Refusal> {
         let line = queue::line(request.target);
         let ahead = self.expected_ahead(request);
@@ -119,11 +120,11 @@
         } else {
             self.queue.fair_count >= self.limits.max_queued
         };
-        let late = now
+        let expected_end = now
             .saturating_add(wait)
             .saturating_add(meter.service_time(request.max_tokens));
-        let late = !urgent && late > request.deadline;
-        (full || late).then(|| Refusal {
+        let misses_deadline = !urgent && expected_end > request.deadline;
+        (full || misses_deadline).then(|| Refusal {
             reason: Reason::Overload,
             retry_after: Some(wait.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1)),
         })
@@ -133,28 +134,28 @@
         let Some(line) = self.queue.line(queue::line(request.target)) else {
             return 0.0;
         };
-        let (class, weight) = self.weights(request);
-        line.expected_ahead(request.priority, request.team, weight, class)
+        let (priority_weight, team_weight) = self.weights(request);
+        line.expected_ahead(request.priority, request.team, team_weight, priority_weight)
     }
 
     fn weights(&self, request: &Request) -> (u32, u32) {
         let Some(view) = &self.view else {
             return (1, 1);
         };
-        let class = view
+        let priority_weight = view
             .bundle
             .priorities
             .get(request.priority as usize)
             .map_or(1, |p| p.weight);
-        let weight = view
+        let team_weight = view
             .bundle
             .teams
             .get(request.team as usize)
             .map_or(1, |t| t.weight);
-        (class, weight)
+        (priority_weight, team_weight)
     }
 
-    /// Puts a request into its line.
+    /// Adds a request to its line.
     pub(super) fn enqueue(&mut self, now: Now, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -175,9 +176,9 @@
         self.dispatch_needed = true;
     }
 
-    /// How a request waits by what is known now.
+    /// Returns the queue entry of a request under the current bundle and suspects.
     pub(super) fn queue_entry(&self, job: &Job) -> Entry {
-        let (class, weight) = self.weights(&job.request);
+        let (priority_weight, team_weight) = self.weights(&job.request);
         let rank = match (self.crash.is_suspect(job.request.fingerprint), job.urgent) {
             (true, urgent) => Rank::Suspect(urgent),
             (false, true) => Rank::Urgent,
@@ -190,12 +191,12 @@
             priority: job.request.priority,
             team: job.request.team,
             rank,
-            priority_weight: class,
-            team_weight: weight,
+            priority_weight,
+            team_weight,
         }
     }
 
-    /// Puts requests that wait into other ranks after suspects changed.
+    /// Moves waiting requests to other ranks after the suspects changed.
     pub(super) fn rerank(&mut self) {
         let entries: Vec<_> = self
             .jobs
--- a/crates/route/src/router/capacity.rs
+++ b/crates/route/src/router/capacity.rs
@@ -1,4 +1,4 @@
-//! How the router sees endpoints and links when it chooses, by the kind of work.
+//! Free capacity of endpoints and links for one kind of work.
 
 use crate::Now;
 use crate::choose::Load;
@@ -8,49 +8,50 @@
 use bundle::id::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Kind of work that looks for a place.
+/// Kind of work that needs endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// Fair work: leaves alone what urgent work waits for.
+    /// Ordinary work; excludes endpoints that urgent work waits for.
     Fair,
-    /// Fair work where its prefix is not cached yet: endpoints with much room.
+    /// Ordinary work whose prefix is not cached yet; only endpoints with ample free capacity.
     Spare,
-    /// Urgent work: within the concurrency limits, whatever others run.
+    /// Urgent work; within the concurrency limits, regardless of other routers' load.
     Urgent,
-    /// Urgent work that may pause what yields.
+    /// Urgent work that may pause preemptible attempts.
     Preempt,
-    /// A suspect: idle endpoints only.
+    /// A suspect; idle endpoints only.
     Isolated(Id),
-    /// Endpoints to be emptied for a suspect.
+    /// Endpoints to be drained for a suspect.
     Drain,
 }
 
-/// A look at the fleet.
+/// Capacity of the fleet for one kind of work.
 pub struct Capacity<'a> {
-    /// Endpoints and links.
+    /// Endpoints and the use of links.
     pub fleet: &'a Fleet,
-    /// Capacities of links, by pair.
+    /// Capacities of links, by pair of zones.
     pub links: &'a crate::plan::Links,
-    /// Limits.
+    /// Settings of the router.
     pub limits: &'a Settings,
-    /// Time.
+    /// Current time.
     pub now: Now,
     /// Kind of work.
     pub mode: Mode,
-    /// Endpoints that failed this request.
+    /// Endpoints on which the request failed.
     pub avoid: &'a [EndpointId],
     /// Endpoints that urgent work waits for.
     pub reserved: &'a BTreeSet<EndpointId>,
-    /// By endpoint: work that yields to urgent work.
+    /// Number of attempts that urgent work may pause, by endpoint.
     pub preemptible: &'a BTreeMap<EndpointId, u32>,
 }
 
-/// Part of its slots below which an endpoint has much room.
+/// Fraction of its slots below which an endpoint has ample free capacity.
 const SPARE_SLOT_FRACTION: f64 = 0.2;
-/// Own streams from which on an endpoint has not much room: what other routers have just sent there
-/// is not reported yet.
+/// Number of this router's streams from which on an endpoint does not have ample free capacity. It
+/// is low because requests that other routers have just sent are not reported yet.
 const MAX_SPARE_STREAMS: u32 = 2;
-/// Streams a link may carry, as a multiple of those that fill it at the aimed time per token.
+/// Maximum number of streams on a link, as a multiple of the number that saturates it at the target
+/// time per token.
 const LINK_HEADROOM: f64 = 2.0;
 
 impl Load for Capacity<'_> {
@@ -60,35 +61,38 @@
             return None;
         }
         let others = row.estimated_remote_load(self.now, self.limits.report_half_life);
-        let all = f64::from(row.in_flight) + others;
+        let total = f64::from(row.in_flight) + others;
         let free = match self.mode {
             Mode::Isolated(id) => row.in_flight == 0 && row.reserved_for.is_none_or(|w| w == id),
             Mode::Drain => row.reserved_for.is_none(),
             _ if row.reserved_for.is_some() => false,
             Mode::Urgent => row.in_flight < row.limit(),
             Mode::Preempt => {
-                let yields = self.preemptible.get(&endpoint).copied().unwrap_or(0);
-                row.in_flight.saturating_sub(yields) < row.limit()
+                let preemptible = self.preemptible.get(&endpoint).copied().unwrap_or(0);
+                row.in_flight.saturating_sub(preemptible) < row.limit()
             }
             Mode::Fair | Mode::Spare => {
-                let held = self.reserved.contains(&endpoint);
-                let room = if self.mode == Mode::Spare {
+                let reserved = self.reserved.contains(&endpoint);
+                let fraction = if self.mode == Mode::Spare {
                     SPARE_SLOT_FRACTION
                 } else {
                     1.0
                 };
-                let few = self.mode == Mode::Fair || row.in_flight < MAX_SPARE_STREAMS;
-                !held && few && row.in_flight < row.limit() && all < f64::from(row.slots) * room
+                let under_own_limit = self.mode == Mode::Fair || row.in_flight < MAX_SPARE_STREAMS;
+                !reserved
+                    && under_own_limit
+                    && row.in_flight < row.limit()
+                    && total < f64::from(row.slots) * fraction
             }
         };
-        free.then(|| (all + 1.0) * row.slowdown(self.now))
+        free.then(|| (total + 1.0) * row.slowdown(self.now))
     }
 
     fn link(&self, pair: usize) -> Option<f64> {
         let streams = f64::from(self.fleet.crossings.get(pair).copied().unwrap_or(0));
-        let most =
+        let max_streams =
             self.links.rate_at(pair) * self.limits.target_token_gap.as_secs_f64() * LINK_HEADROOM;
-        let free = !matches!(self.mode, Mode::Fair | Mode::Spare) || streams < most.max(1.0);
+        let free = !matches!(self.mode, Mode::Fair | Mode::Spare) || streams < max_streams.max(1.0);
         free.then_some(streams)
     }
 }
--- a/crates/route/src/router/check.rs
+++ b/crates/route/src/router/check.rs
@@ -1,4 +1,4 @@
-//! Check of the invariants: recounts everything from the requests alone.
+//! Check of the invariants: recounts all tables from the jobs alone.
 
 use super::Router;
 use super::capacity::{Capacity, Mode};
@@ -12,7 +12,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Router {
-    /// Everything that is wrong: what was found on the way, and a recount of all tables.
+    /// Returns all violations: those found while handling events, and those found by a recount of
+    /// all tables.
     pub fn verify(&self) -> Vec<Finding> {
         let mut found = self.findings.clone();
         self.check_rows(&mut found);
@@ -23,16 +24,16 @@
     }
 
     fn check_rows(&self, found: &mut Vec<Finding>) {
-        let mut flying: BTreeMap<EndpointId, Vec<&Job>> = BTreeMap::new();
+        let mut by_endpoint: BTreeMap<EndpointId, Vec<&Job>> = BTreeMap::new();
         for job in self.jobs.values() {
             let run = job.run.as_ref();
             for &endpoint in run.iter().flat_map(|r| r.endpoints.iter().flatten()) {
-                flying.entry(endpoint).or_default().push(job);
+                by_endpoint.entry(endpoint).or_default().push(job);
             }
         }
         for (id, row) in self.fleet.rows.iter().enumerate() {
             let id = id as EndpointId;
-            let here = flying.get(&id).map_or(&[][..], Vec::as_slice);
+            let here = by_endpoint.get(&id).map_or(&[][..], Vec::as_slice);
             let mut report = |fault| {
                 found.push(Finding {
                     place: Place::Endpoint(id),
@@ -76,7 +77,7 @@
         for (count, recount) in pairs.into_iter().filter(|(a, b)| a != b) {
             report(Fault::Count(count as u64, recount as u64));
         }
-        let fresh = |urgent| {
+        let unstarted = |urgent| {
             let waiting = self
                 .jobs
                 .values()
@@ -84,8 +85,8 @@
             waiting.filter(|f| f.urgent == urgent).count()
         };
         let bounds = [
-            (fresh(true), self.limits.max_urgent),
-            (fresh(false), self.limits.max_queued),
+            (unstarted(true), self.limits.max_urgent),
+            (unstarted(false), self.limits.max_queued),
         ];
         for (count, bound) in bounds.into_iter().filter(|(count, bound)| count > bound) {
             report(Fault::Bound(count as u64, bound as u64));
@@ -99,12 +100,12 @@
         let parked = self.parked.contains(&(!job.urgent, job.seq, job.id()));
         let states = [job.run.is_some(), job.queue_entry.is_some(), parked];
         let phases = [Phase::Running, Phase::Waiting, Phase::Parked];
-        let sound = states
+        let consistent = states
             .into_iter()
             .zip(phases)
             .all(|(s, p)| s == (job.phase == p));
         let place = Place::Request(job.id(), job.attempt);
-        if !sound {
+        if !consistent {
             let count = states.iter().filter(|&&s| s).count() as u64;
             found.push(Finding {
                 place,
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Finds work that is not urgent and was started just now on endpoints that urgent work
-    /// waits for.
+    /// Records a finding for each request that is not urgent and was just started on endpoints that
+    /// urgent work waits for.
     pub(super) fn check_order(&mut self) {
         if self.queue.urgent_count == 0 {
             return;
@@ -175,7 +176,8 @@
         self.findings.extend(found);
     }
 
-    /// Urgent requests that wait though endpoints have room for them: none, after a dispatch.
+    /// Returns urgent requests that wait although endpoints have capacity for them. There are none
+    /// after a dispatch.
     pub fn missed_urgent(&self, now: crate::Now) -> Vec<Finding> {
         let Some(view) = &self.view else {
             return Vec::new();
--- a/crates/route/src/router/dispatch.rs
+++ b/crates/route/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: starts what waits, urgent work first.
+//! Dispatch: starts waiting requests, urgent ones first.
 
 use super::Router;
 use super::capacity::Mode;
@@ -13,20 +13,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Whether the deadline is out of reach even if the request started now.
+/// Returns whether a new request would miss its deadline even if it started now.
 fn misses_deadline(now: Now, job: &Job, meter: &Meter) -> bool {
-    let fresh = job.attempt == 0 && !job.urgent;
-    fresh && now + meter.service_time(job.request.max_tokens) > job.request.deadline
+    let unstarted = job.attempt == 0 && !job.urgent;
+    unstarted && now + meter.service_time(job.request.max_tokens) > job.request.deadline
 }
 
-/// When to come back once the router has given up on what waited.
+/// Retry-after delay of requests that are refused while they wait.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Rounds of one dispatch at most.
+/// Maximum number of rounds of one dispatch.
 const MAX_ROUNDS: usize = 4;
 
 impl Router {
-    /// Starts what can start; rounds repeat while one frees places for the next.
+    /// Starts all requests that can start. Rounds repeat while one of them frees capacity for the
+    /// next.
     pub(super) fn dispatch(&mut self, now: Now) {
         for _ in 0..MAX_ROUNDS {
             if !std::mem::take(&mut self.dispatch_needed) {
@@ -47,20 +48,21 @@
             self.dispatch_suspects(now, line);
         }
         // Isolation may have moved urgent work back into its line.
-        let mut held = BTreeSet::new();
+        let mut reserved = BTreeSet::new();
         for &line in &lines {
             if !self.dispatch_urgent(now, line, &none) {
-                self.collect_endpoints(line, &mut held);
+                self.collect_endpoints(line, &mut reserved);
             }
         }
-        let turn = self.ticks as usize % lines.len().max(1);
-        lines.rotate_left(turn);
+        let rotation = self.ticks as usize % lines.len().max(1);
+        lines.rotate_left(rotation);
         for line in lines {
-            self.dispatch_fair(now, line, &held);
+            self.dispatch_fair(now, line, &reserved);
         }
     }
 
-    /// Gives up what waits for a target that nothing serves and that no return would serve.
+    /// Ends requests that wait for a target which no endpoint serves, not even one that may return
+    /// from an ejection.
     fn refuse_unserved(&mut self, now: Now, lines: &[Target]) {
         let lost: Vec<_> = lines
             .iter()
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Starts urgent requests; whether none is left waiting.
+    /// Starts urgent requests; returns whether none is left waiting.
     fn dispatch_urgent(&mut self, now: Now, line: Target, none: &BTreeSet<EndpointId>) -> bool {
         while let Some(id) = self.queue.line(line).and_then(|l| l.urgent().next()) {
             let started = self.launch(now, id, Mode::Urgent, none) || self.preempt(now, id);
@@ -87,8 +89,9 @@
         true
     }
 
-    /// Keeps the endpoints of a line from work that is not urgent.
-    pub(super) fn collect_endpoints(&self, line: Target, held: &mut BTreeSet<EndpointId>) {
+    /// Adds the endpoints that can serve a line to `reserved`, so that work that is not urgent
+    /// leaves them free.
+    pub(super) fn collect_endpoints(&self, line: Target, reserved: &mut BTreeSet<EndpointId>) {
         match line {
             Target::Model(model, _) => {
                 let graph = self
@@ -96,10 +99,10 @@
                     .full
                     .get(model as usize)
                     .filter(|g| g.max_flow > 0.0);
-                held.extend(graph.iter().flat_map(|g| &g.stages).map(|s| s.endpoint));
+                reserved.extend(graph.iter().flat_map(|g| &g.stages).map(|s| s.endpoint));
             }
             Target::Service(service) => {
-                held.extend(
+                reserved.extend(
                     self.plan
                         .services
                         .get(service as usize)
@@ -110,14 +113,14 @@
         }
     }
 
-    fn dispatch_fair(&mut self, now: Now, line: Target, held: &BTreeSet<EndpointId>) {
-        while self.start_one(now, line, held) {}
+    fn dispatch_fair(&mut self, now: Now, line: Target, reserved: &BTreeSet<EndpointId>) {
+        while self.start_one(now, line, reserved) {}
     }
 
-    /// Starts or gives up one request of a line; whether it did. First looks for one whose
-    /// prefix is cached where there is a place: without this, a freed slot goes to whatever
-    /// comes next, and each endpoint's cache is filled with everything.
-    fn start_one(&mut self, now: Now, line: Target, held: &BTreeSet<EndpointId>) -> bool {
+    /// Starts or ends one request of a line; returns whether it did. Prefers a request whose prefix
+    /// is cached on an endpoint with free capacity. Otherwise a freed slot would go to whichever
+    /// request is next, and the cache of each endpoint would fill with all prefixes.
+    fn start_one(&mut self, now: Now, line: Target, reserved: &BTreeSet<EndpointId>) -> bool {
         let window = self
             .queue
             .line(line)
@@ -138,48 +141,48 @@
             .copied()
             .filter(|&id| self.begin_cache_wait(now, id))
             .collect();
-        self.start_cached(now, &cached, held) || self.start_next(now, &window, &meter, held)
+        self.start_cached(now, &cached, reserved) || self.start_next(now, &window, &meter, reserved)
     }
 
-    /// Starts one of these where its prefix is likely to be cached, or, after a while, where
-    /// there is much room.
-    fn start_cached(&mut self, now: Now, ids: &[Id], held: &BTreeSet<EndpointId>) -> bool {
+    /// Starts one of these requests where its prefix is likely to be cached or, after a wait, on
+    /// endpoints with ample free capacity.
+    fn start_cached(&mut self, now: Now, ids: &[Id], reserved: &BTreeSet<EndpointId>) -> bool {
         for mode in [Mode::Fair, Mode::Spare] {
             if ids
                 .iter()
-                .any(|&id| self.launch_cached(now, id, mode, held))
+                .any(|&id| self.launch_cached(now, id, mode, reserved))
             {
                 return true;
             }
         }
-        let spread = ids.iter().find(|id| self.may_spread(now, **id)).copied();
-        spread.is_some_and(|id| self.launch(now, id, Mode::Spare, held))
+        let spreading = ids.iter().find(|id| self.may_spread(now, **id)).copied();
+        spreading.is_some_and(|id| self.launch(now, id, Mode::Spare, reserved))
     }
 
-    /// Starts the first request that does not rather wait for a cached place.
+    /// Starts the first request that is not waiting for an endpoint with its prefix.
     fn start_next(
         &mut self,
         now: Now,
         window: &[Id],
         meter: &Meter,
-        held: &BTreeSet<EndpointId>,
+        reserved: &BTreeSet<EndpointId>,
     ) -> bool {
         let next = window
             .iter()
             .find(|id| !self.waits_for_cache(now, **id, meter))
             .copied();
-        next.is_some_and(|id| self.launch(now, id, Mode::Fair, held))
+        next.is_some_and(|id| self.launch(now, id, Mode::Fair, reserved))
     }
 
-    /// Pauses work that yields on each full endpoint of a chain and starts an urgent request
-    /// there; whether it started.
+    /// Pauses preemptible attempts on each full endpoint of a chain and starts an urgent request
+    /// there; returns whether it started.
     fn preempt(&mut self, now: Now, id: Id) -> bool {
-        let yields = self.count_preemptible();
-        if yields.is_empty() {
+        let preemptible = self.count_preemptible();
+        if preemptible.is_empty() {
             return false;
         }
         let none = BTreeSet::new();
-        let Some(hops) = self.select_chain(now, id, Mode::Preempt, &none, &yields) else {
+        let Some(hops) = self.select_chain(now, id, Mode::Preempt, &none, &preemptible) else {
             return false;
         };
         for hop in &hops {
@@ -189,18 +192,18 @@
         true
     }
 
-    /// By endpoint: running work that yields to urgent work.
+    /// Returns the number of preemptible attempts, by endpoint.
     fn count_preemptible(&self) -> BTreeMap<EndpointId, u32> {
-        let mut yields = BTreeMap::new();
+        let mut preemptible = BTreeMap::new();
         let runs = self
             .jobs
             .values()
             .filter(|f| f.is_preemptible())
             .filter_map(|f| f.run.as_ref());
         for endpoint in runs.flat_map(|r| r.endpoints.iter().flatten()) {
-            *yields.entry(*endpoint).or_default() += 1;
+            *preemptible.entry(*endpoint).or_default() += 1;
         }
-        yields
+        preemptible
     }
 
     fn free_slot(&mut self, now: Now, hop: &Hop) {
@@ -213,8 +216,9 @@
                 .jobs
                 .values()
                 .filter(|f| f.is_preemptible() && f.runs_on(hop.endpoint));
-            let least = on.max_by_key(|f| (f.request.priority, std::cmp::Reverse(f.tokens), f.seq));
-            let Some(victim) = least.map(|f| f.id()) else {
+            let candidate =
+                on.max_by_key(|f| (f.request.priority, std::cmp::Reverse(f.tokens), f.seq));
+            let Some(victim) = candidate.map(|f| f.id()) else {
                 return;
             };
             self.pause(now, victim);
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Stops an attempt that yields; it goes on later from the tokens it had.
+    /// Cancels a preemptible attempt; the request resumes later from the tokens generated so far.
     pub(super) fn pause(&mut self, now: Now, id: Id) {
         self.cancel(now, id);
         self.jobs
--- a/crates/route/src/router/dump.rs
+++ b/crates/route/src/router/dump.rs
@@ -5,7 +5,7 @@
 use crate::job::Job;
 use std::fmt;
 
-/// Requests listed at most.
+/// Maximum number of jobs listed.
 const MAX_LISTED_JOBS: usize = 200;
 
 impl fmt::Display for Router {
--- a/crates/route/src/router/isolate.rs
+++ b/crates/route/src/router/isolate.rs
@@ -1,9 +1,9 @@
 //! Isolation of suspects: each runs alone on its endpoints.
 //!
-//! Without it, a request that crashes endpoints takes its neighbours down again with each try,
-//! and they can't be told from it. A suspect takes idle endpoints where there are some; else one
-//! chain at a time is kept from new work until it is empty, and after a while work that can be
-//! repeated is moved away.
+//! Without isolation, a request that crashes endpoints interrupts other requests with each retry,
+//! and these can't be distinguished from it. A suspect takes idle endpoints if there are any.
+//! Otherwise one chain at a time is reserved and gets no new work until it is idle. After a
+//! timeout, repeatable work is moved away from it.
 
 use super::Router;
 use super::capacity::Mode;
@@ -12,10 +12,10 @@
 use bundle::id::EndpointId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Suspects looked at in one dispatch of a line.
+/// Maximum number of suspects examined in one dispatch of a line.
 const MAX_SUSPECTS_PER_DISPATCH: usize = 8;
 
-/// Endpoints kept from new work for a suspect that waits.
+/// Endpoints reserved for a waiting suspect; they get no new work.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     pub suspect: Id,
@@ -41,7 +41,7 @@
         self.drain_reserved(now, line);
     }
 
-    /// Keeps a chain for a suspect.
+    /// Reserves a chain for a suspect.
     fn reserve_chain(&mut self, now: Now, line: Target, suspect: Id) {
         let none = BTreeSet::new();
         let Some(hops) = self.select_chain(now, suspect, Mode::Drain, &none, &BTreeMap::new())
@@ -66,21 +66,21 @@
         );
     }
 
-    /// Moves repeatable work away from a ward that did not become empty in time.
+    /// Moves repeatable work away from reserved endpoints that did not become idle in time.
     fn drain_reserved(&mut self, now: Now, line: Target) {
-        let Some(ward) = self.reservations.get(&line) else {
+        let Some(reservation) = self.reservations.get(&line) else {
             return;
         };
-        if now < ward.since + self.limits.isolation_timeout {
+        if now < reservation.since + self.limits.isolation_timeout {
             return;
         }
-        let endpoints = ward.endpoints.clone();
-        let on = |f: &&crate::job::Job| endpoints.iter().any(|&e| f.runs_on(e));
+        let endpoints = reservation.endpoints.clone();
+        let affected = |f: &&crate::job::Job| endpoints.iter().any(|&e| f.runs_on(e));
         let movable = self
             .jobs
             .values()
             .filter(|f| f.request.repeatable)
-            .filter(on);
+            .filter(affected);
         let ids: Vec<Id> = movable.map(|f| f.id()).collect();
         for id in ids {
             self.pause(now, id);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Frees what is kept for a suspect.
+    /// Releases the endpoints reserved for a suspect.
     pub(super) fn release_reservation(&mut self, suspect: Id) {
         if !self.has_reservations {
             return;
@@ -98,23 +98,23 @@
             .rows
             .iter_mut()
             .filter(|r| r.reserved_for == Some(suspect));
-        let mut freed = false;
+        let mut released = false;
         rows.for_each(|r| {
             r.reserved_for = None;
-            freed = true;
+            released = true;
         });
         self.reservations.retain(|_, w| w.suspect != suspect);
         self.has_reservations = self.fleet.rows.iter().any(|r| r.reserved_for.is_some());
-        self.dispatch_needed |= freed;
+        self.dispatch_needed |= released;
     }
 
-    /// Frees what is kept in a line for a suspect that waits, since urgent work waits too;
-    /// whether anything was freed. An urgent suspect keeps its ward.
+    /// Releases the endpoints reserved for a waiting suspect of a line because urgent work waits
+    /// too; returns whether any were released. An urgent suspect keeps its reservation.
     pub(super) fn release_line_reservation(&mut self, now: Now, line: Target) -> bool {
-        let Some(ward) = self.reservations.get(&line) else {
+        let Some(reservation) = self.reservations.get(&line) else {
             return false;
         };
-        let suspect = ward.suspect;
+        let suspect = reservation.suspect;
         if self
             .jobs
             .get(&suspect)
--- a/crates/route/src/router/launch.rs
+++ b/crates/route/src/router/launch.rs
@@ -1,4 +1,4 @@
-//! Start of attempts and their bookkeeping.
+//! Start of attempts, with their accounting.
 
 use super::Router;
 use super::capacity::Mode;
@@ -12,36 +12,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Tokens of a prompt that cost as much as one generated token.
+/// Number of prompt tokens that cost as much as one generated token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 8.0;
-/// Single-token times that a hop may always take, whatever the aimed gap.
+/// Minimum target time of a hop, as a multiple of the hardware's time for a single token.
 const MIN_HOP_TIMES: f64 = 3.0;
 
 impl Router {
-    /// Starts a request if a chain takes it; whether it did.
+    /// Starts a request if a chain accepts it; returns whether it did.
     pub(super) fn launch(
         &mut self,
         now: Now,
         id: Id,
         mode: Mode,
-        held: &BTreeSet<EndpointId>,
+        reserved: &BTreeSet<EndpointId>,
     ) -> bool {
-        let Some(hops) = self.select_chain(now, id, mode, held, &BTreeMap::new()) else {
+        let Some(hops) = self.select_chain(now, id, mode, reserved, &BTreeMap::new()) else {
             return false;
         };
         self.start(now, id, hops, mode);
         true
     }
 
-    /// Starts a request if a chain takes it where its prefix is likely to be cached.
+    /// Starts a request if a chain accepts it where its prefix is likely to be cached; returns
+    /// whether it did.
     pub(super) fn launch_cached(
         &mut self,
         now: Now,
         id: Id,
         mode: Mode,
-        held: &BTreeSet<EndpointId>,
+        reserved: &BTreeSet<EndpointId>,
     ) -> bool {
-        let Some(hops) = self.select_cached(now, id, mode, held) else {
+        let Some(hops) = self.select_cached(now, id, mode, reserved) else {
             return false;
         };
         self.start(now, id, hops, mode);
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Time for a hop that the concurrency limits aim at: its part of the layers in the aimed
-    /// gap, but no less than a few times what the hardware needs for one token.
+    /// Returns the target time of a hop for the concurrency limits: its share of the layers in the
+    /// target token gap, but no less than a few times the hardware's time for one token.
     fn target_time(&self, job: &Job, hop: &Hop) -> Duration {
         let Some(view) = &self.view else {
             return self.limits.target_token_gap;
@@ -113,19 +114,19 @@
         let bundle = &view.bundle;
         let layers = f64::from(hop.to - hop.from);
         let all = f64::from(bundle.models[model as usize].layers);
-        let part = self.limits.target_token_gap.mul_f64(layers / all.max(1.0));
+        let share = self.limits.target_token_gap.mul_f64(layers / all.max(1.0));
         let row = &bundle.endpoints[hop.endpoint as usize];
-        let Some(kind) = row.kind else { return part };
+        let Some(kind) = row.kind else { return share };
         let single = layers / bundle.kinds[kind as usize].layers_per_second;
         let away = self.plan.links.latency(view.zone, row.zone) * 2;
-        part.max(Duration::from_secs_f64(single * MIN_HOP_TIMES)) + away
+        share.max(Duration::from_secs_f64(single * MIN_HOP_TIMES)) + away
     }
 
     fn zone(&self, endpoint: EndpointId) -> ZoneId {
         self.fleet.get(endpoint).map_or(0, |r| r.zone)
     }
 
-    /// Counts the attempt on its endpoints and links, and checks each by itself.
+    /// Adds the attempt to its endpoints and links, and checks each of them for violations.
     fn occupy(&mut self, now: Now, id: Id, run: &Run, alone: bool) {
         for &(a, b) in &run.zone_pairs {
             self.fleet.add_crossing(self.plan.links.pair_index(a, b));
@@ -148,23 +149,23 @@
                     fault: Fault::Shared(endpoint),
                 });
             }
-            let flying = row.in_flight + 1;
-            row.set_in_flight(now, flying);
+            let in_flight = row.in_flight + 1;
+            row.set_in_flight(now, in_flight);
             row.reserved_for = if alone { Some(id) } else { row.reserved_for };
-            if flying > row.slots.max(1) {
-                let fault = Fault::Bound(u64::from(flying), u64::from(row.slots));
+            if in_flight > row.slots.max(1) {
+                let fault = Fault::Bound(u64::from(in_flight), u64::from(row.slots));
                 self.findings.push(Finding { place, fault });
             }
         }
     }
 
-    /// Expected tokens and prompt work left for `flight`'s line are measured by the meter.
+    /// Returns the measurements of the line of `target`.
     pub(super) fn meter(&mut self, target: Target) -> &mut crate::meter::Meter {
         self.meters.entry(queue::line(target)).or_default()
     }
 }
 
-/// Work that a request is charged with, in tokens.
+/// Returns the work charged for a request, in generated tokens.
 pub(super) fn charged_tokens(job: &Job) -> f64 {
     let left = job.request.max_tokens.saturating_sub(job.tokens);
     f64::from(left.max(1)) + f64::from(job.request.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
--- a/crates/route/src/router/pick.rs
+++ b/crates/route/src/router/pick.rs
@@ -1,4 +1,4 @@
-//! The choice of a chain for a request.
+//! Selection of a chain for a request.
 
 use super::Router;
 use super::capacity::{Capacity, Mode};
@@ -15,7 +15,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Wait for a cached place after which one with much room elsewhere is taken.
+/// Time that a request waits for an endpoint with its prefix before it may take one with ample free
+/// capacity instead.
 const MIN_SPREAD_WAIT: Duration = Duration::from_millis(200);
 
 impl Router {
@@ -24,19 +25,19 @@
         now: Now,
         id: Id,
         mode: Mode,
-        held: &BTreeSet<EndpointId>,
+        reserved: &BTreeSet<EndpointId>,
     ) -> Option<Vec<Hop>> {
         let job = self.jobs.get(&id)?;
         let Target::Model(model, _) = job.request.target else {
             return None;
         };
         let (_, preference) = job.preference.as_ref()?;
-        let wide = mode == Mode::Spare;
+        let spare = mode == Mode::Spare;
         let none = BTreeMap::new();
-        let capacity = self.capacity(now, mode, &job.avoid, held, &none);
+        let capacity = self.capacity(now, mode, &job.avoid, reserved, &none);
         let graph = self.graph(model)?;
         let choice = Choice {
-            cached: if wide {
+            cached: if spare {
                 &preference.spare
             } else {
                 &preference.home
@@ -47,8 +48,8 @@
         Some(hops(graph, &chain))
     }
 
-    /// Whether a request has places where its prefix is likely to be cached; its wait for one of
-    /// them begins.
+    /// Starts the wait of a request for endpoints that are likely to have its prefix in their
+    /// cache; returns whether there are any.
     pub(super) fn begin_cache_wait(&mut self, now: Now, id: Id) -> bool {
         self.update_preference(id);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -62,7 +63,8 @@
         prefers
     }
 
-    /// Whether a request should rather wait for a place where its prefix is cached.
+    /// Returns whether a request should keep waiting for an endpoint that has its prefix in the
+    /// cache.
     pub(super) fn waits_for_cache(&self, now: Now, id: Id, meter: &Meter) -> bool {
         self.jobs.get(&id).is_some_and(|f| {
             let time = f.request.deadline >= now + meter.service_time(f.request.max_tokens) * 2;
@@ -70,15 +72,16 @@
         })
     }
 
-    /// Whether a request has waited long enough for a cached place to take one with much room.
-    /// Else all requests with one prefix would queue before a few endpoints of an idle fleet.
+    /// Returns whether a request has waited long enough to take an endpoint with ample free
+    /// capacity instead of one with its prefix. Otherwise all requests with the same prefix would
+    /// queue for a few endpoints while the fleet is idle.
     pub(super) fn may_spread(&self, now: Now, id: Id) -> bool {
         self.jobs
             .get(&id)
             .is_some_and(|f| cache_wait(now, f) >= MIN_SPREAD_WAIT)
     }
 
-    /// Finds where a request's prefix is likely to be cached, once for each plan.
+    /// Computes where a request's prefix is likely to be cached, once for each plan.
     fn update_preference(&mut self, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -104,7 +107,7 @@
         });
     }
 
-    /// The preferred graph of a model.
+    /// Returns the preferred graph of a model: the subset if there is one.
     fn graph(&self, model: ModelId) -> Option<&Graph> {
         let near = self.plan.subset.get(model as usize)?.as_ref();
         near.or(self.plan.full.get(model as usize))
@@ -115,8 +118,8 @@
         now: Now,
         mode: Mode,
         avoid: &'a [EndpointId],
-        held: &'a BTreeSet<EndpointId>,
-        yields: &'a BTreeMap<EndpointId, u32>,
+        reserved: &'a BTreeSet<EndpointId>,
+        preemptible: &'a BTreeMap<EndpointId, u32>,
     ) -> Capacity<'a> {
         let (fleet, links, limits) = (&self.fleet, &self.plan.links, &self.limits);
         Capacity {
@@ -126,8 +129,8 @@
             now,
             mode,
             avoid,
-            reserved: held,
-            preemptible: yields,
+            reserved,
+            preemptible,
         }
     }
 
@@ -151,23 +154,23 @@
         })
     }
 
-    /// Chooses a chain; without the endpoints that failed the request if there is such a one.
+    /// Selects a chain, without the endpoints on which the request failed if possible.
     pub(super) fn select_chain(
         &mut self,
         now: Now,
         id: Id,
         mode: Mode,
-        held: &BTreeSet<EndpointId>,
-        yields: &BTreeMap<EndpointId, u32>,
+        reserved: &BTreeSet<EndpointId>,
+        preemptible: &BTreeMap<EndpointId, u32>,
     ) -> Option<Vec<Hop>> {
         self.update_preference(id);
-        // The generator is moved out so that the choice can borrow the rest.
+        // The generator is cloned so that the selection can borrow the rest of the router.
         let mut rng = self.rng.clone();
         let job = self.jobs.get(&id)?;
-        let capacity = self.capacity(now, mode, &job.avoid, held, yields);
+        let capacity = self.capacity(now, mode, &job.avoid, reserved, preemptible);
         let mut found = self.choose(job, &capacity, &mut rng);
         if found.is_none() && !job.avoid.is_empty() {
-            let capacity = self.capacity(now, mode, &[], held, yields);
+            let capacity = self.capacity(now, mode, &[], reserved, preemptible);
             found = self.choose(job, &capacity, &mut rng);
         }
         self.rng = rng;
@@ -176,7 +179,7 @@
         Some(hops)
     }
 
-    /// A chain that takes the request, and whether it had to be searched.
+    /// Returns a chain that accepts the request, and whether it took a search.
     fn choose(
         &self,
         job: &Job,
@@ -203,13 +206,13 @@
     }
 }
 
-/// How long a request has waited for a place where its prefix is cached.
+/// Returns how long a request has waited for an endpoint that has its prefix in the cache.
 fn cache_wait(now: Now, job: &Job) -> Duration {
     job.cache_wait_since
         .map_or(Duration::ZERO, |since| now.saturating_sub(since))
 }
 
-/// Prefix hashes told apart by model and adapter.
+/// Combines prefix hashes with the model and the adapter, since a cache is valid for these only.
 pub(super) fn salt_prefix(prefix: &[u64], model: u16, adapter: Option<u16>) -> Vec<u64> {
     let key = (u64::from(model) << 32) | adapter.map_or(0, |a| u64::from(a) + 1);
     prefix
@@ -229,7 +232,8 @@
         .collect()
 }
 
-/// Chooses an endpoint of a plain service: the best of a few drawn, else the best of all.
+/// Selects an endpoint of a plain service: the best of a few random ones, otherwise the best of
+/// all.
 fn choose_endpoint(
     capacity: &Capacity,
     endpoints: &[EndpointId],
--- a/crates/route/src/router/progress.rs
+++ b/crates/route/src/router/progress.rs
@@ -8,7 +8,8 @@
 use crate::{Attempt, Now};
 
 impl Router {
-    /// The running attempt of a request, if `attempt` is its number.
+    /// Returns the running attempt of a request if its number is `attempt`; counts a stale event
+    /// otherwise.
     fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Run> {
         let job = self.jobs.get_mut(&id);
         let run = job
@@ -34,14 +35,15 @@
         let Some(&endpoint) = run.endpoints.get(hop) else {
             return;
         };
-        let allowed = run.target_times[hop];
+        let target_time = run.target_times[hop];
         let Some(row) = endpoint.and_then(|e| self.fleet.get_mut(e)) else {
             return;
         };
         row.last_progress = now;
         if steady {
             let limit = row.limit();
-            row.limiter.record_hop(now, took, allowed, row.in_flight);
+            row.limiter
+                .record_hop(now, took, target_time, row.in_flight);
             self.dispatch_needed |= row.limit() > limit;
         }
     }
@@ -100,15 +102,15 @@
         };
         let Some(run) = &job.run else { return };
         let took = now.saturating_sub(run.started);
-        let (target, tokens, made) = (job.request.target, job.tokens, run.tokens);
-        let (most, whole) = (job.request.max_tokens, job.attempt == 1);
+        let (target, tokens, run_tokens) = (job.request.target, job.tokens, run.tokens);
+        let (max_tokens, first_attempt) = (job.request.max_tokens, job.attempt == 1);
         let meter = self.meter(target);
-        if made == 0 && whole {
+        if run_tokens == 0 && first_attempt {
             meter.record_first_token(took);
         }
         let after = took.saturating_sub(std::time::Duration::from_secs_f64(meter.first_token));
-        if whole {
-            meter.record_end(tokens, most, after);
+        if first_attempt {
+            meter.record_end(tokens, max_tokens, after);
         }
     }
 
--- a/crates/route/src/router/recover.rs
+++ b/crates/route/src/router/recover.rs
@@ -1,4 +1,4 @@
-//! Recovery: what becomes of a request whose attempt failed.
+//! Recovery of requests whose attempt failed.
 
 use super::Router;
 use crate::action::Action;
@@ -13,9 +13,10 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Time an endpoint that said it leaves gets no new work; by then the list has caught up.
+/// Time without new work for an endpoint that refused because it is leaving. The instance list
+/// reflects this before the time has passed.
 const LEAVING_BACKOFF: Duration = Duration::from_secs(5);
-/// Time an endpoint that does not serve a model yet gets no new work.
+/// Time without new work for an endpoint that does not serve a model yet.
 const UNFIT_BACKOFF: Duration = Duration::from_secs(1);
 
 impl Router {
@@ -33,7 +34,7 @@
                 .position(|h| h.endpoint == failure.endpoint)?;
             run.endpoints[at]
         });
-        let out = endpoint.filter(|&e| self.record_failure(now, e, failure));
+        let ejected = endpoint.filter(|&e| self.record_failure(now, e, failure));
         self.release(now, id);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.sent |= failure.sent;
@@ -46,14 +47,15 @@
             Cause::Leaving | Cause::Unfit => self.requeue(now, id),
             cause => self.recover(now, id, endpoint, cause),
         }
-        // Only now: an ejection takes all that runs there, and this attempt has ended already.
-        out.into_iter().for_each(|e| self.eject(now, e));
+        // The ejection comes last: it cancels all attempts on the endpoint, and this one has
+        // already ended.
+        ejected.into_iter().for_each(|e| self.eject(now, e));
     }
 
-    /// What a failure says of its endpoint; whether it is to be ejected.
+    /// Records a failure against its endpoint; returns whether the endpoint is to be ejected.
     fn record_failure(&mut self, now: Now, endpoint: EndpointId, failure: &Failure) -> bool {
         let jitter: f64 = self.rng.random_range(0.5..1.5);
-        let busy = failure
+        let busy_backoff = failure
             .retry_after
             .unwrap_or(self.limits.busy_backoff)
             .mul_f64(jitter);
@@ -64,7 +66,7 @@
             Cause::Busy => {
                 row.limiter
                     .record_busy(now, row.in_flight.saturating_sub(1));
-                row.backoff_until = row.backoff_until.max(now + busy);
+                row.backoff_until = row.backoff_until.max(now + busy_backoff);
             }
             Cause::Leaving => row.backoff_until = row.backoff_until.max(now + LEAVING_BACKOFF),
             Cause::Unfit => row.backoff_until = row.backoff_until.max(now + UNFIT_BACKOFF),
@@ -81,7 +83,8 @@
         false
     }
 
-    /// The endpoint refused before anything ran: another try costs nothing but a round trip.
+    /// Requeues a request that an endpoint refused before running anything. Another attempt costs
+    /// only a round trip, so it is not counted.
     fn requeue(&mut self, now: Now, id: Id) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -92,7 +95,8 @@
         self.enqueue(now, id);
     }
 
-    /// Continues a request after a failure that counts, within budget, tries and deadline.
+    /// Retries a request after a failure that counts, within its retry budget, attempts and
+    /// deadline.
     pub(super) fn recover(&mut self, now: Now, id: Id, endpoint: Option<EndpointId>, cause: Cause) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -107,17 +111,17 @@
         if job.request.deadline <= now || job.not_resumable {
             return self.terminate(now, id, Reason::Deadline, None);
         }
-        // A silent connection says nothing against its endpoint once a probe was answered.
+        // Once a probe is answered, a silent connection is no evidence against its endpoint.
         if cause != Cause::Silent {
             job.avoid.extend(endpoint);
         }
-        let dies = matches!(cause, Cause::Reset | Cause::Silent);
-        job.awaited_probe = endpoint.filter(|_| dies);
+        let may_have_died = matches!(cause, Cause::Reset | Cause::Silent);
+        job.awaited_probe = endpoint.filter(|_| may_have_died);
         self.park(now, id);
     }
 
-    /// Lets a request wait for the retry budget, and for the probe that tells whether it may
-    /// have killed its endpoint: until then it must not run beside others.
+    /// Parks a request until the retry budget allows a retry and a pending probe shows whether the
+    /// request may have crashed its endpoint. Until then it must not run beside others.
     pub(super) fn park(&mut self, now: Now, id: Id) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -127,7 +131,7 @@
         self.unpark(now);
     }
 
-    /// Lets parked requests go on as far as the budget allows.
+    /// Requeues parked requests as far as the retry budget allows.
     pub(super) fn unpark(&mut self, now: Now) {
         let keys: Vec<_> = self.parked.iter().copied().collect();
         for key in keys {
@@ -146,14 +150,14 @@
         }
     }
 
-    /// Whether a verdict on the request is under way.
+    /// Returns whether a probe or a verdict that concerns the request is pending.
     fn awaits_verdict(&self, job: &crate::job::Job) -> bool {
         let row = job.awaited_probe.and_then(|e| self.fleet.get(e));
         let probing = row.is_some_and(|r| matches!(r.health.state, State::Probing(_)));
         probing || self.crash.is_pending(job.request.fingerprint)
     }
 
-    /// Stops an attempt that the router itself found lost, and continues the request.
+    /// Cancels an attempt that the router itself considers lost, and recovers the request.
     pub(super) fn fail_over(
         &mut self,
         now: Now,
@@ -166,7 +170,7 @@
         self.recover(now, id, endpoint, cause);
     }
 
-    /// Probes an endpoint in use.
+    /// Probes an endpoint that is in use.
     pub(super) fn probe(&mut self, now: Now, endpoint: EndpointId) {
         let Some(row) = self.fleet.get_mut(endpoint) else {
             return;
@@ -178,5 +182,5 @@
     }
 }
 
-/// When to come back after all tries failed.
+/// Retry-after delay after all attempts failed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/route/src/router/tick.rs
+++ b/crates/route/src/router/tick.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about: silence, timeouts, deadlines, refills.
+//! Periodic work: silence, timeouts, deadlines and refills.
 
 use super::Router;
 use crate::Now;
@@ -13,19 +13,20 @@
 use bundle::id::EndpointId;
 use std::time::Duration;
 
-/// Ticks between two tries to start what waits, when nothing else stirs.
+/// Number of ticks between two dispatches when no event requires one.
 const DISPATCH_INTERVAL_TICKS: u64 = 5;
-/// Time before the first token that counts as silence, as a multiple of the usual one.
+/// Time before the first token that counts as silence, as a multiple of the mean.
 const FIRST_TOKEN_MULTIPLE: f64 = 6.0;
-/// Factor on the time that counts as silence for work that can't be repeated: nothing is gained
-/// by giving it up early.
+/// Factor on the silence timeout of work that can't be repeated, since abandoning it early gains
+/// nothing.
 const NON_REPEATABLE_FACTOR: u32 = 2;
 
-/// Time between two ticks from which on this node stood still.
+/// Time between two ticks above which this node is considered to have been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(200);
-/// Ticks between two looks for slow endpoints.
+/// Number of ticks between two checks for slow endpoints.
 const SLOW_CHECK_INTERVAL_TICKS: u64 = 5;
-/// Factor above the aimed time, and above the middle endpoint, from which one counts as slow.
+/// Minimum slowdown of a slow endpoint, both against its target time and against the median
+/// endpoint.
 const SLOW_FACTOR: f64 = 8.0;
 
 impl Router {
@@ -47,9 +48,9 @@
         }
     }
 
-    /// Moves one repeatable request away from each endpoint that has become many times slower
-    /// than the others, within the retry budget: such a stage holds each of its streams back,
-    /// but neither dies nor goes silent.
+    /// Moves one repeatable request away from each endpoint that is many times slower than the
+    /// others, within the retry budget. Such an endpoint delays all of its streams without ever
+    /// being detected as dead or silent.
     fn reroute_slow(&mut self, now: Now) {
         let rows = || {
             self.fleet
@@ -57,11 +58,11 @@
                 .iter()
                 .filter(|r| r.health.accepts_work() && r.limiter.slowdown > 0.0)
         };
-        let mut usual: Vec<f64> = rows().map(|r| r.limiter.slowdown).collect();
-        usual.sort_by(f64::total_cmp);
-        let middle = usual.get(usual.len() / 2).copied().unwrap_or(0.0);
+        let mut slowdowns: Vec<f64> = rows().map(|r| r.limiter.slowdown).collect();
+        slowdowns.sort_by(f64::total_cmp);
+        let median = slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(0.0);
         let slow =
-            |r: &Row| r.in_flight > 0 && r.slowdown(now) > (middle * SLOW_FACTOR).max(SLOW_FACTOR);
+            |r: &Row| r.in_flight > 0 && r.slowdown(now) > (median * SLOW_FACTOR).max(SLOW_FACTOR);
         let rows = self.fleet.rows.iter().zip(0..).filter(|(r, _)| slow(r));
         let endpoints: Vec<EndpointId> = rows.map(|(_, id)| id).collect();
         for endpoint in endpoints {
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Does not count time in which this node itself stood still: progress and answers to probes
-    /// may have come meanwhile and wait to be read. Without this, a paused node takes every
-    /// endpoint for dead and tells the others.
+    /// Excludes time in which this node itself was paused: progress and answers to probes may have
+    /// arrived meanwhile and wait to be read. Otherwise a paused node would consider all endpoints
+    /// dead and report so to the other nodes.
     fn discount_pause(&mut self, now: Now) {
         let last = std::mem::replace(&mut self.last_tick, now);
         let gap = now.saturating_sub(last);
@@ -103,7 +104,7 @@
         runs.for_each(|run| run.last_progress = (run.last_progress + gap).min(now));
     }
 
-    /// Gives up what waits past its deadline; a running answer goes on.
+    /// Ends waiting requests whose deadline has passed; running answers continue.
     fn expire_deadlines(&mut self, now: Now) {
         while let Some(&(deadline, id)) = self.deadlines.first() {
             if deadline > now {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Probes endpoints whose time out of use is over, and ends probes without an answer.
+    /// Probes endpoints whose ejection has expired, and fails probes that timed out.
     fn check_probes(&mut self, now: Now) {
         for id in 0..self.fleet.rows.len() as EndpointId {
             let row = &mut self.fleet.rows[id as usize];
@@ -129,19 +130,19 @@
                 self.actions.push(Action::Probe(id));
                 continue;
             }
-            let late = |since: Now| since + self.limits.probe_timeout <= now;
-            if matches!(row.health.state, State::Probing(since) if late(since)) {
+            let timed_out = |since: Now| since + self.limits.probe_timeout <= now;
+            if matches!(row.health.state, State::Probing(since) if timed_out(since)) {
                 self.probed(now, id, false);
             }
         }
     }
 
-    /// Finds attempts without progress.
+    /// Finds attempts without progress and has their endpoints probed.
     fn check_silence(&mut self, now: Now) {
         let running = self.jobs.values().filter(|f| f.run.is_some());
-        let quiet = running.filter(|f| self.is_silent(now, f));
+        let silent = running.filter(|f| self.is_silent(now, f));
         let ids: Vec<(Id, Option<EndpointId>)> =
-            quiet.map(|f| (f.id(), f.current_endpoint())).collect();
+            silent.map(|f| (f.id(), f.current_endpoint())).collect();
         for (id, endpoint) in ids {
             let run = self.jobs.get_mut(&id).and_then(|f| f.run.as_mut());
             let Some(run) = run else { continue };
@@ -159,25 +160,25 @@
             return false;
         }
         let row = job.current_endpoint().and_then(|e| self.fleet.get(e));
-        let usual = match row {
+        let base_timeout = match row {
             Some(row) if run.tokens > 0 => row
                 .limiter
                 .silence_timeout(self.limits.min_silence, self.limits.first_token_timeout),
             _ => self.first_token_timeout(job),
         };
-        let patience = if job.request.repeatable {
-            usual
+        let timeout = if job.request.repeatable {
+            base_timeout
         } else {
-            usual * NON_REPEATABLE_FACTOR
+            base_timeout * NON_REPEATABLE_FACTOR
         };
-        now.saturating_sub(run.last_progress) > patience
+        now.saturating_sub(run.last_progress) > timeout
     }
 
     fn first_token_timeout(&self, job: &Job) -> Duration {
         let line = queue::line(job.request.target);
-        let usual = self.meters.get(&line).map_or(0.0, |m| m.first_token);
+        let mean = self.meters.get(&line).map_or(0.0, |m| m.first_token);
         self.limits
             .first_token_timeout
-            .max(Duration::from_secs_f64(usual * FIRST_TOKEN_MULTIPLE))
+            .max(Duration::from_secs_f64(mean * FIRST_TOKEN_MULTIPLE))
     }
 }
--- a/crates/route/src/router/update.rs
+++ b/crates/route/src/router/update.rs
@@ -1,4 +1,5 @@
-//! Following the view: a new bundle renames ids, open endpoints and shares change.
+//! Updates of the view: ids change with a new bundle; the availability of endpoints and the shares
+//! change.
 
 use super::Router;
 use crate::Now;
@@ -12,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Recent progress that outweighs what other nodes say of an endpoint.
+/// Age up to which this router's own progress on an endpoint outweighs an ejection by another node.
 const RECENT_PROGRESS: Duration = Duration::from_secs(1);
 
-/// What could be served if ejected endpoints came back.
+/// Models and services that could be served if ejected endpoints returned.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Recoverable {
     pub models: BTreeSet<ModelId>,
@@ -25,21 +26,21 @@
 impl Router {
     pub(super) fn apply_view(&mut self, now: Now, view: Arc<View>) {
         let old = self.view.replace(view.clone());
-        let moved = self.fleet.apply_bundle(&view.bundle);
-        let teams = self.shares.apply_bundle(now, &view.bundle, &view.shares);
+        let new_ids = self.fleet.apply_bundle(&view.bundle);
+        let new_teams = self.shares.apply_bundle(now, &view.bundle, &view.shares);
         let changed = old
             .as_ref()
             .is_none_or(|o| !Arc::ptr_eq(&o.bundle, &view.bundle));
         if let Some(old) = old.filter(|_| changed) {
-            self.remap_ids(now, &old.bundle, &view.bundle, &moved, &teams);
+            self.remap_ids(now, &old.bundle, &view.bundle, &new_ids, &new_teams);
         }
-        let mut turned = false;
+        let mut availability_changed = false;
         for (id, row) in self.fleet.rows.iter_mut().enumerate() {
-            let open = view.available.get(id).copied().unwrap_or(false);
-            turned |= row.available != open;
-            row.available = open;
+            let available = view.available.get(id).copied().unwrap_or(false);
+            availability_changed |= row.available != available;
+            row.available = available;
         }
-        self.plan_stale |= changed || turned;
+        self.plan_stale |= changed || availability_changed;
         self.crash
             .update_remote(&view.suspects, &view.pending, &view.condemned);
         self.replan();
@@ -52,7 +53,7 @@
         self.dispatch_needed = true;
     }
 
-    /// Plans again if endpoints came or went.
+    /// Rebuilds the plan if endpoints were added, removed, ejected or restored.
     pub(super) fn replan(&mut self) {
         let Some(view) = self
             .view
@@ -79,7 +80,7 @@
         self.dispatch_needed = true;
     }
 
-    /// Counts again what crosses each pair of zones: the pairs may have changed.
+    /// Recounts the hops that cross each pair of zones, since the pairs may have changed.
     fn recount_crossings(&mut self) {
         self.fleet.crossings = vec![0; self.plan.links.pair_count()];
         for run in self.jobs.values().filter_map(|f| f.run.as_ref()) {
@@ -89,16 +90,17 @@
         }
     }
 
-    /// Probes endpoints that other nodes have ejected of late, unless they serve this one well.
+    /// Probes endpoints that other nodes have newly ejected, unless they recently made progress for
+    /// this router.
     fn probe_remote_ejected(&mut self, now: Now, view: &View) {
-        let fresh: Vec<_> = view
+        let newly_ejected: Vec<_> = view
             .ejected
             .iter()
             .copied()
             .filter(|e| !self.remote_ejected.contains(e))
             .collect();
         self.remote_ejected.clone_from(&view.ejected);
-        for endpoint in fresh {
+        for endpoint in newly_ejected {
             let row = self.fleet.get(endpoint);
             if row.is_some_and(|r| r.available && r.last_progress + RECENT_PROGRESS <= now) {
                 self.probe(now, endpoint);
@@ -111,8 +113,8 @@
         now: Now,
         old: &Bundle,
         new: &Bundle,
-        moved: &[Option<EndpointId>],
-        teams: &[Option<TeamId>],
+        new_ids: &[Option<EndpointId>],
+        new_teams: &[Option<TeamId>],
     ) {
         self.queue.clear();
         self.meters.clear();
@@ -120,15 +122,15 @@
         self.remote_ejected = self
             .remote_ejected
             .iter()
-            .filter_map(|&e| moved.get(e as usize).copied()?)
+            .filter_map(|&e| new_ids.get(e as usize).copied()?)
             .collect();
-        self.crash.remap_endpoints(moved);
+        self.crash.remap_endpoints(new_ids);
         let ids: Vec<Id> = self.jobs.keys().copied().collect();
         for id in ids {
-            self.remap_job(now, id, (old, new), moved, teams);
+            self.remap_job(now, id, (old, new), new_ids, new_teams);
         }
-        let wards = self.fleet.rows.iter_mut().filter(|r| r.in_flight == 0);
-        wards.for_each(|r| r.reserved_for = None);
+        let idle_rows = self.fleet.rows.iter_mut().filter(|r| r.in_flight == 0);
+        idle_rows.for_each(|r| r.reserved_for = None);
     }
 
     fn remap_job(
@@ -136,13 +138,13 @@
         now: Now,
         id: Id,
         (old, new): (&Bundle, &Bundle),
-        moved: &[Option<EndpointId>],
-        teams: &[Option<TeamId>],
+        new_ids: &[Option<EndpointId>],
+        new_teams: &[Option<TeamId>],
     ) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let known = |e: EndpointId| moved.get(e as usize).copied().flatten();
+        let known = |e: EndpointId| new_ids.get(e as usize).copied().flatten();
         job.avoid = job.avoid.iter().filter_map(|&e| known(e)).collect();
         job.awaited_probe = job.awaited_probe.and_then(known);
         if let Some(run) = &mut job.run {
@@ -151,15 +153,15 @@
                 .for_each(|r| *r = r.and_then(known));
         }
         let request = &mut job.request;
-        request.team = teams
+        request.team = new_teams
             .get(request.team as usize)
             .copied()
             .flatten()
             .unwrap_or(TeamId::MAX);
         request.priority = priority(old, new, request.priority);
         let target = target(old, new, request.target);
-        let same = target.is_some_and(|t| is_compatible(old, new, request.target, t));
-        job.not_resumable |= !same && (job.sent || job.tokens > 0 || job.run.is_some());
+        let compatible = target.is_some_and(|t| is_compatible(old, new, request.target, t));
+        job.not_resumable |= !compatible && (job.sent || job.tokens > 0 || job.run.is_some());
         request.target = target.unwrap_or(request.target);
         let waits = job.queue_entry.take().is_some();
         if target.is_none() && job.run.is_none() {
@@ -190,14 +192,14 @@
     }
 }
 
-/// The priority of the same name, or the least urgent one.
+/// Returns the priority of the same name, or the least urgent one.
 fn priority(old: &Bundle, new: &Bundle, id: PriorityId) -> PriorityId {
     let name = old.priorities.get(id as usize).map(|p| p.name.as_str());
     let last = new.priorities.len().saturating_sub(1) as PriorityId;
     name.and_then(|n| new.priority(n)).unwrap_or(last)
 }
 
-/// The target of the same name.
+/// Returns the target of the same name.
 fn target(old: &Bundle, new: &Bundle, target: Target) -> Option<Target> {
     match target {
         Target::Model(model, adapter) => {
@@ -220,8 +222,8 @@
     }
 }
 
-/// Whether an answer begun under the old bundle can go on under the new one: a model's version
-/// must not change within an answer.
+/// Returns whether an answer begun under the old bundle may continue under the new one. The version
+/// of the model must not change within an answer.
 fn is_compatible(old: &Bundle, new: &Bundle, was: Target, is: Target) -> bool {
     let (Target::Model(a, _), Target::Model(b, _)) = (was, is) else {
         return true;
--- a/crates/route/src/router/verdict.rs
+++ b/crates/route/src/router/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts on endpoints and on the requests that were in flight when they died.
+//! Verdicts on endpoints, and on the requests that were in flight when an endpoint died.
 
 use super::Router;
 use crate::Now;
@@ -13,7 +13,7 @@
 use rand::RngExt;
 
 impl Router {
-    /// An endpoint broke off or went silent: notes what it runs, and probes it.
+    /// Records what runs on an endpoint that disconnected or became silent, and probes it.
     pub(super) fn suspect_death(&mut self, now: Now, endpoint: EndpointId) {
         let fingerprints = self.fingerprints_on(endpoint);
         if self
@@ -26,9 +26,9 @@
         self.probe(now, endpoint);
     }
 
-    /// Fingerprints whose work the endpoint has begun.
+    /// Returns the fingerprints of requests that the endpoint has begun to run.
     fn fingerprints_on(&self, endpoint: EndpointId) -> Vec<u64> {
-        let began = |f: &&Job| {
+        let has_begun = |f: &&Job| {
             f.run.as_ref().is_some_and(|run| {
                 let at = run.endpoints.iter().position(|&r| r == Some(endpoint));
                 at.is_some_and(|at| run.tokens > 0 || run.next_hop >= at)
@@ -37,7 +37,7 @@
         let mut fingerprints: Vec<_> = self
             .jobs
             .values()
-            .filter(began)
+            .filter(has_begun)
             .map(|f| f.request.fingerprint)
             .collect();
         fingerprints.sort_unstable();
@@ -67,14 +67,14 @@
         self.unpark(now);
     }
 
-    /// An endpoint that was doubted lives: only connections to it are dead.
+    /// Handles an answered probe of an endpoint in use: only connections to it are dead.
     fn confirm_alive(&mut self, now: Now, endpoint: EndpointId) {
-        let broke = self.broken_connections.remove(&endpoint);
-        let fresh = self.crash.record_alive(now, endpoint, broke);
-        self.publish_suspects(&fresh);
+        let connection_lost = self.broken_connections.remove(&endpoint);
+        let new_suspects = self.crash.record_alive(now, endpoint, connection_lost);
+        self.publish_suspects(&new_suspects);
         self.keep_waiting(now, endpoint);
         let silent = self.silent_requests(endpoint);
-        if broke || !silent.is_empty() {
+        if connection_lost || !silent.is_empty() {
             let row = self.fleet.get_mut(endpoint);
             if row.is_some_and(|r| r.health.record_failure(now)) {
                 return self.eject(now, endpoint);
@@ -94,8 +94,8 @@
         }
     }
 
-    /// A plain service makes no progress that could be seen: while it lives, its call is waited
-    /// for until the deadline.
+    /// Extends the wait for calls of a plain service, which show no progress: while the endpoint is
+    /// alive, they are awaited until their deadline.
     fn keep_waiting(&mut self, now: Now, endpoint: EndpointId) {
         for job in self.jobs.values_mut().filter(|f| f.runs_on(endpoint)) {
             let service = matches!(job.request.target, Target::Service(_));
@@ -119,13 +119,13 @@
         due.map(|f| f.id()).collect()
     }
 
-    /// An endpoint is dead: what was in flight there becomes suspect.
+    /// Handles the death of an endpoint: what was in flight there becomes suspect.
     fn confirm_dead(&mut self, now: Now, endpoint: EndpointId) {
         self.broken_connections.remove(&endpoint);
         let fingerprints = self.fingerprints_on(endpoint);
         self.crash.open_incident(now, endpoint, fingerprints);
-        let fresh = self.crash.record_dead(now, endpoint);
-        self.publish_suspects(&fresh);
+        let new_suspects = self.crash.record_dead(now, endpoint);
+        self.publish_suspects(&new_suspects);
         self.eject(now, endpoint);
     }
 
@@ -140,7 +140,7 @@
         self.rerank();
     }
 
-    /// Takes an endpoint out of use and continues its requests elsewhere.
+    /// Ejects an endpoint and recovers its requests on others.
     pub(super) fn eject(&mut self, now: Now, endpoint: EndpointId) {
         let jitter = self.rng.random();
         let Some(row) = self.fleet.get_mut(endpoint) else {
@@ -165,7 +165,7 @@
         self.unpark(now);
     }
 
-    /// Verdicts that are due.
+    /// Publishes the verdicts that are due and stops the requests concerned.
     pub(super) fn conclude_verdicts(&mut self, now: Now) {
         let fingerprints = self.crash.conclude(now);
         if fingerprints.is_empty() {
@@ -178,7 +178,7 @@
         self.stop_condemned(now);
     }
 
-    /// Ends requests that are known to crash endpoints.
+    /// Ends requests whose fingerprint is condemned.
     pub(super) fn stop_condemned(&mut self, now: Now) {
         let condemned = |f: &&Job| self.crash.is_condemned(f.request.fingerprint);
         let ids: Vec<Id> = self
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -1,53 +1,55 @@
-//! Limits of one router.
+//! Settings of one router.
 
 use std::time::Duration;
 
-/// Limits; [`Settings::default`] holds the values that the measurements were made with.
+/// Limits, timeouts and targets of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Most requests that wait and are not urgent.
+    /// Maximum number of waiting requests that are not urgent.
     pub max_queued: usize,
-    /// Most urgent requests that wait.
+    /// Maximum number of waiting urgent requests.
     pub max_urgent: usize,
-    /// Endpoints drawn by flow share for each hop; the best of them is taken.
+    /// Number of stages drawn for each hop by planned flow, of which the cheapest is taken.
     pub hop_draws: usize,
-    /// Endpoints of one model above which a router prefers a subset, nearest zones first.
+    /// Number of stages of one model above which a router prefers a subset, nearest zones first.
     pub subset_threshold: usize,
-    /// Prefixes whose endpoints are remembered.
+    /// Maximum number of prefixes remembered.
     pub max_prefixes: usize,
-    /// Time a request waits for a place where its prefix is cached before it goes elsewhere.
+    /// Time that a request waits for an endpoint with its prefix in the cache before it runs
+    /// elsewhere.
     pub cache_wait: Duration,
-    /// Requests looked at for one that is cached where there is a place.
+    /// Number of waiting requests examined for one whose prefix is cached on an endpoint with free
+    /// capacity.
     pub cache_window: usize,
     /// Time between two tokens that the concurrency limits aim at.
     pub target_token_gap: Duration,
     /// Age of a load report at which it counts half.
     pub report_half_life: Duration,
-    /// Most attempts of a request, without pauses and without answers that an endpoint is full.
+    /// Maximum number of attempts of a request, not counting pauses and refusals by endpoints.
     pub max_attempts: u32,
     /// Retries earned by each first attempt.
     pub retry_ratio: f64,
-    /// Retries that can be saved up, at least.
+    /// Minimum capacity of the retry budget.
     pub retry_burst: f64,
-    /// Seconds of a team's rate that its bucket holds.
+    /// Capacity of a team's token bucket, in seconds of its rate.
     pub team_burst: f64,
-    /// Shortest time without progress that counts as silence.
+    /// Minimum time without progress that counts as silence.
     pub min_silence: Duration,
     /// Time without progress that counts as silence before the first token.
     pub first_token_timeout: Duration,
     /// Time after which an unanswered probe counts as failed.
     pub probe_timeout: Duration,
-    /// First time that an endpoint stays ejected; doubles with each ejection in a row.
+    /// Duration of the first ejection; doubles with each consecutive ejection.
     pub min_ejection: Duration,
-    /// Longest time that an endpoint stays ejected.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// Attempts that must go well before an endpoint counts as restored.
+    /// Number of successful attempts after which an endpoint on trial counts as restored.
     pub trial_attempts: u32,
-    /// Time an endpoint gets no new work after it answered that it is full.
+    /// Time without new work after an endpoint answered that it is full, unless it states a delay.
     pub busy_backoff: Duration,
-    /// Time a suspect waits for endpoints to become idle before repeatable work is moved away.
+    /// Time that a suspect waits for endpoints to become idle before repeatable work is moved away.
     pub isolation_timeout: Duration,
-    /// Fingerprints remembered as suspects, and as condemned.
+    /// Maximum number of fingerprints remembered as suspect, and as condemned.
     pub max_fingerprints: usize,
 }
 
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -1,9 +1,9 @@
-//! Team limits: this worker's share of a team's rate and of its requests in flight.
+//! Team limits: one worker's share of a team's rate and of its requests in flight.
 //!
-//! The shares come with the view; the nodes divide a team's limit by demand. A fractional share
-//! of requests in flight admits while the count is below it, so the overshoot of one worker is
-//! less than one request. Urgent requests may overdraw the rate by one bucket, so that a burst
-//! of ordinary work does not refuse an alarm.
+//! The shares come with the view; the nodes divide a team's limits by demand. A fractional share of
+//! requests in flight admits while the count is below it, so that one worker overshoots by less
+//! than one request. Urgent requests may overdraw the token bucket of the rate by its capacity, so
+//! that a burst of ordinary work does not cause an alarm to be refused.
 
 use crate::Now;
 use crate::view::Share;
@@ -12,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time that a refusal asks to wait.
+/// Maximum retry-after delay of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Account of one team.
+/// Usage of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name in the bundle.
+    /// Name of the team in the bundle.
     pub name: String,
-    /// Requests taken in that have not ended.
+    /// Number of admitted requests that have not ended.
     pub in_flight: u32,
-    /// Requests taken in.
+    /// Number of requests admitted.
     pub admitted: u64,
-    /// Requests refused.
+    /// Number of requests refused.
     pub refused: u64,
     share: Share,
     tokens: f64,
@@ -65,13 +65,13 @@
             .map_or(MAX_RETRY_AFTER, |w| w.min(MAX_RETRY_AFTER))
     }
 
-    /// Whether the level lies within the bucket and its overdraft.
+    /// Returns whether the level of the token bucket is within its capacity and overdraft.
     pub fn is_within_bounds(&self, burst: f64) -> bool {
         !self.tokens.is_finite() || self.tokens >= -self.capacity(burst) - 1.0
     }
 }
 
-/// Accounts by team.
+/// Usage of all teams.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// Accounts by team.
@@ -79,7 +79,7 @@
 }
 
 impl Table {
-    /// Takes in a bundle and this worker's shares; returns the new id of each old team.
+    /// Adopts a bundle and this worker's shares; returns the new id of each old team.
     pub fn apply_bundle(
         &mut self,
         now: Now,
@@ -88,11 +88,11 @@
     ) -> Vec<Option<TeamId>> {
         let old = std::mem::take(&mut self.accounts).into_iter().enumerate();
         let mut old: BTreeMap<_, _> = old.map(|(i, r)| (r.name.clone(), (i, r))).collect();
-        let mut moved = vec![None; old.len()];
+        let mut new_ids = vec![None; old.len()];
         for (id, team) in bundle.teams.iter().enumerate() {
             let mut row = match old.remove(&team.name) {
-                Some((was, row)) => {
-                    moved[was] = Some(id as TeamId);
+                Some((old_id, row)) => {
+                    new_ids[old_id] = Some(id as TeamId);
                     row
                 }
                 None => Account::new(&team.name, now),
@@ -103,10 +103,10 @@
             });
             self.accounts.push(row);
         }
-        moved
+        new_ids
     }
 
-    /// Takes a request in, or tells when to come back.
+    /// Admits a request, or returns the retry-after delay.
     pub fn admit(&mut self, now: Now, team: TeamId, urgent: bool, burst: f64) -> Result {
         let Some(row) = self.accounts.get_mut(team as usize) else {
             return Err(MAX_RETRY_AFTER);
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// A request of `team` ended.
+    /// Records the end of a request of `team`.
     pub fn release(&mut self, team: TeamId) {
         if let Some(row) = self.accounts.get_mut(team as usize) {
             row.in_flight = row.in_flight.saturating_sub(1);
@@ -136,8 +136,8 @@
     }
 }
 
-/// Shortest time that a refusal asks to wait.
+/// Minimum retry-after delay of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Ok, or when to come back.
+/// Result of an admission; the error is the retry-after delay.
 pub type Result = std::result::Result<(), Duration>;
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -1,39 +1,40 @@
-//! What control knows, as an immutable snapshot for the request workers.
+//! Immutable snapshot of the fleet that control publishes to the request workers.
 
 use bundle::Bundle;
 use bundle::id::{EndpointId, ZoneId};
 use std::sync::Arc;
 
-/// This worker's share of a team's limits.
+/// One worker's share of a team's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Requests started per second.
+    /// Requests admitted per second.
     pub rate: f64,
-    /// Requests in flight.
+    /// Maximum number of requests in flight; may be fractional.
     pub in_flight: f64,
 }
 
-/// A view of the fleet.
+/// Snapshot of the fleet.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The bundle in force.
+    /// Bundle in force.
     pub bundle: Arc<Bundle>,
-    /// The node's own availability zone.
+    /// Availability zone of this node.
     pub zone: ZoneId,
-    /// By endpoint: whether it gets new work (live in the list, not leaving, ready).
+    /// Whether an endpoint may get new work (listed as live, ready and not leaving), by endpoint.
     pub available: Vec<bool>,
     /// Endpoints that other nodes have ejected.
     pub ejected: Vec<EndpointId>,
-    /// Fingerprints that other nodes saw in flight at an endpoint's death.
+    /// Fingerprints of requests that were in flight on an endpoint when it died, reported by other
+    /// nodes.
     pub suspects: Vec<u64>,
-    /// Fingerprints on which another node awaits a verdict.
+    /// Fingerprints with a pending verdict at another node.
     pub pending: Vec<u64>,
     /// Fingerprints of requests that crash endpoints.
     pub condemned: Vec<u64>,
-    /// By team: this worker's share of the limits.
+    /// This worker's share of each team's limits, by team.
     pub shares: Vec<Share>,
-    /// Retries per second that this worker may spend of the fleet's budget.
+    /// Retries per second that this worker may spend from the fleet's retry budget.
     pub retry_rate: f64,
-    /// Whether this node takes no new work.
+    /// Whether this node is leaving and admits no new requests.
     pub leaving: bool,
 }
