--- a/crates/node/src/hosted/control/assignment.rs
+++ b/crates/node/src/hosted/control/assignment.rs
@@ -80,26 +80,26 @@
         now: Now,
         me: Id,
         zone: &str,
-        open: impl Iterator<Item = &'a Peer>,
+        accepting: impl Iterator<Item = &'a Peer>,
         engines: &EngineCounts<'_>,
     ) -> Self {
-        let mut open: Vec<&Peer> = open.collect();
-        open.sort_by_key(|p| p.id);
+        let mut accepting: Vec<&Peer> = accepting.collect();
+        accepting.sort_by_key(|p| p.id);
         let others = |peers: &[&Peer]| -> Vec<SocketAddr> {
             let others = peers.iter().filter(|p| p.id != me);
             others.map(|p| p.identity.addr).collect()
         };
-        let local = first_in_zone(&open, zone, usize::MAX);
+        let local = first_in_zone(&accepting, zone, usize::MAX);
         let local_readers = select_readers(now, &local);
         let position = local.iter().position(|p| p.id == me).unwrap_or_default();
         let mut pollers: Vec<&Peer> = Vec::new();
         let mut poll_shards = BTreeMap::new();
         for (&zone, &engine_count) in engines {
             let limit = engine_count.div_ceil(ENGINES_PER_POLLER).max(1);
-            let mut zone_pollers = first_in_zone(&open, zone, limit);
+            let mut zone_pollers = first_in_zone(&accepting, zone, limit);
             if zone_pollers.is_empty() {
                 // The zone has no node: the first node of the fleet polls its engines.
-                zone_pollers = open.first().copied().into_iter().collect();
+                zone_pollers = accepting.first().copied().into_iter().collect();
             }
             if let Some(index) = zone_pollers.iter().position(|p| p.id == me) {
                 let count = zone_pollers.len();
@@ -114,8 +114,8 @@
             readers: rotate_readers(others(&local_readers), position),
             pollers: others(&pollers),
             poll_shards,
-            first: open.first().is_some_and(|p| p.id == me),
-            order_shard: order_shard(me, &open, engines),
+            first: accepting.first().is_some_and(|p| p.id == me),
+            order_shard: order_shard(me, &accepting, engines),
         }
     }
 
@@ -157,12 +157,12 @@
 }
 
 /// Computes the shard of a node among the endpoints without layers, if it gives orders at all.
-fn order_shard(me: Id, open: &[&Peer], engines: &EngineCounts<'_>) -> Option<Shard> {
+fn order_shard(me: Id, accepting: &[&Peer], engines: &EngineCounts<'_>) -> Option<Shard> {
     let endpoints: usize = engines.values().sum();
     let count = endpoints
         .div_ceil(ENDPOINTS_PER_ORDERER)
-        .clamp(1, open.len().max(1));
-    let index = open.iter().take(count).position(|p| p.id == me)?;
+        .clamp(1, accepting.len().max(1));
+    let index = accepting.iter().take(count).position(|p| p.id == me)?;
     Some(Shard { index, count })
 }
 
@@ -176,7 +176,10 @@
 }
 
 /// Returns the first nodes of a zone, at most `limit`.
-fn first_in_zone<'a>(open: &[&'a Peer], zone: &str, limit: usize) -> Vec<&'a Peer> {
-    let own = open.iter().copied().filter(|p| p.identity.zone == zone);
+fn first_in_zone<'a>(accepting: &[&'a Peer], zone: &str, limit: usize) -> Vec<&'a Peer> {
+    let own = accepting
+        .iter()
+        .copied()
+        .filter(|p| p.identity.zone == zone);
     own.take(limit).collect()
 }
--- a/crates/node/src/hosted/control/copy.rs
+++ b/crates/node/src/hosted/control/copy.rs
@@ -15,15 +15,19 @@
 /// Approximate size of a chunk; the rest of a copy is left for the next request.
 pub const CHUNK_BYTES: usize = 48 << 10;
 
+/// Encoded form of a [`Response`].
 #[derive(Serialize, Deserialize)]
 struct Raw {
     records: Vec<Row>,
     next: u64,
-    whole: bool,
-    fresh: bool,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(rename = "fresh")]
+    up_to_date: bool,
     more: bool,
 }
 
+/// Encoded form of a record.
 #[derive(Serialize, Deserialize)]
 struct Row {
     key: String,
@@ -52,8 +56,8 @@
         Self {
             records: rows.collect(),
             next: response.page.next_offset,
-            whole: response.page.complete,
-            fresh: response.up_to_date,
+            complete: response.page.complete,
+            up_to_date: response.up_to_date,
             more: response.more,
         }
     }
@@ -70,9 +74,9 @@
             page: Page {
                 records: records.collect(),
                 next_offset: raw.next,
-                complete: raw.whole,
+                complete: raw.complete,
             },
-            up_to_date: raw.fresh,
+            up_to_date: raw.up_to_date,
             more: raw.more,
         }
     }
--- a/crates/node/src/hosted/control/failures.rs
+++ b/crates/node/src/hosted/control/failures.rs
@@ -22,6 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Failures {
     current: Arc<BTreeSet<String>>,
+    /// Since when each failing endpoint counts as such.
     since: BTreeMap<String, Instant>,
 }
 
@@ -29,7 +30,7 @@
     /// Recomputes the failing endpoints from the failure reports of all nodes and from the engines
     /// that did not answer polls. Returns whether the set changed.
     ///
-    /// An unanswered poll counts as one more failure report. An endpoint that is already failing
+    /// Being unresponsive counts as one more failure report. An endpoint that is already failing
     /// stays so while it is unresponsive: if it were released once the reports expire, every node
     /// would send to it again.
     pub fn update(
--- a/crates/node/src/hosted/control/input.rs
+++ b/crates/node/src/hosted/control/input.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// A read of the store succeeded.
-    Page(Table, Page),
+    Read(Table, Page),
     /// A read of the store failed, with the error.
     ReadFailed(Table, String),
     /// A peer answered a request, with the encoded response.
--- a/crates/node/src/hosted/control/loads.rs
+++ b/crates/node/src/hosted/control/loads.rs
@@ -3,8 +3,8 @@
 //! A few nodes of each availability zone poll the engines of their zone, busy ones more often than
 //! idle ones; the other nodes copy the reports from them. If each node polled each engine, the
 //! number of polls would grow with the number of nodes. A node that requests loads again gets only
-//! the reports that the peer received since the previous request: those of 3,000 engines take 180
-//! KB.
+//! the reports that the peer received since the previous request; the reports of all engines of a
+//! fleet of 3,000 would take 180 KB each time.
 
 use super::copy::{CHUNK_BYTES, Scope};
 use adapter::report::Report;
@@ -41,8 +41,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct Figures {
     used: f32,
-    room: f32,
-    pace: f32,
+    #[serde(rename = "room")]
+    capacity: f32,
+    #[serde(rename = "pace")]
+    slowdown: f32,
     queued: u32,
     from: u32,
     to: u32,
@@ -52,8 +54,8 @@
     fn from(report: &Report) -> Self {
         Self {
             used: report.kv_used as f32,
-            room: report.kv_capacity as f32,
-            pace: report.slowdown as f32,
+            capacity: report.kv_capacity as f32,
+            slowdown: report.slowdown as f32,
             queued: report.queued,
             from: report.span.from,
             to: report.span.to,
@@ -64,6 +66,7 @@
 /// A report with its origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Row {
+    /// Estimated time at which the engine gave the report.
     at: Instant,
     /// Change number of the list at which the report was added.
     number: u64,
@@ -103,6 +106,7 @@
     rows: BTreeMap<String, Row>,
     /// Number of the last change of `rows`.
     last: u64,
+    /// How far the lists of peers are known.
     progress: BTreeMap<(SocketAddr, Scope), PeerProgress>,
     /// When this node last polled each run.
     last_polls: BTreeMap<String, Instant>,
@@ -173,7 +177,7 @@
     /// Returns whether a run is to be polled now; if so, records the poll.
     pub fn due(&mut self, now: Instant, run: &str) -> bool {
         let figures = self.rows.get(run).map(|r| r.figures);
-        let busy = figures.is_some_and(|f| f.used > f.room * BUSY_UTILIZATION);
+        let busy = figures.is_some_and(|f| f.used > f.capacity * BUSY_UTILIZATION);
         let frequent = busy || self.misses.contains_key(run);
         let period = if frequent {
             BUSY_POLL_INTERVAL
@@ -284,7 +288,7 @@
         let load = |row: &Row| Load {
             stamp: (row.at - start).as_micros() as u64,
             used: row.figures.used.into(),
-            slowdown: row.figures.pace.into(),
+            slowdown: row.figures.slowdown.into(),
             queued: row.figures.queued,
             age: now - row.at,
         };
--- a/crates/node/src/hosted/control/orders.rs
+++ b/crates/node/src/hosted/control/orders.rs
@@ -74,6 +74,7 @@
     gather_time: Duration,
     /// When an endpoint was last seen for the first time.
     last_arrival: Instant,
+    /// All endpoints of the last plan, to detect new ones.
     seen: BTreeSet<Run>,
 }
 
@@ -210,9 +211,9 @@
             holders.push(holder);
         }
         self.revalidate_moves(assignment, engine, &holders);
-        // A fleet without any layers is planned at once, after all its endpoints have registered.
-        // If it were planned in small groups, the first endpoints would get layers that larger
-        // ones, which register later, should hold.
+        // A fleet without any layers is planned as a whole, after all its endpoints have
+        // registered. If it were planned in small groups, the first endpoints would get layers that
+        // larger ones, which register later, should hold.
         let all_empty = holders.iter().all(|h| h.span.is_empty());
         if all_empty && now < self.last_arrival + self.gather_time {
             return;
--- a/crates/node/src/hosted/control/pulls.rs
+++ b/crates/node/src/hosted/control/pulls.rs
@@ -42,6 +42,7 @@
     /// Number of pulls so far.
     turn: usize,
     in_flight: Vec<(Request, SocketAddr)>,
+    /// Peers that failed, with the time until which they are avoided.
     avoid: BTreeMap<SocketAddr, Instant>,
     partial: Vec<PartialTable>,
 }
--- a/crates/node/src/hosted/control/reader.rs
+++ b/crates/node/src/hosted/control/reader.rs
@@ -30,12 +30,12 @@
     platform: Arc<Platform>,
     table: Table,
     inputs: InputSender,
-    mut reads: watch::Receiver<bool>,
+    mut enabled: watch::Receiver<bool>,
     metrics: Metrics,
 ) {
     let mut from: Option<Offset> = None;
     loop {
-        if reads.wait_for(|reads| *reads).await.is_err() {
+        if enabled.wait_for(|enabled| *enabled).await.is_err() {
             return;
         }
         let started = Instant::now();
@@ -44,7 +44,7 @@
         let (input, pause) = match result {
             Ok(Some(page)) => {
                 from = Some(page.next_offset);
-                (Some(Input::Page(table, page)), pause(table))
+                (Some(Input::Read(table, page)), pause(table))
             }
             Ok(None) => {
                 from = None;
--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -41,11 +41,13 @@
 
 /// Interval of requests to peers for their copies while the store can't be read.
 const COPY_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause after planning orders, as a multiple of the planning time, and its upper bound.
+/// Pause after planning orders, as a multiple of the planning time.
 const PLAN_REST_FACTOR: u32 = 9;
+/// Upper bound of the pause after planning orders.
 const MAX_PLAN_REST: Duration = Duration::from_secs(2);
-/// Pause after publishing a view, as a multiple of the publishing time, and its upper bound.
+/// Pause after publishing a view, as a multiple of the publishing time.
 const VIEW_REST_FACTOR: u32 = 4;
+/// Upper bound of the pause after publishing a view.
 const MAX_VIEW_REST: Duration = Duration::from_millis(400);
 /// Interval at which the metrics of the view are updated.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
@@ -59,15 +61,14 @@
 /// Lifetime of the announcement that an endpoint is to release its layers: until its report of the
 /// new layers has reached all nodes.
 const MOVE_NOTICE_TTL: Duration = Duration::from_secs(3);
-/// Number of endpoints per node that a recently started node assumes to select chains concurrently,
-/// until membership has settled. Without this assumption, nodes that start together all select the
-/// cheapest chain, each as if it were alone.
-const ENDPOINTS_PER_CHOOSER: usize = 2;
-/// Number of peers from which copies are requested at once: the store may refuse one of them as
-/// well.
+/// Until membership has settled, a recently started node assumes that one node per this number of
+/// endpoints selects chains at the same time. Without this assumption, nodes that start together
+/// all select the cheapest chain, each as if it were the only node.
+const ENDPOINTS_PER_SELECTING_NODE: usize = 2;
+/// Number of peers from which copies are requested at once: the store may refuse one of them too.
 const PEERS_PER_COPY: usize = 2;
 
-/// How well one table of the store can be read.
+/// Read status of one table of the store.
 #[derive(Clone, Debug, Default)]
 struct TableStatus {
     /// Since when the table can't be read; `None` if the last read succeeded.
@@ -103,7 +104,9 @@
     engines: BTreeMap<SocketAddr, Arc<Engine>>,
     /// When an up-to-date copy was last received from a peer.
     copy_received: Instant,
+    /// When copies were last requested because the store could not be read.
     last_copy_request: Instant,
+    /// When the metrics of the view were last updated.
     metrics_updated: Instant,
     metrics: Metrics,
     leaving: bool,
@@ -182,7 +185,7 @@
     pub fn handle_input(&mut self, input: Input) {
         let now = Instant::now();
         match input {
-            Input::Page(table, page) => self.apply_read(now, table, page),
+            Input::Read(table, page) => self.apply_read(now, table, page),
             Input::ReadFailed(table, reason) => self.record_read_failure(now, table, &reason),
             Input::Response(request, peer, bytes) => {
                 self.handle_response(now, request, peer, &bytes)
@@ -266,12 +269,12 @@
             .to_owned(),
             offset: self.tables.next_offset(Table::Endpoints),
         });
-        let body = Observation::Endpoint {
+        let observation = Observation::Endpoint {
             name: run.to_string(),
             ejected,
             ttl: FAILURE_REPORT_TTL,
         };
-        self.handle_event(Event::Publish(vec![body]));
+        self.handle_event(Event::Publish(vec![observation]));
         self.dirty = true;
     }
 
@@ -401,7 +404,7 @@
         let endpoints: Vec<Endpoint> = endpoints.map(|e| self.loads.overlay(now, e)).collect();
         let selecting_nodes = match self.settled() {
             true => nodes.len(),
-            false => endpoints.len() / ENDPOINTS_PER_CHOOSER,
+            false => endpoints.len() / ENDPOINTS_PER_SELECTING_NODE,
         };
         let view = View {
             fleet: Fleet {
--- a/crates/node/src/hosted/control/state/exchange.rs
+++ b/crates/node/src/hosted/control/state/exchange.rs
@@ -21,13 +21,13 @@
 impl State {
     /// Recomputes this node's assignment, and starts or stops its reads of the store accordingly.
     pub(super) fn update_assignment(&mut self, now: Instant) {
-        let (me, open) = (self.group.me(), self.group.accepting());
+        let (me, accepting) = (self.group.me(), self.group.accepting());
         let elapsed = self.start.elapsed();
         self.assignment = Assignment::of(
             elapsed,
             me,
             &self.settings.zone,
-            open,
+            accepting,
             &self.engines_by_zone(),
         );
         // A node reads the store itself if it gets no up-to-date copy from the readers of its zone.
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -39,7 +39,7 @@
 /// Maximum time to write the remaining decision lines at the end.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the worker closes idle connections.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the settings file is checked for changes that no signal announced.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Capacity of the queue of changes of endpoint health from the worker to control.
@@ -49,13 +49,16 @@
 /// Maximum number of connections of each listener for addresses, readiness and metrics.
 const MAX_AUXILIARY_CONNECTIONS: usize = 256;
 
-/// Signals that stop the parts of a node, in the order of a drain.
+/// Cancellation tokens that stop the parts of a node, in the order of a drain.
 #[derive(Clone, Debug, Default)]
 struct Shutdown {
+    /// Cancelled when the drain begins.
     leave: CancellationToken,
     /// Cancelled when new requests are refused.
     close: CancellationToken,
+    /// Stops the listeners and their connections.
     serving: Stop,
+    /// Cancelled when control must stop.
     control: CancellationToken,
     /// Number of requests in flight, for the thread that waits for their end.
     in_flight: Arc<AtomicU64>,
@@ -153,12 +156,12 @@
         let running = listener::run(worker.clone(), listener, port, connections, stop);
         tokio::task::spawn_local(running);
     }
-    let mut tidy_tick = tokio::time::interval(TIDY_INTERVAL);
+    let mut prune_tick = tokio::time::interval(PRUNE_INTERVAL);
     loop {
         tokio::select! {
             () = shutdown.serving.kill.cancelled() => return Ok(()),
             () = shutdown.close.cancelled() => break,
-            _ = tidy_tick.tick() => worker.prune(),
+            _ = prune_tick.tick() => worker.prune(),
         }
     }
     worker.close();
@@ -177,6 +180,7 @@
     entry::listener::open(addr).wrap_err_with(|| format!("listener {addr}"))
 }
 
+/// The settings in use, and the file that they are reloaded from.
 struct SettingsWatch {
     file: PathBuf,
     settings: Settings,
@@ -201,6 +205,8 @@
     Ok(())
 }
 
+/// Drains the node within the grace time. Another SIGTERM ends the time in which new requests are
+/// served.
 async fn leave(watch: &SettingsWatch, shutdown: &Shutdown, terminate: &mut Signal) {
     let grace = watch.settings.grace;
     let started = tokio::time::Instant::now();
--- a/crates/node/tests/binary.rs
+++ b/crates/node/tests/binary.rs
@@ -18,7 +18,7 @@
         .args(args)
         .current_dir(folder)
         .output()
-        .expect("it runs")
+        .expect("the binary runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -111,13 +111,13 @@
 /// Writes settings into a file named after the test.
 fn write(name: &str, settings: &str) -> PathBuf {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.ini"));
-    std::fs::write(&file, settings).expect("written");
+    std::fs::write(&file, settings).expect("the settings file is written");
     file
 }
 
 /// Returns the address that follows `word` in a line.
 fn addr_after(line: &str, word: &str) -> SocketAddr {
-    let rest = line.split(word).nth(1).expect("the word");
+    let rest = line.split(word).nth(1).expect("the line contains the word");
     let addr = rest.trim().split(',').next().expect("an address");
     addr.parse().expect("an address")
 }
@@ -128,10 +128,10 @@
         let file = write(name, &settings(name, drain, 0));
         let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
         command.arg("--config").arg(&file).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("the process starts");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let line = lines.find(|l| l.as_ref().is_ok_and(|l| l.contains("serves callers on ")));
-        let line = line.expect("it says where it serves").expect("a line");
+        let line = line.expect("the node logs its listeners").expect("a line");
         // The rest of the log is read and discarded, so that the node never blocks on a full pipe.
         std::thread::spawn(move || lines.count());
         let node = Self {
@@ -140,7 +140,7 @@
             callers: addr_after(&line, "callers on "),
             file,
         };
-        wait_until("healthz answers", || {
+        wait_until("/healthz responds", || {
             node.get(node.admin, "/healthz")
                 .starts_with("HTTP/1.1 200 ")
         });
@@ -190,7 +190,7 @@
 fn wait_until(what: &str, mut test: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !test() {
-        assert!(Instant::now() < end, "it did not come: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
@@ -224,7 +224,7 @@
             node.get(node.admin, "/admin/v1/status")
                 .contains("\"leaving\":true")
         };
-        wait_until("the node says that it leaves", || leaving(&node));
+        wait_until("the node reports that it leaves", || leaving(&node));
         assert!(
             node.get(node.callers, "/v1/addresses")
                 .starts_with("HTTP/1.1 503 ")
@@ -242,7 +242,7 @@
         node.get(node.admin, "/admin/v1/status")
             .contains("\"leaving\":true")
     };
-    wait_until("the node says that it leaves", || leaving(&node));
+    wait_until("the node reports that it leaves", || leaving(&node));
     assert!(node.exit_status().is_none());
     node.signal("TERM");
     assert_eq!(node.wait_for_exit(), Some(0));
@@ -256,7 +256,7 @@
     let file = write("second", &settings("second", "0s", node.callers.port()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
     command.arg("--config").arg(&file).stderr(Stdio::piped());
-    let mut second = command.spawn().expect("it starts");
+    let mut second = command.spawn().expect("the process starts");
     let end = Instant::now() + TIMEOUT / 3;
     while second.try_wait().expect("a status").is_none() {
         if Instant::now() > end {
@@ -264,7 +264,7 @@
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    let output = second.wait_with_output().expect("it ended");
+    let output = second.wait_with_output().expect("the process ended");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let message = text(&output.stderr);
     assert!(
--- a/crates/node/tests/copy.rs
+++ b/crates/node/tests/copy.rs
@@ -121,15 +121,18 @@
     let table = Request::Changes(Kind::Endpoints);
     let mut pulls = Pulls::default();
     assert!(pulls.begin(table, at(1), 1));
-    assert!(!pulls.begin(table, at(1), 1), "it is under way");
-    assert!(!pulls.begin(table, at(2), 1), "so is as much as may be");
+    assert!(!pulls.begin(table, at(1), 1), "the request is in flight");
+    assert!(
+        !pulls.begin(table, at(2), 1),
+        "the limit of requests for the table is reached"
+    );
     assert!(
         !pulls.begin(Request::Keys(Kind::Endpoints), at(2), 1),
-        "its parts count"
+        "a request for keys counts as one for the table"
     );
     assert!(
         pulls.begin(Request::Changes(Kind::Operator), at(1), 1),
-        "another table"
+        "another table has a limit of its own"
     );
     pulls.finish(table, at(1), false);
     assert!(pulls.begin(table, at(2), 1));
--- a/crates/node/tests/hosted.rs
+++ b/crates/node/tests/hosted.rs
@@ -58,20 +58,20 @@
 }
 
 /// Sends a request and returns the status and body of the response; `None` if it is not complete.
-async fn ask(
+async fn send_request(
     addr: SocketAddr,
     method: &str,
     path: &str,
     key: &str,
 ) -> Option<(StatusCode, String)> {
-    let ask = Call {
+    let call = Call {
         method,
         path,
         id: "r1",
         key,
         deadline: "4000",
     };
-    let got = caller::send(addr, &ask).await?;
+    let got = caller::send(addr, &call).await?;
     got.complete.then_some((got.status, got.body))
 }
 
@@ -84,7 +84,7 @@
 ) -> (StatusCode, String) {
     let mut last = None;
     for _ in 0..MAX_POLLS {
-        last = ask(addr, "GET", path, "k1").await;
+        last = send_request(addr, "GET", path, "k1").await;
         if let Some(found) = last.clone().filter(&done) {
             return found;
         }
@@ -143,7 +143,9 @@
     );
     let (_, body) = until("addresses", node.addresses, &path, ok).await;
     assert!(body.contains(&node.callers.to_string()), "{body}");
-    let unknown = ask(node.callers, "GET", "/safe/x", "other").await.unwrap();
+    let unknown = send_request(node.callers, "GET", "/safe/x", "other")
+        .await
+        .unwrap();
     assert_eq!(unknown.0, StatusCode::UNAUTHORIZED);
 }
 
@@ -171,7 +173,9 @@
     *closed.lock().unwrap() = true;
     store.put_manifest(&manifest(2, "/other/"));
     until("version 2", second.callers, "/other/x", ok).await;
-    let old = ask(second.callers, "GET", "/safe/x", "k1").await.unwrap();
+    let old = send_request(second.callers, "GET", "/safe/x", "k1")
+        .await
+        .unwrap();
     assert_eq!(old.0, StatusCode::NOT_FOUND);
 }
 
@@ -185,7 +189,9 @@
     until("a chain", node.callers, "/chat/x", ok).await;
     store.set_down(true);
     for _ in 0..20 {
-        let answer = ask(node.callers, "GET", "/chat/x", "k1").await.unwrap();
+        let answer = send_request(node.callers, "GET", "/chat/x", "k1")
+            .await
+            .unwrap();
         assert_eq!(answer.0, StatusCode::OK, "{}", answer.1);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -193,7 +199,9 @@
     store.put_manifest(&manifest(2, "/other/"));
     store.set_down(false);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
+    let answer = send_request(node.callers, "GET", "/safe/x", "k1")
+        .await
+        .unwrap();
     assert_eq!(answer.0, StatusCode::OK);
 }
 
@@ -214,7 +222,10 @@
     }
     store.put_manifest(&manifest(2, "/other/"));
     nodes.iter_mut().for_each(|n| n.process.kill());
-    assert_eq!(ask(nodes[0].callers, "GET", "/chat/x", "k1").await, None);
+    assert_eq!(
+        send_request(nodes[0].callers, "GET", "/chat/x", "k1").await,
+        None
+    );
     store.set_down(true);
     nodes.iter_mut().for_each(|n| n.process.restart());
     let unavailable = |a: &(StatusCode, String)| a.0 == StatusCode::SERVICE_UNAVAILABLE;
@@ -226,7 +237,9 @@
         for path in ["/chat/x", "/other/x", "/once/x"] {
             until(path, node.callers, path, ok).await;
         }
-        let old = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
+        let old = send_request(node.callers, "GET", "/safe/x", "k1")
+            .await
+            .unwrap();
         assert_eq!(old.0, StatusCode::NOT_FOUND);
     }
 }
@@ -287,7 +300,9 @@
     )
     .await;
     // New requests are still served at first.
-    let answer = ask(node.callers, "GET", "/safe/x", "k1").await.unwrap();
+    let answer = send_request(node.callers, "GET", "/safe/x", "k1")
+        .await
+        .unwrap();
     assert_eq!(answer.0, StatusCode::OK);
     for _ in 0..MAX_POLLS {
         if let Some(status) = node.process.exit_status() {
@@ -318,7 +333,9 @@
     store.put_manifest(&manifest(1, "/safe/"));
     let node = start("metrics", store.addr, "");
     until("version 1", node.callers, "/safe/x", ok).await;
-    let (status, text) = ask(node.metrics, "GET", "/metrics", "").await.unwrap();
+    let (status, text) = send_request(node.metrics, "GET", "/metrics", "")
+        .await
+        .unwrap();
     assert_eq!(status, StatusCode::OK);
     for name in [
         "wigeonshelf_requests_total",
@@ -327,12 +344,16 @@
     ] {
         assert!(text.contains(name), "{name} is not in {text}");
     }
-    let (status, text) = ask(node.metrics, "GET", "/dump", "").await.unwrap();
+    let (status, text) = send_request(node.metrics, "GET", "/dump", "")
+        .await
+        .unwrap();
     assert_eq!(status, StatusCode::OK);
     for part in ["catalog 1", "table endpoints known up to", "app"] {
         assert!(text.contains(part), "{part} is not in {text}");
     }
-    let other = ask(node.metrics, "GET", "/safe/x", "k1").await.unwrap();
+    let other = send_request(node.metrics, "GET", "/safe/x", "k1")
+        .await
+        .unwrap();
     assert_eq!(other.0, StatusCode::NOT_FOUND);
 }
 
--- a/crates/node/tests/loads.rs
+++ b/crates/node/tests/loads.rs
@@ -53,7 +53,7 @@
     let polls = |p: &Assignment, n| p.polls(zone, &run(zone, n));
     let pollers = |n| {
         let mut polling = (0..assignments.len()).filter(|&p| polls(&assignments[p], n));
-        let poller = polling.next().expect("an engine that nobody asks");
+        let poller = polling.next().expect("an engine that no node polls");
         assert_eq!(polling.next(), None, "engine {n} of {zone}");
         poller
     };
@@ -81,7 +81,7 @@
     );
     let mut few = pollers(&assignments, "b", 30);
     few.dedup();
-    assert_eq!(few.len(), 1, "one node is enough for these");
+    assert_eq!(few.len(), 1, "one node polls all engines of a small zone");
     pollers(&assignments, "far", 5);
     // A reader knows all pollers, each of them once.
     let peers_to_poll = assignments[0].pollers.len();
--- a/crates/node/tests/orders.rs
+++ b/crates/node/tests/orders.rs
@@ -87,7 +87,7 @@
     let first = ended.recv().await;
     assert_eq!(count.load(Ordering::Relaxed), MAX_CONCURRENT_ORDERS);
     let Some(Input::OrderEnded(order, attempt)) = first else {
-        panic!("an order ends, answered or not");
+        panic!("expected the outcome of an order, with or without a response");
     };
     assert_eq!(orders.in_flight(), MAX_CONCURRENT_ORDERS);
     orders.finish(Instant::now(), order, &attempt);
@@ -115,7 +115,7 @@
     let mut given = BTreeSet::new();
     while orders.in_flight() > 0 {
         let Some(Input::OrderEnded(order, attempt)) = ended.recv().await else {
-            panic!("an order ends, answered or not");
+            panic!("expected the outcome of an order, with or without a response");
         };
         given.insert(order.run.clone());
         orders.finish(Instant::now(), order, &attempt);
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -98,15 +98,15 @@
     violations: Vec<String>,
 }
 
-async fn ask(addr: SocketAddr, path: &str, id: &str) -> Option<Answer> {
-    let ask = Call {
+async fn send_request(addr: SocketAddr, path: &str, id: &str) -> Option<Answer> {
+    let call = Call {
         method: "POST",
         path,
         id,
         key: "k1",
         deadline: "3000",
     };
-    caller::send(addr, &ask).await
+    caller::send(addr, &call).await
 }
 
 /// Runs one caller, which sends requests of each kind until `end` is set.
@@ -124,7 +124,7 @@
         let id = format!("s{seed}-{}-c{number}-{count}", std::process::id());
         let path = ["/chat/x", "/once/x"][count % 2];
         let limit = Duration::from_secs(4);
-        let got = tokio::time::timeout(limit, ask(addr, path, &id)).await;
+        let got = tokio::time::timeout(limit, send_request(addr, path, &id)).await;
         let Some(got) = got.ok().flatten() else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
@@ -144,9 +144,10 @@
                 let ids: Vec<u64> = lines.filter_map(|n| n.parse().ok()).collect();
                 let expected: Vec<u64> = (1..=EVENTS).collect();
                 if !expected.starts_with(&ids) || (got.complete && ids != expected) {
-                    observed
-                        .violations
-                        .push(format!("{id} got events {ids:?}, whole {}", got.complete));
+                    observed.violations.push(format!(
+                        "{id} got events {ids:?}, complete {}",
+                        got.complete
+                    ));
                 }
             }
             _ => {}
@@ -172,7 +173,7 @@
         }
         let newest = *newest.lock().unwrap();
         for version in served.max(1)..=newest {
-            let got = ask(addr, &format!("/v{version}/x"), "v").await;
+            let got = send_request(addr, &format!("/v{version}/x"), "v").await;
             if *run.lock().unwrap() != served_run {
                 break;
             }
@@ -185,7 +186,7 @@
         }
         if served > 1 {
             let old = served - 1;
-            let got = ask(addr, &format!("/v{old}/x"), "v").await;
+            let got = send_request(addr, &format!("/v{old}/x"), "v").await;
             if *run.lock().unwrap() == served_run && got.is_some_and(|g| g.status == StatusCode::OK)
             {
                 observed
@@ -263,7 +264,7 @@
     }
 
     /// Ends all faults.
-    fn heal(&mut self) {
+    fn end_faults(&mut self) {
         self.store.set_down(false);
         self.store_proxies
             .iter()
@@ -338,7 +339,7 @@
         tokio::time::sleep(STEP_INTERVAL).await;
         cluster.step();
     }
-    cluster.heal();
+    cluster.end_faults();
     *end.lock().unwrap() = true;
     for task in tasks {
         let _ = tokio::time::timeout(Duration::from_secs(10), task).await;
@@ -354,7 +355,7 @@
             let mut polls = 0;
             loop {
                 let limit = Duration::from_secs(4);
-                let got = tokio::time::timeout(limit, ask(*addr, path, "again")).await;
+                let got = tokio::time::timeout(limit, send_request(*addr, path, "again")).await;
                 if got
                     .ok()
                     .flatten()
@@ -368,7 +369,7 @@
                     "seed {seed}: {addr} does not serve {path} again"
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                cluster.heal();
+                cluster.end_faults();
             }
         }
     }
@@ -387,7 +388,7 @@
         }
         let promised_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
         if promised_not_run && count > 0 {
-            violations.push(format!("{id} was told {status} and ran"));
+            violations.push(format!("{id} ran although its caller got {status}"));
         }
     }
     let (once, answered) = (observed.at_most_once.len(), observed.answered);
--- a/crates/node/tests/support/spread.rs
+++ b/crates/node/tests/support/spread.rs
@@ -45,8 +45,9 @@
 const CATALOG_DELAY: Duration = ms(60);
 /// Interval at which an engine is polled for its load.
 const POLL_INTERVAL: Duration = ms(1500);
-/// Sizes of an endpoint's row and of a catalog.
+/// Size of an endpoint's row.
 const ROW_BYTES: usize = 200;
+/// Size of a catalog.
 const CATALOG_BYTES: usize = 20_000;
 /// Time at which a starting fleet has loaded its layers; rows are written and change until then.
 pub const LOAD_END: Duration = ms(5000);
@@ -59,9 +60,13 @@
 /// Events of the simulation. Events at the same time are handled in the order of their creation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// The control of a node does its periodic work.
     Step(usize),
+    /// A reader reads the endpoints' table.
     Read(usize),
+    /// A reader reads a new catalog.
     CatalogRead(usize),
+    /// An endpoint writes its row.
     Row(usize),
     /// All running nodes recompute their assignments.
     Reassign,
@@ -69,6 +74,7 @@
     Start(usize),
     /// A node that has restarted has read both tables completely.
     FullRead(usize),
+    /// A request arrives at `to`.
     Request {
         to: usize,
         by: usize,
@@ -76,21 +82,21 @@
         request: u8,
         from: u64,
     },
+    /// A response arrives at `to`.
     Response {
         to: usize,
         call: u64,
         bytes: Vec<u8>,
     },
+    /// A frame is resent that was not acknowledged in time.
     Resend {
         by: usize,
         to: usize,
         sends: u32,
         message: Box<Event>,
     },
-    Expire {
-        by: usize,
-        call: u64,
-    },
+    /// A request times out if it has not been answered yet.
+    Expire { by: usize, call: u64 },
 }
 
 struct Node {
@@ -99,10 +105,13 @@
     operator: Table,
     endpoints: Table,
     loads: Loads,
+    /// Requests in flight, by the number of their call.
     calls: HashMap<u64, (Request, SocketAddr)>,
-    /// When the link is free to send and to receive.
+    /// When the link is free to send.
     uplink_free_at: Duration,
+    /// When the link is free to receive.
     downlink_free_at: Duration,
+    /// Bytes sent so far.
     sent: u64,
     engines: Vec<usize>,
     last_poll: Duration,
@@ -119,7 +128,7 @@
 
 impl Node {
     /// Clears the state of the node, as a restart does.
-    fn forget(&mut self) {
+    fn reset(&mut self) {
         self.pulls = Pulls::default();
         (self.operator, self.endpoints) = (Table::default(), Table::default());
         self.loads = Loads::default();
@@ -138,9 +147,11 @@
     operator: Table,
     endpoints: Table,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    count: u64,
+    last_id: u64,
     timed_out: u64,
+    /// When the newest catalog was published.
     published: Duration,
+    /// When the newest catalog reached each node.
     catalog_reached: BTreeMap<usize, Duration>,
     leaving: Vec<LeavingEndpoint>,
     random: ChaCha8Rng,
@@ -182,7 +193,7 @@
             operator: Table::default(),
             endpoints: Table::default(),
             events: BinaryHeap::new(),
-            count: 0,
+            last_id: 0,
             timed_out: 0,
             published: Duration::ZERO,
             catalog_reached: BTreeMap::new(),
@@ -190,16 +201,16 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for number in 0..nodes {
-            let at = fleet.draw(STEP_INTERVAL);
+            let at = fleet.random_delay(STEP_INTERVAL);
             fleet.schedule(at, Event::Step(number));
             if fleet.nodes[number].assignment.reads {
-                let at = fleet.draw(READ_INTERVAL);
+                let at = fleet.random_delay(READ_INTERVAL);
                 fleet.schedule(at, Event::Read(number));
             }
         }
         for number in 0..endpoints {
             for until in [ms(1200), LOAD_END] {
-                let at = fleet.draw(until);
+                let at = fleet.random_delay(until);
                 fleet.schedule(at, Event::Row(number));
             }
         }
@@ -247,7 +258,7 @@
         let rate = |n: &Node| n.sent as f64 / seconds / 1e6;
         let busiest = self.nodes.iter().map(rate).fold(0.0, f64::max);
         format!(
-            "busiest node {busiest:.2} MB/s, {} asks without an answer",
+            "busiest node {busiest:.2} MB/s, {} requests timed out",
             self.timed_out
         )
     }
@@ -369,8 +380,8 @@
     fn request(&mut self, by: usize, request: Request, peer: SocketAddr, from: Option<u64>) {
         let to = self.peers.iter().position(|p| p.identity.addr == peer);
         let to = to.expect("a peer");
-        self.count += 1;
-        let call = self.count;
+        self.last_id += 1;
+        let call = self.last_id;
         let node = &mut self.nodes[by];
         node.calls.insert(call, (request, peer));
         let from = from.unwrap_or_else(|| match request {
@@ -407,7 +418,7 @@
             Kind::Operator => &node.operator,
             Kind::Endpoints => &node.endpoints,
         };
-        let chunk = match Request::try_from(request).expect("an ask") {
+        let chunk = match Request::try_from(request).expect("a request number") {
             Request::Changes(kind) => table(kind).changes(from, CHUNK_BYTES),
             Request::Keys(kind) => table(kind).keys(from, CHUNK_BYTES),
             Request::Loads(scope) => return node.loads.encode(now, scope, from).expect("encodes"),
@@ -500,12 +511,12 @@
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.count += 1;
+        self.last_id += 1;
         self.events
-            .push(Reverse((self.now + after, self.count, event)));
+            .push(Reverse((self.now + after, self.last_id, event)));
     }
 
-    fn draw(&mut self, limit: Duration) -> Duration {
+    fn random_delay(&mut self, limit: Duration) -> Duration {
         limit.mul_f64(self.random.random_range(0.0..1.0))
     }
 }
--- a/crates/node/tests/support/spread/faults.rs
+++ b/crates/node/tests/support/spread/faults.rs
@@ -48,7 +48,7 @@
     pub fn restart_all(&mut self) {
         for number in 0..self.nodes.len() {
             let node = &mut self.nodes[number];
-            node.forget();
+            node.reset();
             if node.assignment.reads {
                 node.operator.apply(whole(&self.operator));
                 node.endpoints.apply(whole(&self.endpoints));
@@ -114,7 +114,7 @@
     pub(super) fn start(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        node.forget();
+        node.reset();
         (node.running, node.has_full_tables, node.started) = (true, false, now);
         self.peers[number].state_since = now;
         self.schedule(STEP_INTERVAL, Event::Step(number));
@@ -128,8 +128,8 @@
     pub(super) fn reassign(&mut self) {
         for number in 0..self.nodes.len() {
             let peers = self.peers.iter().zip(&self.nodes);
-            let open = peers.filter(|(_, node)| node.running).map(|(peer, _)| peer);
-            let new = assignment(self.now, &self.peers[number], open, self.engines);
+            let accepting = peers.filter(|(_, node)| node.running).map(|(peer, _)| peer);
+            let new = assignment(self.now, &self.peers[number], accepting, self.engines);
             let node = &mut self.nodes[number];
             node.engines = polled_engines(&new, self.engines);
             let before = std::mem::replace(&mut node.assignment, new);
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -29,12 +29,12 @@
 pub(super) fn assignment<'a>(
     now: Duration,
     peer: &Peer,
-    open: impl Iterator<Item = &'a Peer>,
+    accepting: impl Iterator<Item = &'a Peer>,
     endpoints: usize,
 ) -> Assignment {
     let third = endpoints / 3;
     let engines = EngineCounts::from([("a", third), ("b", third), ("c", endpoints - 2 * third)]);
-    Assignment::of(now, peer.id, &peer.identity.zone, open, &engines)
+    Assignment::of(now, peer.id, &peer.identity.zone, accepting, &engines)
 }
 
 /// Returns the endpoints that a node polls for their load.
