--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -8,18 +8,18 @@
 pub mod demand;
 pub mod endpoints;
 pub mod input;
-pub mod listed;
+pub mod instance_list;
 pub mod loads;
+pub mod log_stream;
 pub mod observed;
 pub mod publish;
 pub mod records;
 pub mod rolls;
 pub mod state;
-pub mod stream;
 pub mod tail;
 pub mod view;
 
-use crate::process::{Ends, runtime};
+use crate::process::{ShutdownSignals, runtime};
 use crate::settings::Settings;
 use entry::admin::ControlRequest;
 use entry::core::{ControlEvent, WorkerEvent};
@@ -27,7 +27,7 @@
 use entry::snapshot::SharedSnapshot;
 use entry::tls::ReloadableConfig;
 use eyre::{Result, WrapErr};
-use input::{INPUTS, Input, Inputs};
+use input::{INPUT_CAPACITY, Input, Inputs};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use state::State;
 use std::net::SocketAddr;
@@ -39,18 +39,18 @@
 use wire::peer::{Link, Setup};
 
 /// Messages of peers that may wait for control.
-const INBOUND: usize = 1024;
+const INBOUND_CAPACITY: usize = 1024;
 /// Longest time between two ticks of the claims.
-const CLAIM_TICK: Duration = Duration::from_millis(20);
+const CLAIM_TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// How often certificates are looked at.
-const TLS_PERIOD: Duration = Duration::from_secs(5);
+const CERTIFICATE_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The rings to and from one worker.
-pub struct Worker {
+pub struct WorkerRings {
     /// To it. A full ring drops the newest notice: a load report is followed by a newer one.
-    pub notices: ring::Sender<ControlEvent>,
+    pub control_events: ring::Sender<ControlEvent>,
     /// From it.
-    pub noted: ring::Receiver<WorkerEvent>,
+    pub worker_events: ring::Receiver<WorkerEvent>,
 }
 
 /// What control is made of.
@@ -64,13 +64,13 @@
     /// Seed of its generators.
     pub seed: u64,
     /// Where it publishes, by worker.
-    pub boards: Vec<SharedSnapshot>,
+    pub shared_snapshots: Vec<SharedSnapshot>,
     /// Questions of the admin listener.
-    pub asked: mpsc::Receiver<ControlRequest>,
+    pub requests: mpsc::Receiver<ControlRequest>,
     /// The workers.
-    pub workers: Vec<Worker>,
+    pub workers: Vec<WorkerRings>,
     /// When it ends.
-    pub ends: Ends,
+    pub shutdown: ShutdownSignals,
     /// Certificates to read again when their files change.
     pub tls: Vec<Arc<ReloadableConfig>>,
     /// Gives out the node's metrics; held as long as control runs.
@@ -80,10 +80,10 @@
 impl Control {
     /// Starts the thread; returns once the peers' listener is bound, with its address.
     pub fn start(self) -> Result<(SocketAddr, JoinHandle<Result<()>>)> {
-        let (bound, wait) = std::sync::mpsc::channel();
+        let (bound_tx, bound_rx) = std::sync::mpsc::channel();
         let builder = std::thread::Builder::new().name("control".to_owned());
-        let thread = builder.spawn(move || runtime()?.block_on(self.run(bound)))?;
-        match wait.recv() {
+        let thread = builder.spawn(move || runtime()?.block_on(self.run(bound_tx)))?;
+        match bound_rx.recv() {
             Ok(addr) => Ok((addr, thread)),
             Err(_) => match thread.join() {
                 Ok(Err(error)) => Err(error),
@@ -92,9 +92,9 @@
         }
     }
 
-    async fn run(self, bound: std::sync::mpsc::Sender<SocketAddr>) -> Result<()> {
-        let cancel = self.ends.control.clone();
-        let (inbound, peers) = mpsc::channel(INBOUND);
+    async fn run(self, bound_tx: std::sync::mpsc::Sender<SocketAddr>) -> Result<()> {
+        let cancel = self.shutdown.control.clone();
+        let (inbound, peers) = mpsc::channel(INBOUND_CAPACITY);
         let setup = Setup {
             listen: self.settings.peers.listen,
             advertise: self.settings.peers.advertise,
@@ -104,32 +104,43 @@
         let link = Link::start(setup, inbound, cancel.clone())
             .await
             .wrap_err_with(|| format!("peers' listener {}", self.settings.peers.listen))?;
-        let _ = bound.send(link.addr());
-        let (inputs, taken) = mpsc::channel(INPUTS);
-        let mut notices = Vec::new();
+        let _ = bound_tx.send(link.addr());
+        let (inputs, input_rx) = mpsc::channel(INPUT_CAPACITY);
+        let mut control_events = Vec::new();
         for (number, worker) in self.workers.into_iter().enumerate() {
-            notices.push(worker.notices);
-            tokio::spawn(notes(number, worker.noted, inputs.clone()));
+            control_events.push(worker.control_events);
+            tokio::spawn(forward_worker_events(
+                number,
+                worker.worker_events,
+                inputs.clone(),
+            ));
         }
         let platform = self.settings.platform.clone();
-        tokio::spawn(tail::rate(platform.clone(), inputs.clone()));
-        tokio::spawn(tail::bundles(platform.clone(), inputs.clone(), self.seed));
-        tokio::spawn(tail::instances(platform, inputs.clone(), self.seed));
-        tokio::spawn(from_peers(peers, inputs.clone()));
-        tokio::spawn(loads::poll(self.boards[0].clone(), inputs.clone()));
-        tokio::spawn(reload(self.tls));
+        tokio::spawn(tail::poll_rate(platform.clone(), inputs.clone()));
+        tokio::spawn(tail::read_bundles(
+            platform.clone(),
+            inputs.clone(),
+            self.seed,
+        ));
+        tokio::spawn(tail::poll_instances(platform, inputs.clone(), self.seed));
+        tokio::spawn(forward_peer_messages(peers, inputs.clone()));
+        tokio::spawn(loads::poll(
+            self.shared_snapshots[0].clone(),
+            inputs.clone(),
+        ));
+        tokio::spawn(reload_certificates(self.tls));
         let state = State::new(state::Parts {
             settings: self.settings,
             callers: self.callers,
             incarnation: self.incarnation,
             seed: self.seed,
-            boards: self.boards,
+            shared_snapshots: self.shared_snapshots,
             link,
             inputs,
-            notices,
-            leave: self.ends.leave,
+            control_events,
+            leave: self.shutdown.leave,
         });
-        serve(state, taken, self.asked, cancel).await;
+        serve(state, input_rx, self.requests, cancel).await;
         drop(self.provider);
         Ok(())
     }
@@ -139,35 +150,43 @@
 async fn serve(
     mut state: State,
     mut inputs: mpsc::Receiver<Input>,
-    mut asked: mpsc::Receiver<ControlRequest>,
+    mut requests: mpsc::Receiver<ControlRequest>,
     cancel: CancellationToken,
 ) {
     let mut tick = tokio::time::interval(member::event::TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut beat = tokio::time::interval(CLAIM_TICK);
-    beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut claim_tick = tokio::time::interval(CLAIM_TICK_INTERVAL);
+    claim_tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             biased;
             () = cancel.cancelled() => break,
             _ = tick.tick() => state.tick(),
-            _ = beat.tick() => state.claim(lease::claim::Event::Tick),
-            Some(input) = inputs.recv() => state.input(input),
-            Some(question) = asked.recv() => state.question(question),
+            _ = claim_tick.tick() => state.handle_claim_event(lease::claim::Event::Tick),
+            Some(input) = inputs.recv() => state.handle_input(input),
+            Some(request) = requests.recv() => state.handle_request(request),
         }
     }
     state.quit();
 }
 
-async fn notes(worker: usize, mut noted: ring::Receiver<WorkerEvent>, inputs: Inputs) {
-    while let Some(note) = noted.pop().await {
-        if inputs.send(Input::Note(worker, note)).await.is_err() {
+async fn forward_worker_events(
+    worker: usize,
+    mut events: ring::Receiver<WorkerEvent>,
+    inputs: Inputs,
+) {
+    while let Some(event) = events.pop().await {
+        if inputs
+            .send(Input::WorkerEvent(worker, event))
+            .await
+            .is_err()
+        {
             return;
         }
     }
 }
 
-async fn from_peers(mut peers: mpsc::Receiver<wire::peer::Inbound>, inputs: Inputs) {
+async fn forward_peer_messages(mut peers: mpsc::Receiver<wire::peer::Inbound>, inputs: Inputs) {
     while let Some(inbound) = peers.recv().await {
         if inputs.send(Input::Peer(inbound)).await.is_err() {
             return;
@@ -175,10 +194,10 @@
     }
 }
 
-async fn reload(stores: Vec<Arc<ReloadableConfig>>) {
-    let mut period = tokio::time::interval(TLS_PERIOD);
+async fn reload_certificates(stores: Vec<Arc<ReloadableConfig>>) {
+    let mut interval = tokio::time::interval(CERTIFICATE_POLL_INTERVAL);
     loop {
-        period.tick().await;
+        interval.tick().await;
         for store in &stores {
             match store.reload() {
                 Ok(false) => {}
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of idempotency keys: the table, its reads and appends, and the answers kept for resends.
 
 use super::input::{Input, Inputs};
-use super::stream::{self, Append};
+use super::log_stream::{self, Append};
 use crate::settings::Platform;
 use bytes::Bytes;
 use entry::api::error::Error;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// When to come back while the log is out.
-const LATER: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Where an owner of keys serves callers.
 pub trait Owners {
@@ -26,7 +26,7 @@
 }
 
 /// A verdict for a request of one worker.
-pub struct Told {
+pub struct Reply {
     /// The worker.
     pub worker: usize,
     /// The request.
@@ -41,13 +41,13 @@
     client: Arc<Client>,
     inputs: Inputs,
     /// By request: the worker that asked.
-    asked: BTreeMap<Id, usize>,
+    requesters: BTreeMap<Id, usize>,
     /// By request that runs: those that wait for its answer.
     followers: BTreeMap<Id, Vec<Id>>,
     /// By request that ended: its answer.
-    kept: BTreeMap<Id, Arc<CachedAnswer>>,
+    answers: BTreeMap<Id, Arc<CachedAnswer>>,
     actions: Vec<Action>,
-    told: Vec<Told>,
+    replies: Vec<Reply>,
 }
 
 impl Claims {
@@ -61,17 +61,17 @@
             table: Table::new(me, seed, settings),
             client: Arc::new(Client::new(platform.log, platform.limits)),
             inputs,
-            asked: BTreeMap::new(),
+            requesters: BTreeMap::new(),
             followers: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            answers: BTreeMap::new(),
             actions: Vec::new(),
-            told: Vec::new(),
+            replies: Vec::new(),
         }
     }
 
     /// Verdicts since the last call.
-    pub fn told(&mut self) -> Vec<Told> {
-        std::mem::take(&mut self.told)
+    pub fn take_replies(&mut self) -> Vec<Reply> {
+        std::mem::take(&mut self.replies)
     }
 
     /// Takes an event of the table.
@@ -79,71 +79,86 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action, owners);
+            self.execute(action, owners);
         }
         self.actions = actions;
     }
 
     /// A worker asks for the key of a request.
-    pub fn ask(&mut self, now: Duration, worker: usize, ask: Request, owners: &impl Owners) {
-        self.asked.insert(ask.id, worker);
+    pub fn request(
+        &mut self,
+        now: Duration,
+        worker: usize,
+        request: Request,
+        owners: &impl Owners,
+    ) {
+        self.requesters.insert(request.id, worker);
         let event = Event::Ask(claim::Ask {
-            request: ask.id,
-            form: ask.claim.form,
-            fingerprint: ask.claim.fingerprint,
-            deadline: now + ask.time_left,
+            request: request.id,
+            form: request.claim.form,
+            fingerprint: request.claim.fingerprint,
+            deadline: now + request.time_left,
         });
         self.handle(now, event, owners);
     }
 
     /// The caller of a request that waits went away.
-    pub fn left(&mut self, now: Duration, id: Id, owners: &impl Owners) {
-        self.asked.remove(&id);
+    pub fn cancel(&mut self, now: Duration, id: Id, owners: &impl Owners) {
+        self.requesters.remove(&id);
         for followers in self.followers.values_mut() {
             followers.retain(|f| *f != id);
         }
         // It may have been given the key already without having begun: those that wait for its
         // answer would wait for ever.
         for follower in self.followers.remove(&id).unwrap_or_default() {
-            self.tell(follower, Verdict::Error(Box::new(gone(Outcome::NotRun))));
+            self.reply(
+                follower,
+                Verdict::Error(Box::new(answer_unavailable(Outcome::NotRun))),
+            );
         }
         self.handle(now, Event::Left(id), owners);
     }
 
     /// A run ended: its answer is kept, and given to those that wait for it.
-    pub fn ended(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
+    pub fn finish(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
         let size = ended.answer.as_ref().map_or(0, |k| k.size());
         let followers = self.followers.remove(&ended.id).unwrap_or_default();
         for follower in followers {
             let verdict = match &ended.answer {
                 Some(kept) => Verdict::Replay(kept.clone()),
-                None => Verdict::Error(Box::new(gone(ended.outcome))),
+                None => Verdict::Error(Box::new(answer_unavailable(ended.outcome))),
             };
-            self.tell(follower, verdict);
+            self.reply(follower, verdict);
         }
         if let Some(kept) = ended.answer {
-            self.kept.insert(ended.id, kept);
+            self.answers.insert(ended.id, kept);
         }
         let event = Event::Ended(ended.hash, to_lease(ended.outcome), size);
         self.handle(now, event, owners);
     }
 
     /// A ticket that only this process runs.
-    pub fn ticket(&mut self, now: Duration) -> String {
+    pub fn issue_ticket(&mut self, now: Duration) -> String {
         self.table.issue(now).to_string()
     }
 
     /// Follows the shards that this node is the home of among `nodes`.
-    pub fn follow(&mut self, now: Duration, me: Owner, nodes: &[u64], owners: &impl Owners) {
+    pub fn follow_home_shards(
+        &mut self,
+        now: Duration,
+        me: Owner,
+        nodes: &[u64],
+        owners: &impl Owners,
+    ) {
         let shards = home::shards(me.node, nodes, Settings::default().shards);
         self.handle(now, Event::Follow(shards), owners);
     }
 
-    fn act(&mut self, action: Action, owners: &impl Owners) {
+    fn execute(&mut self, action: Action, owners: &impl Owners) {
         match action {
             Action::Append { batch, shard, body } => self.append(batch, shard, body),
             Action::Read { shard, from, wait } => self.read(shard, from, wait),
-            Action::Run { request, .. } => self.tell(request, Verdict::Run),
+            Action::Run { request, .. } => self.reply(request, Verdict::Run),
             Action::Follow { request, of } => {
                 self.followers.entry(of).or_default().push(request);
             }
@@ -157,35 +172,35 @@
                 owner,
                 outcome,
             } => {
-                let error = pointed(owners.url(owner), outcome);
-                self.tell(request, Verdict::Error(Box::new(error)));
+                let error = owned_elsewhere(owners.url(owner), outcome);
+                self.reply(request, Verdict::Error(Box::new(error)));
             }
             Action::Refuse {
                 request,
                 why,
                 outcome,
             } => {
-                let error = refused(why, from_lease(outcome));
-                self.tell(request, Verdict::Error(Box::new(error)));
+                let error = refusal(why, from_lease(outcome));
+                self.reply(request, Verdict::Error(Box::new(error)));
             }
             Action::Forget(request) => {
-                self.kept.remove(&request);
+                self.answers.remove(&request);
             }
         }
     }
 
     fn answer(&mut self, request: Id, outcome: lease::Outcome, of: Option<Id>) {
-        let kept = of.and_then(|of| self.kept.get(&of));
+        let kept = of.and_then(|of| self.answers.get(&of));
         let verdict = match kept {
             Some(kept) => Verdict::Replay(kept.clone()),
-            None => Verdict::Error(Box::new(gone(from_lease(outcome)))),
+            None => Verdict::Error(Box::new(answer_unavailable(from_lease(outcome)))),
         };
-        self.tell(request, verdict);
+        self.reply(request, verdict);
     }
 
-    fn tell(&mut self, id: Id, verdict: Verdict) {
-        if let Some(worker) = self.asked.remove(&id) {
-            self.told.push(Told {
+    fn reply(&mut self, id: Id, verdict: Verdict) {
+        if let Some(worker) = self.requesters.remove(&id) {
+            self.replies.push(Reply {
                 worker,
                 id,
                 verdict,
@@ -197,7 +212,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::append(&client, &claim::stream(shard), body).await {
+            let event = match log_stream::append(&client, &claim::stream(shard), body).await {
                 Append::Done => Event::Appended(batch),
                 Append::Unsure => Event::AppendUnsure(batch),
                 Append::Failed => Event::AppendFailed(batch),
@@ -210,7 +225,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let page = stream::read(&client, &claim::stream(shard), from, wait).await;
+            let page = log_stream::read(&client, &claim::stream(shard), from, wait).await;
             let event = match page {
                 Some(page) => Event::Page(shard, page),
                 None => Event::ReadFailed(shard),
@@ -225,15 +240,15 @@
         writeln!(
             f,
             "asked {}, answers kept {}",
-            self.asked.len(),
-            self.kept.len()
+            self.requesters.len(),
+            self.answers.len()
         )?;
         write!(f, "{}", self.table)
     }
 }
 
 /// The error for a resend whose run ended and whose answer is not to be had.
-fn gone(outcome: Outcome) -> Error {
+fn answer_unavailable(outcome: Outcome) -> Error {
     match outcome {
         Outcome::Complete => {
             let message = "the request ran to its end; its answer is kept no longer";
@@ -241,27 +256,27 @@
             error.outcome = Outcome::Complete;
             error
         }
-        Outcome::NotRun => Error::from_outcome(Outcome::NotRun).with_retry_after(LATER),
+        Outcome::NotRun => Error::from_outcome(Outcome::NotRun).with_retry_after(RETRY_AFTER),
         Outcome::Unknown => Error::outcome_unknown(),
     }
 }
 
 /// The error for a key of another node; with that node's URL if it lives.
-fn pointed(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
+fn owned_elsewhere(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
     let outcome = outcome.map_or(Outcome::Unknown, from_lease);
     let mut error = match url {
         Some(_) => {
             let message = "the request's key belongs to another node";
             Error::new(StatusCode::CONFLICT, "key_on_another_node", message)
         }
-        None => gone(outcome),
+        None => answer_unavailable(outcome),
     };
     error.outcome = outcome;
     error.owner_url = url;
     error
 }
 
-fn refused(why: Why, outcome: Outcome) -> Error {
+fn refusal(why: Why, outcome: Outcome) -> Error {
     let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let (code, message) = match why {
         Why::Log => (
@@ -282,7 +297,7 @@
     let mut error = Error::new(status, code, message);
     error.outcome = outcome;
     if why == Why::Log {
-        error.retry_after = Some(LATER);
+        error.retry_after = Some(RETRY_AFTER);
     }
     error
 }
--- a/crates/node/src/control/endpoints.rs
+++ b/crates/node/src/control/endpoints.rs
@@ -8,13 +8,13 @@
 use std::fmt;
 
 /// Unanswered asks in a row after which an endpoint counts as down.
-const SILENT: u32 = 3;
+const UNANSWERED_POLLS_UNTIL_DOWN: u32 = 3;
 
 /// What is known of one endpoint.
 #[derive(Clone, Debug, Default)]
 struct Row {
     report: Option<Report>,
-    silent: u32,
+    unanswered_polls: u32,
 }
 
 /// What endpoints report.
@@ -25,9 +25,9 @@
 
 impl Table {
     /// Takes a report; whether what the endpoint holds has changed.
-    pub fn take(&mut self, name: &str, report: Report) -> bool {
+    pub fn record_report(&mut self, name: &str, report: Report) -> bool {
         let row = self.rows.entry(name.to_owned()).or_default();
-        row.silent = 0;
+        row.unanswered_polls = 0;
         let before = row.report.as_ref().map(|r| &r.models);
         let changed = before != Some(&report.models);
         row.report = Some(report);
@@ -35,16 +35,16 @@
     }
 
     /// An endpoint did not answer.
-    pub fn silent(&mut self, name: &str) {
+    pub fn record_unanswered(&mut self, name: &str) {
         let row = self.rows.entry(name.to_owned()).or_default();
-        row.silent = row.silent.saturating_add(1);
-        if row.silent >= SILENT {
+        row.unanswered_polls = row.unanswered_polls.saturating_add(1);
+        if row.unanswered_polls >= UNANSWERED_POLLS_UNTIL_DOWN {
             row.report = None;
         }
     }
 
     /// Forgets endpoints that the bundle does not name.
-    pub fn keep(&mut self, bundle: &Bundle) {
+    pub fn retain(&mut self, bundle: &Bundle) {
         let kept: BTreeSet<&str> = bundle.endpoints.iter().map(|e| e.name.as_str()).collect();
         self.rows.retain(|name, _| kept.contains(name.as_str()));
     }
@@ -52,13 +52,14 @@
     /// By endpoint of the bundle: its report, as a roll reads it.
     pub fn reports(&self, bundle: &Bundle) -> Vec<Option<roll::Report>> {
         let rows = bundle.endpoints.iter();
-        rows.map(|e| self.report(&e.name).map(to_roll)).collect()
+        rows.map(|e| self.report(&e.name).map(to_roll_report))
+            .collect()
     }
 
     /// Whether an endpoint is there; one that never was asked is taken to be.
-    pub fn health(&self, name: &str, takes_work: bool) -> Health {
-        let silent = self.rows.get(name).map_or(0, |r| r.silent);
-        match (silent >= SILENT, takes_work) {
+    pub fn health(&self, name: &str, accepts_work: bool) -> Health {
+        let unanswered = self.rows.get(name).map_or(0, |r| r.unanswered_polls);
+        match (unanswered >= UNANSWERED_POLLS_UNTIL_DOWN, accepts_work) {
             (true, _) => Health::Down,
             (false, false) => Health::Leaving,
             (false, true) => Health::Up,
@@ -68,15 +69,15 @@
     /// By model of the bundle: the version that new requests are sent to. It is the bundle's once
     /// ready endpoints cover all its layers, else the one that they cover. Tokens of one
     /// answer never come from two versions.
-    pub fn versions(&self, bundle: &Bundle) -> Vec<String> {
+    pub fn serving_versions(&self, bundle: &Bundle) -> Vec<String> {
         let models = (0..).zip(&bundle.models);
         models
-            .map(|(id, model)| self.version(bundle, id, &model.version))
+            .map(|(id, model)| self.serving_version(bundle, id, &model.version))
             .collect()
     }
 
-    fn version(&self, bundle: &Bundle, model: ModelId, desired: &str) -> String {
-        if self.whole(bundle, model, desired) {
+    fn serving_version(&self, bundle: &Bundle, model: ModelId, desired: &str) -> String {
+        if self.is_covered(bundle, model, desired) {
             return desired.to_owned();
         }
         let name = &bundle.models[usize::from(model)].name;
@@ -86,12 +87,12 @@
         let other = versions
             .into_iter()
             .rev()
-            .find(|v| self.whole(bundle, model, v));
+            .find(|v| self.is_covered(bundle, model, v));
         other.unwrap_or(desired).to_owned()
     }
 
     /// Whether endpoints that are ready cover all layers of a version.
-    fn whole(&self, bundle: &Bundle, model: ModelId, version: &str) -> bool {
+    fn is_covered(&self, bundle: &Bundle, model: ModelId, version: &str) -> bool {
         let layers = bundle.models[usize::from(model)].layers;
         let ids = 0..bundle.endpoints.len();
         let spans = |id: &usize| bundle.endpoints[*id].spans.iter();
@@ -101,15 +102,15 @@
             .flat_map(|id| &bundle.endpoints[id].spans)
             .filter(|s| s.model == model)
             .collect();
-        let mut reached = 0;
-        while reached < layers {
+        let mut covered = 0;
+        while covered < layers {
             let next = ready
                 .iter()
-                .filter(|s| s.from <= reached)
+                .filter(|s| s.from <= covered)
                 .map(|s| s.to)
                 .max();
             match next {
-                Some(to) if to > reached => reached = to,
+                Some(to) if to > covered => covered = to,
                 _ => return false,
             }
         }
@@ -127,8 +128,8 @@
         let mut spans = endpoint.spans.iter().filter(|s| s.model == model);
         spans.all(|s| {
             report.models.iter().any(|m| {
-                let same = m.model == row.name && m.version == version;
-                same && m.ready && m.from <= s.from && m.to >= s.to
+                let same_version = m.model == row.name && m.version == version;
+                same_version && m.ready && m.from <= s.from && m.to >= s.to
             })
         })
     }
@@ -138,7 +139,7 @@
     }
 }
 
-fn to_roll(report: &Report) -> roll::Report {
+fn to_roll_report(report: &Report) -> roll::Report {
     let held = report.models.iter().map(|m| Held {
         model: m.model.clone(),
         version: m.version.clone(),
@@ -156,7 +157,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, row) in &self.rows {
             let Some(report) = &row.report else {
-                writeln!(f, "{name} no report, {} asks unanswered", row.silent)?;
+                writeln!(
+                    f,
+                    "{name} no report, {} asks unanswered",
+                    row.unanswered_polls
+                )?;
                 continue;
             };
             write!(f, "{name} runs {}/{}", report.running, report.slots)?;
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -1,6 +1,6 @@
 //! What happens to control.
 
-use super::rolls::Ordered;
+use super::rolls::OrderResult;
 use engine::load::Report;
 use entry::core::WorkerEvent;
 use platform::instance::Instance;
@@ -10,7 +10,7 @@
 use wire::peer::Inbound;
 
 /// Inputs that may wait; a full queue slows down whoever adds one.
-pub const INPUTS: usize = 1024;
+pub const INPUT_CAPACITY: usize = 1024;
 
 /// Where inputs go.
 pub type Inputs = mpsc::Sender<Input>;
@@ -21,23 +21,23 @@
     /// A page of the stream of bundles; the answer is the offset to read next.
     Page(Page, oneshot::Sender<Offset>),
     /// The stream of bundles could not be read.
-    LogOut(platform::Error),
+    LogReadFailed(platform::Error),
     /// The instance list was read.
-    Listed(Vec<Instance>),
+    Instances(Vec<Instance>),
     /// Something came from a peer.
     Peer(Inbound),
     /// Records of a peer that has a newer bundle in force; none if it could not give them.
     Records(Option<Vec<u8>>),
     /// A worker observed something.
-    Note(usize, WorkerEvent),
+    WorkerEvent(usize, WorkerEvent),
     /// Something happened to the claims' streams.
     Claim(lease::claim::Event),
     /// Something happened to the leases' stream.
     Lease(lease::hold::Event),
     /// An order to an endpoint ended.
-    Ordered(Ordered),
+    OrderEnded(OrderResult),
     /// What the weight store allows.
     Rate(platform::weights::Rate),
     /// An endpoint reported its load and what it holds; none if it did not answer.
-    Load(Arc<str>, Option<Report>),
+    LoadReport(Arc<str>, Option<Report>),
 }
--- a/crates/node/src/control/listed.rs
+++ b/crates/node/src/control/instance_list.rs
@@ -11,19 +11,19 @@
 
 /// The newest answer of the list, and whom it has ever named.
 #[derive(Debug, Default)]
-pub struct Listed {
+pub struct InstanceList {
     states: BTreeMap<String, State>,
     seen: BTreeSet<String>,
 }
 
-impl Listed {
+impl InstanceList {
     /// Takes an answer; whether anything changed.
     pub fn update(&mut self, instances: &[Instance]) -> bool {
         if instances.is_empty() {
             return false;
         }
-        let named = instances.iter().map(|i| (i.name.clone(), i.state));
-        let states: BTreeMap<_, _> = named.collect();
+        let entries = instances.iter().map(|i| (i.name.clone(), i.state));
+        let states: BTreeMap<_, _> = entries.collect();
         let changed = states != self.states;
         self.seen.extend(states.keys().cloned());
         self.states = states;
@@ -31,7 +31,7 @@
     }
 
     /// Whether an instance gets new work.
-    pub fn takes_work(&self, instance: &str) -> bool {
+    pub fn accepts_work(&self, instance: &str) -> bool {
         match self.states.get(instance) {
             Some(State::Live) => true,
             Some(State::Leaving) => false,
@@ -40,13 +40,13 @@
     }
 
     /// Forgets whom it has ever named, except for `kept`: instances come and go for years.
-    pub fn keep<'a>(&mut self, kept: impl Iterator<Item = &'a str>) {
+    pub fn retain_seen<'a>(&mut self, kept: impl Iterator<Item = &'a str>) {
         let kept: BTreeSet<&str> = kept.collect();
         self.seen.retain(|name| kept.contains(name.as_str()));
     }
 }
 
-impl fmt::Display for Listed {
+impl fmt::Display for InstanceList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, state) in &self.states {
             writeln!(f, "{name} {state}")?;
--- a/crates/node/src/control/loads.rs
+++ b/crates/node/src/control/loads.rs
@@ -12,23 +12,23 @@
 use tokio::time::timeout;
 
 /// How often an endpoint is asked.
-const PERIOD: Duration = Duration::from_millis(1000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 /// Longest time that an answer may take.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Endpoints asked at once.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT_POLLS: usize = 16;
 /// Most endpoints that a node asks in a period; of more, each is asked less often.
-const MOST: usize = 128;
+const MAX_POLLS_PER_INTERVAL: usize = 128;
 
 /// Asks the endpoints in turn until control is gone.
-pub async fn poll(board: SharedSnapshot, inputs: Inputs) {
+pub async fn poll(shared_snapshot: SharedSnapshot, inputs: Inputs) {
     let pool = Pool::default();
-    let mut period = tokio::time::interval(PERIOD);
-    let mut from = 0;
+    let mut interval = tokio::time::interval(POLL_INTERVAL);
+    let mut offset = 0;
     loop {
-        period.tick().await;
-        let targets = targets(&board, &mut from);
-        if !ask(&pool, targets, &inputs).await {
+        interval.tick().await;
+        let targets = next_targets(&shared_snapshot, &mut offset);
+        if !poll_targets(&pool, targets, &inputs).await {
             return;
         }
     }
@@ -41,37 +41,41 @@
 }
 
 /// The next endpoints that run model stages.
-fn targets(board: &SharedSnapshot, from: &mut usize) -> Vec<Target> {
-    let Some(snapshot) = board.load_full() else {
+fn next_targets(shared_snapshot: &SharedSnapshot, offset: &mut usize) -> Vec<Target> {
+    let Some(snapshot) = shared_snapshot.load_full() else {
         return Vec::new();
     };
     let rows = snapshot.view.bundle.endpoints.iter();
-    let all: Vec<_> = rows.filter(|e| !e.spans.is_empty()).collect();
-    let taken = all.iter().cycle().skip(*from).take(all.len().min(MOST));
-    let targets = taken.map(|e| Target {
+    let polled: Vec<_> = rows.filter(|e| !e.spans.is_empty()).collect();
+    let selected = polled
+        .iter()
+        .cycle()
+        .skip(*offset)
+        .take(polled.len().min(MAX_POLLS_PER_INTERVAL));
+    let targets = selected.map(|e| Target {
         name: e.name.as_str().into(),
         addr: e.addr,
     });
     let targets: Vec<_> = targets.collect();
-    *from = (*from + targets.len()) % all.len().max(1);
+    *offset = (*offset + targets.len()) % polled.len().max(1);
     targets
 }
 
 /// Asks each; whether control is still there.
-async fn ask(pool: &Pool, targets: Vec<Target>, inputs: &Inputs) -> bool {
+async fn poll_targets(pool: &Pool, targets: Vec<Target>, inputs: &Inputs) -> bool {
     let mut targets = targets.into_iter();
-    let mut asking = FuturesUnordered::new();
+    let mut polls = FuturesUnordered::new();
     loop {
-        while asking.len() < AT_ONCE
+        while polls.len() < MAX_CONCURRENT_POLLS
             && let Some(target) = targets.next()
         {
-            asking.push(fetch(pool, target));
+            polls.push(fetch(pool, target));
         }
-        let Some(answer) = asking.next().await else {
+        let Some(answer) = polls.next().await else {
             return true;
         };
         if inputs
-            .send(Input::Load(answer.name, answer.report))
+            .send(Input::LoadReport(answer.name, answer.report))
             .await
             .is_err()
         {
@@ -87,7 +91,7 @@
 }
 
 async fn fetch(pool: &Pool, target: Target) -> Answer {
-    let answer = timeout(ANSWER_TIME, engine::load::fetch(pool, target.addr));
+    let answer = timeout(POLL_TIMEOUT, engine::load::fetch(pool, target.addr));
     Answer {
         name: target.name,
         report: answer.await.ok().and_then(|load| load.ok()),
--- a/crates/node/src/control/stream.rs
+++ b/crates/node/src/control/log_stream.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// How long a read waits for a record.
-const WAIT: Duration = Duration::from_secs(2);
+const READ_WAIT: Duration = Duration::from_secs(2);
 
 /// How an append ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// Reads `stream` from an offset, if it can be read; with `wait` until there is a record, for a while.
 pub async fn read(log: &Client, stream: &str, from: u64, wait: bool) -> Option<Page> {
-    let wait = if wait { WAIT } else { Duration::ZERO };
+    let wait = if wait { READ_WAIT } else { Duration::ZERO };
     log.read(stream, from, wait).await.ok().map(to_page)
 }
 
--- a/crates/node/src/control/observed.rs
+++ b/crates/node/src/control/observed.rs
@@ -20,26 +20,26 @@
 }
 
 /// Reads the items of all nodes. Items that have run out are gone from the store.
-pub fn read(group: &Group, bundle: &Bundle) -> Observed {
+pub fn collect(group: &Group, bundle: &Bundle) -> Observed {
     let mut ejected = BTreeSet::new();
     let mut suspects = BTreeSet::new();
     let mut pending = BTreeSet::new();
     let mut condemned = BTreeSet::new();
     let store = group.store();
     for origin in store.origins() {
-        let others = origin != group.me();
+        let is_peer = origin != group.me();
         for (_, slot) in store.items(origin) {
             match &slot.body {
                 Observation::Endpoint {
                     name,
                     ejected: true,
                     ..
-                } if others => ejected.extend(bundle.endpoint(name)),
+                } if is_peer => ejected.extend(bundle.endpoint(name)),
                 Observation::Suspect { fingerprint, .. } => {
                     suspects.insert(*fingerprint);
                 }
                 // The node that awaits the verdict knows by itself when it is due.
-                Observation::Pending { fingerprint, .. } if others => {
+                Observation::Pending { fingerprint, .. } if is_peer => {
                     pending.insert(*fingerprint);
                 }
                 Observation::Condemned { fingerprint, .. } => {
@@ -58,7 +58,7 @@
 }
 
 /// Where a node serves callers, if it said so.
-pub fn callers(
+pub fn callers_address(
     group: &Group,
     origin: member::identity::Id,
 ) -> Option<(std::net::SocketAddr, bool)> {
@@ -69,7 +69,7 @@
 }
 
 /// Share of a node's capacity that is free, as it last said.
-pub fn free(group: &Group, origin: member::identity::Id) -> f64 {
+pub fn free_fraction(group: &Group, origin: member::identity::Id) -> f64 {
     match group.store().get(origin, &Key::Load).map(|s| &s.body) {
         Some(Observation::Load(level)) => (1.0 - level.amount()).clamp(0.0, 1.0),
         _ => 1.0,
--- a/crates/node/src/control/publish.rs
+++ b/crates/node/src/control/publish.rs
@@ -1,6 +1,6 @@
 //! Publishes a version for the admin listener, and writes checkpoints.
 
-use super::tail::BUNDLES;
+use super::tail::BUNDLE_STREAM;
 use bundle::answer::Answer;
 use bundle::fold::Fold;
 use bundle::publish::{Action, Event, Outcome, Publish};
@@ -11,22 +11,22 @@
 use std::time::Duration;
 
 /// First wait after a failed call.
-const LEAST_BACKOFF: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest wait after failed calls.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Publishes the version in `body` and tells how its race ended. `fold` is a copy of the node's
 /// own: it reads on by itself, so that the answer does not wait for control.
-pub async fn publish(log: Client, mut fold: Fold, body: Bytes, seed: u64) -> Answer {
+pub async fn publish_version(log: Client, mut fold: Fold, body: Bytes, seed: u64) -> Answer {
     let mut publish = match Publish::new(body.to_vec()) {
         Ok(publish) => publish,
         Err(error) => return Answer::from(&error),
     };
-    let mut backoff = Backoff::new(LEAST_BACKOFF, MOST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     let mut action = publish.start();
     loop {
         let event = match action {
-            Action::Done(outcome) => return ended(&outcome),
+            Action::Done(outcome) => return log_outcome(&outcome),
             Action::Read { failures } => {
                 if failures > 0 {
                     tokio::time::sleep(backoff.failed(None)).await;
@@ -39,14 +39,17 @@
     }
 }
 
-fn ended(outcome: &Outcome) -> Answer {
+fn log_outcome(outcome: &Outcome) -> Answer {
     let answer = Answer::from(outcome);
     log::info!("a publication ended: {answer}");
     answer
 }
 
 async fn read(log: &Client, fold: &mut Fold) -> Event {
-    match log.read(BUNDLES, fold.next_offset(), Duration::ZERO).await {
+    match log
+        .read(BUNDLE_STREAM, fold.next_offset(), Duration::ZERO)
+        .await
+    {
         Ok(page) => {
             apply(fold, &page);
             Event::Read {
@@ -63,7 +66,10 @@
 }
 
 async fn append(log: &Client, body: &[u8]) -> Event {
-    match log.append(BUNDLES, Bytes::copy_from_slice(body)).await {
+    match log
+        .append(BUNDLE_STREAM, Bytes::copy_from_slice(body))
+        .await
+    {
         Ok(offset) => Event::Appended(offset),
         Err(error) => Event::Failed {
             unsure: error.unsure(),
@@ -73,8 +79,8 @@
 
 /// Appends a checkpoint. Whether it got there is seen when it is read back; one that is lost is
 /// written again by the policy, and one too many does no harm.
-pub async fn checkpoint(log: Client, body: Vec<u8>) {
-    match log.append(BUNDLES, Bytes::from(body)).await {
+pub async fn append_checkpoint(log: Client, body: Vec<u8>) {
+    match log.append(BUNDLE_STREAM, Bytes::from(body)).await {
         Ok(offset) => log::info!("a checkpoint was written at offset {offset}"),
         Err(error) => log::warn!("a checkpoint could not be written: {error}"),
     }
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -3,7 +3,7 @@
 //! A group is a region. The nodes of the region want its lease; where there are none, all nodes do.
 
 use super::input::{Input, Inputs};
-use super::stream::{self, Append};
+use super::log_stream::{self, Append};
 use crate::settings::Settings;
 use bundle::Bundle;
 use bundle::id::{EndpointId, ZoneId};
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 
 /// What the weight store is taken to allow until it was asked.
-const CAREFUL: Rate = Rate {
+const INITIAL_RATE: Rate = Rate {
     per_minute: 6,
     at_once: 1,
 };
@@ -55,7 +55,7 @@
 
 /// An order's end.
 #[derive(Debug)]
-pub struct Ordered {
+pub struct OrderResult {
     /// The group.
     pub group: Group,
     /// Name of the endpoint.
@@ -73,7 +73,7 @@
             rolls: BTreeMap::new(),
             settings: settings.roll,
             groups: BTreeMap::new(),
-            rate: CAREFUL,
+            rate: INITIAL_RATE,
             client: Arc::new(Client::new(platform.log, platform.limits)),
             pool: Pool::default(),
             inputs,
@@ -82,7 +82,7 @@
     }
 
     /// What the weight store allows all groups together.
-    pub fn allow(&mut self, rate: Rate) {
+    pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
     }
 
@@ -91,15 +91,15 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
     /// Wants the groups that are this node's to hold among the nodes of the roster.
-    pub fn want(&mut self, now: Duration, me: Id, bundle: &Bundle, roster: &Roster) {
-        let takes = |p: &&Peer| p.state == State::Up && !p.leaving;
-        let up: Vec<&Peer> = roster.iter().filter(takes).collect();
+    pub fn request_leases(&mut self, now: Duration, me: Id, bundle: &Bundle, roster: &Roster) {
+        let accepts_work = |p: &&Peer| p.state == State::Up && !p.leaving;
+        let up: Vec<&Peer> = roster.iter().filter(accepts_work).collect();
         let regions = bundle.zones.iter().map(|z| z.region.as_str());
         self.groups = regions.map(|r| (group(r), r.to_owned())).collect();
         let wants = self.groups.iter().filter_map(|(&group, region)| {
@@ -121,20 +121,20 @@
     }
 
     /// Whether this node gives the orders in any group.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn holds_any(&self, now: Duration) -> bool {
         let mut groups = self.groups.keys();
         groups.any(|group| self.table.permit(now, *group).is_some())
     }
 
     /// Wants no group any more: this node leaves.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn release_leases(&mut self, now: Duration) {
         self.handle(now, Event::Want(Vec::new()));
     }
 
     /// Takes one step of each roll whose lease this node holds.
     pub fn step(&mut self, now: Duration, source: &Source) {
         let groups: Vec<(Group, String)> = self.groups.clone().into_iter().collect();
-        let rate = self.part(groups.len());
+        let rate = self.group_rate(groups.len());
         for (group, region) in groups {
             if self.table.permit(now, group).is_none() {
                 continue;
@@ -156,22 +156,22 @@
                 .or_insert_with(|| Roll::new(settings));
             roll.step(now, &view, &mut actions);
             for action in actions {
-                self.roll(now, group, &region, source.bundle, action);
+                self.execute_roll_action(now, group, &region, source.bundle, action);
             }
         }
     }
 
     /// An order ended.
-    pub fn ordered(&mut self, now: Duration, ordered: &Ordered) {
-        match ordered.answer {
+    pub fn record_result(&mut self, now: Duration, result: &OrderResult) {
+        match result.answer {
             Some(Answer::Refused) => {
-                log::warn!("endpoint {} refused its order", ordered.endpoint);
-                if let Some(roll) = self.rolls.get_mut(&ordered.group) {
-                    roll.refused(now, &ordered.endpoint);
+                log::warn!("endpoint {} refused its order", result.endpoint);
+                if let Some(roll) = self.rolls.get_mut(&result.group) {
+                    roll.refused(now, &result.endpoint);
                 }
             }
             Some(Answer::OldFence) => {
-                log::warn!("endpoint {} knows a newer holder", ordered.endpoint);
+                log::warn!("endpoint {} knows a newer holder", result.endpoint);
             }
             // An order whose answer did not come is given again if its effect does not show.
             Some(Answer::Done) | None => {}
@@ -179,7 +179,7 @@
     }
 
     /// A group's part of what the weight store allows.
-    fn part(&self, groups: usize) -> Rate {
+    fn group_rate(&self, groups: usize) -> Rate {
         let groups = u32::try_from(groups).unwrap_or(u32::MAX).max(1);
         Rate {
             per_minute: (self.rate.per_minute / groups).max(1),
@@ -187,7 +187,7 @@
         }
     }
 
-    fn act(&mut self, action: hold::Action) {
+    fn execute(&mut self, action: hold::Action) {
         match action {
             hold::Action::Append { batch, body } => self.append(batch, body),
             hold::Action::Read { from, wait } => self.read(from, wait),
@@ -203,9 +203,16 @@
         }
     }
 
-    fn roll(&mut self, now: Duration, group: Group, region: &str, bundle: &Bundle, action: Action) {
+    fn execute_roll_action(
+        &mut self,
+        now: Duration,
+        group: Group,
+        region: &str,
+        bundle: &Bundle,
+        action: Action,
+    ) {
         match action {
-            Action::Order(endpoint, order) => self.order(now, group, bundle, endpoint, &order),
+            Action::Order(endpoint, order) => self.send_order(now, group, bundle, endpoint, &order),
             Action::Phase(phase) => log::info!("roll in {region}: {phase}"),
             Action::Stop(number, failures) => {
                 log::error!("the roll of bundle {number} in {region} stopped: {failures:?}");
@@ -215,7 +222,7 @@
     }
 
     /// Sends an order, if the lease still holds at this very moment.
-    fn order(
+    fn send_order(
         &self,
         now: Duration,
         group: Group,
@@ -233,19 +240,19 @@
         let (name, addr) = (row.name.clone(), row.addr);
         let order = engine::order::Order {
             fence,
-            what: what(order),
+            what: to_engine_order(order),
         };
         let pool = self.pool.clone();
         let inputs = self.inputs.clone();
-        let longest = hold::Settings::default().longest;
+        let order_timeout = hold::Settings::default().longest;
         tokio::spawn(async move {
-            let sent = timeout(longest, engine::order::send(&pool, addr, order)).await;
-            let ordered = Ordered {
+            let sent = timeout(order_timeout, engine::order::send(&pool, addr, order)).await;
+            let result = OrderResult {
                 group,
                 endpoint: name,
                 answer: sent.ok().and_then(|answer| answer.ok()),
             };
-            let _ = inputs.send(Input::Ordered(ordered)).await;
+            let _ = inputs.send(Input::OrderEnded(result)).await;
         });
     }
 
@@ -253,7 +260,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::append(&client, STREAM, body).await {
+            let event = match log_stream::append(&client, STREAM, body).await {
                 Append::Done => Event::Appended(batch),
                 Append::Unsure => Event::AppendUnsure(batch),
                 Append::Failed => Event::AppendFailed(batch),
@@ -266,7 +273,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::read(&client, STREAM, from, wait).await {
+            let event = match log_stream::read(&client, STREAM, from, wait).await {
                 Some(page) => Event::Page(page),
                 None => Event::ReadFailed,
             };
@@ -284,7 +291,7 @@
         .collect()
 }
 
-fn what(order: &Order) -> What {
+fn to_engine_order(order: &Order) -> What {
     match order {
         Order::Load {
             model,
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -1,16 +1,16 @@
 //! The state of control and what each input does to it.
 
-mod answer;
+mod admin;
 mod bundles;
-mod keys;
-mod orders;
+mod claims;
+mod endpoints;
 mod peers;
 
-use super::claims::{Claims, Told};
+use super::claims::{Claims, Reply};
 use super::demand::{self, Table};
-use super::endpoints;
+use super::endpoints::Table as EndpointTable;
 use super::input::{Input, Inputs};
-use super::listed::Listed;
+use super::instance_list::InstanceList;
 use super::rolls::Rolls;
 use super::view::Source;
 use crate::settings::Settings;
@@ -39,17 +39,17 @@
 use wire::peer::Link;
 
 /// How long other nodes count an ejection: longer than the back-off between two probes of it.
-const EJECTED_TIME: Duration = Duration::from_secs(15);
+const EJECTION_TTL: Duration = Duration::from_secs(15);
 /// How long a fingerprint counts as suspect.
-const SUSPECT_TIME: Duration = Duration::from_secs(600);
+const SUSPECT_TTL: Duration = Duration::from_secs(600);
 /// How long a verdict is awaited: the window of the verdict and the time that it takes to spread.
-const PENDING_TIME: Duration = Duration::from_secs(4);
+const PENDING_TTL: Duration = Duration::from_secs(4);
 /// How long a fingerprint counts as condemned.
-const CONDEMNED_TIME: Duration = Duration::from_secs(3600);
+const CONDEMNED_TTL: Duration = Duration::from_secs(3600);
 /// Versions after which a checkpoint is written whatever its age.
-const CHECKPOINT_VERSIONS: u64 = 1000;
+const CHECKPOINT_VERSION_INTERVAL: u64 = 1000;
 /// How often shares of limits are computed.
-const STEP_PERIOD: Duration = Duration::from_secs(1);
+const STEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the state is made of.
 pub struct Parts {
@@ -62,13 +62,13 @@
     /// Seed of the group.
     pub seed: u64,
     /// Where snapshots go, by worker.
-    pub boards: Vec<SharedSnapshot>,
+    pub shared_snapshots: Vec<SharedSnapshot>,
     /// The link to peers.
     pub link: Link,
     /// Where tasks put what they find.
     pub inputs: Inputs,
     /// Rings to the workers.
-    pub notices: Vec<ring::Sender<ControlEvent>>,
+    pub control_events: Vec<ring::Sender<ControlEvent>>,
     /// Set when the node begins to leave.
     pub leave: CancellationToken,
 }
@@ -79,36 +79,36 @@
     /// The callers' listener as others reach it.
     callers: SocketAddr,
     incarnation: u64,
-    boards: Vec<SharedSnapshot>,
+    shared_snapshots: Vec<SharedSnapshot>,
     link: Link,
     inputs: Inputs,
-    notices: Vec<ring::Sender<ControlEvent>>,
+    control_events: Vec<ring::Sender<ControlEvent>>,
     leave: CancellationToken,
     start: Instant,
     fold: Fold,
     policy: Policy,
     /// First offset that the log retains.
-    first: Offset,
+    first_offset: Offset,
     seed: u64,
     group: Group,
     teams: Teams,
-    listed: Listed,
+    instance_list: InstanceList,
     /// The list's newest answer, read again when a bundle tells which instances are endpoints'.
     instances: Vec<Instance>,
     demand: Table,
-    endpoints: endpoints::Table,
+    endpoints: EndpointTable,
     rolls: Rolls,
     claims: Claims,
     /// Verdicts on claims that workers have not been told yet.
-    verdicts: VecDeque<Told>,
+    replies: VecDeque<Reply>,
     actions: Vec<Action>,
     /// Whether this node has told its peers that it leaves.
     leaving: bool,
     /// When the log was last read to its end.
-    read: Option<Instant>,
+    log_read_at: Option<Instant>,
     log_error: Option<String>,
-    stepped: Instant,
-    load: Level,
+    last_step: Instant,
+    published_load: Level,
     /// Whether something changed that the workers must know.
     dirty: bool,
 }
@@ -131,40 +131,40 @@
         let claims = Claims::new(
             owner,
             parts.seed,
-            wall(),
+            unix_time(),
             &parts.settings.platform,
             parts.inputs.clone(),
         );
         let rolls = Rolls::new(owner, parts.seed, &parts.settings, parts.inputs.clone());
         let mut state = Self {
-            endpoints: endpoints::Table::default(),
+            endpoints: EndpointTable::default(),
             rolls,
             claims,
-            verdicts: VecDeque::new(),
+            replies: VecDeque::new(),
             fold: Fold::new(parts.settings.trust.clone()),
-            policy: Policy::new(checkpoints(&parts.settings), parts.seed),
-            first: 0,
+            policy: Policy::new(checkpoint_settings(&parts.settings), parts.seed),
+            first_offset: 0,
             seed: parts.seed,
             group: Group::new(me, parts.seed, member::settings::Settings::default()),
             teams: Teams::new(member::team::Settings::default()),
-            callers: advertised(&parts.settings, parts.callers),
+            callers: advertised_address(&parts.settings, parts.callers),
             settings: parts.settings,
             incarnation: parts.incarnation,
-            demand: Table::new(parts.boards.len()),
-            boards: parts.boards,
+            demand: Table::new(parts.shared_snapshots.len()),
+            shared_snapshots: parts.shared_snapshots,
             link: parts.link,
             inputs: parts.inputs,
-            notices: parts.notices,
+            control_events: parts.control_events,
             leave: parts.leave,
             start: Instant::now(),
-            listed: Listed::default(),
+            instance_list: InstanceList::default(),
             instances: Vec::new(),
             actions: Vec::new(),
             leaving: false,
-            read: None,
+            log_read_at: None,
             log_error: None,
-            stepped: Instant::now(),
-            load: Level::default(),
+            last_step: Instant::now(),
+            published_load: Level::default(),
             dirty: false,
         };
         state.publish_callers();
@@ -176,46 +176,46 @@
     }
 
     /// Takes an input.
-    pub fn input(&mut self, input: Input) {
+    pub fn handle_input(&mut self, input: Input) {
         match input {
             Input::Page(page, reply) => {
-                let next = self.page(page);
+                let next = self.fold_page(page);
                 let _ = reply.send(next);
             }
-            Input::LogOut(error) => self.log_out(&error),
-            Input::Listed(instances) => self.list(instances),
-            Input::Peer(inbound) => self.inbound(inbound),
-            Input::Records(body) => self.records(body),
-            Input::Note(worker, note) => self.note(worker, note),
-            Input::Claim(event) => self.claim(event),
-            Input::Lease(event) => self.lease(event),
-            Input::Ordered(ordered) => {
+            Input::LogReadFailed(error) => self.log_read_failed(&error),
+            Input::Instances(instances) => self.update_instances(instances),
+            Input::Peer(inbound) => self.handle_inbound(inbound),
+            Input::Records(body) => self.adopt_records(body),
+            Input::WorkerEvent(worker, event) => self.handle_worker_event(worker, event),
+            Input::Claim(event) => self.handle_claim_event(event),
+            Input::Lease(event) => self.handle_lease_event(event),
+            Input::OrderEnded(result) => {
                 let now = self.now();
-                self.rolls.ordered(now, &ordered);
+                self.rolls.record_result(now, &result);
             }
-            Input::Rate(rate) => self.rolls.allow(lease::roll::Rate {
+            Input::Rate(rate) => self.rolls.set_rate(lease::roll::Rate {
                 per_minute: rate.per_minute,
                 at_once: rate.at_once,
             }),
-            Input::Load(name, report) => self.load(&name, report),
+            Input::LoadReport(name, report) => self.handle_load_report(&name, report),
         }
-        self.publish();
+        self.publish_snapshots();
     }
 
     /// Takes a question of the admin listener.
-    pub fn question(&mut self, question: ControlRequest) {
-        match question {
+    pub fn handle_request(&mut self, request: ControlRequest) {
+        match request {
             ControlRequest::Status(reply) => {
                 let _ = reply.send(self.status());
             }
             ControlRequest::History(reply) => {
                 let _ = reply.send(self.history());
             }
-            ControlRequest::Fleet(reply) => self.fleet(reply),
+            ControlRequest::Fleet(reply) => self.collect_fleet(reply),
             ControlRequest::Head(reply) => {
                 let _ = reply.send(self.fold.full());
             }
-            ControlRequest::Publish(body, reply) => self.submit(body, reply),
+            ControlRequest::Publish(body, reply) => self.publish_version(body, reply),
             ControlRequest::Dump(reply) => {
                 let _ = reply.send(self.dump());
             }
@@ -227,28 +227,28 @@
         if self.leave.is_cancelled() && !self.leaving {
             self.begin_to_leave();
         }
-        self.handle(Event::Tick);
-        self.lease(lease::hold::Event::Tick);
-        if self.stepped.elapsed() >= STEP_PERIOD {
-            self.stepped = Instant::now();
+        self.handle_group_event(Event::Tick);
+        self.handle_lease_event(lease::hold::Event::Tick);
+        if self.last_step.elapsed() >= STEP_INTERVAL {
+            self.last_step = Instant::now();
             self.step();
             self.follow_claims();
-            self.roll();
-            self.checkpoint();
+            self.step_rolls();
+            self.checkpoint_if_due();
         }
-        self.publish();
+        self.publish_snapshots();
     }
 
     /// Tells peers that this node is gone.
     pub fn quit(&mut self) {
-        self.handle(Event::Quit);
+        self.handle_group_event(Event::Quit);
     }
 
     fn begin_to_leave(&mut self) {
         log::info!("node {} leaves", self.settings.node.name);
         self.leaving = true;
         self.dirty = true;
-        self.handle(Event::Publish(vec![Observation::Leaving]));
+        self.handle_group_event(Event::Publish(vec![Observation::Leaving]));
     }
 
     /// Computes the shares of team limits, and tells peers this node's demand and load.
@@ -256,77 +256,82 @@
         let Some(bundle) = self.fold.head().cloned() else {
             return;
         };
-        let limits = demand::limits(&bundle);
-        let demands = self.demand.node(&bundle);
+        let limits = demand::team_limits(&bundle);
+        let demands = self.demand.node_demand(&bundle);
         let now = self.now();
         let step = self.teams.step(now, &self.group, &limits, &demands);
         let mut items = step.publish;
-        items.extend(self.load_item(&bundle));
+        items.extend(self.load_observation(&bundle));
         if !items.is_empty() {
-            self.handle(Event::Publish(items));
+            self.handle_group_event(Event::Publish(items));
         }
         self.dirty = true;
     }
 
     /// The node's load as requests in flight over its part of the fleet's slots, if it changed.
-    fn load_item(&mut self, bundle: &bundle::Bundle) -> Option<Observation> {
+    fn load_observation(&mut self, bundle: &bundle::Bundle) -> Option<Observation> {
         let slots: u32 = bundle.endpoints.iter().map(|e| e.slots).sum();
         let nodes = self.group.node_count().max(1) as f64;
-        let flying: f64 = self.demand.node(bundle).iter().map(|d| d.in_flight).sum();
-        let load = Level::of(flying * nodes / f64::from(slots.max(1)));
-        if load == self.load {
+        let in_flight: f64 = self
+            .demand
+            .node_demand(bundle)
+            .iter()
+            .map(|d| d.in_flight)
+            .sum();
+        let load = Level::of(in_flight * nodes / f64::from(slots.max(1)));
+        if load == self.published_load {
             return None;
         }
-        self.load = load;
+        self.published_load = load;
         Some(Observation::Load(load))
     }
 
-    fn note(&mut self, worker: usize, note: WorkerEvent) {
-        let item = match note {
+    fn handle_worker_event(&mut self, worker: usize, event: WorkerEvent) {
+        let item = match event {
             WorkerEvent::Demand(bundle, teams) => {
                 let now = self.now();
-                return self.demand.take(now, worker, bundle, &teams);
+                return self.demand.update(now, worker, bundle, &teams);
             }
-            WorkerEvent::Claim(ask) => return self.ask_claim(worker, ask),
-            WorkerEvent::ClaimAbandoned(id) => return self.unclaim(id),
-            WorkerEvent::Ended(ended) => return self.end_claim(ended),
+            WorkerEvent::Claim(request) => return self.request_claim(worker, request),
+            WorkerEvent::ClaimAbandoned(id) => return self.cancel_claim(id),
+            WorkerEvent::Ended(ended) => return self.finish_claim(ended),
             WorkerEvent::Ticket(reply) => {
                 let now = self.now();
-                let _ = reply.send(self.claims.ticket(now));
+                let _ = reply.send(self.claims.issue_ticket(now));
                 return;
             }
-            WorkerEvent::Ejected(name) => ejection(&name, true),
-            WorkerEvent::Restored(name) => ejection(&name, false),
+            WorkerEvent::Ejected(name) => ejection_observation(&name, true),
+            WorkerEvent::Restored(name) => ejection_observation(&name, false),
             WorkerEvent::Suspect(fingerprint) => Observation::Suspect {
                 fingerprint,
-                ttl: SUSPECT_TIME,
+                ttl: SUSPECT_TTL,
             },
             WorkerEvent::Pending(fingerprint) => Observation::Pending {
                 fingerprint,
-                ttl: PENDING_TIME,
+                ttl: PENDING_TTL,
             },
             WorkerEvent::Condemned(fingerprint) => {
                 log::warn!("requests with fingerprint {fingerprint:016x} crash endpoints");
                 Observation::Condemned {
                     fingerprint,
-                    ttl: CONDEMNED_TIME,
+                    ttl: CONDEMNED_TTL,
                 }
             }
         };
         self.dirty = true;
-        self.handle(Event::Publish(vec![item]));
+        self.handle_group_event(Event::Publish(vec![item]));
     }
 
-    fn list(&mut self, instances: Vec<Instance>) {
-        if self.listed.update(&instances) {
+    fn update_instances(&mut self, instances: Vec<Instance>) {
+        if self.instance_list.update(&instances) {
             self.dirty = true;
         }
         self.instances = instances;
-        self.list_nodes();
+        self.update_listed_nodes();
     }
 
     /// Publishes a snapshot to each worker if anything changed.
-    fn publish(&mut self) {
+    fn publish_snapshots(&mut self) {
         if !std::mem::take(&mut self.dirty) {
             return;
         }
@@ -337,49 +342,49 @@
             settings: &self.settings,
             callers: self.callers,
             bundle,
-            listed: &self.listed,
+            instance_list: &self.instance_list,
             group: &self.group,
             shares: self.teams.shares(),
             demand: &self.demand,
             endpoints: &self.endpoints,
             leaving: self.leaving,
         };
-        let snapshots = source.snapshots(self.boards.len());
-        for (board, snapshot) in self.boards.iter().zip(snapshots) {
-            board.store(Some(Arc::new(snapshot)));
+        let snapshots = source.snapshots(self.shared_snapshots.len());
+        for (shared, snapshot) in self.shared_snapshots.iter().zip(snapshots) {
+            shared.store(Some(Arc::new(snapshot)));
         }
     }
 }
 
 /// Time since the Unix epoch.
-fn wall() -> Duration {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.unwrap_or_default()
+fn unix_time() -> Duration {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.unwrap_or_default()
 }
 
-fn checkpoints(settings: &Settings) -> checkpoint::Settings {
+fn checkpoint_settings(settings: &Settings) -> checkpoint::Settings {
     checkpoint::Settings {
         retention: settings.platform.retention,
-        versions: CHECKPOINT_VERSIONS,
+        versions: CHECKPOINT_VERSION_INTERVAL,
     }
 }
 
-fn ejection(name: &Arc<str>, ejected: bool) -> Observation {
-    let word = if ejected {
+fn ejection_observation(name: &Arc<str>, ejected: bool) -> Observation {
+    let state = if ejected {
         "taken out of use"
     } else {
         "back in use"
     };
-    log::info!("endpoint {name} is {word}");
+    log::info!("endpoint {name} is {state}");
     Observation::Endpoint {
         name: name.to_string(),
         ejected,
-        ttl: EJECTED_TIME,
+        ttl: EJECTION_TTL,
     }
 }
 
 /// The callers' listener as others reach it: the settings' address with the port that was bound.
-fn advertised(settings: &Settings, bound: SocketAddr) -> SocketAddr {
+fn advertised_address(settings: &Settings, bound: SocketAddr) -> SocketAddr {
     let advertise = settings.callers.advertise;
     if advertise.port() == 0 {
         return SocketAddr::new(advertise.ip(), bound.port());
--- a/crates/node/src/control/state/answer.rs
+++ b/crates/node/src/control/state/admin.rs
@@ -22,7 +22,7 @@
             number: head.map_or(0, |b| b.number),
             digest: head.map(|b| b.digest.to_string()).unwrap_or_default(),
             signer: head.map(|b| b.signer.clone()).unwrap_or_default(),
-            log_age_ms: self.read.map(|at| at.elapsed().as_millis() as u64),
+            log_age_ms: self.log_read_at.map(|at| at.elapsed().as_millis() as u64),
             log_error: self.log_error.clone(),
         }
     }
@@ -42,25 +42,27 @@
 
     /// Asks every node of the group what is in force there; answers when all have answered or
     /// the time for asks is over.
-    pub(super) fn fleet(&self, reply: oneshot::Sender<Vec<Node>>) {
+    pub(super) fn collect_fleet(&self, reply: oneshot::Sender<Vec<Node>>) {
         let me = self.group.me();
         let own = self.status();
         let peers = self.group.roster().iter().filter(|p| p.id != me);
-        let asks: Vec<_> = peers
+        let targets: Vec<_> = peers
             .map(|p| (p.identity.clone(), p.state, self.link.clone()))
             .collect();
         tokio::spawn(async move {
-            let asked = asks.into_iter().map(|(identity, state, link)| async move {
-                let status = link.status(identity.addr).await.unwrap_or_default();
-                Node {
-                    node: identity.name,
-                    zone: identity.zone,
-                    state: format!("{state:?}").to_lowercase(),
-                    number: status.number,
-                    digest: bundle::digest::Digest(status.digest).to_string(),
-                }
-            });
-            let mut nodes = join_all(asked).await;
+            let requests = targets
+                .into_iter()
+                .map(|(identity, state, link)| async move {
+                    let status = link.status(identity.addr).await.unwrap_or_default();
+                    Node {
+                        node: identity.name,
+                        zone: identity.zone,
+                        state: format!("{state:?}").to_lowercase(),
+                        number: status.number,
+                        digest: bundle::digest::Digest(status.digest).to_string(),
+                    }
+                });
+            let mut nodes = join_all(requests).await;
             nodes.push(Node {
                 node: own.node,
                 zone: own.zone,
@@ -74,12 +76,12 @@
     }
 
     /// Publishes a version; the answer comes when its race has ended.
-    pub(super) fn submit(&self, body: Bytes, reply: oneshot::Sender<Answer>) {
-        let log = self.log();
+    pub(super) fn publish_version(&self, body: Bytes, reply: oneshot::Sender<Answer>) {
+        let log = self.log_client();
         let fold = self.fold.clone();
         let seed = self.seed;
         tokio::spawn(async move {
-            let answer = publish::publish(log, fold, body, seed).await;
+            let answer = publish::publish_version(log, fold, body, seed).await;
             let _ = reply.send(answer);
         });
     }
@@ -99,7 +101,7 @@
             part("endpoints", format!("{}", self.endpoints)),
             part("leases and rolls", format!("{}", self.rolls)),
             part("claims", format!("{}", self.claims)),
-            part("instance list", format!("{}", self.listed)),
+            part("instance list", format!("{}", self.instance_list)),
         ]
     }
 }
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -14,25 +14,25 @@
 
 impl State {
     /// Folds a page of the log; returns the offset to read next.
-    pub(super) fn page(&mut self, page: Page) -> Offset {
-        self.first = page.first;
+    pub(super) fn fold_page(&mut self, page: Page) -> Offset {
+        self.first_offset = page.first;
         let records = page.records.iter().map(|r| (r.offset, r.body.as_ref()));
         let verdicts = self.fold.page(page.first, records);
         for (offset, verdict) in &verdicts {
-            tell(*offset, verdict);
+            log_verdict(*offset, verdict);
         }
         if self.log_error.take().is_some() {
             log::info!("the log is read again");
         }
         if self.fold.next_offset() >= page.next {
-            self.read = Some(Instant::now());
+            self.log_read_at = Some(Instant::now());
         }
-        self.settle();
+        self.announce_head();
         self.fold.next_offset()
     }
 
     /// The log can't be read: the node goes on with what it has.
-    pub(super) fn log_out(&mut self, error: &platform::Error) {
+    pub(super) fn log_read_failed(&mut self, error: &platform::Error) {
         if self.log_error.is_none() {
             log::warn!("the log can't be read: {error}");
         }
@@ -40,8 +40,8 @@
     }
 
     /// Takes what a peer gave of a newer bundle.
-    pub(super) fn records(&mut self, body: Option<Vec<u8>>) {
-        let Some(records) = body.as_deref().and_then(records::split) else {
+    pub(super) fn adopt_records(&mut self, body: Option<Vec<u8>>) {
+        let Some(records) = body.as_deref().and_then(records::decode) else {
             return;
         };
         for record in records {
@@ -54,11 +54,11 @@
                 _ => {}
             }
         }
-        self.settle();
+        self.announce_head();
     }
 
     /// Tells the group of a new head.
-    fn settle(&mut self) {
+    fn announce_head(&mut self) {
         let Some(bundle) = self.fold.head().cloned() else {
             return;
         };
@@ -76,16 +76,16 @@
             bundle.digest
         );
         self.dirty = true;
-        self.listed
-            .keep(bundle.endpoints.iter().map(|e| e.instance.as_str()));
-        self.endpoints.keep(&bundle);
-        self.handle(Event::Head(head));
-        self.list_nodes();
+        self.instance_list
+            .retain_seen(bundle.endpoints.iter().map(|e| e.instance.as_str()));
+        self.endpoints.retain(&bundle);
+        self.handle_group_event(Event::Head(head));
+        self.update_listed_nodes();
         self.step();
     }
 
     /// Asks a peer for the records that lead to its newer head.
-    pub(super) fn fetch(&mut self, head: Head, addr: SocketAddr) {
+    pub(super) fn fetch_records(&mut self, head: Head, addr: SocketAddr) {
         let have = self.fold.head().map_or(0, |b| b.number);
         let ask = HeadAsk {
             number: head.number,
@@ -100,32 +100,32 @@
     }
 
     /// Writes a checkpoint if it is this node's turn.
-    pub(super) fn checkpoint(&mut self) {
+    pub(super) fn checkpoint_if_due(&mut self) {
         let now = self.now();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         let wall = wall.unwrap_or_default();
-        if !self.policy.poll(now, wall, self.first, &self.fold) {
+        if !self.policy.poll(now, wall, self.first_offset, &self.fold) {
             return;
         }
         if let Some(body) = self.fold.checkpoint(wall) {
-            tokio::spawn(publish::checkpoint(self.log(), body));
+            tokio::spawn(publish::append_checkpoint(self.log_client(), body));
         }
     }
 
     /// A client of the log.
-    pub(super) fn log(&self) -> platform::http::Log {
+    pub(super) fn log_client(&self) -> platform::http::Log {
         let platform = &self.settings.platform;
         platform::http::Log::new(platform.log, platform.limits)
     }
 
     /// The records that a peer asks for.
-    pub(super) fn offer(&self, ask: HeadAsk) -> Option<Vec<u8>> {
-        records::join(&self.fold.offer(ask.have))
+    pub(super) fn records_since(&self, ask: HeadAsk) -> Option<Vec<u8>> {
+        records::encode(&self.fold.offer(ask.have))
     }
 }
 
 /// Writes a line for a verdict that is a change of state.
-fn tell(offset: Offset, verdict: &Verdict) {
+fn log_verdict(offset: Offset, verdict: &Verdict) {
     match verdict {
         Verdict::Refused(reason) => log::warn!("record {offset} of the log is refused: {reason}"),
         Verdict::Lost { .. } => log::info!("record {offset} of the log is {verdict}"),
--- a/crates/node/src/control/state/keys.rs
+++ b/crates/node/src/control/state/claims.rs
@@ -12,14 +12,14 @@
 use route::request::Id;
 
 /// Owners of keys, as the group knows them.
-struct Known<'a>(&'a Group);
+struct GroupOwners<'a>(&'a Group);
 
-impl Owners for Known<'_> {
+impl Owners for GroupOwners<'_> {
     fn url(&self, owner: Owner) -> Option<String> {
         let peer = self.0.roster().get(owner.node)?;
-        let lives = peer.identity.incarnation == owner.incarnation
+        let is_alive = peer.identity.incarnation == owner.incarnation
             && !matches!(peer.state, PeerState::Dead | PeerState::Left);
-        let (addr, tls) = observed::callers(self.0, owner.node).filter(|_| lives)?;
+        let (addr, tls) = observed::callers_address(self.0, owner.node).filter(|_| is_alive)?;
         let scheme = if tls { "https" } else { "http" };
         Some(format!("{scheme}://{addr}"))
     }
@@ -27,31 +27,32 @@
 
 impl State {
     /// Takes an event of the claims' streams, or time that passed.
-    pub fn claim(&mut self, event: Event) {
+    pub fn handle_claim_event(&mut self, event: Event) {
         let now = self.now();
-        self.claims.handle(now, event, &Known(&self.group));
-        self.tell_claims();
+        self.claims.handle(now, event, &GroupOwners(&self.group));
+        self.deliver_replies();
     }
 
     /// A worker asks for a key.
-    pub(super) fn ask_claim(&mut self, worker: usize, ask: Request) {
+    pub(super) fn request_claim(&mut self, worker: usize, request: Request) {
         let now = self.now();
-        self.claims.ask(now, worker, ask, &Known(&self.group));
-        self.tell_claims();
+        self.claims
+            .request(now, worker, request, &GroupOwners(&self.group));
+        self.deliver_replies();
     }
 
     /// The caller of a request that waits for its key went away.
-    pub(super) fn unclaim(&mut self, id: Id) {
+    pub(super) fn cancel_claim(&mut self, id: Id) {
         let now = self.now();
-        self.claims.left(now, id, &Known(&self.group));
-        self.tell_claims();
+        self.claims.cancel(now, id, &GroupOwners(&self.group));
+        self.deliver_replies();
     }
 
     /// A run under a key ended.
-    pub(super) fn end_claim(&mut self, ended: Ended) {
+    pub(super) fn finish_claim(&mut self, ended: Ended) {
         let now = self.now();
-        self.claims.ended(now, ended, &Known(&self.group));
-        self.tell_claims();
+        self.claims.finish(now, ended, &GroupOwners(&self.group));
+        self.deliver_replies();
     }
 
     /// Follows the shards that this node is the home of.
@@ -65,24 +66,25 @@
         };
         let now = self.now();
         // Keys carry dates by their makers' wall clocks; this node's may be set while it runs.
-        let clock = Event::Clock(super::wall());
-        self.claims.handle(now, clock, &Known(&self.group));
-        self.claims.follow(now, me, &nodes, &Known(&self.group));
-        self.tell_claims();
+        let clock = Event::Clock(super::unix_time());
+        self.claims.handle(now, clock, &GroupOwners(&self.group));
+        self.claims
+            .follow_home_shards(now, me, &nodes, &GroupOwners(&self.group));
+        self.deliver_replies();
     }
 
     /// Gives workers their verdicts. One that finds the ring full is kept for the next time: its
     /// request would wait for it until its caller gives up.
-    fn tell_claims(&mut self) {
-        self.verdicts.extend(self.claims.told());
-        while let Some(told) = self.verdicts.pop_front() {
-            let notice = ControlEvent::Claim(told.id, told.verdict);
-            let Some(ring) = self.notices.get_mut(told.worker) else {
+    fn deliver_replies(&mut self) {
+        self.replies.extend(self.claims.take_replies());
+        while let Some(reply) = self.replies.pop_front() {
+            let event = ControlEvent::Claim(reply.id, reply.verdict);
+            let Some(ring) = self.control_events.get_mut(reply.worker) else {
                 continue;
             };
-            if let Err(ControlEvent::Claim(id, verdict)) = ring.push(notice) {
-                let worker = told.worker;
-                self.verdicts.push_front(crate::control::claims::Told {
+            if let Err(ControlEvent::Claim(id, verdict)) = ring.push(event) {
+                let worker = reply.worker;
+                self.replies.push_front(crate::control::claims::Reply {
                     worker,
                     id,
                     verdict,
--- a/crates/node/src/control/state/orders.rs
+++ b/crates/node/src/control/state/endpoints.rs
@@ -9,9 +9,9 @@
 
 impl State {
     /// An endpoint reported, or did not answer.
-    pub(super) fn load(&mut self, name: &Arc<str>, report: Option<Report>) {
+    pub(super) fn handle_load_report(&mut self, name: &Arc<str>, report: Option<Report>) {
         let Some(report) = report else {
-            self.endpoints.silent(name);
+            self.endpoints.record_unanswered(name);
             return;
         };
         let load = route::load::Report {
@@ -20,38 +20,39 @@
             inter_token: report.inter_token,
             age: report.age,
         };
-        for ring in &mut self.notices {
+        for ring in &mut self.control_events {
             let _ = ring.push(ControlEvent::Load(name.clone(), load));
         }
-        if self.endpoints.take(name, report) {
+        if self.endpoints.record_report(name, report) {
             self.dirty = true;
         }
     }
 
     /// Takes an event of the leases' stream, or time that passed.
-    pub(super) fn lease(&mut self, event: Event) {
+    pub(super) fn handle_lease_event(&mut self, event: Event) {
         let now = self.now();
         self.rolls.handle(now, event);
     }
 
     /// Takes a step of the rolls whose leases this node holds.
-    pub(super) fn roll(&mut self) {
+    pub(super) fn step_rolls(&mut self) {
         let now = self.now();
         let Some(bundle) = self.fold.head().cloned() else {
             return;
         };
         if self.leaving {
-            return self.rolls.give_back(now);
+            return self.rolls.release_leases(now);
         }
         let roster = self.group.roster();
-        self.rolls.want(now, self.group.me(), &bundle, roster);
-        if !self.rolls.holds(now) {
+        self.rolls
+            .request_leases(now, self.group.me(), &bundle, roster);
+        if !self.rolls.holds_any(now) {
             return;
         }
         let rows = bundle.endpoints.iter();
         let health = rows.map(|e| {
-            let takes = self.listed.takes_work(&e.instance);
-            self.endpoints.health(&e.name, takes)
+            let accepts_work = self.instance_list.accepts_work(&e.instance);
+            self.endpoints.health(&e.name, accepts_work)
         });
         let health: Vec<_> = health.collect();
         let reports = self.endpoints.reports(&bundle);
--- a/crates/node/src/control/state/peers.rs
+++ b/crates/node/src/control/state/peers.rs
@@ -18,21 +18,21 @@
             addr: self.callers,
             tls: self.settings.callers.tls.is_some(),
         };
-        self.handle(Event::Publish(vec![callers]));
+        self.handle_group_event(Event::Publish(vec![callers]));
     }
 
     /// Gives the group an event and does what it asks for.
-    pub(super) fn handle(&mut self, event: Event) {
+    pub(super) fn handle_group_event(&mut self, event: Event) {
         let now = self.now();
         let mut actions = std::mem::take(&mut self.actions);
         self.group.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
                 // A full queue is counted by the link; gossip repeats itself.
@@ -54,16 +54,18 @@
                 self.dirty |=
                     !matches!(item.body, Observation::Demand { .. } | Observation::Load(_));
             }
-            Action::FetchHead { head, addr, .. } => self.fetch(head, addr),
+            Action::FetchHead { head, addr, .. } => self.fetch_records(head, addr),
         }
     }
 
     /// Takes what came from a peer.
-    pub(super) fn inbound(&mut self, inbound: Inbound) {
+    pub(super) fn handle_inbound(&mut self, inbound: Inbound) {
         match inbound {
-            Inbound::Member { from, message } => self.handle(Event::Received { from, message }),
+            Inbound::Member { from, message } => {
+                self.handle_group_event(Event::Received { from, message })
+            }
             Inbound::Head { ask, reply } => {
-                let _ = reply.send(self.offer(ask));
+                let _ = reply.send(self.records_since(ask));
             }
             // Copies of tables belong to nodes on a platform's store; this one has none.
             Inbound::Copy { reply, .. } => {
@@ -72,7 +74,7 @@
             Inbound::Status { reply } => {
                 let _ = reply.send(self.peer_status());
             }
-            Inbound::Unreached(addr) => self.unreached(addr),
+            Inbound::Unreached(addr) => self.report_connect_failure(addr),
         }
     }
 
@@ -86,31 +88,31 @@
         }
     }
 
-    fn unreached(&mut self, addr: SocketAddr) {
+    fn report_connect_failure(&mut self, addr: SocketAddr) {
         let peers = self.group.roster().iter();
-        let gone = peers.filter(|p| p.identity.addr == addr).map(|p| p.id);
-        let gone: Vec<_> = gone.collect();
-        for peer in gone {
-            self.handle(Event::ConnectFailed(peer));
+        let unreachable = peers.filter(|p| p.identity.addr == addr).map(|p| p.id);
+        let unreachable: Vec<_> = unreachable.collect();
+        for peer in unreachable {
+            self.handle_group_event(Event::ConnectFailed(peer));
         }
     }
 
     /// Tells the group which nodes the instance list names. An instance is a node's if it has an
     /// address and no endpoint of the bundle is on it.
-    pub(super) fn list_nodes(&mut self) {
+    pub(super) fn update_listed_nodes(&mut self) {
         let head = self.fold.head();
         let rows = head.iter().flat_map(|b| b.endpoints.iter());
         let endpoints: BTreeSet<&str> = rows.map(|e| e.instance.as_str()).collect();
         let nodes = self.instances.iter();
         let nodes = nodes.filter(|i| !endpoints.contains(i.name.as_str()));
-        let mut entries: Vec<_> = nodes.filter_map(|i| self.entry(i)).collect();
-        entries.extend(self.seeds(&entries));
+        let mut entries: Vec<_> = nodes.filter_map(|i| self.listed_entry(i)).collect();
+        entries.extend(self.seed_entries(&entries));
         if !entries.is_empty() {
-            self.handle(Event::Listed(entries));
+            self.handle_group_event(Event::Listed(entries));
         }
     }
 
-    fn entry(&self, instance: &Instance) -> Option<Entry> {
+    fn listed_entry(&self, instance: &Instance) -> Option<Entry> {
         let bundle = self.fold.head();
         let zones = bundle.iter().flat_map(|b| b.zones.iter());
         let region = zones.filter(|z| z.name == instance.zone).map(|z| &z.region);
@@ -129,7 +131,7 @@
 
     /// Seeds of the settings stand in for the list until it was read. Their names are not known;
     /// they tell them when asked who they are.
-    fn seeds(&self, listed: &[Entry]) -> Vec<Entry> {
+    fn seed_entries(&self, listed: &[Entry]) -> Vec<Entry> {
         if !listed.is_empty() {
             return Vec::new();
         }
--- a/crates/node/src/control/tail.rs
+++ b/crates/node/src/control/tail.rs
@@ -8,37 +8,37 @@
 use tokio::sync::oneshot;
 
 /// Stream of bundles.
-pub const BUNDLES: &str = "bundles";
+pub const BUNDLE_STREAM: &str = "bundles";
 /// How long a read waits for a record.
-const WAIT: Duration = Duration::from_secs(2);
+const READ_WAIT: Duration = Duration::from_secs(2);
 /// First wait after a failure.
-const LEAST_BACKOFF: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest wait after failures: the log is in use again within this after an outage.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// How often the weight store is asked.
-const RATE_PERIOD: Duration = Duration::from_secs(10);
+const RATE_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// How often the instance list is read.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
+const LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reads bundles until control is gone.
-pub async fn bundles(settings: Platform, inputs: Inputs, seed: u64) {
+pub async fn read_bundles(settings: Platform, inputs: Inputs, seed: u64) {
     let log = platform::http::Log::new(settings.log, settings.limits);
-    let mut backoff = Backoff::new(LEAST_BACKOFF, MOST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     let mut from: Offset = 0;
     loop {
-        match log.read(BUNDLES, from, WAIT).await {
+        match log.read(BUNDLE_STREAM, from, READ_WAIT).await {
             Ok(page) => {
                 backoff.succeeded();
-                let (tx, rx) = oneshot::channel();
-                if inputs.send(Input::Page(page, tx)).await.is_err() {
+                let (next_tx, next_rx) = oneshot::channel();
+                if inputs.send(Input::Page(page, next_tx)).await.is_err() {
                     return;
                 }
-                let Ok(next) = rx.await else { return };
+                let Ok(next) = next_rx.await else { return };
                 from = next;
             }
             Err(error) => {
                 let wait = backoff.failed(error.retry_after());
-                if inputs.send(Input::LogOut(error)).await.is_err() {
+                if inputs.send(Input::LogReadFailed(error)).await.is_err() {
                     return;
                 }
                 tokio::time::sleep(wait).await;
@@ -48,7 +48,7 @@
 }
 
 /// Asks the weight store what it allows, until control is gone.
-pub async fn rate(settings: Platform, inputs: Inputs) {
+pub async fn poll_rate(settings: Platform, inputs: Inputs) {
     let Some(addr) = settings.weights else {
         return;
     };
@@ -59,22 +59,22 @@
         {
             return;
         }
-        tokio::time::sleep(RATE_PERIOD).await;
+        tokio::time::sleep(RATE_POLL_INTERVAL).await;
     }
 }
 
 /// Reads the instance list until control is gone.
-pub async fn instances(settings: Platform, inputs: Inputs, seed: u64) {
+pub async fn poll_instances(settings: Platform, inputs: Inputs, seed: u64) {
     let list = platform::http::List::new(settings.list, settings.limits);
-    let mut backoff = Backoff::new(LEAST_BACKOFF, MOST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     loop {
         let wait = match list.instances().await {
             Ok(instances) => {
                 backoff.succeeded();
-                if inputs.send(Input::Listed(instances)).await.is_err() {
+                if inputs.send(Input::Instances(instances)).await.is_err() {
                     return;
                 }
-                LIST_PERIOD
+                LIST_POLL_INTERVAL
             }
             Err(error) => backoff.failed(error.retry_after()),
         };
--- a/crates/node/src/control/view.rs
+++ b/crates/node/src/control/view.rs
@@ -2,7 +2,7 @@
 
 use super::demand::Table;
 use super::endpoints;
-use super::listed::Listed;
+use super::instance_list::InstanceList;
 use super::observed;
 use crate::settings::Settings;
 use bundle::Bundle;
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 
 /// Retries per second of the whole fleet, as a part of the requests that teams may start.
-const RETRY_PART: f64 = 0.1;
+const RETRY_FRACTION: f64 = 0.1;
 /// Retries per second that a worker may always spend.
-const LEAST_RETRIES: f64 = 0.5;
+const MIN_RETRY_RATE: f64 = 0.5;
 
 /// What a view is built from.
 pub struct Source<'a> {
@@ -31,7 +31,7 @@
     /// The bundle in force.
     pub bundle: &'a Arc<Bundle>,
     /// The instance list.
-    pub listed: &'a Listed,
+    pub instance_list: &'a InstanceList,
     /// The nodes.
     pub group: &'a Group,
     /// The node's shares of the teams' limits.
@@ -48,12 +48,12 @@
     /// The snapshots of all workers, in order. Most of a snapshot is the same for all; looking it
     /// up takes long in a large fleet, so it is done once.
     pub fn snapshots(&self, workers: usize) -> Vec<Snapshot> {
-        let versions = self.endpoints.versions(self.bundle);
-        let view = self.view(&versions);
+        let versions = self.endpoints.serving_versions(self.bundle);
+        let view = self.shared_view(&versions);
         let addresses = self.addresses();
         (0..workers)
             .map(|worker| Snapshot {
-                view: Arc::new(self.own_part(view.clone(), worker)),
+                view: Arc::new(self.worker_view(view.clone(), worker)),
                 versions: versions.clone(),
                 addresses: addresses.clone(),
             })
@@ -61,23 +61,25 @@
     }
 
     /// The view with one worker's shares.
-    fn own_part(&self, view: View, worker: usize) -> View {
-        let shares = self.demand.worker(worker, self.shares, self.group.me());
-        let retries = shares.iter().map(|s| s.rate).sum::<f64>() * RETRY_PART;
+    fn worker_view(&self, view: View, worker: usize) -> View {
+        let shares = self
+            .demand
+            .worker_shares(worker, self.shares, self.group.me());
+        let retries = shares.iter().map(|s| s.rate).sum::<f64>() * RETRY_FRACTION;
         View {
             shares,
-            retry_rate: retries.max(LEAST_RETRIES),
+            retry_rate: retries.max(MIN_RETRY_RATE),
             ..view
         }
     }
 
     /// The part of the view that is the same for all workers.
-    fn view(&self, versions: &[String]) -> View {
-        let observed = observed::read(self.group, self.bundle);
+    fn shared_view(&self, versions: &[String]) -> View {
+        let observed = observed::collect(self.group, self.bundle);
         View {
             bundle: self.bundle.clone(),
             zone: self.bundle.zone(&self.settings.node.zone).unwrap_or(0),
-            available: self.open(versions),
+            available: self.available(versions),
             ejected: observed.ejected,
             suspects: observed.suspects,
             pending: observed.pending,
@@ -89,15 +91,17 @@
         }
     }
 
-    fn open(&self, versions: &[String]) -> Vec<bool> {
+    fn available(&self, versions: &[String]) -> Vec<bool> {
         let rows = (0..).zip(&self.bundle.endpoints);
-        rows.map(|(id, e)| self.listed.takes_work(&e.instance) && self.ready(id, e, versions))
-            .collect()
+        rows.map(|(id, e)| {
+            self.instance_list.accepts_work(&e.instance) && self.is_ready(id, e, versions)
+        })
+        .collect()
     }
 
     /// Whether an endpoint holds what new requests are sent to. In the middle of a roll those on
     /// another version get no new work: a chain must not mix versions.
-    fn ready(&self, id: EndpointId, endpoint: &Endpoint, versions: &[String]) -> bool {
+    fn is_ready(&self, id: EndpointId, endpoint: &Endpoint, versions: &[String]) -> bool {
         let mut spans = endpoint.spans.iter();
         spans.all(|s| {
             let version = &versions[usize::from(s.model)];
@@ -109,27 +113,27 @@
     fn addresses(&self) -> Vec<Address> {
         let me = self.group.me();
         let peers = self.group.roster().iter();
-        let up = peers.filter(|p| p.id != me && takes_callers(p));
-        let mut addresses: Vec<_> = up.filter_map(|p| self.peer(p)).collect();
+        let up = peers.filter(|p| p.id != me && accepts_callers(p));
+        let mut addresses: Vec<_> = up.filter_map(|p| self.peer_address(p)).collect();
         if !self.leaving {
-            addresses.push(self.own(observed::free(self.group, me)));
+            addresses.push(self.own_address(observed::free_fraction(self.group, me)));
         }
         addresses
     }
 
-    fn peer(&self, peer: &Peer) -> Option<Address> {
-        let (addr, tls) = observed::callers(self.group, peer.id)?;
+    fn peer_address(&self, peer: &Peer) -> Option<Address> {
+        let (addr, tls) = observed::callers_address(self.group, peer.id)?;
         Some(Address {
             node: peer.identity.name.clone(),
             addr,
             tls,
             zone: peer.identity.zone.clone(),
             region: peer.identity.region.clone(),
-            free: observed::free(self.group, peer.id),
+            free: observed::free_fraction(self.group, peer.id),
         })
     }
 
-    fn own(&self, free: f64) -> Address {
+    fn own_address(&self, free: f64) -> Address {
         let node = &self.settings.node;
         Address {
             node: node.name.clone(),
@@ -144,7 +148,7 @@
 
 /// A suspected peer is not named: a caller that was sent to a dead node has to ask again, while
 /// one that is sent past a living node loses nothing.
-fn takes_callers(peer: &Peer) -> bool {
+fn accepts_callers(peer: &Peer) -> bool {
     let listed = peer.listed != Some(member::peer::ListedState::Leaving);
     peer.state == State::Up && !peer.leaving && listed
 }
--- a/crates/node/src/hosted/process.rs
+++ b/crates/node/src/hosted/process.rs
@@ -8,7 +8,7 @@
 
 use super::control::Control;
 use super::settings::{self, Settings};
-use crate::process::{incarnation, provider, runtime};
+use crate::process::{incarnation, meter_provider, runtime};
 use adapter::header::Headers;
 use eyre::{Result, WrapErr};
 use gate::listener::{self, Port, Stop};
@@ -81,7 +81,7 @@
     let (dumps, dump_queue) = mpsc::channel(DUMP_QUEUE_LEN);
     let registry = Registry::new();
     // Kept alive until the end, since the instruments stop working when the provider is dropped.
-    let provider = provider(&registry)?;
+    let provider = meter_provider(&registry)?;
     let metrics = Metrics::new(&provider.meter("wigeonshelf"), registry);
     let parts = Parts {
         metrics: metrics.clone(),
--- a/crates/node/src/hosted/settings.rs
+++ b/crates/node/src/hosted/settings.rs
@@ -3,7 +3,7 @@
 use crate::settings::finding::Finding;
 use crate::settings::section::{Section, stray_keys, unknown_sections};
 use crate::settings::text::Text;
-use crate::settings::value::{self, addr, addrs, level, limit, name, peer_key, time};
+use crate::settings::value::{self, addr, addrs, level, name, nonzero_time, peer_key, time};
 use crate::settings::{self, Result};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -96,7 +96,7 @@
 ///
 /// Returns all findings if a setting is wrong.
 pub fn read(name: &str, content: &str) -> Result<Settings> {
-    check(&settings::text::Text::read(name, content)?)
+    check(&settings::text::Text::parse(name, content)?)
 }
 
 fn check(text: &Text) -> Result<Settings> {
@@ -118,7 +118,7 @@
     let node_name = node.required("name", name, findings);
     let zone = node.required("zone", name, findings);
     let region = node.required("region", name, findings);
-    let grace = node.or("grace", DEFAULT_GRACE, limit, findings);
+    let grace = node.value_or("grace", DEFAULT_GRACE, nonzero_time, findings);
     node.finish(findings);
     let callers = listen(text, CALLERS, findings);
     let addresses = listen(text, ADDRESSES, findings);
@@ -126,23 +126,23 @@
     let metrics = listen(text, METRICS, findings);
     if callers.is_none() && !text.entries.iter().any(|e| e.section == CALLERS) {
         let section = Section::new(text, CALLERS);
-        findings.push(section.about("listen", "is missing"));
+        findings.push(section.finding_for("listen", "is missing"));
     }
     let mut peers = Section::new(text, PEERS);
     let listen = peers.required("listen", addr, findings);
     let key = peers.required("key", peer_key, findings);
-    let seeds = peers.or("seeds", Vec::new(), addrs, findings);
+    let seeds = peers.value_or("seeds", Vec::new(), addrs, findings);
     peers.finish(findings);
     let mut store = Section::new(text, STORE);
     let address = store.required("address", addr, findings);
-    let heartbeat = store.or("heartbeat", DEFAULT_HEARTBEAT, limit, findings);
+    let heartbeat = store.value_or("heartbeat", DEFAULT_HEARTBEAT, nonzero_time, findings);
     store.finish(findings);
     let allowance = allowance(text, findings);
     let mut limits = Section::new(text, LIMITS);
-    let descriptors = limits.or("descriptors", DEFAULT_DESCRIPTORS, value::count, findings);
+    let descriptors = limits.value_or("descriptors", DEFAULT_DESCRIPTORS, value::count, findings);
     limits.finish(findings);
     let mut logging = Section::new(text, LOGGING);
-    let level = logging.or("level", log::LevelFilter::Info, level, findings);
+    let level = logging.value_or("level", log::LevelFilter::Info, level, findings);
     logging.finish(findings);
     Some(Settings {
         name: node_name?,
@@ -181,9 +181,9 @@
     };
     let mut retries = Section::new(text, RETRIES);
     let allowance = Allowance {
-        ratio: retries.or("ratio", default.ratio, value::fraction, findings),
-        slack: retries.or("slack", default.slack, value::fraction, findings),
-        window: retries.or("window", default.window, time, findings),
+        ratio: retries.value_or("ratio", default.ratio, value::non_negative, findings),
+        slack: retries.value_or("slack", default.slack, value::non_negative, findings),
+        window: retries.value_or("window", default.window, time, findings),
     };
     retries.finish(findings);
     allowance
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -10,27 +10,27 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit code for settings that can't be used: nothing was started.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
-const CONFIG: &str = "config";
-const CHECK: &str = "check";
+const CONFIG_ARG: &str = "config";
+const CHECK_COMMAND: &str = "check";
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
     match matches.subcommand() {
-        Some((CHECK, matches)) => check(matches),
+        Some((CHECK_COMMAND, matches)) => check(matches),
         _ => run(&matches),
     }
 }
 
 fn command() -> Command {
-    let config = Arg::new(CONFIG)
+    let config = Arg::new(CONFIG_ARG)
         .long("config")
         .short('c')
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
         .help("Settings, in INI");
-    let check = Command::new(CHECK)
+    let check = Command::new(CHECK_COMMAND)
         .about("Checks settings and tells every finding; starts nothing")
         .arg(config.clone().required(true));
     Command::new("wigeonshelf")
@@ -44,18 +44,18 @@
 
 /// The settings, or every finding on standard error.
 fn load(matches: &ArgMatches) -> std::result::Result<Settings, ExitCode> {
-    let Some(file) = matches.get_one::<PathBuf>(CONFIG) else {
+    let Some(file) = matches.get_one::<PathBuf>(CONFIG_ARG) else {
         eprintln!("--config is missing");
-        return Err(ExitCode::from(BAD_SETTINGS));
+        return Err(ExitCode::from(EXIT_INVALID_SETTINGS));
     };
-    told(settings::load(file))
+    report_findings(settings::load(file))
 }
 
 /// Checked settings, or their findings on standard error.
-fn told<T>(checked: settings::Result<T>) -> std::result::Result<T, ExitCode> {
+fn report_findings<T>(checked: settings::Result<T>) -> std::result::Result<T, ExitCode> {
     checked.map_err(|findings| {
         findings.iter().for_each(|finding| eprintln!("{finding}"));
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })
 }
 
@@ -80,12 +80,12 @@
 
 /// The settings file, if it is one of a node on a platform's store.
 fn hosted_file(matches: &ArgMatches) -> Option<PathBuf> {
-    let file = matches.get_one::<PathBuf>(CONFIG)?;
+    let file = matches.get_one::<PathBuf>(CONFIG_ARG)?;
     hosted::settings::is_hosted(file).then(|| file.clone())
 }
 
 fn load_hosted(file: &Path) -> std::result::Result<hosted::settings::Settings, ExitCode> {
-    told(hosted::settings::load(file))
+    report_findings(hosted::settings::load(file))
 }
 
 fn run_hosted(file: &Path) -> ExitCode {
@@ -130,12 +130,12 @@
         process.peers,
         process.admin
     );
-    process::runtime()?.block_on(until_signal(&process))?;
+    process::runtime()?.block_on(drain_on_signal(&process))?;
     process.join()
 }
 
 /// Leaves on the first signal and breaks off on the second.
-async fn until_signal(process: &Process) -> Result<()> {
+async fn drain_on_signal(process: &Process) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -143,13 +143,13 @@
         _ = int.recv() => {}
     }
     log::info!("leaving: a second signal breaks off what is in flight");
-    let ends = process.ends();
+    let shutdown = process.shutdown();
     let leaving = process.leave();
     tokio::select! {
         () = leaving => log::info!("nothing is in flight any more, or the finish time is over"),
         _ = term.recv() => log::warn!("broken off by a second signal"),
         _ = int.recv() => log::warn!("broken off by a second signal"),
     }
-    ends.serving.kill.cancel();
+    shutdown.serving.kill.cancel();
     Ok(())
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -29,13 +29,13 @@
 use viz::Tree;
 
 /// How often the end of the workers is looked for while a node leaves.
-const IDLE_CHECK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Values that a ring between control and a worker holds.
-const RING: usize = 4096;
+const RING_CAPACITY: usize = 4096;
 
 /// When the parts of a node end.
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
+pub struct ShutdownSignals {
     /// The listeners and the workers.
     pub serving: Shutdown,
     /// The node begins to leave.
@@ -54,83 +54,86 @@
     pub peers: SocketAddr,
     /// Its admin listener.
     pub admin: SocketAddr,
-    ends: Ends,
+    shutdown: ShutdownSignals,
     workers: Vec<JoinHandle<std::io::Result<()>>>,
-    others: Vec<JoinHandle<Result<()>>>,
-    drain: Duration,
-    finish: Duration,
+    other_threads: Vec<JoinHandle<Result<()>>>,
+    drain_time: Duration,
+    finish_timeout: Duration,
 }
 
 impl Process {
     /// Starts a node. Every listener is bound when this returns.
     pub fn start(settings: Settings) -> Result<Self> {
-        let ends = Ends::default();
+        let shutdown = ShutdownSignals::default();
         let registry = Registry::new();
-        let provider = provider(&registry)?;
+        let provider = meter_provider(&registry)?;
         let meter = provider.meter("wigeonshelf");
         let metrics = Metrics::new(&meter);
-        let (questions, asked) = mpsc::channel(admin::MAX_PENDING_REQUESTS);
+        let (request_tx, requests) = mpsc::channel(admin::MAX_PENDING_REQUESTS);
         let admin_listener = listener::open(settings.admin.listen)
             .wrap_err_with(|| format!("admin listener {}", settings.admin.listen))?;
         let (reserved, callers) = listener::reserve(settings.callers.listen)
             .wrap_err_with(|| format!("callers' listener {}", settings.callers.listen))?;
         let incarnation = incarnation();
-        let seeds = Seeds::of(&settings.node.name, incarnation);
+        let seeds = Seeds::new(&settings.node.name, incarnation);
         let tls = open_tls(&settings.callers)?;
         let admin_tls = open_tls(&settings.admin)?;
         let mut workers = Vec::new();
         let mut rings = Vec::new();
-        let mut boards = Vec::new();
+        let mut shared_snapshots = Vec::new();
         let mut reports = Vec::new();
         for number in 0..settings.node.workers {
-            let (notes, noted) = entry::ring::ring(RING);
-            let (notices, noticed) = entry::ring::ring(RING);
-            rings.push(control::Worker { notices, noted });
-            let board = SharedSnapshot::default();
-            boards.push(board.clone());
+            let (worker_event_tx, worker_events) = entry::ring::ring(RING_CAPACITY);
+            let (control_events, control_event_rx) = entry::ring::ring(RING_CAPACITY);
+            rings.push(control::WorkerRings {
+                control_events,
+                worker_events,
+            });
+            let shared_snapshot = SharedSnapshot::default();
+            shared_snapshots.push(shared_snapshot.clone());
             let report = Reports::default();
             reports.push(report.clone());
             let worker = Worker {
                 number,
                 listener: listener::open(callers)?,
                 limits: settings.callers.limits.clone(),
-                request_limits: settings.ask.clone(),
+                request_limits: settings.request_limits.clone(),
                 address_ttl: settings.node.address_ttl.as_secs(),
                 route: settings.route.clone(),
                 seed: seeds.worker(number),
                 tls: tls.clone(),
-                shared_snapshot: board,
+                shared_snapshot,
                 metrics: metrics.clone(),
-                control_events: noticed,
-                worker_events: notes,
+                control_events: control_event_rx,
+                worker_events: worker_event_tx,
                 reports: report,
-                shutdown: ends.serving.clone(),
+                shutdown: shutdown.serving.clone(),
             };
             workers.push(worker.start()?);
         }
         drop(reserved);
         gauges::register(&meter, reports);
         let admin_addr = admin_listener.local_addr()?;
-        let senders = workers.iter().map(|w| w.tx.clone()).collect();
+        let worker_senders = workers.iter().map(|w| w.tx.clone()).collect();
         let admin_parts = AdminParts {
             listener: admin_listener,
             settings: settings.admin.clone(),
-            control: questions,
-            workers: senders,
+            control: request_tx,
+            workers: worker_senders,
             registry,
             metrics: metrics.clone(),
             tls: admin_tls.clone(),
         };
-        let admin_thread = start_admin(admin_parts, &ends)?;
+        let admin_thread = start_admin(admin_parts, &shutdown)?;
         let control = Control {
             settings: settings.clone(),
             callers,
             incarnation,
             seed: seeds.control(),
-            boards,
-            asked,
+            shared_snapshots,
+            requests,
             workers: rings,
-            ends: ends.clone(),
+            shutdown: shutdown.clone(),
             tls: tls.into_iter().chain(admin_tls).collect(),
             provider,
         };
@@ -140,57 +143,57 @@
             callers,
             peers,
             admin: admin_addr,
-            ends,
+            shutdown,
             workers: workers.into_iter().map(|w: Handle| w.thread).collect(),
-            others: vec![admin_thread, control_thread],
-            drain: settings.node.drain,
-            finish: settings.node.finish,
+            other_threads: vec![admin_thread, control_thread],
+            drain_time: settings.node.drain_time,
+            finish_timeout: settings.node.finish_timeout,
         })
     }
 
     /// When its parts end.
-    pub fn ends(&self) -> Ends {
-        self.ends.clone()
+    pub fn shutdown(&self) -> ShutdownSignals {
+        self.shutdown.clone()
     }
 
     /// Leaves: see the module's comment. Ends when nothing is in flight any more, or when the
     /// finish time is over.
     pub async fn leave(&self) {
-        self.ends.leave.cancel();
-        self.ends.serving.drain.cancel();
-        tokio::time::sleep(self.drain).await;
-        self.ends.serving.close.cancel();
-        let finish = tokio::time::Instant::now() + self.finish;
-        while !self.idle() && tokio::time::Instant::now() < finish {
-            tokio::time::sleep(IDLE_CHECK).await;
+        self.shutdown.leave.cancel();
+        self.shutdown.serving.drain.cancel();
+        tokio::time::sleep(self.drain_time).await;
+        self.shutdown.serving.close.cancel();
+        let deadline = tokio::time::Instant::now() + self.finish_timeout;
+        while !self.workers_finished() && tokio::time::Instant::now() < deadline {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
     /// Whether every worker has ended.
-    fn idle(&self) -> bool {
+    fn workers_finished(&self) -> bool {
         self.workers.iter().all(JoinHandle::is_finished)
     }
 
     /// Breaks everything off, as a crash would.
     pub fn kill(&self) {
-        self.ends.serving.kill.cancel();
-        self.ends.control.cancel();
+        self.shutdown.serving.kill.cancel();
+        self.shutdown.control.cancel();
     }
 
     /// Waits until the workers have ended, then ends the rest.
     pub fn join(self) -> Result<()> {
         for thread in self.workers {
-            joined(thread)??;
+            join_thread(thread)??;
         }
-        self.ends.control.cancel();
-        for thread in self.others {
-            joined(thread)??;
+        self.shutdown.control.cancel();
+        for thread in self.other_threads {
+            join_thread(thread)??;
         }
         Ok(())
     }
 }
 
-fn joined<T>(thread: JoinHandle<T>) -> Result<T> {
+fn join_thread<T>(thread: JoinHandle<T>) -> Result<T> {
     let name = thread.thread().name().unwrap_or("?").to_owned();
     thread
         .join()
@@ -198,7 +201,7 @@
 }
 
 /// Gives out instruments whose values `registry` gathers.
-pub(crate) fn provider(registry: &Registry) -> Result<SdkMeterProvider> {
+pub(crate) fn meter_provider(registry: &Registry) -> Result<SdkMeterProvider> {
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
         .without_target_info()
@@ -224,11 +227,11 @@
 }
 
 /// The admin listener serves until control ends: an operator can look at a node that leaves.
-fn start_admin(parts: AdminParts, ends: &Ends) -> Result<JoinHandle<Result<()>>> {
+fn start_admin(parts: AdminParts, shutdown: &ShutdownSignals) -> Result<JoinHandle<Result<()>>> {
     let stop = Shutdown {
-        drain: ends.control.clone(),
-        close: ends.control.clone(),
-        kill: ends.serving.kill.clone(),
+        drain: shutdown.control.clone(),
+        close: shutdown.control.clone(),
+        kill: shutdown.serving.kill.clone(),
     };
     let thread = std::thread::Builder::new().name("admin".to_owned());
     Ok(thread.spawn(move || {
@@ -263,15 +266,15 @@
 
 /// When this process started, in milliseconds of Unix time: a restart has a higher one.
 pub(crate) fn incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
 /// Seeds of the generators, different for each node, start and thread.
 struct Seeds(u64);
 
 impl Seeds {
-    fn of(name: &str, incarnation: u64) -> Self {
+    fn new(name: &str, incarnation: u64) -> Self {
         use std::hash::{Hash, Hasher};
         let mut hash = std::hash::DefaultHasher::new();
         name.hash(&mut hash);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -36,7 +36,7 @@
     /// Persons whose signature on a bundle counts.
     pub trust: Vec<Signer>,
     /// Bounds of what a caller may ask for.
-    pub ask: RequestLimits,
+    pub request_limits: RequestLimits,
     /// Settings of the routers.
     pub route: route::settings::Settings,
     /// Settings of the rolls.
@@ -57,9 +57,9 @@
     /// Request workers.
     pub workers: usize,
     /// How long it goes on serving new connections after it began to leave.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// Longest time for requests in flight after that; then they are broken off.
-    pub finish: Duration,
+    pub finish_timeout: Duration,
     /// How long callers may keep an address answer.
     pub address_ttl: Duration,
 }
@@ -91,7 +91,7 @@
 }
 
 /// Length of a signer's public key.
-pub const KEY_BYTES: usize = 32;
+pub const SIGNER_KEY_BYTES: usize = 32;
 
 /// The platform's services.
 #[derive(Clone, Debug)]
@@ -138,6 +138,6 @@
 
 /// Checks the settings in `content`, which came from the file called `name`.
 pub fn read(name: &str, content: &str) -> Result<Settings> {
-    let text = text::Text::read(name, content)?;
+    let text = text::Text::parse(name, content)?;
     check::check(&text)
 }
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -3,7 +3,7 @@
 use super::finding::Finding;
 use super::section::{Section, stray_keys, unknown_sections};
 use super::text::Text;
-use super::value::{self, addr, addrs, key, level, limit, name, peer_key, time, up_to};
+use super::value::{self, addr, addrs, key, level, name, nonzero_time, peer_key, time, up_to};
 use super::{Format, Listener, Logging, Node, Peers, Platform, Result, Settings};
 use bundle::signer::Signer;
 use entry::limits::{Limits, RequestLimits};
@@ -26,23 +26,23 @@
 ];
 
 /// Most failures that a roll may be set to take.
-const MOST_FAILURES: usize = 1000;
+const MAX_ROLL_FAILURES: usize = 1000;
 /// Request workers, unless set.
-const WORKERS: usize = 2;
+const DEFAULT_WORKERS: usize = 2;
 /// Most request workers: more than any instance has cores.
-const MOST_WORKERS: usize = 256;
+const MAX_WORKERS: usize = 256;
 /// Most connections of a worker: more than a process has file descriptors.
-const MOST_CONNECTIONS: usize = 1 << 20;
+const MAX_CONNECTIONS: usize = 1 << 20;
 /// Most streams of a connection.
-const MOST_STREAMS: usize = 1 << 16;
+const MAX_STREAMS: usize = 1 << 16;
 /// Longest head and body of a request. Each is held in memory, for as many callers as connect.
-const MOST_HEAD: usize = 1 << 20;
-const MOST_BODY: usize = 1 << 30;
+const MAX_HEAD_BYTES: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 30;
 /// How long the log keeps a record, unless set.
-const RETENTION: Duration = Duration::from_secs(24 * 3600);
-const DRAIN: Duration = Duration::from_secs(10);
-const FINISH: Duration = Duration::from_secs(600);
-const ADDRESS_TTL: Duration = Duration::from_secs(5);
+const DEFAULT_RETENTION: Duration = Duration::from_secs(24 * 3600);
+const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(10);
+const DEFAULT_FINISH_TIMEOUT: Duration = Duration::from_secs(600);
+const DEFAULT_ADDRESS_TTL: Duration = Duration::from_secs(5);
 
 /// Checks `text`.
 pub fn check(text: &Text) -> Result<Settings> {
@@ -55,10 +55,10 @@
     let admin = listener(text, ADMIN, &mut findings);
     let platform = platform(text, &mut findings);
     let trust = trust(text, &mut findings);
-    let ask = ask(text, &mut findings);
+    let request_limits = request_limits(text, &mut findings);
     let roll = roll(text, &mut findings);
     let logging = logging(text, &mut findings);
-    clashes(text, [&callers, &admin], &peers, &mut findings);
+    check_distinct_addresses(text, [&callers, &admin], &peers, &mut findings);
     if !findings.is_empty() {
         findings.sort();
         return Err(findings);
@@ -77,7 +77,7 @@
         admin,
         platform,
         trust,
-        ask,
+        request_limits,
         route: route::settings::Settings::default(),
         roll,
         logging,
@@ -89,14 +89,14 @@
     let own_name = section.required("name", name, findings);
     let zone = section.required("zone", name, findings);
     let region = section.required("region", name, findings);
-    let workers = section.or("workers", WORKERS, up_to(MOST_WORKERS), findings);
-    let drain = section.or("drain", DRAIN, time, findings);
-    let finish = section.or("finish", FINISH, time, findings);
-    let address_ttl = section.or("address_ttl", ADDRESS_TTL, time, findings);
+    let workers = section.value_or("workers", DEFAULT_WORKERS, up_to(MAX_WORKERS), findings);
+    let drain_time = section.value_or("drain", DEFAULT_DRAIN_TIME, time, findings);
+    let finish_timeout = section.value_or("finish", DEFAULT_FINISH_TIMEOUT, time, findings);
+    let address_ttl = section.value_or("address_ttl", DEFAULT_ADDRESS_TTL, time, findings);
     // A caller may use an address until its answer is too old; a node that closed its listener
     // before that would refuse connections that it has invited.
-    if drain < address_ttl {
-        findings.push(section.about("drain", "shorter than address_ttl"));
+    if drain_time < address_ttl {
+        findings.push(section.finding_for("drain", "shorter than address_ttl"));
     }
     section.finish(findings);
     Some(Node {
@@ -104,42 +104,42 @@
         zone: zone?,
         region: region?,
         workers,
-        drain,
-        finish,
+        drain_time,
+        finish_timeout,
         address_ttl,
     })
 }
 
 fn listener(text: &Text, name: &'static str, findings: &mut Vec<Finding>) -> Option<Listener> {
     let mut section = Section::new(text, name);
-    let usual = Limits::default();
+    let defaults = Limits::default();
     let listen = section.required("listen", addr, findings);
     let advertise = section.optional("advertise", addr, findings);
     let limits = Limits {
-        max_connections: section.or(
+        max_connections: section.value_or(
             "connections",
-            usual.max_connections,
-            up_to(MOST_CONNECTIONS),
+            defaults.max_connections,
+            up_to(MAX_CONNECTIONS),
             findings,
         ),
-        max_streams: section.or("streams", usual.max_streams, streams, findings),
-        max_head_bytes: section.or(
+        max_streams: section.value_or("streams", defaults.max_streams, streams, findings),
+        max_head_bytes: section.value_or(
             "head_bytes",
-            usual.max_head_bytes,
-            up_to(MOST_HEAD),
+            defaults.max_head_bytes,
+            up_to(MAX_HEAD_BYTES),
             findings,
         ),
-        max_body_bytes: section.or(
+        max_body_bytes: section.value_or(
             "body_bytes",
-            usual.max_body_bytes,
-            up_to(MOST_BODY),
+            defaults.max_body_bytes,
+            up_to(MAX_BODY_BYTES),
             findings,
         ),
-        head_timeout: section.or("head_time", usual.head_timeout, limit, findings),
-        body_timeout: section.or("body_time", usual.body_timeout, limit, findings),
-        idle_timeout: section.or("idle_time", usual.idle_timeout, limit, findings),
+        head_timeout: section.value_or("head_time", defaults.head_timeout, nonzero_time, findings),
+        body_timeout: section.value_or("body_time", defaults.body_timeout, nonzero_time, findings),
+        idle_timeout: section.value_or("idle_time", defaults.idle_timeout, nonzero_time, findings),
     };
-    told(&section, listen, advertise, findings);
+    check_advertised(&section, listen, advertise, findings);
     let tls = tls(&mut section, findings);
     section.finish(findings);
     let listen = listen?;
@@ -153,7 +153,7 @@
 
 /// The address that others are told must be one that they can connect to: `listen` may be any
 /// address of the machine, and then `advertise` has to say which.
-fn told(
+fn check_advertised(
     section: &Section<'_>,
     listen: Option<SocketAddr>,
     advertise: Option<SocketAddr>,
@@ -161,11 +161,11 @@
 ) {
     match (listen, advertise) {
         (_, Some(addr)) if addr.ip().is_unspecified() || addr.port() == 0 => {
-            findings.push(section.about("advertise", "nobody can connect to this address"));
+            findings.push(section.finding_for("advertise", "nobody can connect to this address"));
         }
         (Some(addr), None) if addr.ip().is_unspecified() => {
             let message = "is missing, and nobody can connect to the address of listen";
-            findings.push(section.about("advertise", message));
+            findings.push(section.finding_for("advertise", message));
         }
         _ => {}
     }
@@ -178,17 +178,17 @@
         (Some(certificate), Some(key)) => {
             let files = Files { certificate, key };
             if let Err(error) = files.load() {
-                findings.push(section.about("certificate", error.to_string()));
+                findings.push(section.finding_for("certificate", error.to_string()));
             }
             Some(files)
         }
         (None, None) => None,
         (Some(_), None) => {
-            findings.push(section.about("key", "is missing beside certificate"));
+            findings.push(section.finding_for("key", "is missing beside certificate"));
             None
         }
         (None, Some(_)) => {
-            findings.push(section.about("certificate", "is missing beside key"));
+            findings.push(section.finding_for("certificate", "is missing beside key"));
             None
         }
     }
@@ -199,8 +199,8 @@
     let listen = section.required("listen", addr, findings);
     let advertise = section.optional("advertise", addr, findings);
     let shared = section.required("key", peer_key, findings);
-    let seeds = section.or("seeds", Vec::new(), addrs, findings);
-    told(&section, listen, advertise, findings);
+    let seeds = section.value_or("seeds", Vec::new(), addrs, findings);
+    check_advertised(&section, listen, advertise, findings);
     section.finish(findings);
     let listen = listen?;
     Some(Peers {
@@ -213,15 +213,15 @@
 
 fn platform(text: &Text, findings: &mut Vec<Finding>) -> Option<Platform> {
     let mut section = Section::new(text, PLATFORM);
-    let usual = platform::Limits::default();
+    let defaults = platform::Limits::default();
     let log = section.required("log", addr, findings);
     let list = section.required("list", addr, findings);
     let weights = section.optional("weights", addr, findings);
-    let retention = section.or("retention", RETENTION, limit, findings);
+    let retention = section.value_or("retention", DEFAULT_RETENTION, nonzero_time, findings);
     let limits = platform::Limits {
-        connect: section.or("connect_time", usual.connect, limit, findings),
-        call: section.or("call_time", usual.call, limit, findings),
-        ..usual
+        connect: section.value_or("connect_time", defaults.connect, nonzero_time, findings),
+        call: section.value_or("call_time", defaults.call, nonzero_time, findings),
+        ..defaults
     };
     section.finish(findings);
     Some(Platform {
@@ -244,39 +244,60 @@
                 key,
                 revoked: false,
             }),
-            Err(message) => findings.push(section.about(&entry.key, message)),
+            Err(message) => findings.push(section.finding_for(&entry.key, message)),
         }
     }
     if section.entries().next().is_none() {
-        findings.push(section.about("", "no signer is trusted, so no bundle can come in force"));
+        findings
+            .push(section.finding_for("", "no signer is trusted, so no bundle can come in force"));
     }
     signers
 }
 
-fn ask(text: &Text, findings: &mut Vec<Finding>) -> RequestLimits {
+fn request_limits(text: &Text, findings: &mut Vec<Finding>) -> RequestLimits {
     let mut section = Section::new(text, LIMITS);
-    let usual = RequestLimits::default();
-    let ask = RequestLimits {
-        default_deadline: section.or("usual_deadline", usual.default_deadline, limit, findings),
-        max_deadline: section.or("longest_deadline", usual.max_deadline, limit, findings),
-        default_max_tokens: section.or("usual_tokens", usual.default_max_tokens, tokens, findings),
+    let defaults = RequestLimits::default();
+    let limits = RequestLimits {
+        default_deadline: section.value_or(
+            "usual_deadline",
+            defaults.default_deadline,
+            nonzero_time,
+            findings,
+        ),
+        max_deadline: section.value_or(
+            "longest_deadline",
+            defaults.max_deadline,
+            nonzero_time,
+            findings,
+        ),
+        default_max_tokens: section.value_or(
+            "usual_tokens",
+            defaults.default_max_tokens,
+            tokens,
+            findings,
+        ),
     };
-    if ask.default_deadline > ask.max_deadline {
-        findings.push(section.about("usual_deadline", "longer than longest_deadline"));
+    if limits.default_deadline > limits.max_deadline {
+        findings.push(section.finding_for("usual_deadline", "longer than longest_deadline"));
     }
     section.finish(findings);
-    ask
+    limits
 }
 
 fn roll(text: &Text, findings: &mut Vec<Finding>) -> lease::roll::Settings {
     let mut section = Section::new(text, ROLL);
-    let usual = lease::roll::Settings::default();
+    let defaults = lease::roll::Settings::default();
     let roll = lease::roll::Settings {
-        limit: section.or("load_time", usual.limit, time, findings),
-        soak: section.or("watch", usual.soak, time, findings),
-        drain: section.or("longest_request", usual.drain, time, findings),
-        failures: section.or("failures", usual.failures, up_to(MOST_FAILURES), findings),
-        ..usual
+        limit: section.value_or("load_time", defaults.limit, time, findings),
+        soak: section.value_or("watch", defaults.soak, time, findings),
+        drain: section.value_or("longest_request", defaults.drain, time, findings),
+        failures: section.value_or(
+            "failures",
+            defaults.failures,
+            up_to(MAX_ROLL_FAILURES),
+            findings,
+        ),
+        ..defaults
     };
     section.finish(findings);
     roll
@@ -285,8 +306,8 @@
 fn logging(text: &Text, findings: &mut Vec<Finding>) -> Logging {
     let mut section = Section::new(text, LOGGING);
     let logging = Logging {
-        level: section.or("level", log::LevelFilter::Info, level, findings),
-        format: section.or("format", Format::Text, format, findings),
+        level: section.value_or("level", log::LevelFilter::Info, level, findings),
+        format: section.value_or("format", Format::Text, format, findings),
         file: section.optional("file", path, findings),
     };
     section.finish(findings);
@@ -294,7 +315,7 @@
 }
 
 /// Two listeners can't have one address.
-fn clashes(
+fn check_distinct_addresses(
     text: &Text,
     listeners: [&Option<Listener>; 2],
     peers: &Option<Peers>,
@@ -304,15 +325,15 @@
     let callers = callers.as_ref().map(|l| l.listen);
     let admin = admin.as_ref().map(|l| l.listen);
     let peers = peers.as_ref().map(|p| p.listen);
-    let same = |a: Option<_>, b: Option<std::net::SocketAddr>| {
+    let is_same = |a: Option<_>, b: Option<std::net::SocketAddr>| {
         a.is_some() && a == b && b.is_some_and(|b| b.port() != 0)
     };
     let message = "the same address as another listener";
-    if same(callers, admin) || same(peers, admin) {
-        findings.push(Section::new(text, ADMIN).about("listen", message));
+    if is_same(callers, admin) || is_same(peers, admin) {
+        findings.push(Section::new(text, ADMIN).finding_for("listen", message));
     }
-    if same(callers, peers) {
-        findings.push(Section::new(text, PEERS).about("listen", message));
+    if is_same(callers, peers) {
+        findings.push(Section::new(text, PEERS).finding_for("listen", message));
     }
 }
 
@@ -324,15 +345,15 @@
 }
 
 fn streams(text: &str) -> value::Result<u32> {
-    count32(text, MOST_STREAMS)
+    count_u32(text, MAX_STREAMS)
 }
 
 fn tokens(text: &str) -> value::Result<u32> {
-    count32(text, u32::MAX as usize)
+    count_u32(text, u32::MAX as usize)
 }
 
-fn count32(text: &str, most: usize) -> value::Result<u32> {
-    let number = up_to(most)(text)?;
+fn count_u32(text: &str, max: usize) -> value::Result<u32> {
+    let number = up_to(max)(text)?;
     u32::try_from(number).map_err(|_| format!("{text:?} is too large"))
 }
 
--- a/crates/node/src/settings/section.rs
+++ b/crates/node/src/settings/section.rs
@@ -5,7 +5,7 @@
 use super::value;
 
 /// Similarity from which a known name is suggested for an unknown one.
-const NEAR: f64 = 0.75;
+const MIN_SIMILARITY: f64 = 0.75;
 
 /// A section being read.
 pub struct Section<'a> {
@@ -34,60 +34,60 @@
     pub fn optional<T>(
         &mut self,
         key: &'static str,
-        read: impl Fn(&str) -> value::Result<T>,
+        parse: impl Fn(&str) -> value::Result<T>,
         findings: &mut Vec<Finding>,
     ) -> Option<T> {
         self.known.push(key);
         let entry = self.entries().find(|e| e.key == key)?;
-        match read(&entry.value) {
+        match parse(&entry.value) {
             Ok(value) => Some(value),
             Err(message) => {
-                findings.push(self.finding(entry.line, key, message));
+                findings.push(self.finding_at(entry.line, key, message));
                 None
             }
         }
     }
 
     /// The value of `key`, or `usual` if it is not given.
-    pub fn or<T>(
+    pub fn value_or<T>(
         &mut self,
         key: &'static str,
-        usual: T,
-        read: impl Fn(&str) -> value::Result<T>,
+        default: T,
+        parse: impl Fn(&str) -> value::Result<T>,
         findings: &mut Vec<Finding>,
     ) -> T {
-        self.optional(key, read, findings).unwrap_or(usual)
+        self.optional(key, parse, findings).unwrap_or(default)
     }
 
     /// The value of `key`; a finding if it is not given.
     pub fn required<T>(
         &mut self,
         key: &'static str,
-        read: impl Fn(&str) -> value::Result<T>,
+        parse: impl Fn(&str) -> value::Result<T>,
         findings: &mut Vec<Finding>,
     ) -> Option<T> {
         if !self.entries().any(|e| e.key == key) {
             self.known.push(key);
             let line = self.line();
-            findings.push(self.finding(line, key, "is missing"));
+            findings.push(self.finding_at(line, key, "is missing"));
             return None;
         }
-        self.optional(key, read, findings)
+        self.optional(key, parse, findings)
     }
 
     /// A finding about `key` of this section, at its line.
-    pub fn about(&self, key: &str, message: impl Into<String>) -> Finding {
+    pub fn finding_for(&self, key: &str, message: impl Into<String>) -> Finding {
         let entry = self.entries().find(|e| e.key == key);
         let line = entry.map_or(self.line(), |e| e.line);
-        self.finding(line, key, message)
+        self.finding_at(line, key, message)
     }
 
     /// Adds a finding for every key that was not asked for.
     pub fn finish(self, findings: &mut Vec<Finding>) {
         for entry in self.entries() {
             if !self.known.contains(&entry.key.as_str()) {
-                let message = unknown("key", &entry.key, &self.known);
-                findings.push(self.finding(entry.line, &entry.key, message));
+                let message = unknown_name("key", &entry.key, &self.known);
+                findings.push(self.finding_at(entry.line, &entry.key, message));
             }
         }
     }
@@ -101,7 +101,7 @@
         found.map_or(0, |(_, line)| *line)
     }
 
-    fn finding(&self, line: usize, key: &str, message: impl Into<String>) -> Finding {
+    fn finding_at(&self, line: usize, key: &str, message: impl Into<String>) -> Finding {
         Finding {
             file: self.text.file.clone(),
             line,
@@ -114,11 +114,11 @@
 
 /// Findings for sections that nothing reads.
 pub fn unknown_sections(text: &Text, known: &[&str], findings: &mut Vec<Finding>) {
-    let unread = text
+    let unknown = text
         .sections
         .iter()
         .filter(|(name, _)| !known.contains(&name.as_str()));
-    for (name, line) in unread {
+    for (name, line) in unknown {
         // The parser always has a section without a name; its keys are findings of their own.
         if name.is_empty() {
             continue;
@@ -126,7 +126,7 @@
         findings.push(Finding {
             line: *line,
             section: name.clone(),
-            ..Finding::of_file(&text.file, unknown("section", name, known))
+            ..Finding::of_file(&text.file, unknown_name("section", name, known))
         });
     }
 }
@@ -141,14 +141,14 @@
     }));
 }
 
-fn unknown(what: &str, name: &str, known: &[&str]) -> String {
-    let near = known
+fn unknown_name(what: &str, name: &str, known: &[&str]) -> String {
+    let closest = known
         .iter()
         .map(|k| (strsim::jaro_winkler(name, k), k))
         .max_by(|a, b| a.0.total_cmp(&b.0));
-    match near {
-        Some((similarity, near)) if similarity >= NEAR => {
-            format!("unknown {what}; did you mean {near}?")
+    match closest {
+        Some((similarity, closest)) if similarity >= MIN_SIMILARITY => {
+            format!("unknown {what}; did you mean {closest}?")
         }
         _ => format!("unknown {what}"),
     }
--- a/crates/node/src/settings/text.rs
+++ b/crates/node/src/settings/text.rs
@@ -34,25 +34,26 @@
 
 impl Text {
     /// Parses `content`; it fails only where the text can't be read on.
-    pub fn read(file: &str, content: &str) -> Result<Self> {
-        let lines = lines(content);
+    pub fn parse(file: &str, content: &str) -> Result<Self> {
+        let lines = scan_lines(content);
         // The library takes a line without a separator for the beginning of the next line's key,
         // or tells the end of the file as its place.
-        let odd = odd(file, &lines);
-        if !odd.is_empty() {
-            return Err(odd);
+        let malformed = malformed_lines(file, &lines);
+        if !malformed.is_empty() {
+            return Err(malformed);
         }
         // A backslash in a path is a backslash.
         let option = ParseOption {
             enabled_escape: false,
             ..ParseOption::default()
         };
-        let ini = Ini::load_from_str_opt(content, option).map_err(|e| vec![broken(file, &e)])?;
+        let ini =
+            Ini::load_from_str_opt(content, option).map_err(|e| vec![parse_failure(file, &e)])?;
         let mut text = Self {
             file: file.to_owned(),
             sections: Vec::new(),
             entries: Vec::new(),
-            findings: twice(file, &lines),
+            findings: duplicates(file, &lines),
         };
         for (section, properties) in &ini {
             let section = section.unwrap_or_default();
@@ -77,10 +78,10 @@
     section: String,
     key: Option<String>,
     /// Whether it is a section, or a key with a separator.
-    whole: bool,
+    well_formed: bool,
 }
 
-fn lines(content: &str) -> Vec<Line> {
+fn scan_lines(content: &str) -> Vec<Line> {
     let mut section = String::new();
     let mut lines = Vec::new();
     for (i, text) in content.lines().enumerate() {
@@ -88,7 +89,7 @@
         if text.is_empty() || text.starts_with(['#', ';']) {
             continue;
         }
-        let (key, whole) = match text.strip_prefix('[').and_then(|t| t.split_once(']')) {
+        let (key, well_formed) = match text.strip_prefix('[').and_then(|t| t.split_once(']')) {
             Some((name, _)) => {
                 section = name.trim().to_owned();
                 (None, true)
@@ -102,7 +103,7 @@
             number: i + 1,
             section: section.clone(),
             key,
-            whole,
+            well_formed,
         });
     }
     lines
@@ -115,20 +116,21 @@
     found.map_or(0, |l| l.number)
 }
 
-fn odd(file: &str, lines: &[Line]) -> Vec<Finding> {
-    let odd = lines.iter().filter(|line| !line.whole);
-    odd.map(|line| Finding {
-        line: line.number,
-        section: line.section.clone(),
-        ..Finding::of_file(file, "a line that is neither a section nor KEY = VALUE")
-    })
-    .collect()
+fn malformed_lines(file: &str, lines: &[Line]) -> Vec<Finding> {
+    let malformed = lines.iter().filter(|line| !line.well_formed);
+    malformed
+        .map(|line| Finding {
+            line: line.number,
+            section: line.section.clone(),
+            ..Finding::of_file(file, "a line that is neither a section nor KEY = VALUE")
+        })
+        .collect()
 }
 
-fn twice(file: &str, lines: &[Line]) -> Vec<Finding> {
+fn duplicates(file: &str, lines: &[Line]) -> Vec<Finding> {
     let repeated = lines.iter().enumerate().filter(|(i, line)| {
-        let before = &lines[..*i];
-        before
+        let preceding = &lines[..*i];
+        preceding
             .iter()
             .any(|b| b.section == line.section && b.key == line.key)
     });
@@ -143,7 +145,7 @@
         .collect()
 }
 
-fn broken(file: &str, error: &ini::ParseError) -> Finding {
+fn parse_failure(file: &str, error: &ini::ParseError) -> Finding {
     Finding {
         line: error.line + 1,
         ..Finding::of_file(file, format!("can't be parsed: {}", error.msg))
--- a/crates/slopes/src/platform.rs
+++ b/crates/slopes/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::size::SIZES;
 use crate::slope::Slope;
 use crate::{clock, fleet};
-use node::control::listed::Listed;
+use node::control::instance_list::InstanceList;
 use platform::format::{self, Instances, Item, Page};
 use platform::instance::Instance;
 
@@ -27,11 +27,11 @@
         let body = serde_json::to_vec(&answer).expect("encodes");
         bytes.add(x, body.len() as f64 / 1e3);
         read.add(x, clock::mean(|| decode(&body)));
-        let mut listed = Listed::default();
+        let mut listed = InstanceList::default();
         update.add(x, clock::mean(|| listed.update(&instances)));
         let copies = (20_000 / size.endpoints()).clamp(2, 32);
         let copy = || {
-            let mut listed = Listed::default();
+            let mut listed = InstanceList::default();
             listed.update(&instances);
             (listed, instances.clone())
         };
--- a/crates/slopes/src/snapshot.rs
+++ b/crates/slopes/src/snapshot.rs
@@ -9,7 +9,7 @@
 use member::team::Share;
 use node::control::demand;
 use node::control::endpoints::Table;
-use node::control::listed::Listed;
+use node::control::instance_list::InstanceList;
 use node::control::view::Source;
 use node::settings::Settings;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 struct World {
     settings: Settings,
     bundle: Arc<Bundle>,
-    listed: Listed,
+    instance_list: InstanceList,
     shares: Vec<Share>,
     endpoints: Table,
     demand: demand::Table,
@@ -34,17 +34,17 @@
         let bundle = fleet::bundle(size);
         let mut endpoints = Table::default();
         for (id, row) in bundle.endpoints.iter().enumerate() {
-            endpoints.take(&row.name, fleet::report(&bundle, id));
+            endpoints.record_report(&row.name, fleet::report(&bundle, id));
         }
-        let mut listed = Listed::default();
-        listed.update(&fleet::instances(size, NODES as usize));
+        let mut instance_list = InstanceList::default();
+        instance_list.update(&fleet::instances(size, NODES as usize));
         let share = Share {
             rate: 1.0,
             in_flight: 10.0,
         };
         Self {
             settings: node::settings::read("node.ini", SETTINGS).expect("sound settings"),
-            listed,
+            instance_list,
             shares: vec![share; bundle.teams.len()],
             endpoints,
             demand: demand::Table::new(WORKERS),
@@ -57,7 +57,7 @@
             settings: &self.settings,
             callers: self.settings.callers.listen,
             bundle: &self.bundle,
-            listed: &self.listed,
+            instance_list: &self.instance_list,
             group,
             shares: &self.shares,
             endpoints: &self.endpoints,
@@ -70,7 +70,7 @@
     fn rolls(&self) -> (usize, usize) {
         let rows = self.bundle.endpoints.iter();
         let health = |e: &bundle::endpoint::Endpoint| {
-            let takes = self.listed.takes_work(&e.instance);
+            let takes = self.instance_list.accepts_work(&e.instance);
             self.endpoints.health(&e.name, takes)
         };
         let health: Vec<Health> = rows.map(health).collect();
@@ -99,13 +99,16 @@
             let mut table = Table::default();
             let rows = world.bundle.endpoints.iter().enumerate();
             rows.for_each(|(id, e)| {
-                table.take(&e.name, fleet::report(&world.bundle, id));
+                table.record_report(&e.name, fleet::report(&world.bundle, id));
             });
             table
         };
         table.add(x, clock::memory(copies, copy));
         built.add(x, clock::mean(|| source.snapshots(1)));
-        versions.add(x, clock::mean(|| world.endpoints.versions(&world.bundle)));
+        versions.add(
+            x,
+            clock::mean(|| world.endpoints.serving_versions(&world.bundle)),
+        );
         rolls.add(x, clock::mean(|| world.rolls()));
         dump.add(x, clock::mean(|| world.endpoints.to_string()));
         text.add(x, world.endpoints.to_string().len() as f64 / 1e3);
