--- a/crates/lease/src/retry.rs
+++ b/crates/lease/src/backoff.rs
@@ -10,14 +10,14 @@
 
 /// Time of the next try of one call.
 #[derive(Clone, Debug, Default)]
-pub struct Retry {
+pub struct Backoff {
     failures: u32,
     due: Now,
 }
 
-impl Retry {
+impl Backoff {
     /// Whether a try may start.
-    pub fn ready(&self, now: Now) -> bool {
+    pub fn is_ready(&self, now: Now) -> bool {
         now >= self.due
     }
 
@@ -27,15 +27,21 @@
     }
 
     /// A try failed: the next one waits between half of the present step and the whole of it.
-    pub fn failed(&mut self, now: Now, least: Duration, most: Duration, random: &mut ChaCha8Rng) {
+    pub fn record_failure(
+        &mut self,
+        now: Now,
+        min: Duration,
+        max: Duration,
+        random: &mut ChaCha8Rng,
+    ) {
         let factor = 1 << self.failures.min(MAX_DOUBLINGS);
-        let step = least.saturating_mul(factor).min(most);
+        let step = min.saturating_mul(factor).min(max);
         self.failures = self.failures.saturating_add(1);
         self.due = now + step.mul_f64(random.random_range(0.5..=1.0));
     }
 
     /// A try succeeded; the next one starts no sooner than `due`.
-    pub fn succeeded(&mut self, due: Now) {
+    pub fn record_success(&mut self, due: Now) {
         *self = Self { failures: 0, due };
     }
 }
--- a/crates/lease/src/claim/action.rs
+++ b/crates/lease/src/claim/action.rs
@@ -1,7 +1,7 @@
 //! What a claim table asks its node to do.
 
 use crate::claim::{Batch, Hash, Shard};
-use crate::{Offset, Outcome, Owner, Request};
+use crate::{Offset, Outcome, Owner, RequestId};
 use bytes::Bytes;
 use std::fmt;
 
@@ -68,31 +68,31 @@
     /// Run the request under its key; the node answers with [`crate::claim::Event::Ended`].
     Run {
         /// The request.
-        request: Request,
+        request: RequestId,
         /// Its key.
         hash: Hash,
     },
     /// Give the request the answer of another one that runs on this node.
     Follow {
         /// The request.
-        request: Request,
+        request: RequestId,
         /// The one that runs.
-        of: Request,
+        of: RequestId,
     },
     /// Give the request the answer of a run that ended on this node.
     Answer {
         /// The request.
-        request: Request,
+        request: RequestId,
         /// How the run ended.
         outcome: Outcome,
         /// The request whose answer is kept; `None` when it is kept no longer.
-        of: Option<Request>,
+        of: Option<RequestId>,
     },
     /// The key is another node's. Hand the request to that node once, or name it to the caller.
     /// When that incarnation is dead, the outcome is the noted one, or unknown.
     Point {
         /// The request.
-        request: Request,
+        request: RequestId,
         /// Who owns the key.
         owner: Owner,
         /// How the owner noted that it ended.
@@ -101,7 +101,7 @@
     /// Refuse the request.
     Refuse {
         /// The request.
-        request: Request,
+        request: RequestId,
         /// Why.
         why: Why,
         /// What the caller may be told of the key, with this body. A refusal by this node does not
@@ -110,5 +110,5 @@
         outcome: Outcome,
     },
     /// Drop the kept answer of this request.
-    Forget(Request),
+    Forget(RequestId),
 }
--- a/crates/lease/src/claim/event.rs
+++ b/crates/lease/src/claim/event.rs
@@ -1,13 +1,13 @@
 //! What happens to a claim table.
 
 use crate::claim::{Batch, Fingerprint, Form, Hash, Shard};
-use crate::{Now, Outcome, Page, Request, Wall};
+use crate::{Now, Outcome, Page, RequestId, WallTime};
 
 /// A request that may not be repeated arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
     /// The request.
-    pub request: Request,
+    pub request: RequestId,
     /// Its key.
     pub form: Form,
     /// Hash of its team and body.
@@ -26,7 +26,7 @@
     /// The request will never be run: its caller went away before the node began to run it. After
     /// [`crate::claim::Action::Run`] this says the same as an end with [`Outcome::NotRun`], for a
     /// caller that leaves while that action is on its way.
-    Left(Request),
+    Left(RequestId),
     /// A read gave a page.
     Page(Shard, Page),
     /// A read failed.
@@ -41,7 +41,7 @@
     Ended(Hash, Outcome, usize),
     /// The wall clock, read now. To be given about once a minute: over days the monotonic clock
     /// and the wall clock part.
-    Clock(Wall),
+    Clock(WallTime),
     /// Time passed; comes at least every 20 ms.
     Tick,
 }
--- a/crates/lease/src/claim/fold.rs
+++ b/crates/lease/src/claim/fold.rs
@@ -2,7 +2,7 @@
 
 use crate::claim::record::{Batch, Item};
 use crate::claim::{Counters, Fingerprint, Hash, Number, Settings};
-use crate::{Offset, Outcome, Owner, Page, Wall};
+use crate::{Offset, Outcome, Owner, Page, WallTime};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// When the key was made.
-    pub date: Wall,
+    pub date: WallTime,
     /// What it stands for.
     pub fingerprint: Fingerprint,
     /// Who owns it.
@@ -45,11 +45,11 @@
     next: Offset,
     start: Option<Offset>,
     /// Bound from the records that were gone before they could be read.
-    lost: Wall,
+    lost: WallTime,
     /// Bound from the keys that were dropped here.
-    dropped: Wall,
+    dropped: WallTime,
     caught_up: bool,
-    read_at: Wall,
+    read_at: WallTime,
     entries: BTreeMap<Hash, Entry>,
     order: VecDeque<Hash>,
 }
@@ -66,12 +66,12 @@
     }
 
     /// When the last record was read.
-    pub fn read_at(&self) -> Wall {
+    pub fn read_at(&self) -> WallTime {
         self.read_at
     }
 
     /// Keys dated before this may have had claims that this node doesn't know.
-    pub fn floor(&self) -> Wall {
+    pub fn floor(&self) -> WallTime {
         self.lost.max(self.dropped)
     }
 
@@ -100,7 +100,7 @@
     /// Takes in a page and gives what it changed. A page that does not follow on is left out.
     pub fn apply(
         &mut self,
-        wall: Wall,
+        wall: WallTime,
         page: &Page,
         settings: &Settings,
         counters: &mut Counters,
@@ -140,7 +140,7 @@
     }
 
     /// Drops keys that are past the window.
-    pub fn expire(&mut self, wall: Wall, window: Duration) {
+    pub fn expire(&mut self, wall: WallTime, window: Duration) {
         self.dropped = self.dropped.max(wall.saturating_sub(window));
         while let Some(hash) = self.order.front() {
             let good = self
@@ -159,7 +159,7 @@
     ///
     /// What is gone was appended before now, so keys made later are safe. Statements in the
     /// records that follow lower that bound.
-    fn begin(&mut self, wall: Wall, first: Offset, settings: &Settings) -> bool {
+    fn begin(&mut self, wall: WallTime, first: Offset, settings: &Settings) -> bool {
         let begun = self.start.is_some();
         if begun && first <= self.next {
             return false;
@@ -169,7 +169,7 @@
         self.next = first;
         self.read_at = wall;
         self.lost = match first {
-            0 => Wall::ZERO,
+            0 => WallTime::ZERO,
             _ => wall + settings.skew * CLOCKS,
         };
         begun
--- a/crates/lease/src/claim/key.rs
+++ b/crates/lease/src/claim/key.rs
@@ -1,6 +1,6 @@
 //! Keys as callers send them.
 
-use crate::Wall;
+use crate::WallTime;
 use crate::claim::Hash;
 use crate::claim::ticket::{self, Ticket};
 use sha2::{Digest, Sha256};
@@ -22,7 +22,7 @@
     /// Hash of the team and the key's text.
     pub hash: Hash,
     /// When the key was made, by its maker's clock.
-    pub date: Wall,
+    pub date: WallTime,
 }
 
 /// A checked key.
@@ -102,7 +102,7 @@
         .fold(0, |hash, b| hash << 8 | Hash::from(*b))
 }
 
-fn seconds(text: &str) -> Option<Wall> {
+fn seconds(text: &str) -> Option<WallTime> {
     let (date, rest) = text.split_once('-')?;
     let digits = date.len() == DATE_DIGITS && date.bytes().all(|b| b.is_ascii_digit());
     if !digits || rest.is_empty() {
@@ -112,7 +112,7 @@
 }
 
 /// The date in a UUID of version 7: its first 48 bits, in milliseconds.
-fn uuid(text: &str) -> Option<Wall> {
+fn uuid(text: &str) -> Option<WallTime> {
     let shaped = text.len() == UUID_LEN
         && text
             .bytes()
--- a/crates/lease/src/claim/lane.rs
+++ b/crates/lease/src/claim/lane.rs
@@ -1,10 +1,10 @@
 //! Appends of one shard: one at a time, in batches.
 
 use crate::Now;
+use crate::backoff::Backoff;
 use crate::claim::record::{Item, MAX_ITEMS};
 use crate::claim::{Batch, Hash, Number, Settings};
 use crate::outcome::Outcome;
-use crate::retry::Retry;
 use rand_chacha::ChaCha8Rng;
 
 /// Most items that wait in a lane.
@@ -15,7 +15,7 @@
 pub struct Lane {
     queue: Vec<Item>,
     flight: Option<Flight>,
-    retry: Retry,
+    backoff: Backoff,
     mark: bool,
     /// When the oldest waiting item came.
     since: Now,
@@ -50,7 +50,7 @@
 
     /// Failures of appends in a row.
     pub fn failures(&self) -> u32 {
-        self.retry.failures()
+        self.backoff.failures()
     }
 
     /// Adds an item.
@@ -84,7 +84,7 @@
             items: items.clone(),
         });
         self.mark = false;
-        self.retry.succeeded(now + settings.pace);
+        self.backoff.record_success(now + settings.pace);
         Some(items)
     }
 
@@ -114,12 +114,12 @@
             .filter(wanted)
             .chain(rest)
             .collect();
-        self.retry
-            .failed(now, settings.retry, settings.retry_most, random);
+        self.backoff
+            .record_failure(now, settings.retry, settings.retry_most, random);
     }
 
     fn due(&self, now: Now, settings: &Settings) -> bool {
-        if self.flight.is_some() || !self.retry.ready(now) {
+        if self.flight.is_some() || !self.backoff.is_ready(now) {
             return false;
         }
         let waited = !self.queue.is_empty() && now >= self.since + settings.linger;
--- a/crates/lease/src/claim/record.rs
+++ b/crates/lease/src/claim/record.rs
@@ -1,7 +1,7 @@
 //! Records of a claims stream.
 
 use crate::claim::{Fingerprint, Hash, Number};
-use crate::{Offset, Outcome, Owner, Wall};
+use crate::{Offset, Outcome, Owner, WallTime};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -22,7 +22,7 @@
         /// The key.
         hash: Hash,
         /// When the key was made.
-        date: Wall,
+        date: WallTime,
         /// What it stands for.
         fingerprint: Fingerprint,
         /// The claim's number.
@@ -48,7 +48,7 @@
     /// record arrives, so a reader may rely on it to bound when older records were appended.
     pub upto: Offset,
     /// When the owner knew that, by its wall clock.
-    pub at: Wall,
+    pub at: WallTime,
     /// Items.
     pub items: Vec<Item>,
 }
--- a/crates/lease/src/claim/run.rs
+++ b/crates/lease/src/claim/run.rs
@@ -1,14 +1,14 @@
 //! Keys that this node wants to run, runs or has run.
 
 use crate::claim::{Fingerprint, Hash, Number, Shard};
-use crate::{Now, Outcome, Request, Wall};
+use crate::{Now, Outcome, RequestId, WallTime};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A request that waits for its key's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiter {
     /// The request.
-    pub request: Request,
+    pub request: RequestId,
     /// When it is refused.
     pub deadline: Now,
 }
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     /// A claim in this shard, for a key of this date.
-    Log(Shard, Wall),
+    Log(Shard, WallTime),
     /// A ticket issued at this time.
     Ticket(Now),
 }
@@ -30,9 +30,9 @@
     /// Its claim was given up, or ended unrun; the release has not been read back.
     Releasing(Number, Vec<Waiter>),
     /// This request runs.
-    Running(Number, Request),
+    Running(Number, RequestId),
     /// It ended; the request's answer is kept if there is one.
-    Ended(Number, Option<Request>, Outcome),
+    Ended(Number, Option<RequestId>, Outcome),
 }
 
 /// A key.
@@ -67,7 +67,7 @@
     /// Tickets in the order of their runs.
     pub tickets: VecDeque<Hash>,
     /// Requests that run, with their keys.
-    pub running: BTreeMap<Request, Hash>,
+    pub running: BTreeMap<RequestId, Hash>,
 }
 
 impl Runs {
--- a/crates/lease/src/claim/settings.rs
+++ b/crates/lease/src/claim/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a claim table.
 
-use crate::Wall;
+use crate::WallTime;
 use crate::claim::Shard;
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 pub struct Settings {
     /// Number of shards, the same on all nodes for good.
     pub shards: Shard,
-    /// Wall clock at the process's start.
-    pub start: Wall,
+    /// WallTime clock at the process's start.
+    pub start: WallTime,
     /// Largest error of any node's or caller's wall clock.
     pub skew: Duration,
     /// How long a key is good after its date.
--- a/crates/lease/src/claim/table.rs
+++ b/crates/lease/src/claim/table.rs
@@ -4,13 +4,13 @@
 mod end;
 mod settle;
 
+use crate::backoff::Backoff;
 use crate::claim::fold::Fold;
 use crate::claim::lane::Lane;
 use crate::claim::record::Batch as Body;
 use crate::claim::run::Runs;
 use crate::claim::{Action, Ask, Batch, Counters, Event, Hash, Number, Settings, Shard, Ticket};
-use crate::retry::Retry;
-use crate::{Now, Owner, Request, Wall};
+use crate::{Now, Owner, RequestId, WallTime};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     pub(super) shards: BTreeMap<Shard, Part>,
     pub(super) runs: Runs,
     /// By deadline: requests that wait for a claim, with their keys.
-    pub(super) waiting: BTreeMap<(Now, Request), Hash>,
+    pub(super) waiting: BTreeMap<(Now, RequestId), Hash>,
     pub(super) number: Number,
     pub(super) issued: u64,
     batch: Batch,
@@ -49,7 +49,7 @@
     /// Whether this node is the shard's home.
     pub(super) home: bool,
     reading: bool,
-    retry: Retry,
+    backoff: Backoff,
     pub(super) used: Now,
     /// When a mark is due if no record comes before.
     mark: Now,
@@ -121,11 +121,11 @@
 
     /// Whether appends or reads of any shard fail at present.
     pub fn log_out(&self) -> bool {
-        let failing = |part: &Part| part.lane.failures() > 1 || part.retry.failures() > 1;
+        let failing = |part: &Part| part.lane.failures() > 1 || part.backoff.failures() > 1;
         self.shards.values().any(failing)
     }
 
-    pub(super) fn wall(&self, now: Now) -> Wall {
+    pub(super) fn wall(&self, now: Now) -> WallTime {
         self.settings.start + now
     }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    fn clock(&mut self, now: Now, wall: Wall) {
+    fn clock(&mut self, now: Now, wall: WallTime) {
         let off = wall.abs_diff(self.wall(now));
         self.counters.stepped += u64::from(off > self.settings.skew);
         self.settings.start = wall.saturating_sub(now);
@@ -161,7 +161,8 @@
             retry, retry_most, ..
         } = self.settings;
         part.reading = false;
-        part.retry.failed(now, retry, retry_most, &mut self.random);
+        part.backoff
+            .record_failure(now, retry, retry_most, &mut self.random);
     }
 
     fn appended(&mut self, batch: Batch) {
@@ -233,7 +234,7 @@
                 self.batch += 1;
                 self.counters.appends += 1;
             }
-            if !part.reading && part.retry.ready(now) {
+            if !part.reading && part.backoff.is_ready(now) {
                 part.reading = true;
                 let (from, wait) = (part.fold.next(), part.fold.caught_up());
                 actions.push(Action::Read {
@@ -251,7 +252,7 @@
             return;
         };
         part.reading = false;
-        part.retry.succeeded(now);
+        part.backoff.record_success(now);
         if news {
             // Spread over a quarter of the time, so that the first node's mark spares the others.
             let share = rand::RngExt::random_range(&mut self.random, 1.0..=1.25);
--- a/crates/lease/src/claim/table/ask.rs
+++ b/crates/lease/src/claim/table/ask.rs
@@ -5,7 +5,7 @@
 use crate::claim::record::Item;
 use crate::claim::run::{Run, State, Waiter, Way};
 use crate::claim::{Action, Ask, Form, Hash, Key, Shard, Ticket, Why, shard};
-use crate::{Now, Outcome, Request};
+use crate::{Now, Outcome, RequestId};
 
 /// Most requests that wait for a shard's stream to be read.
 const MAX_PENDING: usize = 4096;
@@ -20,13 +20,13 @@
     }
 
     /// Refuses a request of which another node may have run an earlier send.
-    pub(super) fn refuse(&mut self, request: Request, why: Why, actions: &mut Vec<Action>) {
+    pub(super) fn refuse(&mut self, request: RequestId, why: Why, actions: &mut Vec<Action>) {
         self.refuse_as(request, why, Outcome::Unknown, actions);
     }
 
     fn refuse_as(
         &mut self,
-        request: Request,
+        request: RequestId,
         why: Why,
         outcome: Outcome,
         actions: &mut Vec<Action>,
@@ -43,7 +43,7 @@
 
     /// The caller is gone: nobody waits for the claim on its behalf, and a run that was asked for
     /// does not take place. Left unsaid, the key would run for ever and its resends wait for it.
-    pub(super) fn left(&mut self, now: Now, request: Request, actions: &mut Vec<Action>) {
+    pub(super) fn left(&mut self, now: Now, request: RequestId, actions: &mut Vec<Action>) {
         if let Some(hash) = self.runs.running.get(&request).copied() {
             return self.ended(now, hash, Outcome::NotRun, 0, actions);
         }
--- a/crates/lease/src/claim/table/end.rs
+++ b/crates/lease/src/claim/table/end.rs
@@ -4,7 +4,7 @@
 use crate::claim::record::Item;
 use crate::claim::run::{State, Way};
 use crate::claim::{Action, Hash, Why};
-use crate::{Now, Outcome, Request};
+use crate::{Now, Outcome, RequestId};
 
 impl Table {
     pub(super) fn ended(
@@ -71,7 +71,7 @@
     }
 
     /// One request fewer waits; a claim that nobody waits for is given up.
-    pub(super) fn unwait(&mut self, now: Now, hash: Hash, request: Request) {
+    pub(super) fn unwait(&mut self, now: Now, hash: Hash, request: RequestId) {
         let Some(run) = self.runs.keys.get_mut(&hash) else {
             return;
         };
--- a/crates/lease/src/claim/table/settle.rs
+++ b/crates/lease/src/claim/table/settle.rs
@@ -5,7 +5,7 @@
 use crate::claim::record::Item;
 use crate::claim::run::{Run, Runs, State, Waiter, Way};
 use crate::claim::{Action, Hash, Key, Number, Shard, Why};
-use crate::{Now, Outcome, Owner, Page, Wall};
+use crate::{Now, Outcome, Owner, Page, WallTime};
 
 /// Whether an item of a failed append is still worth sending.
 pub(super) fn wanted(runs: &Runs, item: &Item) -> bool {
@@ -217,9 +217,9 @@
         }
     }
 
-    fn floor(&self, shard: Shard) -> Wall {
+    fn floor(&self, shard: Shard) -> WallTime {
         self.shards
             .get(&shard)
-            .map_or(Wall::MAX, |part| part.fold.floor())
+            .map_or(WallTime::MAX, |part| part.fold.floor())
     }
 }
--- a/crates/lease/src/hold/table.rs
+++ b/crates/lease/src/hold/table.rs
@@ -2,10 +2,10 @@
 
 mod read;
 
+use crate::backoff::Backoff;
 use crate::hold::record::{Item, MAX_ITEMS, Record};
 use crate::hold::seat::{Seat, Sent};
 use crate::hold::{Action, Batch, Counters, Event, Fence, Group, Number, Settings, Want};
-use crate::retry::Retry;
 use crate::{Now, Offset, Owner};
 use bundle::id;
 use rand::SeedableRng;
@@ -31,8 +31,8 @@
     pub(super) sent: VecDeque<Sent>,
     pub(super) number: Number,
     batch: Batch,
-    reads: Retry,
-    appends: Retry,
+    read_backoff: Backoff,
+    append_backoff: Backoff,
     random: ChaCha8Rng,
     pub(super) counters: Counters,
 }
@@ -54,8 +54,8 @@
             sent: VecDeque::new(),
             number: 0,
             batch: 0,
-            reads: Retry::default(),
-            appends: Retry::default(),
+            read_backoff: Backoff::default(),
+            append_backoff: Backoff::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             counters: Counters::default(),
         }
@@ -163,7 +163,8 @@
         let Settings {
             retry, retry_most, ..
         } = self.settings;
-        self.reads.failed(now, retry, retry_most, &mut self.random);
+        self.read_backoff
+            .record_failure(now, retry, retry_most, &mut self.random);
     }
 
     fn append_failed(&mut self, now: Now, batch: Batch) {
@@ -175,15 +176,15 @@
         let Settings {
             retry, retry_most, ..
         } = self.settings;
-        self.appends
-            .failed(now, retry, retry_most, &mut self.random);
+        self.append_backoff
+            .record_failure(now, retry, retry_most, &mut self.random);
     }
 
     fn flush(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if self.flight.is_none() && self.caught_up && self.appends.ready(now) {
+        if self.flight.is_none() && self.caught_up && self.append_backoff.is_ready(now) {
             self.append(now, actions);
         }
-        if !self.reading && self.reads.ready(now) {
+        if !self.reading && self.read_backoff.is_ready(now) {
             self.reading = true;
             actions.push(Action::Read {
                 from: self.next,
@@ -250,7 +251,8 @@
         self.flight = Some(self.batch);
         self.batch += 1;
         self.counters.appends += 1;
-        self.appends.succeeded(now + self.settings.retry);
+        self.append_backoff
+            .record_success(now + self.settings.retry);
     }
 }
 
--- a/crates/lease/src/hold/table/read.rs
+++ b/crates/lease/src/hold/table/read.rs
@@ -9,7 +9,7 @@
 impl Table {
     pub(super) fn page(&mut self, now: Now, page: &Page, actions: &mut Vec<Action>) {
         self.reading = false;
-        self.reads.succeeded(now);
+        self.read_backoff.record_success(now);
         let next = self.next;
         let fresh = page.records.iter().filter(|r| r.offset >= next);
         let reached = next.max(page.first);
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -11,12 +11,12 @@
 
 use std::time::Duration;
 
+pub mod backoff;
 pub mod claim;
 pub mod hold;
 pub mod outcome;
 pub mod owner;
 pub mod page;
-pub mod retry;
 pub mod roll;
 
 pub use outcome::Outcome;
@@ -26,8 +26,8 @@
 /// Time since the process started, on the monotonic clock.
 pub type Now = Duration;
 /// Time since the Unix epoch, on the wall clock.
-pub type Wall = Duration;
+pub type WallTime = Duration;
 /// Place of a record in its stream.
 pub type Offset = u64;
 /// Id of a request, unique over all nodes.
-pub type Request = u128;
+pub type RequestId = u128;
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -4,14 +4,14 @@
 use std::fmt;
 
 /// Number of a node, the same on all nodes and over its restarts.
-pub type Node = u64;
+pub type NodeId = u64;
 
 /// One run of one node's process. What it owned is never taken over by the node's next run, which
 /// has another incarnation and can't know what its predecessor had sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
     /// The node.
-    pub node: Node,
+    pub node: NodeId,
     /// Drawn anew at each start of its process.
     pub incarnation: u64,
 }
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use lease::claim::event::Ask;
 use lease::claim::{Action, Event, Form, Settings, Table, Why};
-use lease::{Now, Outcome, Owner, Page, Record, Request};
+use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use std::time::Duration;
 
 const START: Duration = Duration::from_secs(1_764_700_000);
@@ -108,7 +108,7 @@
         }
     }
 
-    fn ask(&mut self, now: Now, request: Request, form: Form) {
+    fn ask(&mut self, now: Now, request: RequestId, form: Form) {
         let deadline = now + PATIENCE;
         self.give(
             now,
@@ -138,7 +138,7 @@
     }
 }
 
-fn refuse(request: Request, why: Why, outcome: Outcome) -> Action {
+fn refuse(request: RequestId, why: Why, outcome: Outcome) -> Action {
     Action::Refuse {
         request,
         why,
@@ -146,7 +146,7 @@
     }
 }
 
-fn run(request: Request, form: Form) -> Action {
+fn run(request: RequestId, form: Form) -> Action {
     Action::Run {
         request,
         hash: form.hash(),
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -4,7 +4,7 @@
 use lease::claim::event::Ask;
 use lease::claim::home;
 use lease::claim::{Action, Event, Form, Hash, Settings, Shard, Table};
-use lease::{Now, Outcome, Owner, Page, Record, Request};
+use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -131,8 +131,8 @@
     nodes: Vec<Node>,
     keys: Vec<Key>,
 
-    asks: BTreeMap<Request, Sent>,
-    request: Request,
+    asks: BTreeMap<RequestId, Sent>,
+    request: RequestId,
     pub tally: Tally,
     /// What does not hold, with its time.
     pub findings: Vec<String>,
@@ -471,7 +471,7 @@
         self.ask(n, self.request);
     }
 
-    fn ask(&mut self, n: usize, request: Request) {
+    fn ask(&mut self, n: usize, request: RequestId) {
         let Sent { key, body, .. } = self.asks[&request];
         let form = self.keys[key].form;
         let ask = Ask {
@@ -485,7 +485,7 @@
     }
 
     /// The router refuses some requests unrun; the others leave for an endpoint at once.
-    fn start(&mut self, n: usize, request: Request, hash: Hash) {
+    fn start(&mut self, n: usize, request: RequestId, hash: Hash) {
         self.tally.runs += 1;
         let fate = self.random.random_range(0..16);
         if fate == 0 {
@@ -531,7 +531,7 @@
     }
 
     /// One hop to the owner; with the owner dead or the hop spent, what is known is told.
-    fn point(&mut self, request: Request, owner: Owner, outcome: Option<Outcome>) {
+    fn point(&mut self, request: RequestId, owner: Owner, outcome: Option<Outcome>) {
         self.tally.pointed += 1;
         let Some(sent) = self.asks.get_mut(&request) else {
             return;
@@ -544,7 +544,7 @@
         self.ask(n, request);
     }
 
-    fn told(&mut self, request: Request, outcome: Outcome) {
+    fn told(&mut self, request: RequestId, outcome: Outcome) {
         let Sent { key, body, .. } = self.asks[&request];
 
         match outcome {
@@ -560,7 +560,7 @@
         }
     }
 
-    fn not_run(&mut self, request: Request) {
+    fn not_run(&mut self, request: RequestId) {
         self.tally.not_run += 1;
         let Sent { key, body, .. } = self.asks[&request];
         if self.keys[key].sent.contains(&body) {
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -4,7 +4,7 @@
 use lease::claim::event::Ask;
 use lease::claim::{self, Form};
 use lease::hold::{self, Group, Want};
-use lease::{Now, Outcome, Owner, Page, Record, Request};
+use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use platform::{Limits, Log as _, http};
 use standin::fault::Mode;
 use standin::log::Log;
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct Book {
     runs: BTreeMap<claim::Hash, u32>,
-    told: BTreeMap<Request, Told>,
+    told: BTreeMap<RequestId, Told>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -164,7 +164,7 @@
         let text = format!("{}-{round}-{key}", wall().as_secs());
         let form = Form::parse("desk", &text).unwrap();
         for (n, node) in (0..).zip(nodes) {
-            let request = Request::from((round * KEYS + key) * NODES + n);
+            let request = RequestId::from((round * KEYS + key) * NODES + n);
             let ask = Ask {
                 request,
                 form,
