--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -6,7 +6,7 @@
 use crate::api::error::Error;
 use bytes::Bytes;
 use engine::chain::Token;
-use lease::claim::{Fingerprint, Form, Hash};
+use lease::claim::{Fingerprint, Hash, Key};
 use route::outcome::Outcome;
 use route::request::Id;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
     /// The key.
-    pub form: Form,
+    pub form: Key,
     /// Hash of the team and the whole request.
     pub fingerprint: Fingerprint,
 }
--- a/crates/entry/src/handler/key.rs
+++ b/crates/entry/src/handler/key.rs
@@ -8,7 +8,7 @@
 use crate::response::json;
 use bundle::Bundle;
 use http::StatusCode;
-use lease::claim::Form;
+use lease::claim::Key;
 use route::request::Request as Routed;
 use serde::Serialize;
 use std::time::Duration;
@@ -30,7 +30,7 @@
         return Ok(None);
     };
     let team = &bundle.teams[usize::from(header.team)].name;
-    let form = Form::parse(team, key)
+    let form = Key::parse(team, key)
         .map_err(|e| Error::invalid_value(IDEMPOTENCY_KEY.as_str(), e.to_string()))?;
     Ok(Some(Claim {
         form,
--- a/crates/entry/tests/garbage.rs
+++ b/crates/entry/tests/garbage.rs
@@ -133,7 +133,7 @@
             String::from_utf8_lossy(&key),
             String::from_utf8_lossy(&bytes),
         ] {
-            let _ = lease::claim::Form::parse("kitchens", &text);
+            let _ = lease::claim::Key::parse("kitchens", &text);
         }
     }
 }
--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use hdr::Times;
-use lease::claim::event::Ask;
-use lease::claim::{Action, Event, Form, Settings, Shard, Table, home};
+use lease::claim::event::Request;
+use lease::claim::{Action, Event, Key, Settings, Shard, Table, home};
 use lease::{Now, Outcome, Owner, Page, Record};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -97,8 +97,8 @@
 fn log(nodes: usize, shards: Shard, pace: u64, rate: u64, limit: u32, by_home: bool) {
     let settings = Settings {
         shards,
-        start: START,
-        pace: Duration::from_millis(pace),
+        started_at: START,
+        append_interval: Duration::from_millis(pace),
         ..Settings::default()
     };
     let mut world = World::new(nodes, settings, limit);
@@ -108,7 +108,7 @@
             true => home::shards(n as u64, &all, shards),
             false => (0..shards).collect(),
         };
-        world.give(n, Event::Follow(homes));
+        world.give(n, Event::HomeShards(homes));
         world.plan(Duration::from_micros(50 * n as u64), Happening::Tick(n));
     }
     let mut random = ChaCha8Rng::seed_from_u64(1);
@@ -175,7 +175,7 @@
             Happening::Send => {
                 let request = self.asked.len() as u128;
                 let text = format!("{}-{request}", (START + self.now).as_secs());
-                let Ok(form) = Form::parse("desk", &text) else {
+                let Ok(form) = Key::parse("desk", &text) else {
                     return;
                 };
                 let shard = lease::claim::shard(form.hash(), shards);
@@ -186,13 +186,13 @@
                 let hop = Duration::from_micros(if homes.is_some() { 500 } else { 0 });
                 self.asked.push(self.now);
                 let deadline = self.now + PATIENCE;
-                let ask = Ask {
-                    request,
-                    form,
+                let ask = Request {
+                    id: request,
+                    key: form,
                     fingerprint: 1,
                     deadline,
                 };
-                self.plan(self.now + hop, Happening::Deliver(n, Event::Ask(ask)));
+                self.plan(self.now + hop, Happening::Deliver(n, Event::Received(ask)));
             }
         }
     }
@@ -298,8 +298,8 @@
 fn spent(keys: u64, tickets: bool) -> u128 {
     let settings = Settings {
         shards: 1,
-        start: START,
-        answers: usize::MAX,
+        started_at: START,
+        max_answer_bytes: usize::MAX,
         ..Settings::default()
     };
     let mut table = Table::new(
@@ -312,7 +312,7 @@
     );
     let mut actions = Vec::new();
     let mut now = Duration::from_secs(1);
-    table.handle(now, Event::Follow(vec![0]), &mut actions);
+    table.handle(now, Event::HomeShards(vec![0]), &mut actions);
     let empty = Page {
         first: 0,
         next: 0,
@@ -341,18 +341,18 @@
             true => table.issue(now).to_string(),
             false => format!("{}-{n}", START.as_secs()),
         };
-        let Ok(form) = Form::parse("desk", &text) else {
+        let Ok(form) = Key::parse("desk", &text) else {
             continue;
         };
         forms.push(form);
         let deadline = now + PATIENCE;
-        let ask = Ask {
-            request: n.into(),
-            form,
+        let ask = Request {
+            id: n.into(),
+            key: form,
             fingerprint: 1,
             deadline,
         };
-        table.handle(now, Event::Ask(ask), &mut actions);
+        table.handle(now, Event::Received(ask), &mut actions);
     }
     settle(table, now, &mut actions, offset);
     for form in forms {
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -23,10 +23,10 @@
 pub mod table;
 pub mod ticket;
 
-pub use action::{Action, Why};
+pub use action::{Action, Refusal};
 pub use counters::Counters;
-pub use event::{Ask, Event};
-pub use key::{Form, Key};
+pub use event::{Event, Request};
+pub use key::{DatedKey, Key};
 pub use settings::Settings;
 pub use table::Table;
 pub use ticket::Ticket;
--- a/crates/lease/src/claim/action.rs
+++ b/crates/lease/src/claim/action.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use std::fmt;
 
-/// Why a request is refused.
+/// Refusal a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum Refusal {
     /// The log did not settle the claim by the deadline.
-    Log,
+    Unsettled,
     /// The key stands for another body.
     Mismatch,
     /// The key is so old that a claim of it could have been dropped.
@@ -20,11 +20,11 @@
     Unissued,
 }
 
-impl Why {
+impl Refusal {
     /// HTTP status for the caller.
     pub fn status(self) -> u16 {
         match self {
-            Self::Log => 503,
+            Self::Unsettled => 503,
             Self::Mismatch => 422,
             Self::Expired => 409,
             Self::Future | Self::Unissued => 400,
@@ -32,10 +32,10 @@
     }
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Log => "the log service did not settle the claim in time",
+            Self::Unsettled => "the log service did not settle the claim in time",
             Self::Mismatch => "the key stands for another request body",
             Self::Expired => "the key is too old to tell whether it has run",
             Self::Future => "the key is dated in the future",
@@ -73,11 +73,11 @@
         hash: Hash,
     },
     /// Give the request the answer of another one that runs on this node.
-    Follow {
+    Join {
         /// The request.
         request: RequestId,
         /// The one that runs.
-        of: RequestId,
+        running: RequestId,
     },
     /// Give the request the answer of a run that ended on this node.
     Answer {
@@ -86,11 +86,11 @@
         /// How the run ended.
         outcome: Outcome,
         /// The request whose answer is kept; `None` when it is kept no longer.
-        of: Option<RequestId>,
+        source: Option<RequestId>,
     },
     /// The key is another node's. Hand the request to that node once, or name it to the caller.
     /// When that incarnation is dead, the outcome is the noted one, or unknown.
-    Point {
+    Redirect {
         /// The request.
         request: RequestId,
         /// Who owns the key.
@@ -102,13 +102,13 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
-        why: Why,
+        /// Refusal.
+        reason: Refusal,
         /// What the caller may be told of the key, with this body. A refusal by this node does not
         /// mean that no other node ran an earlier send: it is [`Outcome::NotRun`] only where that
         /// can't be.
         outcome: Outcome,
     },
     /// Drop the kept answer of this request.
-    Forget(RequestId),
+    DropAnswer(RequestId),
 }
--- a/crates/lease/src/claim/check.rs
+++ b/crates/lease/src/claim/check.rs
@@ -127,13 +127,13 @@
         {
             texts.push("bytes of kept answers do not add up");
         }
-        if self.runs.bytes > self.settings.answers {
+        if self.runs.bytes > self.settings.max_answer_bytes {
             texts.push("more answers are kept than may be");
         }
         if self
             .shards
             .values()
-            .any(|part| part.fold.len() > self.settings.keys)
+            .any(|part| part.fold.len() > self.settings.max_keys)
         {
             texts.push("more keys are remembered than may be");
         }
--- a/crates/lease/src/claim/counters.rs
+++ b/crates/lease/src/claim/counters.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests that asked.
-    pub asks: u64,
+    pub requests: u64,
     /// Claims written.
     pub claims: u64,
     /// Claims of this node that another one beat.
@@ -16,7 +16,7 @@
     /// Requests that got a run's answer on this node.
     pub joined: u64,
     /// Requests pointed to another node.
-    pub pointed: u64,
+    pub redirected: u64,
     /// Requests refused.
     pub refused: u64,
     /// Of these: the log was out.
@@ -36,7 +36,7 @@
     /// Records read.
     pub records: u64,
     /// Records that could not be decoded.
-    pub bad: u64,
+    pub undecodable: u64,
     /// Records dated ahead of this node's clock by more than clocks may err.
     pub skewed: u64,
     /// Times that this node's wall clock was found off by more than clocks may err.
@@ -52,12 +52,12 @@
         write!(
             f,
             "asks {} claims {} lost {}",
-            self.asks, self.claims, self.lost
+            self.requests, self.claims, self.lost
         )?;
         write!(
             f,
             " runs {} joined {} pointed {}",
-            self.runs, self.joined, self.pointed
+            self.runs, self.joined, self.redirected
         )?;
         write!(f, " refused {} (log {}", self.refused, self.refused_log)?;
         write!(
@@ -71,7 +71,7 @@
             " unsure {} failed {} records {}",
             self.unsure, self.failed, self.records
         )?;
-        write!(f, " bad {} skewed {}", self.bad, self.skewed)?;
+        write!(f, " bad {} skewed {}", self.undecodable, self.skewed)?;
         write!(
             f,
             " stepped {} gaps {} broken {}",
--- a/crates/lease/src/claim/event.rs
+++ b/crates/lease/src/claim/event.rs
@@ -1,15 +1,15 @@
 //! What happens to a claim table.
 
-use crate::claim::{Batch, Fingerprint, Form, Hash, Shard};
+use crate::claim::{Batch, Fingerprint, Hash, Key, Shard};
 use crate::{Now, Outcome, Page, RequestId, WallTime};
 
 /// A request that may not be repeated arrived.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct Request {
     /// The request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Its key.
-    pub form: Form,
+    pub key: Key,
     /// Hash of its team and body.
     pub fingerprint: Fingerprint,
     /// When the claim has to be settled; after it the request is refused.
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The shards that this node is the home of and follows for good.
-    Follow(Vec<Shard>),
+    HomeShards(Vec<Shard>),
     /// A request arrived.
-    Ask(Ask),
+    Received(Request),
     /// The request will never be run: its caller went away before the node began to run it. After
     /// [`crate::claim::Action::Run`] this says the same as an end with [`Outcome::NotRun`], for a
     /// caller that leaves while that action is on its way.
-    Left(RequestId),
+    Cancelled(RequestId),
     /// A read gave a page.
     Page(Shard, Page),
     /// A read failed.
--- a/crates/lease/src/claim/fold.rs
+++ b/crates/lease/src/claim/fold.rs
@@ -126,16 +126,16 @@
             counters.records += 1;
             match Batch::decode(&record.body) {
                 Ok(batch) if batch.upto <= record.offset => {
-                    counters.skewed += u64::from(batch.at > wall + settings.skew * 2);
+                    counters.skewed += u64::from(batch.at > wall + settings.max_clock_error * 2);
                     self.date(&batch, settings);
                     let items = batch.items.iter();
                     changes.extend(items.filter_map(|item| self.item(batch.owner, item)));
                 }
-                _ => counters.bad += 1,
+                _ => counters.undecodable += 1,
             }
         }
         self.caught_up |= page.records.is_empty();
-        self.shrink(settings.keys);
+        self.shrink(settings.max_keys);
         changes
     }
 
@@ -170,7 +170,7 @@
         self.read_at = wall;
         self.lost = match first {
             0 => WallTime::ZERO,
-            _ => wall + settings.skew * CLOCKS,
+            _ => wall + settings.max_clock_error * CLOCKS,
         };
         begun
     }
@@ -178,7 +178,7 @@
     /// A record states that what is gone here was there by a certain time.
     fn date(&mut self, batch: &Batch, settings: &Settings) {
         if self.start.is_some_and(|start| batch.upto >= start) {
-            self.lost = self.lost.min(batch.at + settings.skew * CLOCKS);
+            self.lost = self.lost.min(batch.at + settings.max_clock_error * CLOCKS);
         }
     }
 
--- a/crates/lease/src/claim/key.rs
+++ b/crates/lease/src/claim/key.rs
@@ -18,7 +18,7 @@
 
 /// A dated key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key {
+pub struct DatedKey {
     /// Hash of the team and the key's text.
     pub hash: Hash,
     /// When the key was made, by its maker's clock.
@@ -27,14 +27,14 @@
 
 /// A checked key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Key {
     /// The caller's own key.
-    Dated(Key),
+    Dated(DatedKey),
     /// A ticket, with the hash of team and text.
     Ticket(Ticket, Hash),
 }
 
-/// Why a key is refused.
+/// Refusal a key is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Empty, over [`MAX_LEN`], or with characters outside visible ASCII.
@@ -48,7 +48,7 @@
 /// Result of a check.
 pub type Result<T> = std::result::Result<T, Error>;
 
-impl Form {
+impl Key {
     /// Checks a key's text. Keys of different teams never meet, since the hash holds the team.
     ///
     /// A key must carry its date. The log drops old claims, and without a date nobody could tell
@@ -64,7 +64,7 @@
             return Ok(Self::Ticket(ticket, hash));
         }
         let date = seconds(text).or_else(|| uuid(text)).ok_or(Error::Undated)?;
-        Ok(Self::Dated(Key { hash, date }))
+        Ok(Self::Dated(DatedKey { hash, date }))
     }
 
     /// Hash of the team and the key's text.
--- a/crates/lease/src/claim/lane.rs
+++ b/crates/lease/src/claim/lane.rs
@@ -84,7 +84,7 @@
             items: items.clone(),
         });
         self.mark = false;
-        self.backoff.record_success(now + settings.pace);
+        self.backoff.record_success(now + settings.append_interval);
         Some(items)
     }
 
@@ -115,7 +115,7 @@
             .chain(rest)
             .collect();
         self.backoff
-            .record_failure(now, settings.retry, settings.retry_most, random);
+            .record_failure(now, settings.min_backoff, settings.max_backoff, random);
     }
 
     fn due(&self, now: Now, settings: &Settings) -> bool {
--- a/crates/lease/src/claim/table.rs
+++ b/crates/lease/src/claim/table.rs
@@ -1,7 +1,7 @@
 //! A node's claim table.
 
-mod ask;
 mod end;
+mod request;
 mod settle;
 
 use crate::backoff::Backoff;
@@ -9,7 +9,9 @@
 use crate::claim::lane::Lane;
 use crate::claim::record::Batch as Body;
 use crate::claim::run::Runs;
-use crate::claim::{Action, Ask, Batch, Counters, Event, Hash, Number, Settings, Shard, Ticket};
+use crate::claim::{
+    Action, Batch, Counters, Event, Hash, Number, Request, Settings, Shard, Ticket,
+};
 use crate::{Now, Owner, RequestId, WallTime};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -33,7 +35,7 @@
     pub(super) issued: u64,
     batch: Batch,
     swept: Now,
-    /// Key up to which the invariants were last checked.
+    /// DatedKey up to which the invariants were last checked.
     pub(super) checked: Hash,
     random: ChaCha8Rng,
     pub(super) counters: Counters,
@@ -45,7 +47,7 @@
     pub(super) fold: Fold,
     pub(super) lane: Lane,
     /// Requests that came before the stream was read to its end.
-    pub(super) pending: Vec<Ask>,
+    pub(super) pending: Vec<Request>,
     /// Whether this node is the shard's home.
     pub(super) home: bool,
     reading: bool,
@@ -77,9 +79,9 @@
     /// Takes in an event and adds what is to be done.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Follow(shards) => self.follow(now, &shards),
-            Event::Ask(ask) => self.ask(now, ask, actions),
-            Event::Left(request) => self.left(now, request, actions),
+            Event::HomeShards(shards) => self.follow(now, &shards),
+            Event::Received(request) => self.receive(now, request, actions),
+            Event::Cancelled(request) => self.cancel(now, request, actions),
             Event::Page(shard, page) => self.page(now, shard, &page, actions),
             Event::ReadFailed(shard) => self.read_failed(now, shard),
             Event::Appended(batch) => self.appended(batch),
@@ -126,7 +128,7 @@
     }
 
     pub(super) fn wall(&self, now: Now) -> WallTime {
-        self.settings.start + now
+        self.settings.started_at + now
     }
 
     /// The shard's part, followed from now on.
@@ -148,8 +150,8 @@
 
     fn clock(&mut self, now: Now, wall: WallTime) {
         let off = wall.abs_diff(self.wall(now));
-        self.counters.stepped += u64::from(off > self.settings.skew);
-        self.settings.start = wall.saturating_sub(now);
+        self.counters.stepped += u64::from(off > self.settings.max_clock_error);
+        self.settings.started_at = wall.saturating_sub(now);
     }
 
     fn read_failed(&mut self, now: Now, shard: Shard) {
@@ -158,11 +160,13 @@
             return;
         };
         let Settings {
-            retry, retry_most, ..
+            min_backoff,
+            max_backoff,
+            ..
         } = self.settings;
         part.reading = false;
         part.backoff
-            .record_failure(now, retry, retry_most, &mut self.random);
+            .record_failure(now, min_backoff, max_backoff, &mut self.random);
     }
 
     fn appended(&mut self, batch: Batch) {
@@ -189,10 +193,10 @@
         self.expire(now, actions);
         let wall = self.wall(now);
         for part in self.shards.values_mut() {
-            part.fold.expire(wall, self.settings.window);
+            part.fold.expire(wall, self.settings.key_lifetime);
             if part.home && part.fold.next() > 0 && part.fold.caught_up() && now >= part.mark {
                 part.lane.mark();
-                part.mark = now + self.settings.mark;
+                part.mark = now + self.settings.heartbeat_interval;
             }
         }
         self.drop_idle(now);
@@ -206,7 +210,7 @@
         self.swept = now;
         self.sweep(now);
         self.counters.broken += self.check_next().len() as u64;
-        let idle = self.settings.idle;
+        let idle = self.settings.idle_timeout;
         let runs = &self.runs;
         self.shards.retain(|shard, part| {
             let fresh = part.home || now < part.used + idle;
@@ -256,7 +260,7 @@
         if news {
             // Spread over a quarter of the time, so that the first node's mark spares the others.
             let share = rand::RngExt::random_range(&mut self.random, 1.0..=1.25);
-            part.mark = now + self.settings.mark.mul_f64(share);
+            part.mark = now + self.settings.heartbeat_interval.mul_f64(share);
         }
     }
 }
--- a/crates/lease/src/claim/table/end.rs
+++ b/crates/lease/src/claim/table/end.rs
@@ -3,7 +3,7 @@
 use super::Table;
 use crate::claim::record::Item;
 use crate::claim::run::{State, Way};
-use crate::claim::{Action, Hash, Why};
+use crate::claim::{Action, Hash, Refusal};
 use crate::{Now, Outcome, RequestId};
 
 impl Table {
@@ -59,14 +59,17 @@
             }
             let hash = first.remove();
             self.unwait(now, hash, request);
-            self.refuse(request, Why::Log, actions);
+            self.refuse(request, Refusal::Unsettled, actions);
         }
         let mut late = Vec::new();
         for part in self.shards.values_mut() {
-            late.extend(part.pending.extract_if(.., |ask| now >= ask.deadline));
+            late.extend(
+                part.pending
+                    .extract_if(.., |request| now >= request.deadline),
+            );
         }
-        for ask in late {
-            self.refuse(ask.request, Why::Log, actions);
+        for request in late {
+            self.refuse(request.id, Refusal::Unsettled, actions);
         }
     }
 
@@ -113,7 +116,7 @@
     /// by then.
     pub(super) fn sweep(&mut self, now: Now) {
         let wall = self.wall(now);
-        let window = self.settings.window;
+        let window = self.settings.key_lifetime;
         self.runs.keys.retain(|_, run| match (&run.state, run.way) {
             (State::Releasing(_, waiters), Way::Log(_, date)) => {
                 !waiters.is_empty() || date.saturating_add(window) >= wall
@@ -123,7 +126,7 @@
     }
 
     fn evict(&mut self, actions: &mut Vec<Action>) {
-        while self.runs.bytes > self.settings.answers {
+        while self.runs.bytes > self.settings.max_answer_bytes {
             self.evict_one(actions);
         }
     }
@@ -140,7 +143,7 @@
             return;
         };
         let (number, outcome) = (*number, *outcome);
-        actions.extend(request.take().map(Action::Forget));
+        actions.extend(request.take().map(Action::DropAnswer));
         if let Way::Log(shard, _) = run.way {
             self.runs.keys.remove(&hash);
             if let Some(part) = self.shards.get_mut(&shard) {
@@ -150,7 +153,7 @@
     }
 
     fn past(&self, now: Now, way: Way) -> bool {
-        let window = self.settings.window;
+        let window = self.settings.key_lifetime;
         match way {
             Way::Log(_, date) => date.saturating_add(window) < self.wall(now),
             Way::Ticket(issued) => issued.saturating_add(window) <= now,
--- a/crates/lease/src/claim/table/settle.rs
+++ b/crates/lease/src/claim/table/settle.rs
@@ -4,7 +4,7 @@
 use crate::claim::fold::{Change, Entry};
 use crate::claim::record::Item;
 use crate::claim::run::{Run, Runs, State, Waiter, Way};
-use crate::claim::{Action, Hash, Key, Number, Shard, Why};
+use crate::claim::{Action, DatedKey, Hash, Number, Refusal, Shard};
 use crate::{Now, Outcome, Owner, Page, WallTime};
 
 /// Whether an item of a failed append is still worth sending.
@@ -24,7 +24,7 @@
         let changes = part
             .fold
             .apply(wall, page, &self.settings, &mut self.counters);
-        part.fold.expire(wall, self.settings.window);
+        part.fold.expire(wall, self.settings.key_lifetime);
         self.read(now, shard, !page.records.is_empty());
         for change in changes {
             match change {
@@ -36,7 +36,7 @@
             }
         }
         if self.part(now, shard).fold.caught_up() {
-            self.resume(now, shard, actions);
+            self.retry_pending(now, shard, actions);
         }
     }
 
@@ -75,7 +75,7 @@
             }
             for waiter in run.state.waiters() {
                 self.waiting.remove(&(waiter.deadline, waiter.request));
-                self.refuse(waiter.request, Why::Expired, actions);
+                self.refuse(waiter.request, Refusal::Expired, actions);
             }
         }
     }
@@ -147,21 +147,28 @@
             .extract_if(.., |w| expired || now >= w.deadline)
             .collect();
         for waiter in late {
-            let why = if expired { Why::Expired } else { Why::Log };
-            self.refuse(waiter.request, why, actions);
+            let reason = if expired {
+                Refusal::Expired
+            } else {
+                Refusal::Unsettled
+            };
+            self.refuse(waiter.request, reason, actions);
         }
         let Some((first, rest)) = waiters.split_first() else {
             self.set(hash, State::Releasing(number, Vec::new()));
             return self.release(now, shard, hash, number);
         };
-        let of = first.request;
-        self.set(hash, State::Running(number, of));
-        self.runs.running.insert(of, hash);
+        let running = first.request;
+        self.set(hash, State::Running(number, running));
+        self.runs.running.insert(running, hash);
         self.counters.runs += 1;
-        actions.push(Action::Run { request: of, hash });
-        actions.extend(rest.iter().map(|w| Action::Follow {
+        actions.push(Action::Run {
+            request: running,
+            hash,
+        });
+        actions.extend(rest.iter().map(|w| Action::Join {
             request: w.request,
-            of,
+            running,
         }));
     }
 
@@ -182,9 +189,9 @@
         self.counters.lost += 1;
         for waiter in run.state.waiters() {
             self.waiting.remove(&(waiter.deadline, waiter.request));
-            self.counters.pointed += 1;
+            self.counters.redirected += 1;
             let (request, Entry { owner, outcome, .. }) = (waiter.request, entry);
-            actions.push(Action::Point {
+            actions.push(Action::Redirect {
                 request,
                 owner,
                 outcome,
@@ -207,7 +214,7 @@
         let (waiters, fingerprint) = (waiters.clone(), run.fingerprint);
         self.runs.keys.remove(&hash);
         if !waiters.is_empty() {
-            self.write(now, shard, Key { hash, date }, fingerprint, waiters);
+            self.write_claim(now, shard, DatedKey { hash, date }, fingerprint, waiters);
         }
     }
 
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -1,22 +1,22 @@
 //! Single failures, one table or two, step by step.
 
 use bytes::Bytes;
-use lease::claim::event::Ask;
-use lease::claim::{Action, Event, Form, Settings, Table, Why};
+use lease::claim::event::Request;
+use lease::claim::{Action, Event, Key, Refusal, Settings, Table};
 use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use std::time::Duration;
 
 const START: Duration = Duration::from_secs(1_764_700_000);
-const PATIENCE: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 const BODY: u64 = 7;
 
 fn settings() -> Settings {
     let pace = Duration::from_millis(20);
     Settings {
         shards: 1,
-        start: START,
-        answers: 1000,
-        pace,
+        started_at: START,
+        max_answer_bytes: 1000,
+        append_interval: pace,
         ..Settings::default()
     }
 }
@@ -33,8 +33,8 @@
 }
 
 /// A key made `seconds` after the start.
-fn key(seconds: u64, text: &str) -> Form {
-    Form::parse("desk", &format!("{}-{text}", START.as_secs() + seconds)).unwrap()
+fn dated_key(seconds: u64, text: &str) -> Key {
+    Key::parse("desk", &format!("{}-{text}", START.as_secs() + seconds)).unwrap()
 }
 
 /// A log with one stream that does what the test says.
@@ -90,7 +90,7 @@
     /// A node that has read the log to its end.
     fn ready(node: u64, now: Now, log: &Log) -> Self {
         let mut node = Self::new(node, settings());
-        node.give(now, Event::Follow(vec![0]));
+        node.give(now, Event::HomeShards(vec![0]));
         node.read(now, log);
         node.read(now, log);
         node
@@ -108,13 +108,13 @@
         }
     }
 
-    fn ask(&mut self, now: Now, request: RequestId, form: Form) {
-        let deadline = now + PATIENCE;
+    fn ask(&mut self, now: Now, request: RequestId, key: Key) {
+        let deadline = now + CLAIM_TIMEOUT;
         self.give(
             now,
-            Event::Ask(Ask {
-                request,
-                form,
+            Event::Received(Request {
+                id: request,
+                key,
                 fingerprint: BODY,
                 deadline,
             }),
@@ -138,18 +138,18 @@
     }
 }
 
-fn refuse(request: RequestId, why: Why, outcome: Outcome) -> Action {
+fn refuse(request: RequestId, reason: Refusal, outcome: Outcome) -> Action {
     Action::Refuse {
         request,
-        why,
+        reason,
         outcome,
     }
 }
 
-fn run(request: RequestId, form: Form) -> Action {
+fn run(request: RequestId, key: Key) -> Action {
     Action::Run {
         request,
-        hash: form.hash(),
+        hash: key.hash(),
     }
 }
 
@@ -157,27 +157,39 @@
 fn a_claim_read_back_runs_and_resends_get_its_answer() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
-    node.ask(at(10), 2, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
+    node.ask(at(10), 2, key);
     node.append(at(12), &mut log);
     assert_eq!(node.took(), []);
     node.read(at(14), &log);
     assert_eq!(
         node.took(),
-        [run(1, form), Action::Follow { request: 2, of: 1 }]
+        [
+            run(1, key),
+            Action::Join {
+                request: 2,
+                running: 1
+            }
+        ]
     );
-    node.ask(at(20), 3, form);
-    assert_eq!(node.took(), [Action::Follow { request: 3, of: 1 }]);
-    node.give(at(30), Event::Ended(form.hash(), Outcome::Complete, 10));
-    node.ask(at(40), 4, form);
+    node.ask(at(20), 3, key);
+    assert_eq!(
+        node.took(),
+        [Action::Join {
+            request: 3,
+            running: 1
+        }]
+    );
+    node.give(at(30), Event::Ended(key.hash(), Outcome::Complete, 10));
+    node.ask(at(40), 4, key);
     let (outcome, of) = (Outcome::Complete, Some(1));
     assert_eq!(
         node.took(),
         [Action::Answer {
             request: 4,
             outcome,
-            of
+            source: of
         }]
     );
 }
@@ -186,25 +198,25 @@
 fn a_key_with_another_body_is_refused() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
     node.took();
     let deadline = at(5000);
-    let other = Ask {
-        request: 2,
-        form,
+    let other = Request {
+        id: 2,
+        key,
         fingerprint: BODY + 1,
         deadline,
     };
-    node.give(at(20), Event::Ask(other));
-    assert_eq!(node.took(), [refuse(2, Why::Mismatch, Outcome::NotRun)]);
+    node.give(at(20), Event::Received(other));
+    assert_eq!(node.took(), [refuse(2, Refusal::Mismatch, Outcome::NotRun)]);
     let mut far = Node::ready(2, at(0), &log);
-    far.give(at(20), Event::Ask(other));
+    far.give(at(20), Event::Received(other));
     assert_eq!(
         far.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 2,
             owner: owner(1),
             outcome: None
@@ -218,31 +230,31 @@
 fn of_two_claims_the_one_with_the_lower_offset_runs() {
     let mut log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
-    let form = key(0, "a");
-    a.ask(at(10), 1, form);
-    b.ask(at(10), 2, form);
+    let key = dated_key(0, "a");
+    a.ask(at(10), 1, key);
+    b.ask(at(10), 2, key);
     b.append(at(12), &mut log);
     a.append(at(13), &mut log);
     a.read(at(14), &log);
     b.read(at(14), &log);
     assert_eq!(
         a.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 1,
             owner: owner(2),
             outcome: None
         }]
     );
-    assert_eq!(b.took(), [run(2, form)]);
-    b.give(at(20), Event::Ended(form.hash(), Outcome::Complete, 10));
+    assert_eq!(b.took(), [run(2, key)]);
+    b.give(at(20), Event::Ended(key.hash(), Outcome::Complete, 10));
     b.give(at(2000), Event::Tick);
     b.append(at(2000), &mut log);
     a.read(at(2001), &log);
-    a.ask(at(2002), 3, form);
+    a.ask(at(2002), 3, key);
     let outcome = Some(Outcome::Complete);
     assert_eq!(
         a.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 3,
             owner: owner(2),
             outcome
@@ -256,8 +268,8 @@
 fn a_lost_append_answer_is_settled_by_reading_back() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
     let (batch, body) = node.appends.remove(0);
     log.records.push(body);
     node.give(at(1000), Event::AppendUnsure(batch));
@@ -265,7 +277,7 @@
     node.append(at(1210), &mut log);
     assert_eq!(log.records.len(), 2);
     node.read(at(1220), &log);
-    assert_eq!(node.took(), [run(1, form)]);
+    assert_eq!(node.took(), [run(1, key)]);
 }
 
 /// The log is out. A request with the caller's own key is refused at its deadline, and since
@@ -274,19 +286,28 @@
 fn while_the_log_is_out_keys_wait_and_tickets_run() {
     let log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    node.ask(at(10), 1, key(0, "a"));
+    node.ask(at(10), 1, dated_key(0, "a"));
     let (batch, _) = node.appends.remove(0);
     node.give(at(100), Event::AppendFailed(batch));
     let ticket = node.table.issue(at(200));
-    let form = Form::parse("desk", &ticket.to_string()).unwrap();
-    node.ask(at(210), 2, form);
-    node.ask(at(210), 3, form);
+    let key = Key::parse("desk", &ticket.to_string()).unwrap();
+    node.ask(at(210), 2, key);
+    node.ask(at(210), 3, key);
     assert_eq!(
         node.took(),
-        [run(2, form), Action::Follow { request: 3, of: 2 }]
+        [
+            run(2, key),
+            Action::Join {
+                request: 3,
+                running: 2
+            }
+        ]
     );
     node.give(at(4000), Event::Tick);
-    assert_eq!(node.took(), [refuse(1, Why::Log, Outcome::Unknown)]);
+    assert_eq!(
+        node.took(),
+        [refuse(1, Refusal::Unsettled, Outcome::Unknown)]
+    );
 }
 
 /// Node 1 ran a key, its claim was dropped by retention, and node 2 starts without any record of
@@ -296,17 +317,17 @@
 fn a_claim_that_could_have_been_dropped_is_not_run_again() {
     let mut log = Log::default();
     let mut a = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    a.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    a.ask(at(10), 1, key);
     a.append(at(12), &mut log);
     a.read(at(14), &log);
-    assert_eq!(a.took(), [run(1, form)]);
+    assert_eq!(a.took(), [run(1, key)]);
     log.trim();
     let mut b = Node::ready(2, at(30_000), &log);
-    b.ask(at(30_010), 2, form);
-    assert_eq!(b.took(), [refuse(2, Why::Expired, Outcome::Unknown)]);
+    b.ask(at(30_010), 2, key);
+    assert_eq!(b.took(), [refuse(2, Refusal::Expired, Outcome::Unknown)]);
 
-    let new = key(40, "b");
+    let new = dated_key(40, "b");
     b.ask(at(40_000), 3, new);
     b.append(at(40_002), &mut log);
     b.read(at(40_004), &log);
@@ -320,19 +341,19 @@
 fn records_that_are_held_date_those_that_are_gone() {
     let mut log = Log::default();
     let mut a = Node::ready(1, at(0), &log);
-    a.ask(at(10), 1, key(0, "a"));
+    a.ask(at(10), 1, dated_key(0, "a"));
     a.append(at(12), &mut log);
     a.read(at(14), &log);
     log.trim();
-    a.ask(at(20_000), 2, key(19, "b"));
+    a.ask(at(20_000), 2, dated_key(19, "b"));
     a.append(at(20_002), &mut log);
     let mut b = Node::ready(2, at(30_000), &log);
-    b.ask(at(30_010), 3, key(0, "a"));
-    assert_eq!(b.took(), [refuse(3, Why::Expired, Outcome::Unknown)]);
-    b.ask(at(30_010), 4, key(25, "c"));
+    b.ask(at(30_010), 3, dated_key(0, "a"));
+    assert_eq!(b.took(), [refuse(3, Refusal::Expired, Outcome::Unknown)]);
+    b.ask(at(30_010), 4, dated_key(25, "c"));
     b.append(at(30_020), &mut log);
     b.read(at(30_030), &log);
-    assert_eq!(b.took(), [run(4, key(25, "c"))]);
+    assert_eq!(b.took(), [run(4, dated_key(25, "c"))]);
 }
 
 /// The node is paused between its append and the read-back, for longer than its caller waits. On
@@ -342,16 +363,16 @@
 fn a_claim_won_after_the_deadline_is_released() {
     let mut log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
-    let form = key(0, "a");
-    a.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    a.ask(at(10), 1, key);
     a.append(at(12), &mut log);
     b.read(at(14), &log);
     a.read(at(60_000), &log);
-    assert_eq!(a.took(), [refuse(1, Why::Log, Outcome::Unknown)]);
-    b.ask(at(60_000), 2, form);
+    assert_eq!(a.took(), [refuse(1, Refusal::Unsettled, Outcome::Unknown)]);
+    b.ask(at(60_000), 2, key);
     assert_eq!(
         b.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 2,
             owner: owner(1),
             outcome: None
@@ -359,10 +380,10 @@
     );
     a.append(at(60_010), &mut log);
     b.read(at(60_020), &log);
-    b.ask(at(60_020), 3, form);
+    b.ask(at(60_020), 3, key);
     b.append(at(60_022), &mut log);
     b.read(at(60_024), &log);
-    assert_eq!(b.took(), [run(3, form)]);
+    assert_eq!(b.took(), [run(3, key)]);
 }
 
 /// The node gave a claim up at its deadline, with the append unsure. The claim arrives after all:
@@ -371,16 +392,19 @@
 fn a_given_up_claim_that_arrives_late_is_released() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
     let (batch, late) = node.appends.remove(0);
     node.give(at(1000), Event::AppendUnsure(batch));
     node.give(at(3500), Event::Tick);
     node.appends.clear();
-    assert_eq!(node.took(), [refuse(1, Why::Log, Outcome::Unknown)]);
+    assert_eq!(
+        node.took(),
+        [refuse(1, Refusal::Unsettled, Outcome::Unknown)]
+    );
     log.records.push(late);
     node.read(at(4000), &log);
-    node.ask(at(4001), 2, form);
+    node.ask(at(4001), 2, key);
     assert_eq!(node.took(), []);
     let mut steps = 0;
     while node.actions.is_empty() && steps < 20 {
@@ -390,7 +414,7 @@
         node.append(now, &mut log);
         node.read(now, &log);
     }
-    assert_eq!(node.took(), [run(2, form)]);
+    assert_eq!(node.took(), [run(2, key)]);
 }
 
 /// Found by the long run, seed 1108. The caller uses one key for two bodies. The claim of the first
@@ -401,12 +425,12 @@
 fn a_late_claim_of_another_body_does_not_lend_its_fingerprint() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
+    let key = dated_key(0, "a");
     let ask = |request, fingerprint, now| {
-        let deadline = now + PATIENCE;
-        Event::Ask(Ask {
-            request,
-            form,
+        let deadline = now + CLAIM_TIMEOUT;
+        Event::Received(Request {
+            id: request,
+            key,
             fingerprint,
             deadline,
         })
@@ -423,16 +447,16 @@
         node.read(now, &log);
         node.give(now, Event::Tick);
     }
-    assert_eq!(node.took(), [run(2, form)]);
-    node.give(at(5000), Event::Ended(form.hash(), Outcome::Complete, 1));
+    assert_eq!(node.took(), [run(2, key)]);
+    node.give(at(5000), Event::Ended(key.hash(), Outcome::Complete, 1));
     node.give(at(6000), Event::Tick);
     node.append(at(6001), &mut log);
     let mut far = Node::ready(2, at(6100), &log);
-    far.ask(at(6200), 3, form);
+    far.ask(at(6200), 3, key);
     let outcome = Some(Outcome::Complete);
     assert_eq!(
         far.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 3,
             owner: owner(1),
             outcome
@@ -444,19 +468,19 @@
 fn a_refused_run_frees_the_key() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
-    node.give(at(20), Event::Ended(form.hash(), Outcome::NotRun, 0));
-    node.ask(at(30), 2, form);
+    node.give(at(20), Event::Ended(key.hash(), Outcome::NotRun, 0));
+    node.ask(at(30), 2, key);
     node.give(at(40), Event::Tick);
     node.append(at(41), &mut log);
     node.read(at(42), &log);
     node.give(at(80), Event::Tick);
     node.append(at(81), &mut log);
     node.read(at(82), &log);
-    assert_eq!(node.took(), [run(1, form), run(2, form)]);
+    assert_eq!(node.took(), [run(1, key), run(2, key)]);
 }
 
 /// The caller leaves while the word that its request may run is on its way, so the node never
@@ -466,25 +490,25 @@
 fn a_caller_that_leaves_before_its_run_begins_frees_the_key() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    let form = key(0, "a");
-    node.ask(at(10), 1, form);
+    let key = dated_key(0, "a");
+    node.ask(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
-    node.give(at(15), Event::Left(1));
-    node.ask(at(30), 2, form);
+    node.give(at(15), Event::Cancelled(1));
+    node.ask(at(30), 2, key);
     for now in (40..200).step_by(20).map(at) {
         node.give(now, Event::Tick);
         node.append(now, &mut log);
         node.read(now, &log);
     }
     let text = node.table.issue(at(200)).to_string();
-    let ticket = Form::parse("desk", &text).unwrap();
+    let ticket = Key::parse("desk", &text).unwrap();
     node.ask(at(201), 3, ticket);
-    node.give(at(202), Event::Left(3));
+    node.give(at(202), Event::Cancelled(3));
     node.ask(at(203), 4, ticket);
     assert_eq!(
         node.took(),
-        [run(1, form), run(2, form), run(3, ticket), run(4, ticket)]
+        [run(1, key), run(2, key), run(3, ticket), run(4, ticket)]
     );
 }
 
@@ -493,11 +517,11 @@
     let log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
     let ticket = a.table.issue(at(5));
-    let form = Form::parse("desk", &ticket.to_string()).unwrap();
-    b.ask(at(10), 1, form);
+    let key = Key::parse("desk", &ticket.to_string()).unwrap();
+    b.ask(at(10), 1, key);
     assert_eq!(
         b.took(),
-        [Action::Point {
+        [Action::Redirect {
             request: 1,
             owner: owner(1),
             outcome: None
@@ -507,16 +531,16 @@
         number: 9,
         ..ticket
     };
-    let forged = Form::parse("desk", &unissued.to_string()).unwrap();
+    let forged = Key::parse("desk", &unissued.to_string()).unwrap();
     a.ask(at(10), 2, forged);
-    a.ask(at(3_600_005), 3, form);
-    let unissued = refuse(2, Why::Unissued, Outcome::NotRun);
+    a.ask(at(3_600_005), 3, key);
+    let unissued = refuse(2, Refusal::Unissued, Outcome::NotRun);
     assert_eq!(
         a.took(),
-        [unissued, refuse(3, Why::Expired, Outcome::Unknown)]
+        [unissued, refuse(3, Refusal::Expired, Outcome::Unknown)]
     );
-    a.ask(at(10), 4, key(60, "ahead"));
-    assert_eq!(a.took(), [refuse(4, Why::Future, Outcome::Unknown)]);
+    a.ask(at(10), 4, dated_key(60, "ahead"));
+    assert_eq!(a.took(), [refuse(4, Refusal::Future, Outcome::Unknown)]);
 }
 
 #[test]
@@ -526,20 +550,20 @@
     let tickets: Vec<String> = (0..3)
         .map(|_| node.table.issue(at(1)).to_string())
         .collect();
-    let forms: Vec<Form> = tickets
+    let keys: Vec<Key> = tickets
         .iter()
-        .map(|t| Form::parse("desk", t).unwrap())
+        .map(|t| Key::parse("desk", t).unwrap())
         .collect();
-    for (n, form) in (0..).zip(&forms) {
-        node.ask(at(10), n, *form);
-        node.give(at(20), Event::Ended(form.hash(), Outcome::Complete, 400));
+    for (n, key) in (0..).zip(&keys) {
+        node.ask(at(10), n, *key);
+        node.give(at(20), Event::Ended(key.hash(), Outcome::Complete, 400));
     }
-    assert!(node.took().contains(&Action::Forget(0)));
-    node.ask(at(30), 9, forms[0]);
+    assert!(node.took().contains(&Action::DropAnswer(0)));
+    node.ask(at(30), 9, keys[0]);
     let gone = Action::Answer {
         request: 9,
         outcome: Outcome::Complete,
-        of: None,
+        source: None,
     };
     assert_eq!(node.took(), [gone]);
 }
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -1,9 +1,9 @@
 //! Eight claim tables and a log service with faults, in passed-in time.
 
 use bytes::Bytes;
-use lease::claim::event::Ask;
+use lease::claim::event::Request;
 use lease::claim::home;
-use lease::claim::{Action, Event, Form, Hash, Settings, Shard, Table};
+use lease::claim::{Action, Event, Hash, Key, Settings, Shard, Table};
 use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,7 +16,7 @@
 const TICK: Duration = Duration::from_millis(20);
 const SKEW: Duration = Duration::from_millis(500);
 const WINDOW: Duration = Duration::from_secs(40);
-const PATIENCE: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 const TEAM: &str = "desk";
 
 /// What is broken on purpose, to show that the invariants bite.
@@ -64,7 +64,7 @@
     Effect(Shard, Bytes),
     Read(usize, u64, Shard, u64, bool, u32),
     Send(usize, usize),
-    Forward(usize, u64, Ask),
+    Forward(usize, u64, Request),
     Ended(usize, u64, Hash, Outcome),
     Issue(usize),
     Outage(Duration),
@@ -89,8 +89,8 @@
 }
 
 #[derive(Debug)]
-struct Key {
-    form: Form,
+struct KeyLog {
+    key: Key,
     /// Bodies that were sent to an endpoint under it, each time.
     sent: Vec<u64>,
 }
@@ -129,7 +129,7 @@
     agenda: BTreeMap<(Now, u64), Happening>,
     streams: BTreeMap<Shard, Stream>,
     nodes: Vec<Node>,
-    keys: Vec<Key>,
+    keys: Vec<KeyLog>,
 
     asks: BTreeMap<RequestId, Sent>,
     request: RequestId,
@@ -187,7 +187,7 @@
         (0..faults.trims).for_each(|_| self.plan_within(length, Happening::Trim));
         (0..keys).for_each(|_| self.plan_key(length));
         while let Some(((at, _), happening)) = self.agenda.pop_first() {
-            if at > length + WINDOW + PATIENCE {
+            if at > length + WINDOW + CLAIM_TIMEOUT {
                 break;
             }
             self.now = at;
@@ -205,21 +205,21 @@
         }
         let date = EPOCH + at - self.millis(0, SKEW.as_millis() as u64) / 2;
         let text = format!("{}-{}", date.as_secs(), self.keys.len());
-        self.plan_sends(at, n, Form::parse(TEAM, &text).unwrap());
+        self.plan_sends(at, n, Key::parse(TEAM, &text).unwrap());
     }
 
     fn issue(&mut self, n: usize) {
         let now = self.local(n);
         let text = self.nodes[n].table.issue(now).to_string();
-        self.plan_sends(self.now, n, Form::parse(TEAM, &text).unwrap());
+        self.plan_sends(self.now, n, Key::parse(TEAM, &text).unwrap());
     }
 
     /// Sends in parallel, soon after and late, to one node or any.
-    fn plan_sends(&mut self, at: Now, home: usize, form: Form) {
+    fn plan_sends(&mut self, at: Now, home: usize, form: Key) {
         let key = self.keys.len();
 
-        self.keys.push(Key {
-            form,
+        self.keys.push(KeyLog {
+            key: form,
             sent: Vec::new(),
         });
         for _ in 0..self.random.random_range(1..7) {
@@ -254,12 +254,12 @@
         };
         let settings = Settings {
             shards: SHARDS,
-            start,
-            skew: SKEW,
-            window: WINDOW,
-            answers: 2000,
-            mark: Duration::from_secs(5),
-            idle: Duration::from_secs(10),
+            started_at: start,
+            max_clock_error: SKEW,
+            key_lifetime: WINDOW,
+            max_answer_bytes: 2000,
+            heartbeat_interval: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(10),
             ..Settings::default()
         };
         let table = Table::new(owner, self.random.random(), settings);
@@ -281,7 +281,7 @@
         } else {
             home::shards(n as u64, &nodes, SHARDS)
         };
-        self.give(n, Event::Follow(homes));
+        self.give(n, Event::HomeShards(homes));
         let first = self.now + self.millis(0, 20);
         self.plan(first, Happening::Tick(n));
     }
@@ -313,8 +313,8 @@
                     return self.plan(until, Happening::Forward(n, life, ask));
                 }
                 if self.nodes[n].life == life {
-                    let deadline = self.local(n) + PATIENCE;
-                    self.give(n, Event::Ask(Ask { deadline, ..ask }));
+                    let deadline = self.local(n) + CLAIM_TIMEOUT;
+                    self.give(n, Event::Received(Request { deadline, ..ask }));
                 }
             }
             Happening::Ended(n, life, hash, outcome) => self.ended(n, life, hash, outcome),
@@ -357,7 +357,7 @@
                 self.plan(at, Happening::Read(n, life, shard, from, wait, 0));
             }
             Action::Run { request, hash } => self.start(n, request, hash),
-            Action::Point {
+            Action::Redirect {
                 request,
                 owner,
                 outcome,
@@ -368,7 +368,7 @@
             Action::Answer {
                 request, outcome, ..
             } => self.told(request, outcome),
-            Action::Follow { .. } | Action::Forget(_) => {}
+            Action::Join { .. } | Action::DropAnswer(_) => {}
         }
     }
 
@@ -473,10 +473,10 @@
 
     fn ask(&mut self, n: usize, request: RequestId) {
         let Sent { key, body, .. } = self.asks[&request];
-        let form = self.keys[key].form;
-        let ask = Ask {
-            request,
-            form,
+        let form = self.keys[key].key;
+        let ask = Request {
+            id: request,
+            key: form,
             fingerprint: body,
             deadline: Duration::ZERO,
         };
@@ -492,7 +492,7 @@
             // The caller left while the word to run was on its way.
             let at = self.now + self.millis(0, 20);
             let life = self.nodes[n].life;
-            return self.plan(at, Happening::Deliver(n, life, Event::Left(request)));
+            return self.plan(at, Happening::Deliver(n, life, Event::Cancelled(request)));
         }
         let refused = fate < 5;
         let life = self.nodes[n].life;
--- a/crates/lease/tests/decode.rs
+++ b/crates/lease/tests/decode.rs
@@ -1,7 +1,7 @@
 //! Decoders and parsers fed with seeded garbage and mutated good input.
 
 use arbtest::arbtest;
-use lease::claim::key::{Error, Form, MAX_LEN};
+use lease::claim::key::{Error, Key, MAX_LEN};
 use lease::claim::record::{Batch, Item, MAX_BYTES};
 use lease::claim::{Ticket, ticket};
 use lease::hold::record;
@@ -88,9 +88,9 @@
 
 #[test]
 fn keys_are_told_apart_by_form() {
-    let dated = |text| match Form::parse("desk", text) {
-        Ok(Form::Dated(key)) => Ok(key.date.as_millis()),
-        Ok(Form::Ticket(..)) => panic!("{text} is a ticket"),
+    let dated = |text| match Key::parse("desk", text) {
+        Ok(Key::Dated(key)) => Ok(key.date.as_millis()),
+        Ok(Key::Ticket(..)) => panic!("{text} is a ticket"),
         Err(e) => Err(e),
     };
     assert_eq!(dated("1764700000-lock-7"), Ok(1_764_700_000_000));
@@ -112,7 +112,7 @@
 
 #[test]
 fn teams_keys_never_meet() {
-    let hash = |team, text| Form::parse(team, text).unwrap().hash();
+    let hash = |team, text| Key::parse(team, text).unwrap().hash();
     assert_ne!(hash("a", "1764700000-x"), hash("b", "1764700000-x"));
     assert_ne!(hash("a1", "1764700000-x"), hash("a", "1764700000-x"));
     assert_eq!(hash("a", "1764700000-x"), hash("a", "1764700000-x"));
@@ -153,7 +153,7 @@
     for round in 0..ROUNDS {
         let bytes = mutate(goods[round % 3].as_bytes(), &mut random);
         let text = String::from_utf8_lossy(&bytes);
-        if let Ok(Form::Ticket(ticket, _)) = Form::parse("desk", &text) {
+        if let Ok(Key::Ticket(ticket, _)) = Key::parse("desk", &text) {
             assert_eq!(ticket.to_string(), text);
         }
     }
@@ -207,7 +207,7 @@
             let text: String = u.arbitrary()?;
             let _ = Batch::decode(&bytes);
             let _ = record::Record::decode(&bytes);
-            let _ = Form::parse("desk", &text);
+            let _ = Key::parse("desk", &text);
             Ok(())
         })
         .seed(seed);
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -1,8 +1,8 @@
 //! Claim and lease tables against the log service's stand-in, over loopback sockets: the way a node
 //! drives them.
 
-use lease::claim::event::Ask;
-use lease::claim::{self, Form};
+use lease::claim::event::Request;
+use lease::claim::{self, Key};
 use lease::hold::{self, Group, Want};
 use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use platform::{Limits, Log as _, http};
@@ -70,8 +70,8 @@
     let (events, queue) = unbounded_channel();
     let settings = claim::Settings {
         shards: 2,
-        start: wall(),
-        pace: Duration::from_millis(50),
+        started_at: wall(),
+        append_interval: Duration::from_millis(50),
         ..claim::Settings::default()
     };
     let table = claim::Table::new(
@@ -84,7 +84,7 @@
     );
     let client = Arc::new(http::Log::new(log, Limits::default()));
     let task = tokio::spawn(drive(table, client, events.clone(), queue, book));
-    events.send(claim::Event::Follow(vec![0, 1])).unwrap();
+    events.send(claim::Event::HomeShards(vec![0, 1])).unwrap();
     Node { events, task }
 }
 
@@ -149,12 +149,12 @@
                 .send(claim::Event::Ended(hash, Outcome::Complete, 10))
                 .ok();
         }
-        Action::Follow { request, .. } | Action::Answer { request, .. } => {
+        Action::Join { request, .. } | Action::Answer { request, .. } => {
             told(request, Told::Joined);
         }
-        Action::Point { request, .. } => told(request, Told::Pointed),
+        Action::Redirect { request, .. } => told(request, Told::Pointed),
         Action::Refuse { request, .. } => told(request, Told::Refused),
-        Action::Forget(_) => {}
+        Action::DropAnswer(_) => {}
     }
 }
 
@@ -162,16 +162,16 @@
 async fn send_all(nodes: &[Node], book: &Shared, round: u64) {
     for key in 0..KEYS {
         let text = format!("{}-{round}-{key}", wall().as_secs());
-        let form = Form::parse("desk", &text).unwrap();
+        let form = Key::parse("desk", &text).unwrap();
         for (n, node) in (0..).zip(nodes) {
             let request = RequestId::from((round * KEYS + key) * NODES + n);
-            let ask = Ask {
-                request,
-                form,
+            let ask = Request {
+                id: request,
+                key: form,
                 fingerprint: 1,
                 deadline: Now::MAX,
             };
-            node.events.send(claim::Event::Ask(ask)).unwrap();
+            node.events.send(claim::Event::Received(ask)).unwrap();
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/lease/tests/text.rs
+++ b/crates/lease/tests/text.rs
@@ -1,8 +1,8 @@
 //! Text forms, as the dump shows them.
 
 use bundle::Bundle;
-use lease::claim::event::Ask;
-use lease::claim::{self, Form, Why};
+use lease::claim::event::Request;
+use lease::claim::{self, Key, Refusal};
 use lease::hold::{self, Want};
 use lease::roll::{Health, Phase, Rate, Roll, View};
 use lease::{Owner, Page, Record};
@@ -26,21 +26,21 @@
 fn claims() -> claim::Table {
     let settings = claim::Settings {
         shards: 1,
-        start: START,
+        started_at: START,
         ..claim::Settings::default()
     };
     let mut table = claim::Table::new(owner(), 1, settings);
     let mut actions = Vec::new();
-    table.handle(SECOND, claim::Event::Follow(vec![0]), &mut actions);
+    table.handle(SECOND, claim::Event::HomeShards(vec![0]), &mut actions);
     table.handle(SECOND, claim::Event::Page(0, empty()), &mut actions);
-    let form = Form::parse("desk", "1764700000-a").unwrap();
-    let ask = Ask {
-        request: 1,
-        form,
+    let form = Key::parse("desk", "1764700000-a").unwrap();
+    let ask = Request {
+        id: 1,
+        key: form,
         fingerprint: 1,
         deadline: SECOND * 9,
     };
-    table.handle(SECOND, claim::Event::Ask(ask), &mut actions);
+    table.handle(SECOND, claim::Event::Received(ask), &mut actions);
     table
 }
 
@@ -71,14 +71,14 @@
         &mut actions,
     );
     assert_eq!(table.counters().stepped, 1);
-    let form = Form::parse("desk", "1764700050-b").unwrap();
-    let ask = Ask {
-        request: 2,
-        form,
+    let form = Key::parse("desk", "1764700050-b").unwrap();
+    let ask = Request {
+        id: 2,
+        key: form,
         fingerprint: 1,
         deadline: SECOND * 9,
     };
-    table.handle(SECOND * 2, claim::Event::Ask(ask), &mut actions);
+    table.handle(SECOND * 2, claim::Event::Received(ask), &mut actions);
     assert_eq!(table.counters().refused, 0);
 }
 
@@ -146,15 +146,15 @@
 #[test]
 fn refusals_read_as_text_and_have_a_status() {
     assert_eq!(
-        Why::Log.to_string(),
+        Refusal::Unsettled.to_string(),
         "the log service did not settle the claim in time"
     );
     let statuses = [
-        Why::Log,
-        Why::Mismatch,
-        Why::Expired,
-        Why::Future,
-        Why::Unissued,
+        Refusal::Unsettled,
+        Refusal::Mismatch,
+        Refusal::Expired,
+        Refusal::Future,
+        Refusal::Unissued,
     ];
-    assert_eq!(statuses.map(Why::status), [503, 422, 409, 400, 400]);
+    assert_eq!(statuses.map(Refusal::status), [503, 422, 409, 400, 400]);
 }
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -8,7 +8,7 @@
 use entry::claim::{CachedAnswer, Ended, Request, Verdict};
 use http::StatusCode;
 use lease::Owner;
-use lease::claim::{self, Action, Event, Settings, Table, Why, home};
+use lease::claim::{self, Action, Event, Refusal, Settings, Table, home};
 use platform::http::Log as Client;
 use route::outcome::Outcome;
 use route::request::Id;
@@ -54,7 +54,7 @@
     /// No claims yet. `start` is the wall clock at the zero of the times passed in.
     pub fn new(me: Owner, seed: u64, start: Duration, platform: &Platform, inputs: Inputs) -> Self {
         let settings = Settings {
-            start,
+            started_at: start,
             ..Settings::default()
         };
         Self {
@@ -93,9 +93,9 @@
         owners: &impl Owners,
     ) {
         self.requesters.insert(request.id, worker);
-        let event = Event::Ask(claim::Ask {
-            request: request.id,
-            form: request.claim.form,
+        let event = Event::Received(claim::Request {
+            id: request.id,
+            key: request.claim.form,
             fingerprint: request.claim.fingerprint,
             deadline: now + request.time_left,
         });
@@ -116,7 +116,7 @@
                 Verdict::Error(Box::new(answer_unavailable(Outcome::NotRun))),
             );
         }
-        self.handle(now, Event::Left(id), owners);
+        self.handle(now, Event::Cancelled(id), owners);
     }
 
     /// A run ended: its answer is kept, and given to those that wait for it.
@@ -151,7 +151,7 @@
         owners: &impl Owners,
     ) {
         let shards = home::shards(me.node, nodes, Settings::default().shards);
-        self.handle(now, Event::Follow(shards), owners);
+        self.handle(now, Event::HomeShards(shards), owners);
     }
 
     fn execute(&mut self, action: Action, owners: &impl Owners) {
@@ -159,15 +159,15 @@
             Action::Append { batch, shard, body } => self.append(batch, shard, body),
             Action::Read { shard, from, wait } => self.read(shard, from, wait),
             Action::Run { request, .. } => self.reply(request, Verdict::Run),
-            Action::Follow { request, of } => {
-                self.followers.entry(of).or_default().push(request);
+            Action::Join { request, running } => {
+                self.followers.entry(running).or_default().push(request);
             }
             Action::Answer {
                 request,
                 outcome,
-                of,
-            } => self.answer(request, outcome, of),
-            Action::Point {
+                source,
+            } => self.answer(request, outcome, source),
+            Action::Redirect {
                 request,
                 owner,
                 outcome,
@@ -177,13 +177,13 @@
             }
             Action::Refuse {
                 request,
-                why,
+                reason,
                 outcome,
             } => {
-                let error = refusal(why, from_lease(outcome));
+                let error = refusal(reason, from_lease(outcome));
                 self.reply(request, Verdict::Error(Box::new(error)));
             }
-            Action::Forget(request) => {
+            Action::DropAnswer(request) => {
                 self.answers.remove(&request);
             }
         }
@@ -276,27 +276,27 @@
     error
 }
 
-fn refusal(why: Why, outcome: Outcome) -> Error {
-    let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    let (code, message) = match why {
-        Why::Log => (
+fn refusal(reason: Refusal, outcome: Outcome) -> Error {
+    let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+    let (code, message) = match reason {
+        Refusal::Unsettled => (
             "claim_unsettled",
             "the log could not settle the request's key in time",
         ),
-        Why::Mismatch => ("key_reused", "the key stands for another request"),
-        Why::Expired => (
+        Refusal::Mismatch => ("key_reused", "the key stands for another request"),
+        Refusal::Expired => (
             "key_expired",
             "the key is too old to tell whether it has run",
         ),
-        Why::Future => (
+        Refusal::Future => (
             "key_in_future",
             "the key's date is ahead of this node's clock",
         ),
-        Why::Unissued => ("ticket_unknown", "this node has not issued the ticket"),
+        Refusal::Unissued => ("ticket_unknown", "this node has not issued the ticket"),
     };
     let mut error = Error::new(status, code, message);
     error.outcome = outcome;
-    if why == Why::Log {
+    if reason == Refusal::Unsettled {
         error.retry_after = Some(RETRY_AFTER);
     }
     error
--- a/crates/slopes/src/claims.rs
+++ b/crates/slopes/src/claims.rs
@@ -3,8 +3,8 @@
 use crate::clock;
 use crate::slope::Slope;
 use bytes::Bytes;
-use lease::claim::event::Ask;
-use lease::claim::{Action, Event, Form, Settings, Table};
+use lease::claim::event::Request;
+use lease::claim::{Action, Event, Key, Settings, Table};
 use lease::{Now, Outcome, Owner, Page, Record};
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     fn new(keys: u64) -> Self {
         let settings = Settings {
             shards: 1,
-            start: START,
+            started_at: START,
             ..Settings::default()
         };
         let owner = Owner {
@@ -77,7 +77,7 @@
         let mut actions = Vec::new();
         world
             .table
-            .handle(world.now, Event::Follow(vec![0]), &mut actions);
+            .handle(world.now, Event::HomeShards(vec![0]), &mut actions);
         world.page(Vec::new(), &mut actions);
         (0..keys / BATCH).for_each(|_| world.round());
         world
@@ -94,15 +94,16 @@
         let mut forms = Vec::new();
         for n in self.next..self.next + count {
             let text = format!("{}-{n}", (START + self.now).as_secs());
-            let form = Form::parse("desk", &text).expect("a key");
+            let form = Key::parse("desk", &text).expect("a key");
             forms.push(form);
-            let ask = Ask {
-                request: n.into(),
-                form,
+            let ask = Request {
+                id: n.into(),
+                key: form,
                 fingerprint: 1,
                 deadline: self.now + PATIENCE,
             };
-            self.table.handle(self.now, Event::Ask(ask), &mut actions);
+            self.table
+                .handle(self.now, Event::Received(ask), &mut actions);
         }
         self.next += count;
         self.settle(&mut actions);
