--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! The `wigeonshelf` binary.
+//! The `wigeonshelf` binary: parses the command line, loads the settings and runs a node until a
+//! signal ends it.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use eyre::Result;
@@ -9,7 +10,7 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code for settings that can't be used: nothing was started.
+/// Exit code for missing or invalid settings. Nothing was started.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 const CONFIG_ARG: &str = "config";
@@ -29,9 +30,9 @@
         .short('c')
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
-        .help("Settings, in INI");
+        .help("Settings file in INI format");
     let check = Command::new(CHECK_COMMAND)
-        .about("Checks settings and tells every finding; starts nothing")
+        .about("Checks the settings and prints every finding, without starting a node")
         .arg(config.clone().required(true));
     Command::new("wigeonshelf")
         .version(clap::crate_version!())
@@ -42,7 +43,8 @@
         .subcommand(check)
 }
 
-/// The settings, or every finding on standard error.
+/// Loads the settings. On failure, prints every finding to standard error and returns the exit
+/// code.
 fn load(matches: &ArgMatches) -> std::result::Result<Settings, ExitCode> {
     let Some(file) = matches.get_one::<PathBuf>(CONFIG_ARG) else {
         eprintln!("--config is missing");
@@ -51,7 +53,8 @@
     report_findings(settings::load(file))
 }
 
-/// Checked settings, or their findings on standard error.
+/// Unwraps checked settings. On failure, prints their findings to standard error and returns the
+/// exit code.
 fn report_findings<T>(checked: settings::Result<T>) -> std::result::Result<T, ExitCode> {
     checked.map_err(|findings| {
         findings.iter().for_each(|finding| eprintln!("{finding}"));
@@ -63,7 +66,7 @@
     if let Some(file) = hosted_file(matches) {
         return match load_hosted(&file) {
             Ok(settings) => {
-                println!("the settings of node {} are right", settings.name);
+                println!("the settings of node {} are valid", settings.name);
                 ExitCode::SUCCESS
             }
             Err(code) => code,
@@ -71,14 +74,14 @@
     }
     match load(matches) {
         Ok(settings) => {
-            println!("the settings of node {} are right", settings.node.name);
+            println!("the settings of node {} are valid", settings.node.name);
             ExitCode::SUCCESS
         }
         Err(code) => code,
     }
 }
 
-/// The settings file, if it is one of a node on a platform's store.
+/// Returns the settings file if it belongs to a node on a platform's store.
 fn hosted_file(matches: &ArgMatches) -> Option<PathBuf> {
     let file = matches.get_one::<PathBuf>(CONFIG_ARG)?;
     hosted::settings::is_hosted(file).then(|| file.clone())
@@ -134,7 +137,7 @@
     process.join()
 }
 
-/// Leaves on the first signal and breaks off on the second.
+/// Waits for a signal, then drains the node. A second signal aborts the requests in flight.
 async fn drain_on_signal(process: &Process) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
@@ -142,13 +145,13 @@
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    log::info!("leaving: a second signal breaks off what is in flight");
+    log::info!("draining; a second signal aborts the requests in flight");
     let shutdown = process.shutdown();
     let leaving = process.leave();
     tokio::select! {
-        () = leaving => log::info!("nothing is in flight any more, or the finish time is over"),
-        _ = term.recv() => log::warn!("broken off by a second signal"),
-        _ = int.recv() => log::warn!("broken off by a second signal"),
+        () = leaving => log::info!("drain ended: no request is in flight, or the finish time has elapsed"),
+        _ = term.recv() => log::warn!("received a second signal; aborting the requests in flight"),
+        _ = int.recv() => log::warn!("received a second signal; aborting the requests in flight"),
     }
     shutdown.serving.kill.cancel();
     Ok(())
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,9 +1,10 @@
-//! Starts, drains and ends the threads of a node.
+//! Starts, drains and stops the threads of a node.
 //!
-//! Leaving has three steps. The node first leaves the address answers and tells connected callers
-//! to go elsewhere, while it serves all that still comes: callers keep an answer for a while. After
-//! the drain time it accepts no more connections and finishes every request in flight. Only when the finish time
-//! is over, or on a second signal, is anything broken off.
+//! A graceful shutdown has three phases. First, nodes no longer offer this node's address to
+//! callers, and it asks connected callers to reconnect elsewhere. It still accepts new connections
+//! and requests, because callers cache addresses for a while. After the drain time it accepts no
+//! more connections and finishes the requests in flight. Requests are aborted only when the finish
+//! timeout elapses or a second signal arrives.
 
 use crate::control::{self, Control};
 use crate::gauges;
@@ -28,31 +29,31 @@
 use tokio_util::sync::CancellationToken;
 use viz::Tree;
 
-/// How often the end of the workers is looked for while a node leaves.
+/// Interval at which a draining node checks whether its workers have finished.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Values that a ring between control and a worker holds.
+/// Capacity, in events, of each ring between control and a worker.
 const RING_CAPACITY: usize = 4096;
 
-/// When the parts of a node end.
+/// Signals that stop the parts of a node.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownSignals {
-    /// The listeners and the workers.
+    /// Stops the callers' listeners and the workers.
     pub serving: Shutdown,
-    /// The node begins to leave.
+    /// Cancelled when the node begins to leave.
     pub leave: CancellationToken,
-    /// Control and admin end, after the workers have.
+    /// Cancelled when control and the admin listener stop, which is after the workers have ended.
     pub control: CancellationToken,
 }
 
 /// A running node.
 pub struct Process {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its callers' listener.
+    /// Address of the callers' listener.
     pub callers: SocketAddr,
-    /// Its listener for other nodes.
+    /// Address of the listener for other nodes.
     pub peers: SocketAddr,
-    /// Its admin listener.
+    /// Address of the admin listener.
     pub admin: SocketAddr,
     shutdown: ShutdownSignals,
     workers: Vec<JoinHandle<std::io::Result<()>>>,
@@ -62,7 +63,7 @@
 }
 
 impl Process {
-    /// Starts a node. Every listener is bound when this returns.
+    /// Starts a node. All its listeners are bound when this returns.
     pub fn start(settings: Settings) -> Result<Self> {
         let shutdown = ShutdownSignals::default();
         let registry = Registry::new();
@@ -151,13 +152,13 @@
         })
     }
 
-    /// When its parts end.
+    /// Returns the signals that stop the parts of the node.
     pub fn shutdown(&self) -> ShutdownSignals {
         self.shutdown.clone()
     }
 
-    /// Leaves: see the module's comment. Ends when nothing is in flight any more, or when the
-    /// finish time is over.
+    /// Drains the node as described in the module documentation. Completes when the workers have
+    /// finished or the finish timeout has elapsed.
     pub async fn leave(&self) {
         self.shutdown.leave.cancel();
         self.shutdown.serving.drain.cancel();
@@ -169,18 +170,18 @@
         }
     }
 
-    /// Whether every worker has ended.
+    /// Returns whether the threads of all workers have ended.
     fn workers_finished(&self) -> bool {
         self.workers.iter().all(JoinHandle::is_finished)
     }
 
-    /// Breaks everything off, as a crash would.
+    /// Aborts all requests and stops the node at once, as a crash would.
     pub fn kill(&self) {
         self.shutdown.serving.kill.cancel();
         self.shutdown.control.cancel();
     }
 
-    /// Waits until the workers have ended, then ends the rest.
+    /// Waits until the workers have ended, then stops control and the admin listener.
     pub fn join(self) -> Result<()> {
         for thread in self.workers {
             join_thread(thread)??;
@@ -193,6 +194,7 @@
     }
 }
 
+/// Waits for a thread and turns its panic into an error with its name.
 fn join_thread<T>(thread: JoinHandle<T>) -> Result<T> {
     let name = thread.thread().name().unwrap_or("?").to_owned();
     thread
@@ -200,7 +202,7 @@
         .map_err(|_| eyre::eyre!("thread {name} panicked"))
 }
 
-/// Gives out instruments whose values `registry` gathers.
+/// Creates a provider of instruments whose values are collected in `registry`.
 pub(crate) fn meter_provider(registry: &Registry) -> Result<SdkMeterProvider> {
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
@@ -226,7 +228,8 @@
     tls: Option<Arc<ReloadableConfig>>,
 }
 
-/// The admin listener serves until control ends: an operator can look at a node that leaves.
+/// Starts the thread of the admin listener. It serves until control stops, so that operators can
+/// inspect a node that is leaving.
 fn start_admin(parts: AdminParts, shutdown: &ShutdownSignals) -> Result<JoinHandle<Result<()>>> {
     let stop = Shutdown {
         drain: shutdown.control.clone(),
@@ -258,19 +261,20 @@
     Ok(())
 }
 
-/// A runtime for one thread.
+/// Creates a single-threaded runtime with timers and I/O enabled.
 pub fn runtime() -> Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     Ok(builder.enable_all().build()?)
 }
 
-/// When this process started, in milliseconds of Unix time: a restart has a higher one.
+/// Returns the current Unix time in milliseconds, which identifies this run of the process. A
+/// restarted process has a higher number.
 pub(crate) fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Seeds of the generators, different for each node, start and thread.
+/// Seeds of the random number generators. They differ between nodes, runs and threads.
 struct Seeds(u64);
 
 impl Seeds {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a node, in INI.
+//! Settings of a node, read from an INI file.
 //!
-//! [`text::Text`] reads a file with the line of each key, [`check`] turns it into [`Settings`] and
-//! collects every finding, so that one run tells all that is wrong.
+//! [`text::Text`] parses a file and records the line of each key. [`check`] converts the text into
+//! [`Settings`] and collects every finding, so that one run reports all errors of a file.
 
 pub mod check;
 pub mod finding;
@@ -23,7 +23,7 @@
 /// Checked settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node itself.
+    /// Identity and timing of the node.
     pub node: Node,
     /// The callers' listener.
     pub callers: Listener,
@@ -33,102 +33,106 @@
     pub admin: Listener,
     /// The platform's services.
     pub platform: Platform,
-    /// Persons whose signature on a bundle counts.
+    /// Signers whose bundles are accepted.
     pub trust: Vec<Signer>,
-    /// Bounds of what a caller may ask for.
+    /// Default and maximum values of request parameters.
     pub request_limits: RequestLimits,
     /// Settings of the routers.
     pub route: route::settings::Settings,
-    /// Settings of the rolls.
+    /// Settings of rolls, the rolling updates of endpoints to a new bundle.
     pub roll: lease::roll::Settings,
-    /// Logs.
+    /// Log output.
     pub logging: Logging,
 }
 
-/// The node itself.
+/// Identity and timing of the node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name: that of its instance in the instance list.
+    /// Name, the same as that of the node's instance in the instance list.
     pub name: String,
-    /// Its availability zone, as named in the bundle.
+    /// Availability zone, as named in the bundle.
     pub zone: String,
-    /// Its region, as named in the bundle.
+    /// Region, as named in the bundle.
     pub region: String,
-    /// Request workers.
+    /// Number of request workers.
     pub workers: usize,
-    /// How long it goes on serving new connections after it began to leave.
+    /// Time for which the node still accepts new connections after it began to leave.
     pub drain_time: Duration,
-    /// Longest time for requests in flight after that; then they are broken off.
+    /// Maximum time after the drain time to finish the requests in flight, which are then aborted.
     pub finish_timeout: Duration,
-    /// How long callers may keep an address answer.
+    /// Time for which callers may cache the addresses that the node returned.
     pub address_ttl: Duration,
 }
 
 /// A listener.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// Where it listens.
+    /// Address to bind.
     pub listen: SocketAddr,
-    /// Its address as others reach it.
+    /// Address at which others reach the listener.
     pub advertise: SocketAddr,
-    /// Bounds.
+    /// Limits of connections and requests.
     pub limits: Limits,
-    /// Certificate and key, if it speaks TLS.
+    /// Certificate and key files; `None` disables TLS.
     pub tls: Option<Files>,
 }
 
 /// The listener for other nodes.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    /// Where it listens.
+    /// Address to bind.
     pub listen: SocketAddr,
-    /// Its address as other nodes reach it; the one listened on if none.
+    /// Address at which other nodes reach the listener; the bound address if `None`.
     pub advertise: Option<SocketAddr>,
-    /// Key that all nodes share.
+    /// Secret key that all nodes share.
     pub key: wire::auth::Key,
-    /// Nodes to ask first, for the time that the instance list is out.
+    /// Addresses of nodes to contact while the instance list is unavailable.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Length of a signer's public key.
+/// Length of a signer's public key in bytes.
 pub const SIGNER_KEY_BYTES: usize = 32;
 
 /// The platform's services.
 #[derive(Clone, Debug)]
 pub struct Platform {
-    /// Log service.
+    /// Address of the log service.
     pub log: SocketAddr,
-    /// Instance list.
+    /// Address of the instance list.
     pub list: SocketAddr,
-    /// Weight store.
+    /// Address of the weight store, if there is one.
     pub weights: Option<SocketAddr>,
-    /// How long the log keeps a record.
+    /// Time for which the log retains a record.
     pub retention: Duration,
-    /// Bounds of calls.
+    /// Limits of calls to these services.
     pub limits: platform::Limits,
 }
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Text.
+    /// Plain text.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logs.
+/// Settings of the log output.
 #[derive(Clone, Debug)]
 pub struct Logging {
-    /// Least important level that is written.
+    /// Lowest level that is logged.
     pub level: log::LevelFilter,
-    /// Form of a line.
+    /// Format of the lines.
     pub format: Format,
-    /// File; standard error if none.
+    /// Log file; standard error if `None`.
     pub file: Option<PathBuf>,
 }
 
 /// Reads and checks the settings in `file`.
+///
+/// # Errors
+///
+/// Returns all findings if the file can't be read or a setting is invalid.
 pub fn load(file: &Path) -> Result<Settings> {
     let name = file.display().to_string();
     let content = std::fs::read_to_string(file)
@@ -136,7 +140,11 @@
     read(&name, &content)
 }
 
-/// Checks the settings in `content`, which came from the file called `name`.
+/// Checks the settings in `content`. `name` is the name of their file in findings.
+///
+/// # Errors
+///
+/// Returns all findings if a setting is invalid.
 pub fn read(name: &str, content: &str) -> Result<Settings> {
     let text = text::Text::parse(name, content)?;
     check::check(&text)
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings and collects every finding.
+//! Converts the text of a settings file into [`Settings`] and collects every finding.
 
 use super::finding::Finding;
 use super::section::{Section, stray_keys, unknown_sections};
@@ -25,26 +25,35 @@
     NODE, CALLERS, PEERS, ADMIN, PLATFORM, TRUST, LIMITS, ROLL, LOGGING,
 ];
 
-/// Most failures that a roll may be set to take.
+/// Maximum of the setting for the number of failures that a roll tolerates.
 const MAX_ROLL_FAILURES: usize = 1000;
-/// Request workers, unless set.
+/// Default number of request workers.
 const DEFAULT_WORKERS: usize = 2;
-/// Most request workers: more than any instance has cores.
+/// Maximum number of request workers; more than any instance has cores.
 const MAX_WORKERS: usize = 256;
-/// Most connections of a worker: more than a process has file descriptors.
+/// Maximum number of connections of a worker; more than a process has file descriptors.
 const MAX_CONNECTIONS: usize = 1 << 20;
-/// Most streams of a connection.
+/// Maximum number of concurrent streams of a connection.
 const MAX_STREAMS: usize = 1 << 16;
-/// Longest head and body of a request. Each is held in memory, for as many callers as connect.
+/// Maximum size of the head of a request. Heads and bodies are held in memory for every connected
+/// caller.
 const MAX_HEAD_BYTES: usize = 1 << 20;
+/// Maximum size of the body of a request, which is held in memory like the head.
 const MAX_BODY_BYTES: usize = 1 << 30;
-/// How long the log keeps a record, unless set.
+/// Default time for which the log retains a record.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// Default time for which a leaving node still accepts new connections.
 const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(10);
+/// Default maximum time to finish the requests in flight after the drain time.
 const DEFAULT_FINISH_TIMEOUT: Duration = Duration::from_secs(600);
+/// Default time for which callers may cache addresses.
 const DEFAULT_ADDRESS_TTL: Duration = Duration::from_secs(5);
 
-/// Checks `text`.
+/// Checks all sections of `text`.
+///
+/// # Errors
+///
+/// Returns all findings, sorted by place, if a setting is invalid.
 pub fn check(text: &Text) -> Result<Settings> {
     let mut findings = text.findings.clone();
     unknown_sections(text, &SECTIONS, &mut findings);
@@ -93,8 +102,8 @@
     let drain_time = section.value_or("drain", DEFAULT_DRAIN_TIME, time, findings);
     let finish_timeout = section.value_or("finish", DEFAULT_FINISH_TIMEOUT, time, findings);
     let address_ttl = section.value_or("address_ttl", DEFAULT_ADDRESS_TTL, time, findings);
-    // A caller may use an address until its answer is too old; a node that closed its listener
-    // before that would refuse connections that it has invited.
+    // Callers may use a cached address until it expires. A node that closes its listener earlier
+    // would refuse connections to an address that was still valid.
     if drain_time < address_ttl {
         findings.push(section.finding_for("drain", "shorter than address_ttl"));
     }
@@ -151,8 +160,8 @@
     })
 }
 
-/// The address that others are told must be one that they can connect to: `listen` may be any
-/// address of the machine, and then `advertise` has to say which.
+/// Checks that the address given to others is one that they can connect to. If `listen` is the
+/// unspecified address, which binds all interfaces, `advertise` is required.
 fn check_advertised(
     section: &Section<'_>,
     listen: Option<SocketAddr>,
@@ -171,6 +180,7 @@
     }
 }
 
+/// Reads the paths of the certificate and key, which must be set together and load as a pair.
 fn tls(section: &mut Section<'_>, findings: &mut Vec<Finding>) -> Option<Files> {
     let certificate = section.optional("certificate", path, findings);
     let key = section.optional("key", path, findings);
@@ -233,7 +243,7 @@
     })
 }
 
-/// Keys of this section are names of persons, so none of them is unknown.
+/// Reads the trusted signers. The keys of this section are signers' names, so no key is unknown.
 fn trust(text: &Text, findings: &mut Vec<Finding>) -> Vec<Signer> {
     let section = Section::new(text, TRUST);
     let mut signers = Vec::new();
@@ -314,7 +324,8 @@
     logging
 }
 
-/// Two listeners can't have one address.
+/// Checks that no two listeners have the same address. Port 0 never clashes, since the kernel
+/// assigns a free port for it.
 fn check_distinct_addresses(
     text: &Text,
     listeners: [&Option<Listener>; 2],
--- a/crates/node/src/settings/finding.rs
+++ b/crates/node/src/settings/finding.rs
@@ -1,24 +1,24 @@
-//! What is wrong with settings, with its place.
+//! Errors in settings, with the place in the file.
 
 use std::fmt;
 
-/// A finding.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// File.
+    /// Name of the file.
     pub file: String,
-    /// Line, from 1; 0 for the whole file.
+    /// Line number from 1; 0 if the finding has no line of its own.
     pub line: usize,
-    /// Section, or empty.
+    /// Name of the section; empty if there is none.
     pub section: String,
-    /// Key, or empty.
+    /// Name of the key; empty if there is none.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding about a whole file.
+    /// Creates a finding about a whole file.
     pub fn of_file(file: &str, message: impl Into<String>) -> Self {
         Self {
             file: file.to_owned(),
--- a/crates/node/src/settings/section.rs
+++ b/crates/node/src/settings/section.rs
@@ -1,13 +1,14 @@
-//! Reads one section: each key is taken once, and what is left over is a finding.
+//! Reader of one section, which also reports the keys that the section does not have.
 
 use super::finding::Finding;
 use super::text::{Entry, Text};
 use super::value;
 
-/// Similarity from which a known name is suggested for an unknown one.
+/// Minimum Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested in place of an
+/// unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// A section being read.
+/// A section being read. It remembers the keys that were requested.
 pub struct Section<'a> {
     text: &'a Text,
     name: &'static str,
@@ -15,7 +16,7 @@
 }
 
 impl<'a> Section<'a> {
-    /// The section called `name`; it may be missing.
+    /// Creates a reader of the section called `name`, which may be missing from the text.
     pub fn new(text: &'a Text, name: &'static str) -> Self {
         Self {
             text,
@@ -24,13 +25,13 @@
         }
     }
 
-    /// Its entries.
+    /// Returns the entries of the section.
     pub fn entries(&self) -> impl Iterator<Item = &'a Entry> {
         let name = self.name;
         self.text.entries.iter().filter(move |e| e.section == name)
     }
 
-    /// The value of `key`, if it is given and right.
+    /// Returns the value of `key` if it is present and valid; adds a finding if it is invalid.
     pub fn optional<T>(
         &mut self,
         key: &'static str,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The value of `key`, or `usual` if it is not given.
+    /// Returns the value of `key`, or `default` if it is absent or invalid; adds a finding if it is
+    /// invalid.
     pub fn value_or<T>(
         &mut self,
         key: &'static str,
@@ -59,7 +61,7 @@
         self.optional(key, parse, findings).unwrap_or(default)
     }
 
-    /// The value of `key`; a finding if it is not given.
+    /// Returns the value of `key`; adds a finding if it is absent or invalid.
     pub fn required<T>(
         &mut self,
         key: &'static str,
@@ -75,14 +77,14 @@
         self.optional(key, parse, findings)
     }
 
-    /// A finding about `key` of this section, at its line.
+    /// Creates a finding about `key`, at its line or, if it is absent, at the line of the section.
     pub fn finding_for(&self, key: &str, message: impl Into<String>) -> Finding {
         let entry = self.entries().find(|e| e.key == key);
         let line = entry.map_or(self.line(), |e| e.line);
         self.finding_at(line, key, message)
     }
 
-    /// Adds a finding for every key that was not asked for.
+    /// Adds a finding for every key of the section that was not requested.
     pub fn finish(self, findings: &mut Vec<Finding>) {
         for entry in self.entries() {
             if !self.known.contains(&entry.key.as_str()) {
@@ -112,14 +114,14 @@
     }
 }
 
-/// Findings for sections that nothing reads.
+/// Adds a finding for every section that is not among `known`.
 pub fn unknown_sections(text: &Text, known: &[&str], findings: &mut Vec<Finding>) {
     let unknown = text
         .sections
         .iter()
         .filter(|(name, _)| !known.contains(&name.as_str()));
     for (name, line) in unknown {
-        // The parser always has a section without a name; its keys are findings of their own.
+        // The parser always reports a section without a name. `stray_keys` reports its keys.
         if name.is_empty() {
             continue;
         }
@@ -131,7 +133,7 @@
     }
 }
 
-/// Findings for keys that stand before every section.
+/// Adds a finding for every key before the first section.
 pub fn stray_keys(text: &Text, findings: &mut Vec<Finding>) {
     let stray = text.entries.iter().filter(|e| e.section.is_empty());
     findings.extend(stray.map(|entry| Finding {
@@ -141,6 +143,7 @@
     }));
 }
 
+/// Returns the message for an unknown name, with the most similar known name if there is one.
 fn unknown_name(what: &str, name: &str, known: &[&str]) -> String {
     let closest = known
         .iter()
--- a/crates/node/src/settings/text.rs
+++ b/crates/node/src/settings/text.rs
@@ -1,6 +1,6 @@
-//! INI text with the line of each section and key.
+//! Parser of INI text that records the line of each section and key.
 //!
-//! The library parses; it does not tell lines, so a scan beside it finds them.
+//! The INI library does not report lines, so a separate scan of the text finds them.
 
 use super::Result;
 use super::finding::Finding;
@@ -9,40 +9,46 @@
 /// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Line, from 1.
+    /// Line number from 1.
     pub line: usize,
-    /// Section it stands in.
+    /// Name of the section.
     pub section: String,
-    /// Key.
+    /// Name of the key.
     pub key: String,
-    /// Value.
+    /// Value without surrounding white space.
     pub value: String,
 }
 
-/// The text of a settings file.
+/// The parsed text of a settings file.
 #[derive(Clone, Debug)]
 pub struct Text {
     /// Name of the file.
     pub file: String,
-    /// Sections and their lines, in order.
+    /// Sections with their line numbers, in the order of the file.
     pub sections: Vec<(String, usize)>,
-    /// Entries, in order.
+    /// Entries, in the order of the file.
     pub entries: Vec<Entry>,
-    /// Sections and keys that stand twice.
+    /// Findings about sections and keys that occur more than once.
     pub findings: Vec<Finding>,
 }
 
 impl Text {
-    /// Parses `content`; it fails only where the text can't be read on.
+    /// Parses `content`. `file` is the name of the file in findings.
+    ///
+    /// # Errors
+    ///
+    /// Returns findings if the text is not INI. Duplicates are no errors here: they are in
+    /// `findings` of the result.
     pub fn parse(file: &str, content: &str) -> Result<Self> {
         let lines = scan_lines(content);
-        // The library takes a line without a separator for the beginning of the next line's key,
-        // or tells the end of the file as its place.
+        // Malformed lines are found before the library parses the text: it takes a line without a
+        // separator for the beginning of the next line's key, or reports the end of the file as
+        // the place of the error.
         let malformed = malformed_lines(file, &lines);
         if !malformed.is_empty() {
             return Err(malformed);
         }
-        // A backslash in a path is a backslash.
+        // Escape sequences are disabled so that backslashes in paths are kept.
         let option = ParseOption {
             enabled_escape: false,
             ..ParseOption::default()
@@ -72,15 +78,16 @@
     }
 }
 
-/// A section's or key's line as the scan finds it; a section has no key.
+/// A line with a section header or a key, as found by the scan. A section header has no key.
 struct Line {
     number: usize,
     section: String,
     key: Option<String>,
-    /// Whether it is a section, or a key with a separator.
+    /// Whether the line is a section header or a key with a separator.
     well_formed: bool,
 }
 
+/// Finds the lines of section headers and keys. Empty lines and comments are skipped.
 fn scan_lines(content: &str) -> Vec<Line> {
     let mut section = String::new();
     let mut lines = Vec::new();
@@ -109,6 +116,7 @@
     lines
 }
 
+/// Returns the line number of a key, or of a section header if `key` is `None`; 0 if not found.
 fn line_of(lines: &[Line], section: &str, key: Option<&str>) -> usize {
     let found = lines
         .iter()
@@ -116,6 +124,7 @@
     found.map_or(0, |l| l.number)
 }
 
+/// Returns findings about lines that are neither section headers nor keys with a separator.
 fn malformed_lines(file: &str, lines: &[Line]) -> Vec<Finding> {
     let malformed = lines.iter().filter(|line| !line.well_formed);
     malformed
@@ -127,6 +136,7 @@
         .collect()
 }
 
+/// Returns findings about sections and keys that occurred on an earlier line.
 fn duplicates(file: &str, lines: &[Line]) -> Vec<Finding> {
     let repeated = lines.iter().enumerate().filter(|(i, line)| {
         let preceding = &lines[..*i];
@@ -145,6 +155,7 @@
         .collect()
 }
 
+/// Converts an error of the INI library, whose line numbers begin at 0, into a finding.
 fn parse_failure(file: &str, error: &ini::ParseError) -> Finding {
     Finding {
         line: error.line + 1,
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -1,28 +1,28 @@
-//! Values of settings: from text to checked types.
+//! Parsers of the values of settings.
 
 use super::SIGNER_KEY_BYTES;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Result of reading a value; the error says what is expected.
+/// Result of parsing a value. The error is the message of a finding.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// An address with a port, such as `127.0.0.1:7000`.
+/// Parses an IP address with a port, such as `127.0.0.1:7000`.
 pub fn addr(text: &str) -> Result<SocketAddr> {
     text.parse()
         .map_err(|_| format!("{text:?} is not an IP address with a port"))
 }
 
-/// Addresses, separated by commas.
+/// Parses IP addresses with ports, separated by commas.
 pub fn addrs(text: &str) -> Result<Vec<SocketAddr>> {
     let items = text.split(',').map(str::trim).filter(|p| !p.is_empty());
     items.map(addr).collect()
 }
 
-/// Longest time that a setting may have. A far longer one, added to a clock, would overflow it.
+/// Maximum time that a setting may have. A far longer time would overflow when added to a clock.
 const MAX_TIME: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// A time with its unit, up to a year: `250ms`, `10s`, `5m` or `24h`.
+/// Parses a time with its unit, such as `250ms`, `10s`, `5m` or `24h`, of up to a year.
 pub fn time(text: &str) -> Result<Duration> {
     let unit = text.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.');
     let digits = &text[..text.len() - unit.len()];
@@ -45,14 +45,15 @@
     Ok(time)
 }
 
-/// Milliseconds of a number with a fraction, such as `1.5` of a unit.
+/// Converts a number with a fraction, such as `1.5`, to milliseconds. `unit` is the length of one
+/// unit in milliseconds.
 fn fractional_millis(digits: &str, unit: u64) -> Option<u64> {
     let number: f64 = digits.parse().ok()?;
     let time = Duration::try_from_secs_f64(number * unit as f64 / 1000.0).ok()?;
     u64::try_from(time.as_millis()).ok()
 }
 
-/// A time in which something is to happen, so not 0: see [`time`].
+/// Parses a time that must not be 0, such as a timeout. The format is that of [`time`].
 pub fn nonzero_time(text: &str) -> Result<Duration> {
     let time = time(text)?;
     if time.is_zero() {
@@ -61,7 +62,7 @@
     Ok(time)
 }
 
-/// A number of at least 1.
+/// Parses an integer of at least 1.
 pub fn count(text: &str) -> Result<usize> {
     match text.parse() {
         Ok(number) if number > 0 => Ok(number),
@@ -69,7 +70,7 @@
     }
 }
 
-/// A number of at least 1 and at most `most`.
+/// Returns a parser of integers from 1 to `max`.
 pub fn up_to(max: usize) -> impl Fn(&str) -> Result<usize> {
     move |text| match count(text)? {
         number if number > max => Err(format!("{text:?} is more than {max}")),
@@ -77,7 +78,7 @@
     }
 }
 
-/// A key of [`SIGNER_KEY_BYTES`] bytes in hexadecimal.
+/// Parses a signer's public key of [`SIGNER_KEY_BYTES`] bytes in hexadecimal digits.
 pub fn key(text: &str) -> Result<[u8; SIGNER_KEY_BYTES]> {
     let mut key = [0; SIGNER_KEY_BYTES];
     match hex::decode_to_slice(text, &mut key) {
@@ -86,12 +87,12 @@
     }
 }
 
-/// The key that all nodes share.
+/// Parses the secret key that all nodes share.
 pub fn peer_key(text: &str) -> Result<wire::auth::Key> {
     wire::auth::Key::try_from(text).map_err(|e| e.to_string())
 }
 
-/// A name: letters, digits, `-`, `_` and `.`.
+/// Parses a name of up to 64 ASCII letters, digits, `-`, `_` and `.`.
 pub fn name(text: &str) -> Result<String> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if !text.is_empty() && text.len() <= 64 && text.chars().all(is_allowed) {
@@ -102,13 +103,13 @@
     ))
 }
 
-/// A level of log lines.
+/// Parses a log level.
 pub fn level(text: &str) -> Result<log::LevelFilter> {
     text.parse()
         .map_err(|_| format!("{text:?} is none of off, error, warn, info, debug, trace"))
 }
 
-/// A number of at least 0, maybe with a fraction.
+/// Parses a finite number of at least 0, with or without a fraction.
 pub fn non_negative(text: &str) -> Result<f64> {
     match text.parse::<f64>() {
         Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
