--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,8 +1,9 @@
-//! Control: what one thread of a node knows of the fleet, and what it tells the workers.
+//! Control: a thread that maintains the node's view of the fleet and publishes it to the workers.
 //!
-//! [`state::State`] holds it: the fold of bundles, the group of nodes, the instance list, and what
-//! the workers observed. Tasks around it read the platform and the peers and send it
-//! [`input::Input`]s; it answers by publishing a snapshot. Only its own thread touches it.
+//! [`state::State`] holds the bundles, the group of nodes, the instance list and the observations
+//! of the workers. Other tasks of the thread read from the platform's services and from peers and
+//! send the results to the state as [`input::Input`]s. When its view changes, the state publishes a
+//! new snapshot to each worker. The state belongs to this thread and is never shared.
 
 pub mod claims;
 pub mod demand;
@@ -38,47 +39,50 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{Link, Setup};
 
-/// Messages of peers that may wait for control.
+/// Capacity of the queue of messages from peers.
 const INBOUND_CAPACITY: usize = 1024;
-/// Longest time between two ticks of the claims.
+/// Interval of the ticks of the claims.
 const CLAIM_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often certificates are looked at.
+/// Interval at which the certificate files are checked for changes.
 const CERTIFICATE_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The rings to and from one worker.
 pub struct WorkerRings {
-    /// To it. A full ring drops the newest notice: a load report is followed by a newer one.
+    /// Events to the worker. A load report that does not fit into a full ring is dropped, since a
+    /// newer one follows.
     pub control_events: ring::Sender<ControlEvent>,
-    /// From it.
+    /// Events from the worker.
     pub worker_events: ring::Receiver<WorkerEvent>,
 }
 
-/// What control is made of.
+/// Parts from which the control thread is started.
 pub struct Control {
     /// Settings of the node.
     pub settings: Settings,
-    /// The callers' listener.
+    /// Bound address of the callers' listener.
     pub callers: SocketAddr,
-    /// Number of this run.
+    /// Number that identifies this run of the node.
     pub incarnation: u64,
-    /// Seed of its generators.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Where it publishes, by worker.
+    /// Snapshots to publish, by worker.
     pub shared_snapshots: Vec<SharedSnapshot>,
-    /// Questions of the admin listener.
+    /// Requests of the admin listener.
     pub requests: mpsc::Receiver<ControlRequest>,
-    /// The workers.
+    /// Rings to and from the workers.
     pub workers: Vec<WorkerRings>,
-    /// When it ends.
+    /// Signals that stop the parts of the node.
     pub shutdown: ShutdownSignals,
-    /// Certificates to read again when their files change.
+    /// Certificates to reload when their files change.
     pub tls: Vec<Arc<ReloadableConfig>>,
-    /// Gives out the node's metrics; held as long as control runs.
+    /// Provider of the node's metrics. It is kept alive until control ends, because the instruments
+    /// stop working when it is dropped.
     pub provider: SdkMeterProvider,
 }
 
 impl Control {
-    /// Starts the thread; returns once the peers' listener is bound, with its address.
+    /// Starts the thread. Returns the address of the peers' listener once it is bound, and the
+    /// thread.
     pub fn start(self) -> Result<(SocketAddr, JoinHandle<Result<()>>)> {
         let (bound_tx, bound_rx) = std::sync::mpsc::channel();
         let builder = std::thread::Builder::new().name("control".to_owned());
@@ -87,7 +91,9 @@
             Ok(addr) => Ok((addr, thread)),
             Err(_) => match thread.join() {
                 Ok(Err(error)) => Err(error),
-                _ => Err(eyre::eyre!("control ended at its start")),
+                _ => Err(eyre::eyre!(
+                    "the control thread ended before its listener was bound"
+                )),
             },
         }
     }
@@ -146,7 +152,7 @@
     }
 }
 
-/// The main loop.
+/// Runs the main loop of control until `cancel`.
 async fn serve(
     mut state: State,
     mut inputs: mpsc::Receiver<Input>,
@@ -170,6 +176,7 @@
     state.quit();
 }
 
+/// Sends the events of one worker to control.
 async fn forward_worker_events(
     worker: usize,
     mut events: ring::Receiver<WorkerEvent>,
@@ -186,6 +193,7 @@
     }
 }
 
+/// Sends the messages of peers to control.
 async fn forward_peer_messages(mut peers: mpsc::Receiver<wire::peer::Inbound>, inputs: Inputs) {
     while let Some(inbound) = peers.recv().await {
         if inputs.send(Input::Peer(inbound)).await.is_err() {
@@ -194,6 +202,8 @@
     }
 }
 
+/// Reloads certificates whose files have changed. If a new certificate can't be loaded, the
+/// previous one stays in use.
 async fn reload_certificates(stores: Vec<Arc<ReloadableConfig>>) {
     let mut interval = tokio::time::interval(CERTIFICATE_POLL_INTERVAL);
     loop {
@@ -201,8 +211,10 @@
         for store in &stores {
             match store.reload() {
                 Ok(false) => {}
-                Ok(true) => log::info!("a certificate was read again"),
-                Err(error) => log::warn!("the old certificate stays in use: {error}"),
+                Ok(true) => log::info!("reloaded a certificate"),
+                Err(error) => log::warn!(
+                    "could not reload a certificate, the previous one stays in use: {error}"
+                ),
             }
         }
     }
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of idempotency keys: the table, its reads and appends, and the answers kept for resends.
+//! Claims of idempotency keys: the table of claims, its reads of and appends to the log, and the
+//! answers cached for repeated requests.
 
 use super::input::{Input, Inputs};
 use super::log_stream::{self, Append};
@@ -16,18 +17,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When to come back while the log is out.
+/// Retry-after delay for callers while the log is unavailable.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Where an owner of keys serves callers.
+/// Lookup of the addresses of nodes that own keys.
 pub trait Owners {
-    /// Base URL of the owner, if that incarnation lives.
+    /// Returns the base URL of the owner, if that run of the node is still alive.
     fn url(&self, owner: Owner) -> Option<String>;
 }
 
-/// A verdict for a request of one worker.
+/// A verdict to be delivered to a worker.
 pub struct Reply {
-    /// The worker.
+    /// Index of the worker that sent the request.
     pub worker: usize,
     /// The request.
     pub id: Id,
@@ -40,18 +41,19 @@
     table: Table,
     client: Arc<Client>,
     inputs: Inputs,
-    /// By request: the worker that asked.
+    /// Worker that sent each request that awaits its verdict.
     requesters: BTreeMap<Id, usize>,
-    /// By request that runs: those that wait for its answer.
+    /// For each running request, the requests with the same key that wait for its answer.
     followers: BTreeMap<Id, Vec<Id>>,
-    /// By request that ended: its answer.
+    /// Cached answers of ended requests.
     answers: BTreeMap<Id, Arc<CachedAnswer>>,
     actions: Vec<Action>,
     replies: Vec<Reply>,
 }
 
 impl Claims {
-    /// No claims yet. `start` is the wall clock at the zero of the times passed in.
+    /// Creates an empty table. `start` is the Unix time at the zero of the times that are passed to
+    /// the other methods.
     pub fn new(me: Owner, seed: u64, start: Duration, platform: &Platform, inputs: Inputs) -> Self {
         let settings = Settings {
             started_at: start,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Verdicts since the last call.
+    /// Returns the verdicts since the last call.
     pub fn take_replies(&mut self) -> Vec<Reply> {
         std::mem::take(&mut self.replies)
     }
 
-    /// Takes an event of the table.
+    /// Handles an event of the table and executes the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, owners: &impl Owners) {
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
@@ -84,7 +86,7 @@
         self.actions = actions;
     }
 
-    /// A worker asks for the key of a request.
+    /// Claims the key of a worker's request.
     pub fn request(
         &mut self,
         now: Duration,
@@ -102,14 +104,14 @@
         self.handle(now, event, owners);
     }
 
-    /// The caller of a request that waits went away.
+    /// Withdraws a request whose caller disconnected while it was waiting.
     pub fn cancel(&mut self, now: Duration, id: Id, owners: &impl Owners) {
         self.requesters.remove(&id);
         for followers in self.followers.values_mut() {
             followers.retain(|f| *f != id);
         }
-        // It may have been given the key already without having begun: those that wait for its
-        // answer would wait for ever.
+        // The request may have been granted the key already without having started. The requests
+        // that wait for its answer would then wait forever.
         for follower in self.followers.remove(&id).unwrap_or_default() {
             self.reply(
                 follower,
@@ -119,30 +121,30 @@
         self.handle(now, Event::Cancelled(id), owners);
     }
 
-    /// A run ended: its answer is kept, and given to those that wait for it.
+    /// Records the end of a run: caches its answer and replies to the requests that wait for it.
     pub fn finish(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
-        let size = ended.answer.as_ref().map_or(0, |k| k.size());
+        let size = ended.answer.as_ref().map_or(0, |a| a.size());
         let followers = self.followers.remove(&ended.id).unwrap_or_default();
         for follower in followers {
             let verdict = match &ended.answer {
-                Some(kept) => Verdict::Replay(kept.clone()),
+                Some(answer) => Verdict::Replay(answer.clone()),
                 None => Verdict::Error(Box::new(answer_unavailable(ended.outcome))),
             };
             self.reply(follower, verdict);
         }
-        if let Some(kept) = ended.answer {
-            self.answers.insert(ended.id, kept);
+        if let Some(answer) = ended.answer {
+            self.answers.insert(ended.id, answer);
         }
         let event = Event::Ended(ended.hash, to_lease(ended.outcome), size);
         self.handle(now, event, owners);
     }
 
-    /// A ticket that only this process runs.
+    /// Issues a ticket, an idempotency key that only this run of the node accepts.
     pub fn issue_ticket(&mut self, now: Duration) -> String {
         self.table.issue(now).to_string()
     }
 
-    /// Follows the shards that this node is the home of among `nodes`.
+    /// Follows the shards of keys whose home, among `nodes`, is this node.
     pub fn follow_home_shards(
         &mut self,
         now: Duration,
@@ -189,15 +191,17 @@
         }
     }
 
+    /// Replies with the cached answer of the request `of`, or with an error if it is not available.
     fn answer(&mut self, request: Id, outcome: lease::Outcome, of: Option<Id>) {
-        let kept = of.and_then(|of| self.answers.get(&of));
-        let verdict = match kept {
-            Some(kept) => Verdict::Replay(kept.clone()),
+        let answer = of.and_then(|of| self.answers.get(&of));
+        let verdict = match answer {
+            Some(answer) => Verdict::Replay(answer.clone()),
             None => Verdict::Error(Box::new(answer_unavailable(from_lease(outcome)))),
         };
         self.reply(request, verdict);
     }
 
+    /// Queues a verdict for the worker that sent the request.
     fn reply(&mut self, id: Id, verdict: Verdict) {
         if let Some(worker) = self.requesters.remove(&id) {
             self.replies.push(Reply {
@@ -239,7 +243,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
-            "asked {}, answers kept {}",
+            "pending requests {}, cached answers {}",
             self.requesters.len(),
             self.answers.len()
         )?;
@@ -247,7 +251,7 @@
     }
 }
 
-/// The error for a resend whose run ended and whose answer is not to be had.
+/// Returns the error for a repeated request whose run has ended and whose answer is not available.
 fn answer_unavailable(outcome: Outcome) -> Error {
     match outcome {
         Outcome::Complete => {
@@ -261,7 +265,8 @@
     }
 }
 
-/// The error for a key of another node; with that node's URL if it lives.
+/// Returns the error for a key that another node owns. It has the URL of that node if the node is
+/// alive.
 fn owned_elsewhere(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
     let outcome = outcome.map_or(Outcome::Unknown, from_lease);
     let mut error = match url {
@@ -276,6 +281,7 @@
     error
 }
 
+/// Returns the error for a request whose key is refused.
 fn refusal(reason: Refusal, outcome: Outcome) -> Error {
     let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let (code, message) = match reason {
--- a/crates/node/src/control/demand.rs
+++ b/crates/node/src/control/demand.rs
@@ -1,8 +1,9 @@
-//! What teams ask of this node, and the shares of their limits that each worker may use.
+//! Demand of teams on this node, and the share of their limits that each worker may use.
 //!
-//! The node's share comes from `member::team`. It is split over the workers by what each of
-//! them is asked for, with a part that is split evenly: the kernel spreads connections over the
-//! workers by chance, so a worker that has had no request of a team yet must be able to take one.
+//! `member::team` computes the node's shares. A fraction of a share is split evenly among the
+//! workers and the rest in proportion to their demand. The even fraction is needed because the
+//! kernel distributes connections among the workers at random, so a worker that has not yet had a
+//! request of a team must be able to accept one.
 
 use bundle::Bundle;
 use bundle::digest::Digest;
@@ -13,15 +14,17 @@
 use route::view;
 use std::time::Duration;
 
-/// Part of a node's share that is split evenly over its workers.
+/// Fraction of a node's share that is split evenly among its workers.
 const EVEN_FRACTION: f64 = 0.5;
 /// Weight of the newest rate in the moving average.
 const NEWEST_WEIGHT: f64 = 0.5;
 
-/// What one worker was asked for, by team of one bundle.
+/// Demand on one worker, by team of one bundle.
 #[derive(Clone, Debug, Default)]
 struct Row {
+    /// Counters of received requests, as last reported.
     request_counts: Vec<u64>,
+    /// Moving averages of the requests per second.
     rate: Vec<f64>,
     in_flight: Vec<u32>,
     updated_at: Duration,
@@ -35,7 +38,7 @@
 }
 
 impl Table {
-    /// A table for so many workers.
+    /// Creates a table for `workers` workers.
     pub fn new(workers: usize) -> Self {
         Self {
             bundle: Digest::default(),
@@ -43,7 +46,8 @@
         }
     }
 
-    /// Takes what a worker tells. Counts for another bundle start anew: team ids differ.
+    /// Records the demand that a worker reports. When the bundle changes, the table is reset,
+    /// because team ids differ between bundles.
     pub fn update(&mut self, now: Duration, worker: usize, bundle: Digest, teams: &[WorkerDemand]) {
         if bundle != self.bundle {
             let workers = self.rows.len();
@@ -69,7 +73,7 @@
         row.updated_at = now;
     }
 
-    /// What teams ask of the node, in the order of the bundle's teams.
+    /// Returns the demand on the node, in the order of the bundle's teams.
     pub fn node_demand(&self, bundle: &Bundle) -> Vec<Demand> {
         let teams = 0..bundle.teams.len();
         teams.map(|team| self.team_demand(team)).collect()
@@ -84,12 +88,14 @@
         }
     }
 
-    /// One worker's part of the node's shares.
+    /// Returns the part of the node's shares that one worker may use. `key`
+    /// decides which nodes round their slots up, see `member::share::slots`.
     pub fn worker_shares(&self, worker: usize, shares: &[Share], key: u64) -> Vec<view::Share> {
         let worker_share = |(team, share): (usize, &Share)| {
             let total = self.team_demand(team);
             let row = &self.rows[worker];
-            // Each team has its own chance of rounding up, else one node would get all of them.
+            // The key is rotated by the team, so that each team is rounded independently.
+            // Otherwise one node would round up for all teams.
             let slots = member::share::slots(share.in_flight, key.rotate_left(team as u32));
             view::Share {
                 rate: share.rate * self.worker_fraction(rate(row, team), total.rate),
@@ -99,8 +105,9 @@
         shares.iter().enumerate().map(worker_share).collect()
     }
 
-    /// A worker's part of a node's slots. They are split in whole numbers: a fraction on each of
-    /// several workers would admit one request on each, and together more than the limit.
+    /// Returns a worker's part of a node's slots. Slots are split in whole numbers, because a
+    /// fraction of a slot still admits one request on each worker, and together the workers would
+    /// exceed the limit. The workers with the highest rates get the remainder.
     fn worker_slots(&self, worker: usize, team: usize, slots: u32) -> u32 {
         let workers = u32::try_from(self.rows.len()).unwrap_or(u32::MAX).max(1);
         let remainder = (slots % workers) as usize;
@@ -112,7 +119,8 @@
         slots / workers + u32::from(ranked_before.count() < remainder)
     }
 
-    /// A worker's part: the parts of all workers add up to 1.
+    /// Returns the fraction of the node's rate that a worker may use. The fractions of all workers
+    /// add up to 1.
     fn worker_fraction(&self, own: f64, all: f64) -> f64 {
         let even = 1.0 / self.rows.len().max(1) as f64;
         if all <= 0.0 {
@@ -130,7 +138,7 @@
     row.in_flight.get(team).copied().map_or(0.0, f64::from)
 }
 
-/// Limits of the bundle's teams, as membership wants them.
+/// Converts the limits of the bundle's teams to the form that `member` uses.
 pub fn team_limits(bundle: &Bundle) -> Vec<Limit> {
     let teams = bundle.teams.iter();
     teams
--- a/crates/node/src/control/endpoints.rs
+++ b/crates/node/src/control/endpoints.rs
@@ -1,4 +1,4 @@
-//! What endpoints report of themselves, by name, so that it outlives a bundle.
+//! Load reports of endpoints. They are stored by name, since ids change with each bundle.
 
 use bundle::Bundle;
 use bundle::id::{EndpointId, ModelId};
@@ -7,24 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Unanswered asks in a row after which an endpoint counts as down.
+/// Number of consecutive unanswered polls after which an endpoint counts as down.
 const UNANSWERED_POLLS_UNTIL_DOWN: u32 = 3;
 
-/// What is known of one endpoint.
+/// Last report and poll failures of one endpoint.
 #[derive(Clone, Debug, Default)]
 struct Row {
     report: Option<Report>,
     unanswered_polls: u32,
 }
 
-/// What endpoints report.
+/// Table of the reports of all endpoints.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
 }
 
 impl Table {
-    /// Takes a report; whether what the endpoint holds has changed.
+    /// Records a report. Returns whether the models that the endpoint holds have changed.
     pub fn record_report(&mut self, name: &str, report: Report) -> bool {
         let row = self.rows.entry(name.to_owned()).or_default();
         row.unanswered_polls = 0;
@@ -34,7 +34,7 @@
         changed
     }
 
-    /// An endpoint did not answer.
+    /// Records that an endpoint did not answer a poll.
     pub fn record_unanswered(&mut self, name: &str) {
         let row = self.rows.entry(name.to_owned()).or_default();
         row.unanswered_polls = row.unanswered_polls.saturating_add(1);
@@ -43,20 +43,21 @@
         }
     }
 
-    /// Forgets endpoints that the bundle does not name.
+    /// Removes endpoints that are not in the bundle.
     pub fn retain(&mut self, bundle: &Bundle) {
         let kept: BTreeSet<&str> = bundle.endpoints.iter().map(|e| e.name.as_str()).collect();
         self.rows.retain(|name, _| kept.contains(name.as_str()));
     }
 
-    /// By endpoint of the bundle: its report, as a roll reads it.
+    /// Returns the reports in the form that rolls use, in the order of the bundle's endpoints.
     pub fn reports(&self, bundle: &Bundle) -> Vec<Option<roll::Report>> {
         let rows = bundle.endpoints.iter();
         rows.map(|e| self.report(&e.name).map(to_roll_report))
             .collect()
     }
 
-    /// Whether an endpoint is there; one that never was asked is taken to be.
+    /// Returns the health of an endpoint. An endpoint that was never polled counts as up unless its
+    /// instance is leaving.
     pub fn health(&self, name: &str, accepts_work: bool) -> Health {
         let unanswered = self.rows.get(name).map_or(0, |r| r.unanswered_polls);
         match (unanswered >= UNANSWERED_POLLS_UNTIL_DOWN, accepts_work) {
@@ -66,9 +67,10 @@
         }
     }
 
-    /// By model of the bundle: the version that new requests are sent to. It is the bundle's once
-    /// ready endpoints cover all its layers, else the one that they cover. Tokens of one
-    /// answer never come from two versions.
+    /// Returns the version that serves new requests, for each model of the bundle. It is the
+    /// bundle's version once ready endpoints hold all its layers. Until then it is the highest
+    /// version, in text order, of which they hold all layers, or the bundle's version if there is
+    /// none. The tokens of one answer never come from two versions.
     pub fn serving_versions(&self, bundle: &Bundle) -> Vec<String> {
         let models = (0..).zip(&bundle.models);
         models
@@ -91,7 +93,7 @@
         other.unwrap_or(desired).to_owned()
     }
 
-    /// Whether endpoints that are ready cover all layers of a version.
+    /// Returns whether the ready endpoints together hold all layers of a version.
     fn is_covered(&self, bundle: &Bundle, model: ModelId, version: &str) -> bool {
         let layers = bundle.models[usize::from(model)].layers;
         let ids = 0..bundle.endpoints.len();
@@ -117,8 +119,9 @@
         true
     }
 
-    /// Whether an endpoint serves its spans of a model in this version. One without a report is
-    /// taken to serve what the bundle says: it refuses what it can't run, before anything runs.
+    /// Returns whether an endpoint serves all its spans of a model in this version. An endpoint
+    /// without a report is assumed to serve the bundle's version, since it refuses a request that
+    /// it can't execute before any of it is executed.
     pub fn serves(&self, bundle: &Bundle, id: EndpointId, model: ModelId, version: &str) -> bool {
         let endpoint = &bundle.endpoints[id as usize];
         let row = &bundle.models[usize::from(model)];
@@ -139,6 +142,7 @@
     }
 }
 
+/// Converts a report to the form that rolls use.
 fn to_roll_report(report: &Report) -> roll::Report {
     let held = report.models.iter().map(|m| Held {
         model: m.model.clone(),
@@ -159,7 +163,7 @@
             let Some(report) = &row.report else {
                 writeln!(
                     f,
-                    "{name} no report, {} asks unanswered",
+                    "{name} no report, {} polls unanswered",
                     row.unanswered_polls
                 )?;
                 continue;
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What happens to control.
+//! Inputs of control: results of its tasks and events from workers and peers.
 
 use super::rolls::OrderResult;
 use engine::load::Report;
@@ -9,35 +9,36 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::peer::Inbound;
 
-/// Inputs that may wait; a full queue slows down whoever adds one.
+/// Capacity of the queue of inputs. Senders wait while the queue is full.
 pub const INPUT_CAPACITY: usize = 1024;
 
-/// Where inputs go.
+/// Sender of inputs to control.
 pub type Inputs = mpsc::Sender<Input>;
 
-/// An input.
+/// An input of control.
 #[derive(Debug)]
 pub enum Input {
-    /// A page of the stream of bundles; the answer is the offset to read next.
+    /// A page of the bundle stream. The reply is the offset to read next.
     Page(Page, oneshot::Sender<Offset>),
-    /// The stream of bundles could not be read.
+    /// Reading the bundle stream failed.
     LogReadFailed(platform::Error),
-    /// The instance list was read.
+    /// The current instances of the instance list.
     Instances(Vec<Instance>),
-    /// Something came from a peer.
+    /// A message from a peer.
     Peer(Inbound),
-    /// Records of a peer that has a newer bundle in force; none if it could not give them.
+    /// Records from a peer with a newer bundle; `None` if the peer could not send them.
     Records(Option<Vec<u8>>),
-    /// A worker observed something.
+    /// An event from the worker with this index.
     WorkerEvent(usize, WorkerEvent),
-    /// Something happened to the claims' streams.
+    /// A read of or append to the streams of claims has ended.
     Claim(lease::claim::Event),
-    /// Something happened to the leases' stream.
+    /// A read of or append to the stream of leases has ended.
     Lease(lease::hold::Event),
-    /// An order to an endpoint ended.
+    /// An order to an endpoint has ended.
     OrderEnded(OrderResult),
-    /// What the weight store allows.
+    /// The rate of loads that the weight store allows.
     Rate(platform::weights::Rate),
-    /// An endpoint reported its load and what it holds; none if it did not answer.
+    /// Name and report of a polled endpoint: its load and the models that it holds. `None` if it
+    /// did not answer.
     LoadReport(Arc<str>, Option<Report>),
 }
--- a/crates/node/src/control/instance_list.rs
+++ b/crates/node/src/control/instance_list.rs
@@ -1,15 +1,15 @@
-//! What the instance list says of endpoints' instances.
+//! State of the endpoints' instances according to the instance list.
 //!
-//! The list lags and can be out. An instance that it calls leaving, or that was in it and is not
-//! any more, gets no new work. One that was never in it may be newer than the list: it gets work,
-//! and the routers find out by themselves if it does not answer. An empty answer is taken for a
-//! list that has lost its content, not for a fleet that has gone.
+//! The list lags behind the fleet and can be unavailable. An instance that is listed as leaving, or
+//! that was listed before and no longer is, gets no new work. An instance that was never listed may
+//! be newer than the list, so it gets work; the routers detect it if it does not answer. An empty
+//! list is ignored: the service has more likely lost its data than the fleet all its instances.
 
 use platform::instance::{Instance, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The newest answer of the list, and whom it has ever named.
+/// The last list that was read, and the names of all instances that were ever listed.
 #[derive(Debug, Default)]
 pub struct InstanceList {
     states: BTreeMap<String, State>,
@@ -17,7 +17,7 @@
 }
 
 impl InstanceList {
-    /// Takes an answer; whether anything changed.
+    /// Replaces the list. Returns whether an instance was added, removed or changed its state.
     pub fn update(&mut self, instances: &[Instance]) -> bool {
         if instances.is_empty() {
             return false;
@@ -30,7 +30,7 @@
         changed
     }
 
-    /// Whether an instance gets new work.
+    /// Returns whether an instance may get new work.
     pub fn accepts_work(&self, instance: &str) -> bool {
         match self.states.get(instance) {
             Some(State::Live) => true,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Forgets whom it has ever named, except for `kept`: instances come and go for years.
+    /// Forgets the names of instances that were once listed, except for `kept`. Without this, the
+    /// set of names would grow for as long as the node runs.
     pub fn retain_seen<'a>(&mut self, kept: impl Iterator<Item = &'a str>) {
         let kept: BTreeSet<&str> = kept.collect();
         self.seen.retain(|name| kept.contains(name.as_str()));
--- a/crates/node/src/control/loads.rs
+++ b/crates/node/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints for their load.
+//! Polls endpoints for their load reports.
 
 use super::input::{Input, Inputs};
 use engine::load::Report;
@@ -11,16 +11,17 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How often an endpoint is asked.
+/// Interval between two polls of an endpoint.
 const POLL_INTERVAL: Duration = Duration::from_millis(1000);
-/// Longest time that an answer may take.
+/// Timeout of a poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Endpoints asked at once.
+/// Maximum number of concurrent polls.
 const MAX_CONCURRENT_POLLS: usize = 16;
-/// Most endpoints that a node asks in a period; of more, each is asked less often.
+/// Maximum number of endpoints polled in one interval. If there are more, each of them is polled
+/// less often.
 const MAX_POLLS_PER_INTERVAL: usize = 128;
 
-/// Asks the endpoints in turn until control is gone.
+/// Polls the endpoints in turn until control ends.
 pub async fn poll(shared_snapshot: SharedSnapshot, inputs: Inputs) {
     let pool = Pool::default();
     let mut interval = tokio::time::interval(POLL_INTERVAL);
@@ -34,13 +35,13 @@
     }
 }
 
-/// An endpoint to ask.
+/// An endpoint to poll.
 struct Target {
     name: Arc<str>,
     addr: SocketAddr,
 }
 
-/// The next endpoints that run model stages.
+/// Returns the next endpoints to poll, of those that run model stages, and advances `offset`.
 fn next_targets(shared_snapshot: &SharedSnapshot, offset: &mut usize) -> Vec<Target> {
     let Some(snapshot) = shared_snapshot.load_full() else {
         return Vec::new();
@@ -61,7 +62,7 @@
     targets
 }
 
-/// Asks each; whether control is still there.
+/// Polls `targets` and sends the results to control. Returns whether control still runs.
 async fn poll_targets(pool: &Pool, targets: Vec<Target>, inputs: &Inputs) -> bool {
     let mut targets = targets.into_iter();
     let mut polls = FuturesUnordered::new();
@@ -84,7 +85,7 @@
     }
 }
 
-/// An endpoint's answer, if there was one.
+/// Result of a poll. The report is `None` if the endpoint did not answer in time.
 struct Answer {
     name: Arc<str>,
     report: Option<Report>,
--- a/crates/node/src/control/log_stream.rs
+++ b/crates/node/src/control/log_stream.rs
@@ -1,4 +1,4 @@
-//! Appends to and reads of a stream of the log, as the decisions on claims and leases ask for them.
+//! Appends to and reads from a stream of the log, for claims and leases.
 
 use bytes::Bytes;
 use lease::{Page, Record};
@@ -6,17 +6,17 @@
 use platform::http::Log as Client;
 use std::time::Duration;
 
-/// How long a read waits for a record.
+/// Maximum time that a read waits for a new record.
 const READ_WAIT: Duration = Duration::from_secs(2);
 
-/// How an append ended.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Append {
-    /// It took effect.
+    /// The record was appended.
     Done,
-    /// It may have taken effect.
+    /// The record may have been appended.
     Unsure,
-    /// It had no effect.
+    /// The record was not appended.
     Failed,
 }
 
@@ -29,13 +29,14 @@
     }
 }
 
-/// Reads `stream` from an offset, if it can be read; with `wait` until there is a record, for a while.
+/// Reads `stream` from an offset. With `wait`, the read waits up to 2 s for a new record. Returns
+/// `None` if the read failed.
 pub async fn read(log: &Client, stream: &str, from: u64, wait: bool) -> Option<Page> {
     let wait = if wait { READ_WAIT } else { Duration::ZERO };
     log.read(stream, from, wait).await.ok().map(to_page)
 }
 
-/// A page as the decisions read it.
+/// Converts a page to the form that claims and leases use.
 fn to_page(page: platform::Page) -> Page {
     let records = page.records.into_iter().map(|r| Record {
         offset: r.offset,
--- a/crates/node/src/control/observed.rs
+++ b/crates/node/src/control/observed.rs
@@ -1,4 +1,4 @@
-//! What other nodes observed, read from the items that membership has spread.
+//! Observations of other nodes, read from the items that membership has spread.
 
 use bundle::Bundle;
 use bundle::id::EndpointId;
@@ -6,20 +6,20 @@
 use member::item::{Key, Observation};
 use std::collections::BTreeSet;
 
-/// Observations of other nodes that count now.
+/// Observations that currently apply.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Observed {
-    /// Endpoints that somebody ejected.
+    /// Endpoints that another node has ejected.
     pub ejected: Vec<EndpointId>,
-    /// Fingerprints in flight at an endpoint's death.
+    /// Fingerprints of requests that were in flight on an endpoint when it died.
     pub suspects: Vec<u64>,
-    /// Fingerprints on which a verdict is awaited.
+    /// Fingerprints on which another node's verdict is pending.
     pub pending: Vec<u64>,
     /// Fingerprints of requests that crash endpoints, this node's own included.
     pub condemned: Vec<u64>,
 }
 
-/// Reads the items of all nodes. Items that have run out are gone from the store.
+/// Collects the observations of all nodes. Expired items are no longer in the store.
 pub fn collect(group: &Group, bundle: &Bundle) -> Observed {
     let mut ejected = BTreeSet::new();
     let mut suspects = BTreeSet::new();
@@ -38,7 +38,7 @@
                 Observation::Suspect { fingerprint, .. } => {
                     suspects.insert(*fingerprint);
                 }
-                // The node that awaits the verdict knows by itself when it is due.
+                // The node that waits for the verdict tracks its own deadline.
                 Observation::Pending { fingerprint, .. } if is_peer => {
                     pending.insert(*fingerprint);
                 }
@@ -57,7 +57,8 @@
     }
 }
 
-/// Where a node serves callers, if it said so.
+/// Returns the address at which a node serves callers and whether it uses TLS, if the node has
+/// published it.
 pub fn callers_address(
     group: &Group,
     origin: member::identity::Id,
@@ -68,7 +69,8 @@
     }
 }
 
-/// Share of a node's capacity that is free, as it last said.
+/// Returns the free fraction of a node's capacity by its last published load; 1 if it has published
+/// none.
 pub fn free_fraction(group: &Group, origin: member::identity::Id) -> f64 {
     match group.store().get(origin, &Key::Load).map(|s| &s.body) {
         Some(Observation::Load(level)) => (1.0 - level.amount()).clamp(0.0, 1.0),
--- a/crates/node/src/control/publish.rs
+++ b/crates/node/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a version for the admin listener, and writes checkpoints.
+//! Publication of bundle versions for the admin listener, and appends of checkpoints.
 
 use super::tail::BUNDLE_STREAM;
 use bundle::answer::Answer;
@@ -10,13 +10,13 @@
 use platform::{Log, Page};
 use std::time::Duration;
 
-/// First wait after a failed call.
+/// Backoff after the first failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest wait after failed calls.
+/// Maximum backoff after repeated failed calls.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Publishes the version in `body` and tells how its race ended. `fold` is a copy of the node's
-/// own: it reads on by itself, so that the answer does not wait for control.
+/// Publishes the version in `body` and returns the outcome. `fold` is a copy of the node's fold. It
+/// is advanced here by separate reads of the log, so that the answer does not depend on control.
 pub async fn publish_version(log: Client, mut fold: Fold, body: Bytes, seed: u64) -> Answer {
     let mut publish = match Publish::new(body.to_vec()) {
         Ok(publish) => publish,
@@ -39,12 +39,14 @@
     }
 }
 
+/// Logs the outcome of a publication and converts it to an answer.
 fn log_outcome(outcome: &Outcome) -> Answer {
     let answer = Answer::from(outcome);
-    log::info!("a publication ended: {answer}");
+    log::info!("publication of a bundle version ended: {answer}");
     answer
 }
 
+/// Reads the next page of the bundle stream into `fold`.
 async fn read(log: &Client, fold: &mut Fold) -> Event {
     match log
         .read(BUNDLE_STREAM, fold.next_offset(), Duration::ZERO)
@@ -65,6 +67,7 @@
     fold.page(page.first, records);
 }
 
+/// Appends the version to the bundle stream.
 async fn append(log: &Client, body: &[u8]) -> Event {
     match log
         .append(BUNDLE_STREAM, Bytes::copy_from_slice(body))
@@ -77,11 +80,12 @@
     }
 }
 
-/// Appends a checkpoint. Whether it got there is seen when it is read back; one that is lost is
-/// written again by the policy, and one too many does no harm.
+/// Appends a checkpoint. A failed append is not retried here: the node sees from its reads of the
+/// stream whether the checkpoint is there, and the policy writes a lost one again. A duplicate does
+/// no harm.
 pub async fn append_checkpoint(log: Client, body: Vec<u8>) {
     match log.append(BUNDLE_STREAM, Bytes::from(body)).await {
-        Ok(offset) => log::info!("a checkpoint was written at offset {offset}"),
-        Err(error) => log::warn!("a checkpoint could not be written: {error}"),
+        Ok(offset) => log::info!("wrote a checkpoint at offset {offset}"),
+        Err(error) => log::warn!("could not write a checkpoint: {error}"),
     }
 }
--- a/crates/node/src/control/records.rs
+++ b/crates/node/src/control/records.rs
@@ -1,18 +1,19 @@
-//! Records of versions that one node gives another, in one body.
+//! Encoding of the bundle records that one node sends another in one body.
 //!
-//! A node that is a few versions behind is given the versions since; one far behind a full head.
+//! A node that is a few versions behind gets the versions that it lacks. A node that is far behind
+//! gets a full head.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Most bytes of records in one body: more than the largest full head that the fold takes.
+/// Maximum size of a body. It is larger than the largest full head that the fold accepts.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Records, oldest first.
 #[derive(Serialize, Deserialize)]
 struct Raw(Vec<Vec<u8>>);
 
-/// Joins records; none if there is nothing to give or they are too long.
+/// Encodes records in one body. Returns `None` if there are no records or the body is too large.
 pub fn encode(records: &[Arc<[u8]>]) -> Option<Vec<u8>> {
     if records.is_empty() {
         return None;
@@ -22,7 +23,7 @@
     Some(body).filter(|b| b.len() <= MAX_BODY_BYTES)
 }
 
-/// Splits what [`encode`] made; none if it is not that.
+/// Decodes a body that [`encode`] made. Returns `None` if the body is malformed.
 pub fn decode(body: &[u8]) -> Option<Vec<Vec<u8>>> {
     let config = bincode::config::standard().with_limit::<MAX_BODY_BYTES>();
     let (raw, used) = bincode::serde::decode_from_slice::<Raw, _>(body, config).ok()?;
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -1,6 +1,7 @@
-//! Leases of endpoint groups, and the rolls of the groups that this node holds.
+//! Leases of endpoint groups, and the rolls of the groups whose leases this node holds.
 //!
-//! A group is a region. The nodes of the region want its lease; where there are none, all nodes do.
+//! A group is the endpoints of a region. The nodes of the region compete for its lease; if the
+//! region has no nodes, all nodes do.
 
 use super::input::{Input, Inputs};
 use super::log_stream::{self, Append};
@@ -23,19 +24,20 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What the weight store is taken to allow until it was asked.
+/// Rate of loads that is assumed until the weight store has reported its limit. It is low to
+/// protect the store.
 const INITIAL_RATE: Rate = Rate {
     per_minute: 6,
     at_once: 1,
 };
 
-/// What a step of the rolls looks at.
+/// Input of a step of the rolls.
 pub struct Source<'a> {
     /// The bundle in force.
     pub bundle: &'a Bundle,
-    /// By endpoint: what it reports.
+    /// Reports of the endpoints, in the order of the bundle.
     pub reports: &'a [Option<Report>],
-    /// By endpoint: whether it is there.
+    /// Health of the endpoints, in the order of the bundle.
     pub health: &'a [Health],
 }
 
@@ -44,7 +46,7 @@
     table: Table,
     rolls: BTreeMap<Group, Roll>,
     settings: lease::roll::Settings,
-    /// Names of the groups of the bundle.
+    /// Names of the bundle's groups, which are the names of their regions.
     groups: BTreeMap<Group, String>,
     rate: Rate,
     client: Arc<Client>,
@@ -53,19 +55,19 @@
     actions: Vec<hold::Action>,
 }
 
-/// An order's end.
+/// Result of an order to an endpoint.
 #[derive(Debug)]
 pub struct OrderResult {
-    /// The group.
+    /// Group of the endpoint.
     pub group: Group,
     /// Name of the endpoint.
     pub endpoint: String,
-    /// What it answered; none if no answer came.
+    /// Answer of the endpoint; `None` if there was none in time.
     pub answer: Option<Answer>,
 }
 
 impl Rolls {
-    /// No lease yet.
+    /// Creates the state of a node that holds no lease.
     pub fn new(me: Owner, seed: u64, settings: &Settings, inputs: Inputs) -> Self {
         let platform = &settings.platform;
         Self {
@@ -81,12 +83,12 @@
         }
     }
 
-    /// What the weight store allows all groups together.
+    /// Sets the rate of loads that the weight store allows for all groups together.
     pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
     }
 
-    /// Takes an event of the leases' stream, or time that passed.
+    /// Handles an event of the lease stream or a tick, and executes the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
@@ -96,7 +98,8 @@
         self.actions = actions;
     }
 
-    /// Wants the groups that are this node's to hold among the nodes of the roster.
+    /// Competes for the leases of the groups that this node is a candidate for. The rank among the
+    /// candidates decides which of them takes a free lease first.
     pub fn request_leases(&mut self, now: Duration, me: Id, bundle: &Bundle, roster: &Roster) {
         let accepts_work = |p: &&Peer| p.state == State::Up && !p.leaving;
         let up: Vec<&Peer> = roster.iter().filter(accepts_work).collect();
@@ -108,7 +111,8 @@
             if nodes.is_empty() {
                 nodes = up.iter().map(|p| p.id).collect();
             }
-            // A hash of node and group spreads the groups of one region over its nodes.
+            // The order depends on both node and group, which distributes the leases of the groups
+            // among the nodes.
             nodes.sort_by_key(|node| node ^ group);
             let rank = nodes.iter().position(|node| *node == me)?;
             Some(Want {
@@ -120,18 +124,19 @@
         self.handle(now, Event::Want(wants));
     }
 
-    /// Whether this node gives the orders in any group.
+    /// Returns whether this node holds the lease of any group.
     pub fn holds_any(&self, now: Duration) -> bool {
         let mut groups = self.groups.keys();
         groups.any(|group| self.table.permit(now, *group).is_some())
     }
 
-    /// Wants no group any more: this node leaves.
+    /// Stops requesting leases, because this node is leaving. The leases that it holds permit no
+    /// more orders and are released.
     pub fn release_leases(&mut self, now: Duration) {
         self.handle(now, Event::Want(Vec::new()));
     }
 
-    /// Takes one step of each roll whose lease this node holds.
+    /// Advances the rolls of the groups whose leases this node holds.
     pub fn step(&mut self, now: Duration, source: &Source) {
         let groups: Vec<(Group, String)> = self.groups.clone().into_iter().collect();
         let rate = self.group_rate(groups.len());
@@ -161,7 +166,7 @@
         }
     }
 
-    /// An order ended.
+    /// Records the result of an order.
     pub fn record_result(&mut self, now: Duration, result: &OrderResult) {
         match result.answer {
             Some(Answer::Refused) => {
@@ -171,14 +176,18 @@
                 }
             }
             Some(Answer::OldFence) => {
-                log::warn!("endpoint {} knows a newer holder", result.endpoint);
+                log::warn!(
+                    "endpoint {} rejected an order because it has executed one of a newer lease holder",
+                    result.endpoint
+                );
             }
-            // An order whose answer did not come is given again if its effect does not show.
+            // An order without an answer is sent again if the reports do not show its effect.
             Some(Answer::Done) | None => {}
         }
     }
 
-    /// A group's part of what the weight store allows.
+    /// Returns the rate of loads that one group may use: an even share of the weight store's rate,
+    /// but at least 1.
     fn group_rate(&self, groups: usize) -> Rate {
         let groups = u32::try_from(groups).unwrap_or(u32::MAX).max(1);
         Rate {
@@ -193,11 +202,11 @@
             hold::Action::Read { from, wait } => self.read(from, wait),
             hold::Action::Gained(group, fence) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
-                log::info!("this node gives the orders in {name}, fencing number {fence}");
+                log::info!("acquired the lease of group {name}, fencing number {fence}");
             }
             hold::Action::Lost(group) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
-                log::info!("this node gives no orders in {name} any more");
+                log::info!("lost the lease of group {name}");
                 self.rolls.remove(&group);
             }
         }
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Sends an order, if the lease still holds at this very moment.
+    /// Sends an order to an endpoint if this node still holds the lease of the group.
     fn send_order(
         &self,
         now: Duration,
@@ -236,7 +245,7 @@
         let Some(row) = bundle.endpoints.get(endpoint as usize) else {
             return;
         };
-        log::info!("order to {}: {order}", row.name);
+        log::info!("sending an order to endpoint {}: {order}", row.name);
         let (name, addr) = (row.name.clone(), row.addr);
         let order = engine::order::Order {
             fence,
@@ -282,7 +291,7 @@
     }
 }
 
-/// Availability zones of a region, in the order of the roll.
+/// Returns the availability zones of a region, in the order in which they are rolled.
 fn zones(bundle: &Bundle, region: &str) -> Vec<ZoneId> {
     let zones = (0..).zip(&bundle.zones);
     zones
@@ -291,6 +300,7 @@
         .collect()
 }
 
+/// Converts an order to the form that is sent to the engine.
 fn to_engine_order(order: &Order) -> What {
     match order {
         Order::Load {
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The state of control and what each input does to it.
+//! The state of control and its changes by each input.
 
 mod admin;
 mod bundles;
@@ -38,45 +38,47 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::Link;
 
-/// How long other nodes count an ejection: longer than the back-off between two probes of it.
+/// Time for which other nodes apply an ejection. It is longer than the backoff between two probes
+/// of an ejected endpoint.
 const EJECTION_TTL: Duration = Duration::from_secs(15);
-/// How long a fingerprint counts as suspect.
+/// Time for which a fingerprint stays suspect.
 const SUSPECT_TTL: Duration = Duration::from_secs(600);
-/// How long a verdict is awaited: the window of the verdict and the time that it takes to spread.
+/// Time for which a verdict may be pending: the time window of the verdict plus the time in which
+/// it spreads to all nodes.
 const PENDING_TTL: Duration = Duration::from_secs(4);
-/// How long a fingerprint counts as condemned.
+/// Time for which a fingerprint stays condemned.
 const CONDEMNED_TTL: Duration = Duration::from_secs(3600);
-/// Versions after which a checkpoint is written whatever its age.
+/// Number of versions after which a new checkpoint is written whatever the age of the last one.
 const CHECKPOINT_VERSION_INTERVAL: u64 = 1000;
-/// How often shares of limits are computed.
+/// Interval of the periodic work: shares of limits, claims, rolls and checkpoints.
 const STEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the state is made of.
+/// Parts from which the state is created.
 pub struct Parts {
     /// Settings of the node.
     pub settings: Settings,
-    /// The callers' listener.
+    /// Bound address of the callers' listener.
     pub callers: SocketAddr,
-    /// Number of this run.
+    /// Number that identifies this run of the node.
     pub incarnation: u64,
-    /// Seed of the group.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Where snapshots go, by worker.
+    /// Snapshots to publish, by worker.
     pub shared_snapshots: Vec<SharedSnapshot>,
-    /// The link to peers.
+    /// Link to the peers.
     pub link: Link,
-    /// Where tasks put what they find.
+    /// Sender of inputs, for the tasks that the state starts.
     pub inputs: Inputs,
-    /// Rings to the workers.
+    /// Rings of events to the workers.
     pub control_events: Vec<ring::Sender<ControlEvent>>,
-    /// Set when the node begins to leave.
+    /// Cancelled when the node begins to leave.
     pub leave: CancellationToken,
 }
 
 /// The state of control.
 pub struct State {
     settings: Settings,
-    /// The callers' listener as others reach it.
+    /// Address at which callers reach this node.
     callers: SocketAddr,
     incarnation: u64,
     shared_snapshots: Vec<SharedSnapshot>,
@@ -87,34 +89,35 @@
     start: Instant,
     fold: Fold,
     policy: Policy,
-    /// First offset that the log retains.
+    /// First offset of the bundle stream that the log still retains.
     first_offset: Offset,
     seed: u64,
     group: Group,
     teams: Teams,
     instance_list: InstanceList,
-    /// The list's newest answer, read again when a bundle tells which instances are endpoints'.
+    /// Instances of the last list. They are evaluated again with each new bundle, which defines the
+    /// instances that belong to endpoints.
     instances: Vec<Instance>,
     demand: Table,
     endpoints: EndpointTable,
     rolls: Rolls,
     claims: Claims,
-    /// Verdicts on claims that workers have not been told yet.
+    /// Verdicts on claims that are not yet delivered to the workers.
     replies: VecDeque<Reply>,
     actions: Vec<Action>,
-    /// Whether this node has told its peers that it leaves.
+    /// Whether this node has notified its peers that it is leaving.
     leaving: bool,
-    /// When the log was last read to its end.
+    /// Time at which the log was last read to its end.
     log_read_at: Option<Instant>,
     log_error: Option<String>,
     last_step: Instant,
     published_load: Level,
-    /// Whether something changed that the workers must know.
+    /// Whether a new snapshot must be published.
     dirty: bool,
 }
 
 impl State {
-    /// The state before any input.
+    /// Creates the state and publishes the address for callers to the peers.
     pub fn new(parts: Parts) -> Self {
         let node = &parts.settings.node;
         let me = Identity {
@@ -175,7 +178,7 @@
         self.start.elapsed()
     }
 
-    /// Takes an input.
+    /// Handles an input, and publishes new snapshots if it changed the view.
     pub fn handle_input(&mut self, input: Input) {
         match input {
             Input::Page(page, reply) => {
@@ -202,7 +205,7 @@
         self.publish_snapshots();
     }
 
-    /// Takes a question of the admin listener.
+    /// Answers a request of the admin listener.
     pub fn handle_request(&mut self, request: ControlRequest) {
         match request {
             ControlRequest::Status(reply) => {
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Time passed.
+    /// Advances all timers, and does the periodic work when it is due.
     pub fn tick(&mut self) {
         if self.leave.is_cancelled() && !self.leaving {
             self.begin_to_leave();
@@ -239,19 +242,20 @@
         self.publish_snapshots();
     }
 
-    /// Tells peers that this node is gone.
+    /// Notifies the peers that this node has ended.
     pub fn quit(&mut self) {
         self.handle_group_event(Event::Quit);
     }
 
     fn begin_to_leave(&mut self) {
-        log::info!("node {} leaves", self.settings.node.name);
+        log::info!("node {} is leaving", self.settings.node.name);
         self.leaving = true;
         self.dirty = true;
         self.handle_group_event(Event::Publish(vec![Observation::Leaving]));
     }
 
-    /// Computes the shares of team limits, and tells peers this node's demand and load.
+    /// Computes this node's shares of the teams' limits, and publishes its demand and load to the
+    /// peers.
     fn step(&mut self) {
         let Some(bundle) = self.fold.head().cloned() else {
             return;
@@ -268,7 +272,8 @@
         self.dirty = true;
     }
 
-    /// The node's load as requests in flight over its part of the fleet's slots, if it changed.
+    /// Returns this node's load if it has changed. The load is the number of requests in flight
+    /// divided by the node's even share of the fleet's slots.
     fn load_observation(&mut self, bundle: &bundle::Bundle) -> Option<Observation> {
         let slots: u32 = bundle.endpoints.iter().map(|e| e.slots).sum();
         let nodes = self.group.node_count().max(1) as f64;
@@ -286,6 +291,7 @@
         Some(Observation::Load(load))
     }
 
+    /// Handles an event from a worker.
     fn handle_worker_event(&mut self, worker: usize, event: WorkerEvent) {
         let item = match event {
             WorkerEvent::Demand(bundle, teams) => {
@@ -322,6 +328,7 @@
         self.handle_group_event(Event::Publish(vec![item]));
     }
 
+    /// Replaces the list of instances.
     fn update_instances(&mut self, instances: Vec<Instance>) {
         if self.instance_list.update(&instances) {
             self.dirty = true;
@@ -330,7 +337,7 @@
         self.update_listed_nodes();
     }
 
-    /// Publishes a snapshot to each worker if anything changed.
+    /// Publishes a new snapshot to each worker if the view has changed.
     fn publish_snapshots(&mut self) {
         if !std::mem::take(&mut self.dirty) {
             return;
@@ -356,7 +363,7 @@
     }
 }
 
-/// Time since the Unix epoch.
+/// Returns the time since the Unix epoch.
 fn unix_time() -> Duration {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default()
@@ -369,11 +376,12 @@
     }
 }
 
+/// Logs a change of an endpoint's ejection and returns the observation to publish.
 fn ejection_observation(name: &Arc<str>, ejected: bool) -> Observation {
     let state = if ejected {
-        "taken out of use"
+        "ejected"
     } else {
-        "back in use"
+        "available again"
     };
     log::info!("endpoint {name} is {state}");
     Observation::Endpoint {
@@ -383,7 +391,8 @@
     }
 }
 
-/// The callers' listener as others reach it: the settings' address with the port that was bound.
+/// Returns the address at which callers reach this node. If the setting has port 0, the bound port
+/// is used.
 fn advertised_address(settings: &Settings, bound: SocketAddr) -> SocketAddr {
     let advertise = settings.callers.advertise;
     if advertise.port() == 0 {
--- a/crates/node/src/control/tail.rs
+++ b/crates/node/src/control/tail.rs
@@ -1,4 +1,4 @@
-//! Reads the stream of bundles as it grows, and the instance list as it changes.
+//! Tasks that follow the bundle stream, the instance list and the rate of the weight store.
 
 use super::input::{Input, Inputs};
 use crate::settings::Platform;
@@ -7,20 +7,22 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Stream of bundles.
+/// Name of the log's stream of bundles.
 pub const BUNDLE_STREAM: &str = "bundles";
-/// How long a read waits for a record.
+/// Maximum time that a read waits for a new record.
 const READ_WAIT: Duration = Duration::from_secs(2);
-/// First wait after a failure.
+/// Backoff after the first failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest wait after failures: the log is in use again within this after an outage.
+/// Maximum backoff after repeated failures, which bounds the delay until the service is used again
+/// after an outage.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// How often the weight store is asked.
+/// Interval at which the rate is read from the weight store.
 const RATE_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// How often the instance list is read.
+/// Interval at which the instance list is read.
 const LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads bundles until control is gone.
+/// Reads the bundle stream until control ends. After each page, control replies with the offset to
+/// read next.
 pub async fn read_bundles(settings: Platform, inputs: Inputs, seed: u64) {
     let log = platform::http::Log::new(settings.log, settings.limits);
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
@@ -47,7 +49,8 @@
     }
 }
 
-/// Asks the weight store what it allows, until control is gone.
+/// Reads the rate of loads that the weight store allows, until control ends. Returns at once if
+/// there is no weight store.
 pub async fn poll_rate(settings: Platform, inputs: Inputs) {
     let Some(addr) = settings.weights else {
         return;
@@ -63,7 +66,7 @@
     }
 }
 
-/// Reads the instance list until control is gone.
+/// Reads the instance list until control ends.
 pub async fn poll_instances(settings: Platform, inputs: Inputs, seed: u64) {
     let list = platform::http::List::new(settings.list, settings.limits);
     let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
--- a/crates/node/src/control/view.rs
+++ b/crates/node/src/control/view.rs
@@ -1,4 +1,4 @@
-//! Builds what the workers and handlers read.
+//! Builds the snapshots that the workers and their handlers read.
 
 use super::demand::Table;
 use super::endpoints;
@@ -17,36 +17,37 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Retries per second of the whole fleet, as a part of the requests that teams may start.
+/// Retries per second, as a fraction of the requests per second that teams may start. It bounds the
+/// retries of the whole fleet, since each worker applies it to its own shares.
 const RETRY_FRACTION: f64 = 0.1;
-/// Retries per second that a worker may always spend.
+/// Minimum number of retries per second that a worker may always make.
 const MIN_RETRY_RATE: f64 = 0.5;
 
-/// What a view is built from.
+/// Input from which snapshots are built.
 pub struct Source<'a> {
     /// Settings of the node.
     pub settings: &'a Settings,
-    /// The callers' listener as others reach it.
+    /// Address at which callers reach this node.
     pub callers: SocketAddr,
     /// The bundle in force.
     pub bundle: &'a Arc<Bundle>,
-    /// The instance list.
+    /// States of the endpoints' instances in the instance list.
     pub instance_list: &'a InstanceList,
-    /// The nodes.
+    /// Group of all nodes.
     pub group: &'a Group,
-    /// The node's shares of the teams' limits.
+    /// This node's shares of the teams' limits.
     pub shares: &'a [Share],
-    /// What endpoints report.
+    /// Reports of the endpoints.
     pub endpoints: &'a endpoints::Table,
     /// Demand by worker.
     pub demand: &'a Table,
-    /// Whether the node leaves.
+    /// Whether this node is leaving.
     pub leaving: bool,
 }
 
 impl Source<'_> {
-    /// The snapshots of all workers, in order. Most of a snapshot is the same for all; looking it
-    /// up takes long in a large fleet, so it is done once.
+    /// Builds the snapshots of all workers, in their order. Most of a snapshot is the same for all
+    /// workers. That part is built only once, because it is slow in a large fleet.
     pub fn snapshots(&self, workers: usize) -> Vec<Snapshot> {
         let versions = self.endpoints.serving_versions(self.bundle);
         let view = self.shared_view(&versions);
@@ -60,7 +61,7 @@
             .collect()
     }
 
-    /// The view with one worker's shares.
+    /// Adds one worker's shares and retry rate to the shared view.
     fn worker_view(&self, view: View, worker: usize) -> View {
         let shares = self
             .demand
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The part of the view that is the same for all workers.
+    /// Builds the part of the view that is the same for all workers.
     fn shared_view(&self, versions: &[String]) -> View {
         let observed = observed::collect(self.group, self.bundle);
         View {
@@ -86,11 +87,13 @@
             condemned: observed.condemned,
             shares: Vec::new(),
             retry_rate: 0.0,
-            // A node that leaves serves all that still comes; the listener ends it.
+            // A leaving node still serves all requests that reach it. The listener stops accepting
+            // them when the drain time is over.
             leaving: false,
         }
     }
 
+    /// Returns whether each endpoint of the bundle may get new requests.
     fn available(&self, versions: &[String]) -> Vec<bool> {
         let rows = (0..).zip(&self.bundle.endpoints);
         rows.map(|(id, e)| {
@@ -99,8 +102,9 @@
         .collect()
     }
 
-    /// Whether an endpoint holds what new requests are sent to. In the middle of a roll those on
-    /// another version get no new work: a chain must not mix versions.
+    /// Returns whether an endpoint serves all its spans in the versions that new requests use.
+    /// During a roll, endpoints with another version get no new work, since a chain must not mix
+    /// versions.
     fn is_ready(&self, id: EndpointId, endpoint: &Endpoint, versions: &[String]) -> bool {
         let mut spans = endpoint.spans.iter();
         spans.all(|s| {
@@ -109,7 +113,8 @@
         })
     }
 
-    /// Nodes that take new callers: this one unless it leaves, and peers that are up.
+    /// Returns the nodes to offer to callers: peers that accept callers, and this node unless it is
+    /// leaving.
     fn addresses(&self) -> Vec<Address> {
         let me = self.group.me();
         let peers = self.group.roster().iter();
@@ -121,6 +126,7 @@
         addresses
     }
 
+    /// Returns the address of a peer, if it has published one.
     fn peer_address(&self, peer: &Peer) -> Option<Address> {
         let (addr, tls) = observed::callers_address(self.group, peer.id)?;
         Some(Address {
@@ -133,6 +139,7 @@
         })
     }
 
+    /// Returns the address of this node. `free` is the free fraction of its capacity.
     fn own_address(&self, free: f64) -> Address {
         let node = &self.settings.node;
         Address {
@@ -146,8 +153,8 @@
     }
 }
 
-/// A suspected peer is not named: a caller that was sent to a dead node has to ask again, while
-/// one that is sent past a living node loses nothing.
+/// Returns whether a peer is offered to callers. A suspected peer is not: a caller that gets the
+/// address of a dead node has to request another, while omitting a live node costs callers nothing.
 fn accepts_callers(peer: &Peer) -> bool {
     let listed = peer.listed != Some(member::peer::ListedState::Leaving);
     peer.state == State::Up && !peer.leaving && listed
