--- a/crates/node/src/control/state/admin.rs
+++ b/crates/node/src/control/state/admin.rs
@@ -1,4 +1,4 @@
-//! Answers to the admin listener.
+//! Answers to requests of the admin listener.
 
 use super::State;
 use crate::control::publish;
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 impl State {
-    /// The state of this node.
+    /// Returns the status of this node.
     pub(super) fn status(&self) -> Status {
         let head = self.fold.head();
         let node = &self.settings.node;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The versions that were in force.
+    /// Returns the versions that have been in force.
     pub(super) fn history(&self) -> Vec<Version> {
         let entries = self.fold.history();
         entries
@@ -40,8 +40,8 @@
             .collect()
     }
 
-    /// Asks every node of the group what is in force there; answers when all have answered or
-    /// the time for asks is over.
+    /// Requests the status of every node of the group. Replies when all nodes have answered or
+    /// their requests have timed out. Nodes without an answer have version 0.
     pub(super) fn collect_fleet(&self, reply: oneshot::Sender<Vec<Node>>) {
         let me = self.group.me();
         let own = self.status();
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Publishes a version; the answer comes when its race has ended.
+    /// Publishes a bundle version. Replies when it is known whether the version came into force.
     pub(super) fn publish_version(&self, body: Bytes, reply: oneshot::Sender<Answer>) {
         let log = self.log_client();
         let fold = self.fold.clone();
@@ -86,7 +86,7 @@
         });
     }
 
-    /// The state of each part, in text.
+    /// Returns a text dump of each part of the state.
     pub(super) fn dump(&self) -> Vec<Part> {
         let part = |part: &str, text: String| Part {
             part: part.to_owned(),
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles: from the log, from peers, and to peers.
+//! Bundles read from the log, fetched from peers and sent to peers.
 
 use super::State;
 use crate::control::input::Input;
@@ -13,7 +13,7 @@
 use wire::frame::HeadAsk;
 
 impl State {
-    /// Folds a page of the log; returns the offset to read next.
+    /// Applies a page of the bundle stream. Returns the offset to read next.
     pub(super) fn fold_page(&mut self, page: Page) -> Offset {
         self.first_offset = page.first;
         let records = page.records.iter().map(|r| (r.offset, r.body.as_ref()));
@@ -22,7 +22,7 @@
             log_verdict(*offset, verdict);
         }
         if self.log_error.take().is_some() {
-            log::info!("the log is read again");
+            log::info!("the log is readable again");
         }
         if self.fold.next_offset() >= page.next {
             self.log_read_at = Some(Instant::now());
@@ -31,7 +31,7 @@
         self.fold.next_offset()
     }
 
-    /// The log can't be read: the node goes on with what it has.
+    /// Records that the log can't be read. The node continues with the bundle that it has.
     pub(super) fn log_read_failed(&mut self, error: &platform::Error) {
         if self.log_error.is_none() {
             log::warn!("the log can't be read: {error}");
@@ -39,7 +39,7 @@
         self.log_error = Some(error.to_string());
     }
 
-    /// Takes what a peer gave of a newer bundle.
+    /// Adopts the records of a newer bundle that a peer has sent.
     pub(super) fn adopt_records(&mut self, body: Option<Vec<u8>>) {
         let Some(records) = body.as_deref().and_then(records::decode) else {
             return;
@@ -48,16 +48,16 @@
             let verdict = self.fold.adopt(&record);
             match &verdict {
                 Verdict::Adopted(bundle) => {
-                    log::info!("bundle {} came from a peer", bundle.number);
+                    log::info!("adopted bundle {} from a peer", bundle.number);
                 }
-                Verdict::Refused(reason) => log::warn!("a peer's bundle is refused: {reason}"),
+                Verdict::Refused(reason) => log::warn!("refused a bundle from a peer: {reason}"),
                 _ => {}
             }
         }
         self.announce_head();
     }
 
-    /// Tells the group of a new head.
+    /// If the head of the fold is new, puts it into force and announces it to the group.
     fn announce_head(&mut self) {
         let Some(bundle) = self.fold.head().cloned() else {
             return;
@@ -84,7 +84,7 @@
         self.step();
     }
 
-    /// Asks a peer for the records that lead to its newer head.
+    /// Requests from a peer the records that lead to its newer head.
     pub(super) fn fetch_records(&mut self, head: Head, addr: SocketAddr) {
         let have = self.fold.head().map_or(0, |b| b.number);
         let ask = HeadAsk {
@@ -99,7 +99,7 @@
         });
     }
 
-    /// Writes a checkpoint if it is this node's turn.
+    /// Writes a checkpoint if the policy says that this node should write one now.
     pub(super) fn checkpoint_if_due(&mut self) {
         let now = self.now();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -112,19 +112,19 @@
         }
     }
 
-    /// A client of the log.
+    /// Creates a client of the log service.
     pub(super) fn log_client(&self) -> platform::http::Log {
         let platform = &self.settings.platform;
         platform::http::Log::new(platform.log, platform.limits)
     }
 
-    /// The records that a peer asks for.
+    /// Returns the records that a peer has requested, encoded in one body.
     pub(super) fn records_since(&self, ask: HeadAsk) -> Option<Vec<u8>> {
         records::encode(&self.fold.offer(ask.have))
     }
 }
 
-/// Writes a line for a verdict that is a change of state.
+/// Logs refused records and publications that lost to a concurrent one.
 fn log_verdict(offset: Offset, verdict: &Verdict) {
     match verdict {
         Verdict::Refused(reason) => log::warn!("record {offset} of the log is refused: {reason}"),
--- a/crates/node/src/control/state/claims.rs
+++ b/crates/node/src/control/state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys.
+//! Claims of idempotency keys for the workers.
 
 use super::State;
 use crate::control::claims::Owners;
@@ -11,7 +11,7 @@
 use member::peer::State as PeerState;
 use route::request::Id;
 
-/// Owners of keys, as the group knows them.
+/// Looks up the owners of keys in the group of nodes.
 struct GroupOwners<'a>(&'a Group);
 
 impl Owners for GroupOwners<'_> {
@@ -26,14 +26,14 @@
 }
 
 impl State {
-    /// Takes an event of the claims' streams, or time that passed.
+    /// Handles an event of the claim streams or a tick.
     pub fn handle_claim_event(&mut self, event: Event) {
         let now = self.now();
         self.claims.handle(now, event, &GroupOwners(&self.group));
         self.deliver_replies();
     }
 
-    /// A worker asks for a key.
+    /// Claims a key for a worker.
     pub(super) fn request_claim(&mut self, worker: usize, request: Request) {
         let now = self.now();
         self.claims
@@ -41,21 +41,21 @@
         self.deliver_replies();
     }
 
-    /// The caller of a request that waits for its key went away.
+    /// Withdraws a request whose caller disconnected while it waited for its key.
     pub(super) fn cancel_claim(&mut self, id: Id) {
         let now = self.now();
         self.claims.cancel(now, id, &GroupOwners(&self.group));
         self.deliver_replies();
     }
 
-    /// A run under a key ended.
+    /// Records the end of a request that ran under a key.
     pub(super) fn finish_claim(&mut self, ended: Ended) {
         let now = self.now();
         self.claims.finish(now, ended, &GroupOwners(&self.group));
         self.deliver_replies();
     }
 
-    /// Follows the shards that this node is the home of.
+    /// Follows the shards of keys whose home is this node.
     pub(super) fn follow_claims(&mut self) {
         let rows = self.group.roster().iter();
         let up = rows.filter(|p| p.state == PeerState::Up && !p.leaving);
@@ -65,7 +65,8 @@
             incarnation: self.incarnation,
         };
         let now = self.now();
-        // Keys carry dates by their makers' wall clocks; this node's may be set while it runs.
+        // Keys are dated by the wall clocks of their issuers. The table gets this node's wall clock
+        // regularly, because it may be adjusted while the node runs.
         let clock = Event::Clock(super::unix_time());
         self.claims.handle(now, clock, &GroupOwners(&self.group));
         self.claims
@@ -73,8 +74,8 @@
         self.deliver_replies();
     }
 
-    /// Gives workers their verdicts. One that finds the ring full is kept for the next time: its
-    /// request would wait for it until its caller gives up.
+    /// Delivers verdicts to the workers. A verdict that does not fit into a full ring is kept for
+    /// the next call: if it were dropped, its request would wait until the caller times out.
     fn deliver_replies(&mut self) {
         self.replies.extend(self.claims.take_replies());
         while let Some(reply) = self.replies.pop_front() {
--- a/crates/node/src/control/state/endpoints.rs
+++ b/crates/node/src/control/state/endpoints.rs
@@ -1,4 +1,4 @@
-//! Loads of endpoints, leases and rolls.
+//! Load reports of endpoints, and leases and rolls of endpoint groups.
 
 use super::State;
 use crate::control::rolls::Source;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl State {
-    /// An endpoint reported, or did not answer.
+    /// Records the result of a poll, and forwards a load report to the workers.
     pub(super) fn handle_load_report(&mut self, name: &Arc<str>, report: Option<Report>) {
         let Some(report) = report else {
             self.endpoints.record_unanswered(name);
@@ -28,13 +28,14 @@
         }
     }
 
-    /// Takes an event of the leases' stream, or time that passed.
+    /// Handles an event of the lease stream or a tick.
     pub(super) fn handle_lease_event(&mut self, event: Event) {
         let now = self.now();
         self.rolls.handle(now, event);
     }
 
-    /// Takes a step of the rolls whose leases this node holds.
+    /// Requests leases and advances the rolls of those that this node holds. A leaving node
+    /// releases its leases instead.
     pub(super) fn step_rolls(&mut self) {
         let now = self.now();
         let Some(bundle) = self.fold.head().cloned() else {
--- a/crates/node/src/control/state/peers.rs
+++ b/crates/node/src/control/state/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: messages, the instance list's part about nodes, and what the group asks for.
+//! Messages from peers, nodes in the instance list, and actions of the group.
 
 use super::State;
 use member::action::Action;
@@ -12,7 +12,7 @@
 use wire::peer::Inbound;
 
 impl State {
-    /// Tells peers where this node serves callers.
+    /// Publishes to the peers the address at which this node serves callers.
     pub(super) fn publish_callers(&mut self) {
         let callers = Observation::Callers {
             addr: self.callers,
@@ -21,7 +21,7 @@
         self.handle_group_event(Event::Publish(vec![callers]));
     }
 
-    /// Gives the group an event and does what it asks for.
+    /// Passes an event to the group and executes the resulting actions.
     pub(super) fn handle_group_event(&mut self, event: Event) {
         let now = self.now();
         let mut actions = std::mem::take(&mut self.actions);
@@ -35,7 +35,8 @@
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
-                // A full queue is counted by the link; gossip repeats itself.
+                // The link counts messages dropped from a full queue. They are not sent again,
+                // because gossip repeats its updates.
                 let _ = self.link.send(to, message);
             }
             Action::StateChanged {
@@ -49,7 +50,8 @@
                 let run = if restarted { " (another run)" } else { "" };
                 log::info!("node {name} is {state:?}{run}");
             }
-            // Demand and load of peers change all the time; the step reads them once a second.
+            // Demand and load of peers change constantly and do not require a new snapshot at once.
+            // `step` reads them once a second.
             Action::Learned(item) => {
                 self.dirty |=
                     !matches!(item.body, Observation::Demand { .. } | Observation::Load(_));
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Takes what came from a peer.
+    /// Handles a message from a peer.
     pub(super) fn handle_inbound(&mut self, inbound: Inbound) {
         match inbound {
             Inbound::Member { from, message } => {
@@ -67,7 +69,7 @@
             Inbound::Head { ask, reply } => {
                 let _ = reply.send(self.records_since(ask));
             }
-            // Copies of tables belong to nodes on a platform's store; this one has none.
+            // Only nodes on a platform's store have copies of tables.
             Inbound::Copy { reply, .. } => {
                 let _ = reply.send(None);
             }
@@ -78,6 +80,7 @@
         }
     }
 
+    /// Returns the status that peers request.
     fn peer_status(&self) -> Status {
         let head = self.fold.head();
         Status {
@@ -88,6 +91,7 @@
         }
     }
 
+    /// Reports to the group that the nodes with this address could not be connected to.
     fn report_connect_failure(&mut self, addr: SocketAddr) {
         let peers = self.group.roster().iter();
         let unreachable = peers.filter(|p| p.identity.addr == addr).map(|p| p.id);
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Tells the group which nodes the instance list names. An instance is a node's if it has an
-    /// address and no endpoint of the bundle is on it.
+    /// Passes the nodes of the instance list to the group. An instance is that of a node if it has
+    /// an address and no endpoint of the bundle runs on it.
     pub(super) fn update_listed_nodes(&mut self) {
         let head = self.fold.head();
         let rows = head.iter().flat_map(|b| b.endpoints.iter());
@@ -112,6 +116,7 @@
         }
     }
 
+    /// Converts an instance to an entry for the group; `None` if it has no address.
     fn listed_entry(&self, instance: &Instance) -> Option<Entry> {
         let bundle = self.fold.head();
         let zones = bundle.iter().flat_map(|b| b.zones.iter());
@@ -129,8 +134,8 @@
         })
     }
 
-    /// Seeds of the settings stand in for the list until it was read. Their names are not known;
-    /// they tell them when asked who they are.
+    /// Returns the seed nodes of the settings, which are used while no node is listed. Their names
+    /// are unknown here; the nodes identify themselves when they are contacted.
     fn seed_entries(&self, listed: &[Entry]) -> Vec<Entry> {
         if !listed.is_empty() {
             return Vec::new();
