--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! An answer in the making, as a handler sees it.
+//! The answer to a completion, as a handler reads it while the answer is generated.
 
 use crate::api::chat::Usage;
 use crate::api::error::Error;
@@ -13,14 +13,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Tells the core that the caller is gone, when dropped.
+/// Notifies the core on drop that the caller has left.
 pub struct Guard {
     id: Id,
     tx: Tx,
 }
 
 impl Guard {
-    /// The guard of request `id`.
+    /// Creates the guard of request `id`.
     pub fn new(id: Id, tx: Tx) -> Self {
         Self { id, tx }
     }
@@ -28,23 +28,23 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        // After the answer's end the core knows the id no more, and this says nothing.
+        // The core ignores the command if the answer has ended, because the session is gone.
         let _ = self.tx.send(Command::CallerLeft(self.id));
     }
 }
 
-/// A part of an answer, as the caller is to see it.
+/// A part of an answer, in the form that is sent to the caller.
 #[derive(Debug)]
 pub enum Part {
     /// More text; may be empty.
     Text(String),
-    /// The end, with text that was held back.
+    /// The end of the answer, with the text that the stop filter had held back.
     End(String, End),
-    /// It was not run.
+    /// The request was refused, or is answered with an error.
     Refused(Error),
 }
 
-/// An answer in the making.
+/// An answer whose parts arrive while it is generated.
 pub struct Answer {
     params: Params,
     id: String,
@@ -58,7 +58,7 @@
 }
 
 impl Answer {
-    /// The answer to `ask`, whose parts come from `replies`.
+    /// Creates the answer to a request with `params`; the core sends its parts to `replies`.
     pub fn new(
         params: Params,
         guard: Guard,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Which API.
+    /// The API that was called.
     pub fn kind(&self) -> Kind {
         self.params.kind
     }
@@ -92,7 +92,7 @@
         &self.id
     }
 
-    /// Unix time of its making, in seconds.
+    /// Unix time of its creation, in seconds.
     pub fn created(&self) -> u64 {
         self.created
     }
@@ -107,17 +107,17 @@
         self.params.stream
     }
 
-    /// Whether a streamed answer ends with its usage.
+    /// Whether a streamed answer ends with a usage event.
     pub fn wants_usage(&self) -> bool {
         self.params.include_usage
     }
 
-    /// Tokens used.
+    /// Number of tokens used.
     pub fn usage(&self, end: End) -> Usage {
         Usage::new(end.prompt_tokens, self.token_count)
     }
 
-    /// Why it ended, in the API's words.
+    /// The value of the API's `finish_reason` field.
     pub fn finish_reason(&self, end: End) -> &'static str {
         match end.stop {
             Stop::End => "stop",
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The next reply as it comes; a core that is gone leaves the outcome unknown.
+    /// Waits for the next reply of the core. If the core has stopped, the outcome is unknown.
     pub async fn next_reply(&mut self) -> Reply {
         self.replies.recv().await.unwrap_or(Reply::Done(End {
             outcome: Outcome::Unknown,
@@ -134,20 +134,20 @@
         }))
     }
 
-    /// The next part.
+    /// Waits for the next part.
     pub async fn next_part(&mut self) -> Part {
         let reply = self.next_reply().await;
         self.part(reply)
     }
 
-    /// Turns a reply into a part.
+    /// Converts a reply into a part.
     pub fn part(&mut self, reply: Reply) -> Part {
         match reply {
             Reply::Token(token) => self.push_token(&token.text),
             Reply::Done(end) => Part::End(self.filter.finish(), end),
             Reply::Refused(refusal) => Part::Refused(refusal.into()),
             Reply::Error(error) => Part::Refused(*error),
-            // The head of a plain service's answer never comes for a completion.
+            // Only calls of plain HTTP services have a head.
             Reply::Head(_) => Part::Text(String::new()),
         }
     }
@@ -159,8 +159,9 @@
         if !self.filter.done() {
             return Part::Text(released);
         }
-        // The answer is whole for the caller; the rest of the work is cancelled. The engines' count
-        // of the prompt would come with the end that is not waited for.
+        // A stop sequence completes the answer. Dropping the guard cancels the remaining work. The
+        // engines' count of the prompt's tokens arrives only at the end of the run, which is not
+        // awaited, so the estimate is used.
         self.guard = None;
         let prompt_tokens = self.params.prompt_tokens();
         Part::End(
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt of a request on its endpoints and tells the core what happens.
+//! Runs one attempt of a request on its endpoints and reports its events to the core.
 
 use crate::claim::MAX_CACHED_BODY_BYTES;
 use crate::core::{Command, Tx};
@@ -16,75 +16,76 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Chunks of a plain service's answer that may wait for a slow caller.
+/// Maximum number of chunks of a service's answer that are buffered for a slow caller.
 pub const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// An answer that broke off after its head.
+/// The failure of a call whose answer was interrupted after its head.
 const BODY_INTERRUPTED: service::Failure = service::Failure {
     cause: service::Cause::Reset,
     sent: true,
 };
 
-/// What a completion asks of the stages, the same for each attempt.
+/// Input of a completion, the same for each of its attempts.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of the model in the bundle that was in force when the request came.
+    /// Version of the model that serves the request. Until the first token it is replaced by the
+    /// current version at the start of each attempt.
     pub version: String,
-    /// Adapter.
+    /// Name of the adapter.
     pub adapter: Option<String>,
-    /// Text.
+    /// Text of the prompt.
     pub text: Bytes,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Rank of the priority.
+    /// Rank of the priority, 0 first.
     pub priority_rank: u32,
 }
 
-/// A call of a plain service.
+/// A call of a plain HTTP service rather than of a model.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Method, path and headers as the service is to see them.
+    /// Method, path and headers that are sent to the service.
     pub head: Arc<http::request::Parts>,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Where chunks of the answer go; a full channel slows the service down.
+    /// Receives the chunks of the answer. A full channel applies backpressure to the service.
     pub chunks: mpsc::Sender<Bytes>,
-    /// How to call.
+    /// Time limit of the call and choice of its connection.
     pub limit: service::Limit,
 }
 
-/// What a request asks to be done.
+/// The work of a request.
 #[derive(Clone, Debug)]
 pub enum Work {
-    /// Tokens of a model.
+    /// Generates tokens with a model.
     Completion(Arc<Prompt>),
-    /// A call of a plain service.
+    /// Calls a plain HTTP service.
     Call(Call),
 }
 
-/// Something that happened in a plain service's attempt.
+/// An event of an attempt to call a plain HTTP service.
 #[derive(Debug)]
 pub enum CallEvent {
-    /// The head of the answer came.
+    /// The head of the answer was received.
     Head(Box<http::response::Parts>),
-    /// The answer is whole; with its body if it is short enough to be kept for resends.
+    /// The answer is complete; with its body if that is short enough to be cached for retries.
     Finished(Option<Bytes>),
     /// The attempt failed.
     Failed(service::Failure),
 }
 
-/// Where an attempt runs.
+/// One stage of an attempt: the endpoint and the layers that it runs.
 #[derive(Clone, Debug)]
 pub struct Stage {
     /// Id of the endpoint in the bundle that the attempt was started with.
     pub endpoint: bundle::id::EndpointId,
     /// Name of the endpoint.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
     /// First layer.
     pub from: u16,
@@ -92,22 +93,22 @@
     pub to: u16,
 }
 
-/// Which attempt this is and where its events go.
+/// Identity of an attempt and the handles that it uses.
 #[derive(Clone)]
 pub struct Context {
-    /// Request.
+    /// Id of the request.
     pub id: Id,
-    /// Attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The core.
+    /// Receives the attempt's events.
     pub tx: Tx,
-    /// Connections of this worker.
+    /// Connection pool of this worker.
     pub pool: Pool,
-    /// Ends the attempt.
+    /// Cancels the attempt.
     pub cancel: CancellationToken,
 }
 
-/// Runs a completion from the prompt and the tokens already had.
+/// Runs a completion that continues after the tokens that earlier attempts `generated`.
 pub async fn run_completion(
     cx: Context,
     prompt: Arc<Prompt>,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Runs a call of a plain service.
+/// Runs a call of a plain HTTP service.
 pub async fn run_call(cx: Context, call: Call, stage: Stage) {
     let cancel = cx.cancel.clone();
     tokio::select! {
@@ -173,14 +174,14 @@
             return CallEvent::Failed(BODY_INTERRUPTED);
         };
         copy.push(&chunk);
-        // A caller who left has no receiver any more. The core cancels this attempt, unless it may
-        // not be repeated: then the rest is read, for a resend.
+        // Sending fails after the caller has left. The core then cancels this attempt unless the
+        // request is not repeatable; in that case the rest is read, to be cached for a retry.
         let _ = call.chunks.send(chunk).await;
     }
     CallEvent::Finished(copy.finish())
 }
 
-/// A copy of a body, given up when it gets too long.
+/// A copy of a body, discarded once it exceeds `MAX_CACHED_BODY_BYTES`.
 #[derive(Default)]
 struct BodyCopy {
     bytes: BytesMut,
--- a/crates/entry/src/cause.rs
+++ b/crates/entry/src/cause.rs
@@ -1,8 +1,8 @@
-//! Causes of failures, from the driver's words to the router's.
+//! Converts the causes of failures that `engine` reports into those of the router.
 
 use route::failure::Cause;
 
-/// The cause of a failed attempt on a pipeline.
+/// Converts the cause of a failed attempt on a chain of stages.
 pub fn from_chain(cause: engine::chain::Cause) -> Cause {
     use engine::chain::Cause as Source;
     match cause {
@@ -16,7 +16,7 @@
     }
 }
 
-/// The cause of a failed call of a plain service.
+/// Converts the cause of a failed call of a plain HTTP service.
 pub fn from_service(cause: engine::service::Cause) -> Cause {
     use engine::service::Cause as Source;
     match cause {
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,7 +1,8 @@
-//! Claims of idempotency keys, as a worker and control speak of them.
+//! Claims of idempotency keys: the messages between a worker and the control thread.
 //!
-//! A request that may not be repeated and has a key runs only after control has claimed the key.
-//! Control keeps the answers of ended runs for a while, so that a resend is given them.
+//! A request that is not repeatable and has a key runs only after the control thread has claimed
+//! the key. The control thread caches the answers of ended runs for a limited time and replays
+//! them when a caller sends the request again.
 
 use crate::api::error::Error;
 use bytes::Bytes;
@@ -12,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most bytes of a plain service's answer that are kept for resends.
+/// Maximum size of a service's answer, in bytes, that is cached for retries.
 pub const MAX_CACHED_BODY_BYTES: usize = 256 << 10;
 
-/// A key with what it stands for.
+/// An idempotency key and the request that it identifies.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
     /// The key.
@@ -24,41 +25,41 @@
     pub fingerprint: Fingerprint,
 }
 
-/// A worker's question.
+/// A worker's request to claim a key.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The request.
+    /// Id of the caller's request.
     pub id: Id,
-    /// Its key.
+    /// Key and fingerprint of the caller's request.
     pub claim: Claim,
-    /// Time left until the request's deadline.
+    /// Time left until the deadline of the caller's request.
     pub time_left: Duration,
 }
 
-/// A run that ended.
+/// The end of a run under a key.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// The request.
+    /// Id of the caller's request.
     pub id: Id,
-    /// Its key.
+    /// Hash of its key.
     pub hash: Hash,
-    /// How it ended.
+    /// Outcome of the run.
     pub outcome: Outcome,
-    /// Its answer, if it is whole and not too long.
+    /// Its answer, if it is complete and short enough to be cached.
     pub answer: Option<Arc<CachedAnswer>>,
 }
 
-/// The answer of a run, for resends.
+/// The answer of a run, cached for retries under the same key.
 #[derive(Clone, Debug)]
 pub enum CachedAnswer {
-    /// Of a completion.
+    /// Tokens and end of a completion.
     Completion(Vec<Token>, crate::core::End),
-    /// Of a plain service.
+    /// Head and body of a service's answer.
     Call(Box<http::response::Parts>, Bytes),
 }
 
 impl CachedAnswer {
-    /// Bytes that it takes, roughly.
+    /// Approximate size in memory, in bytes.
     pub fn size(&self) -> usize {
         match self {
             Self::Completion(tokens, _) => tokens
@@ -70,13 +71,13 @@
     }
 }
 
-/// Control's answer to a question.
+/// The control thread's decision on a claim.
 #[derive(Clone, Debug)]
 pub enum Verdict {
-    /// The key is this request's: run it.
+    /// The request has claimed the key and may run.
     Run,
-    /// Give it this answer of the key's run.
+    /// The key has run; the request is answered with the cached answer.
     Replay(Arc<CachedAnswer>),
-    /// Give it this error.
+    /// The request is answered with this error.
     Error(Box<Error>),
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,12 +1,14 @@
 //! The core of a request worker: the only owner of its router and of the table of sessions.
 //!
-//! Commands come in through one unbounded channel. It needs no bound of its own: an arrival takes a
-//! stream that the listener has already bounded, and an attempt sends a few events for each
-//! token that its endpoints make. The answer channel of a session is bounded by the request's own
-//! number of tokens; tokens have to be kept until the end anyway, to continue elsewhere.
+//! Commands arrive through one unbounded channel. It needs no bound of its own: each arrival
+//! occupies a stream, whose number the listener limits, and an attempt sends only a few events for
+//! each token that its endpoints generate. The reply channel of a session holds at most the
+//! request's number of tokens; tokens are retained until the end anyway, so that another attempt
+//! can continue after them.
 //!
-//! Endpoint ids belong to one bundle. A failure names the id that its attempt was started with, as
-//! the router expects. What outlives a bundle otherwise (probes, loads, notes) goes by name.
+//! Endpoint ids are valid for one bundle only. A failure carries the id that its attempt was
+//! started with, as the router expects. Other data that may outlive a bundle (probes, load reports,
+//! events for the control thread) identifies endpoints by name.
 
 mod claims;
 mod message;
@@ -44,24 +46,24 @@
 /// Receives the commands of a core.
 pub type Rx = mpsc::UnboundedReceiver<Command>;
 
-/// Longest time that a probe on a new connection may take.
+/// Timeout of a probe, which opens a new connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often counters and demand are given out.
+/// Interval at which the router's counters and the teams' demand are published.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The refusal when control can't take one more question.
+/// The refusal of a request whose claim does not fit into the ring to the control thread.
 const CONTROL_QUEUE_FULL: Refusal = Refusal {
     reason: Reason::Overload,
     retry_after: Some(Duration::from_secs(1)),
 };
-/// The end of a plain service's whole answer.
+/// The end of a service's answer that is complete.
 const COMPLETE_CALL_END: End = End {
     outcome: Outcome::Complete,
     stop: Stop::End,
     prompt_tokens: 0,
 };
 
-/// The core.
+/// Owns the router and the sessions of one worker.
 pub struct Core {
     router: Router,
     sessions: HashMap<Id, Session>,
@@ -75,36 +77,37 @@
     reports: Reports,
     reported_at: Instant,
     actions: Vec<Action>,
-    /// Notes that must reach control and found the ring full.
+    /// Events that must not be lost and that wait for space in the ring to the control thread.
     outbox: VecDeque<WorkerEvent>,
 }
 
 /// The newest counters and gauges of a router, for the metrics page.
 pub type Reports = Arc<ArcSwap<route::report::Report>>;
 
-/// What a core is made of.
+/// Arguments of [`Core::new`].
 pub struct Parts {
-    /// The router.
+    /// The router of this worker.
     pub router: Router,
-    /// Where control publishes.
+    /// The snapshot that the control thread publishes.
     pub shared_snapshot: SharedSnapshot,
-    /// Connections of this worker.
+    /// Connection pool of this worker.
     pub pool: Pool,
-    /// Where commands go.
+    /// Sends commands to this core; passed on to attempts and probes.
     pub tx: Tx,
-    /// Where notes to control go. When the ring is full the newest is dropped and counted: what
-    /// it told is told again by the next failure.
+    /// Sends events to the control thread. When the ring is full, the newest event is dropped and
+    /// counted, because the next failure reports the same fact again. Events that are not
+    /// repeated wait in the core's outbox instead.
     pub worker_events: ring::Sender<WorkerEvent>,
-    /// Counters.
+    /// Counters of the request path.
     pub metrics: Metrics,
-    /// Zero of the router's time.
+    /// Origin of the router's clock.
     pub start: Instant,
-    /// Where the router's counters are put.
+    /// Receives the router's counters.
     pub reports: Reports,
 }
 
 impl Core {
-    /// A core with no session.
+    /// Creates a core without sessions.
     pub fn new(parts: Parts) -> Self {
         Self {
             router: parts.router,
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Serves commands and notices until `stop`.
+    /// Handles commands and control events until `stop` is cancelled.
     pub async fn run(
         mut self,
         mut rx: Rx,
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Gives out the router's counters, and tells control what teams ask for.
+    /// Publishes the router's counters and sends the teams' demand to the control thread.
     fn report(&mut self) {
         self.reports.store(Arc::new(self.router.report()));
         let Some(snapshot) = &self.snapshot else {
@@ -172,7 +175,7 @@
         let _ = self.worker_events.push(event);
     }
 
-    /// Takes the newest snapshot, if there is a new one.
+    /// Loads the newest snapshot and passes it to the router if it has changed.
     fn refresh(&mut self) {
         let newest = self.shared_snapshot.load();
         let Some(newest) = newest.as_ref() else {
@@ -209,7 +212,8 @@
                 }
             }
             Command::Ticket(reply) => {
-                // When the ring is full the caller's channel closes, and it is told to come back.
+                // When the ring is full, the reply channel is dropped, and the handler answers that
+                // the caller should retry later.
                 let _ = self.worker_events.push(WorkerEvent::Ticket(reply));
             }
             Command::Dump(reply) => {
@@ -219,7 +223,8 @@
     }
 
     fn arrive(&mut self, arrival: Arrival) {
-        // The handler read a snapshot that may be newer than the router's: ids must agree.
+        // The handler may have used a newer snapshot than the router has. Both must use the same
+        // bundle, because ids are valid for one bundle only.
         self.refresh();
         let session = Session {
             work: arrival.work,
@@ -269,8 +274,9 @@
         }
     }
 
-    /// Work that may be repeated is cancelled down to the engines. Work that may not goes on once
-    /// it is under way: cut off halfway, its effect would be neither there nor safely absent.
+    /// Ends a request whose caller has left. A repeatable request is cancelled, down to the
+    /// engines. A request that is not repeatable continues once its attempt has started: if it were
+    /// interrupted, it would be unknown whether its effects took place.
     fn caller_left(&mut self, id: Id) {
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -372,7 +378,7 @@
         self.notify_run_ended(id, &session, outcome);
     }
 
-    /// Takes a session out of the table and ends its attempt.
+    /// Removes a session from the table and cancels its attempt.
     fn remove(&mut self, id: Id) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
         if let Some(running) = &session.running {
@@ -415,7 +421,7 @@
     }
 }
 
-/// A hop that only names its endpoint.
+/// Returns a hop that carries only an endpoint, without layers.
 fn endpoint_hop(endpoint: EndpointId) -> Hop {
     Hop {
         endpoint,
@@ -424,8 +430,8 @@
     }
 }
 
-/// A request without a token yet may run on the version that is served now; one that has tokens
-/// goes on with its own, since an answer of two versions would be wrong.
+/// Sets the model version of a request that has no token yet to the version that is served now.
+/// A request with tokens keeps its version, because an answer must not mix two versions.
 fn update_version(work: &mut Work, snapshot: Option<&Snapshot>) {
     let (Work::Completion(prompt), Some(snapshot)) = (work, snapshot) else {
         return;
--- a/crates/entry/src/core/claims.rs
+++ b/crates/entry/src/core/claims.rs
@@ -1,5 +1,5 @@
-//! What claims decide: whether a request with an idempotency key runs here, waits, or gets the
-//! answer that was kept.
+//! Requests with an idempotency key: they wait for the control thread's verdict, then run, are
+//! answered from the cache or fail.
 
 use super::message::{Reply, WorkerEvent};
 use super::session::Session;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 impl Core {
-    /// What becomes of a request that asked for its key.
+    /// Applies the verdict on a request that waits for its key.
     pub(super) fn handle_verdict(&mut self, id: Id, verdict: Verdict) {
         match verdict {
             Verdict::Run => self.run_claimed(id),
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Runs a request whose key it now holds. If its caller has left, control has been told so
-    /// and releases the key.
+    /// Runs a request that has claimed its key. If the caller has left, there is no session any
+    /// more, and the control thread has been notified and releases the key.
     pub(super) fn run_claimed(&mut self, id: Id) {
         let session = self.sessions.get_mut(&id);
         if let Some(request) = session.and_then(|s| s.unclaimed.take()) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Gives a resend the answer of its key's run.
+    /// Answers a request with the cached answer of an earlier run under its key.
     pub(super) fn replay(&mut self, id: Id, answer: &CachedAnswer) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Tells control that a run under a key ended. Lost, the key would stay taken.
+    /// Notifies the control thread that a run under a key has ended. The event goes through the
+    /// outbox: if it were lost, the key would stay claimed.
     pub(super) fn notify_run_ended(&mut self, id: Id, session: &Session, outcome: Outcome) {
         let Some(hash) = session.key_hash else {
             return;
@@ -81,7 +82,7 @@
         self.flush_outbox();
     }
 
-    /// Sends notes that must reach control, in order.
+    /// Sends the events of the outbox in order, until the ring is full.
     pub(super) fn flush_outbox(&mut self) {
         while let Some(event) = self.outbox.pop_front() {
             if let Err(event) = self.worker_events.push(event) {
--- a/crates/entry/src/core/message.rs
+++ b/crates/entry/src/core/message.rs
@@ -1,4 +1,4 @@
-//! What a core is told and what it tells.
+//! Messages that a core receives and sends.
 
 use crate::api::error::Error;
 use crate::attempt::{CallEvent, Work};
@@ -13,103 +13,104 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Something a core is told.
+/// A message to a core from handlers, attempts and the admin listener.
 #[derive(Debug)]
 pub enum Command {
     /// A request arrived.
     Arrive(Arrival),
-    /// Something happened in an attempt on a pipeline.
+    /// An event of an attempt on a chain of stages.
     Chain(Id, Attempt, chain::Event),
-    /// Something happened in a call of a plain service.
+    /// An event of a call of a plain HTTP service.
     Call(Id, Attempt, CallEvent),
-    /// The caller went away, or has all it wants.
+    /// The caller has left, or its answer is complete.
     CallerLeft(Id),
-    /// A probe ended; whether the named endpoint answered.
+    /// A probe of the named endpoint has ended; true if the endpoint answered.
     Probed(Arc<str>, bool),
-    /// Asks for a ticket.
+    /// Requests a ticket.
     Ticket(oneshot::Sender<String>),
-    /// Asks for the state in text.
+    /// Requests a dump of the state as text.
     Dump(oneshot::Sender<String>),
 }
 
-/// A request and where its answer goes.
+/// A new request.
 #[derive(Debug)]
 pub struct Arrival {
-    /// What the router decides on.
+    /// The properties that the router decides on.
     pub request: Request,
-    /// What is to be done.
+    /// The work to do.
     pub work: Work,
-    /// The key under which it must run at most once, if any.
+    /// The idempotency key under which the request runs at most once, if any.
     pub claim: Option<Claim>,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub reply: mpsc::UnboundedSender<Reply>,
 }
 
-/// A part of an answer.
+/// A message of a core to the handler of a request.
 #[derive(Debug)]
 pub enum Reply {
     /// The request was not run.
     Refused(Refusal),
-    /// Another answer than the one asked for.
+    /// The request is answered with an error.
     Error(Box<Error>),
-    /// One more token.
+    /// The next token of a completion.
     Token(Token),
-    /// The head of a plain service's answer.
+    /// The head of a service's answer.
     Head(Box<http::response::Parts>),
     /// The answer ended.
     Done(End),
 }
 
-/// How an answer ended.
+/// The end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// Outcome.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why the last token was the last.
+    /// Reason for the end of the generation.
     pub stop: Stop,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
 }
 
-/// Something a core tells control.
+/// An event that a core sends to the control thread.
 #[derive(Debug)]
 pub enum WorkerEvent {
-    /// A named endpoint was taken out of use.
+    /// The named endpoint was ejected.
     Ejected(Arc<str>),
-    /// A named endpoint is back in use.
+    /// The named endpoint is available again after an ejection.
     Restored(Arc<str>),
-    /// A request with this fingerprint was in flight when an endpoint died.
+    /// A request with this fingerprint was in flight when an endpoint crashed.
     Suspect(u64),
-    /// A verdict on this fingerprint is awaited.
+    /// The decision whether requests with this fingerprint crash endpoints is pending.
     Pending(u64),
     /// Requests with this fingerprint crash endpoints.
     Condemned(u64),
-    /// What teams ask of this worker, by team of the bundle with this digest.
+    /// Demand of each team on this worker, in the order of the bundle with this digest.
     Demand(Digest, Vec<Demand>),
-    /// A request asks for its key.
+    /// A request needs a claim of its key.
     Claim(claim::Request),
-    /// The caller of a request that waits for its key went away.
+    /// A request that waited for its key has ended without a run, for example because its caller
+    /// left.
     ClaimAbandoned(Id),
-    /// A run under a key ended.
+    /// A run under a key has ended.
     Ended(claim::Ended),
-    /// A caller asks for a ticket.
+    /// A caller requests a ticket.
     Ticket(oneshot::Sender<String>),
 }
 
-/// What one team asks of one worker.
+/// Demand of one team on one worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests that came since the start, refused ones included.
+    /// Number of requests received since the start, including refused ones.
     pub received: u64,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
 }
 
-/// Something control tells a core.
+/// An event that the control thread sends to a core.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// Load of a named endpoint.
+    /// A load report of the named endpoint.
     Load(Arc<str>, Report),
-    /// What becomes of a request that asked for its key.
+    /// The verdict on a request that waits for its key.
     Claim(Id, Verdict),
 }
--- a/crates/entry/src/core/progress.rs
+++ b/crates/entry/src/core/progress.rs
@@ -1,4 +1,4 @@
-//! What attempts tell: progress, tokens, ends and failures.
+//! Events of attempts: progress, tokens, ends and failures.
 
 use super::Core;
 use super::message::Reply;
@@ -16,7 +16,8 @@
 use std::time::Duration;
 
 impl Core {
-    /// The session, if `attempt` is its current one. What an ended attempt still sends stops here.
+    /// Returns the session if `attempt` is its current attempt. Otherwise the event is stale: it
+    /// comes from an attempt that has ended, and is counted and ignored.
     pub(super) fn current_session(&mut self, id: Id, attempt: Attempt) -> Option<&mut Session> {
         let session = self.sessions.get_mut(&id);
         let session = session.filter(|s| s.running.as_ref().is_some_and(|r| r.attempt == attempt));
@@ -45,8 +46,8 @@
             } => {
                 session.end.stop = stop;
                 session.end.prompt_tokens = prompt_tokens;
-                // The driver still closes its streams: cancelled now, it would reset them, and the
-                // engines would take a whole answer for one that was given up.
+                // The chain driver is still closing its streams. If it were cancelled now, it would
+                // reset them, and the engines would take the complete answer for an abandoned one.
                 session.running = None;
                 self.handle(Event::Finished(id, attempt));
             }
@@ -89,7 +90,8 @@
                     None,
                 );
                 if committed {
-                    // Part of the answer is with the caller: a second run would be appended to it.
+                    // Part of the answer has reached the caller. A retry would append a second
+                    // answer to it.
                     self.finish(id, Outcome::Unknown);
                 }
                 self.handle(Event::Failed(id, attempt, failure));
@@ -120,13 +122,13 @@
         }
     }
 
-    /// Id of a named endpoint in the bundle that the router knows.
+    /// Returns the id of the named endpoint in the bundle that the router uses.
     pub(super) fn endpoint_id(&self, name: &str) -> Option<EndpointId> {
         let snapshot = self.snapshot.as_ref()?;
         snapshot.view.bundle.endpoint(name)
     }
 
-    /// Name and address of an endpoint.
+    /// Returns the stage of a hop, with the name and address of its endpoint.
     pub(super) fn stage(&self, hop: &Hop) -> Option<Stage> {
         let snapshot = self.snapshot.as_ref()?;
         let endpoint = snapshot.view.bundle.endpoints.get(hop.endpoint as usize)?;
--- a/crates/entry/src/core/session.rs
+++ b/crates/entry/src/core/session.rs
@@ -1,4 +1,4 @@
-//! Requests in the table of a core.
+//! The state of a request in a core's table.
 
 use super::message::{End, Reply};
 use crate::attempt::{Stage, Work};
@@ -12,28 +12,28 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// A request in the table.
+/// A request from its arrival to its end.
 pub(super) struct Session {
     pub(super) work: Work,
     pub(super) reply: mpsc::UnboundedSender<Reply>,
     pub(super) generated: Vec<Token>,
     pub(super) end: End,
     pub(super) repeatable: bool,
-    /// The key's hash, if it runs under a key.
+    /// Hash of the idempotency key, if the request has a claim.
     pub(super) key_hash: Option<Hash>,
-    /// The request, while it waits for its key.
+    /// The request as the router needs it, while it waits for its key.
     pub(super) unclaimed: Option<Request>,
-    /// Head of a plain service's answer, to be kept for resends.
+    /// Head of a service's answer, if it is to be cached for retries.
     pub(super) head: Option<Box<http::response::Parts>>,
-    /// Its body, if it is short enough to be kept.
+    /// Body of a service's answer, if it is short enough to be cached.
     pub(super) body: Option<Bytes>,
-    /// Whether a part of a plain service's answer went to the caller: it can't be started anew.
+    /// Whether part of a service's answer was sent to the caller, so that no retry is possible.
     pub(super) committed: bool,
     pub(super) running: Option<Running>,
 }
 
 impl Session {
-    /// The whole answer, for resends.
+    /// Returns the complete answer, to be cached for retries.
     pub(super) fn cached_answer(&self) -> Option<CachedAnswer> {
         match &self.work {
             Work::Completion(_) => {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The current attempt of a session.
+/// The current attempt of a request.
 pub(super) struct Running {
     pub(super) attempt: Attempt,
     pub(super) stages: Vec<Stage>,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,16 +1,16 @@
 //! The callers' side of a node: HTTP and SSE, addresses, the admin listener, metrics and dumps.
 //!
-//! Inputs are callers' connections, the [`snapshot::Snapshot`] that control publishes, and checked
-//! [`settings::Settings`]; outputs are answers, attempts on endpoints through `engine`, and
-//! observations for control through a bounded [`ring`].
+//! Inputs are callers' connections, the [`snapshot::Snapshot`] that the control thread publishes,
+//! and the node's validated settings. Outputs are answers to callers, attempts on endpoints
+//! through `engine`, and events for the control thread through a bounded [`ring`].
 //!
-//! A request worker is one thread with a current-thread runtime. Its [`core`] owns a
-//! `route::Router` and is the only one to touch it: handlers and attempts send it
-//! [`core::Command`]s and it answers with [`core::Reply`]s. Nothing here takes a lock that control
-//! holds; the snapshot is read through an atomic pointer.
+//! A request worker is one thread with a current-thread runtime. Its [`core`] is the sole owner of
+//! a `route::Router`: handlers and attempts send [`core::Command`]s to the core, which answers with
+//! [`core::Reply`]s. Nothing in this crate takes a lock that the control thread holds; the snapshot
+//! is read through an atomic pointer.
 //!
-//! Left to others: which endpoints run a request (`route`), what the fleet looks like (control, in
-//! the node), the protocol of endpoints (`engine`).
+//! Out of scope: the selection of endpoints for a request (`route`), the state of the fleet (the
+//! control thread, in the node's crate) and the protocol of endpoints (`engine`).
 
 pub mod address;
 pub mod admin;
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,23 +1,23 @@
-//! Bounds of a listener and of what callers send.
+//! Limits of a listener and of callers' requests.
 
 use std::time::Duration;
 
-/// Bounds of one listener.
+/// Limits of one listener.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections at once, per worker thread.
+    /// Maximum number of concurrent connections per worker thread.
     pub max_connections: usize,
-    /// Streams at once on one HTTP/2 connection.
+    /// Maximum number of concurrent streams of an HTTP/2 connection.
     pub max_streams: u32,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for the TLS handshake and a request's head.
+    /// Timeout of the TLS handshake, and of receiving a request's head.
     pub head_timeout: Duration,
-    /// Time for a request's body.
+    /// Timeout of receiving a request's body.
     pub body_timeout: Duration,
-    /// Time that a connection may stay without a request.
+    /// Time without progress after which a connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -35,14 +35,14 @@
     }
 }
 
-/// Bounds of what a caller may ask for.
+/// Defaults and limits of callers' requests.
 #[derive(Clone, Debug)]
 pub struct RequestLimits {
-    /// Time to answer when the caller names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
-    /// Longest time to answer that a caller may name.
+    /// Maximum deadline; longer ones are reduced to it.
     pub max_deadline: Duration,
-    /// Tokens generated when the caller names no number.
+    /// Maximum number of tokens to generate for a request that sets none.
     pub default_max_tokens: u32,
 }
 
--- a/crates/entry/src/ring.rs
+++ b/crates/entry/src/ring.rs
@@ -1,14 +1,14 @@
-//! Bounded single-producer rings between the threads of a node.
+//! Bounded single-producer single-consumer rings between the threads of a node.
 //!
-//! A full ring never blocks its producer: [`Sender::push`] gives the value back, the loss is
-//! counted, and the caller decides what it means (each use states it). The consumer sleeps on a
-//! notification that is kept while nobody waits, so that no wake-up is lost.
+//! A full ring never blocks its producer: [`Sender::push`] counts the overflow and returns the
+//! value, and each producer documents what it does then. The consumer waits for a notification
+//! that is stored while it does not wait, so that no wake-up is lost.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::Notify;
 
-/// Wakes the consumer when it is dropped.
+/// Wakes the consumer on drop.
 struct WakeOnDrop(Arc<Notify>);
 
 impl Drop for WakeOnDrop {
@@ -20,8 +20,8 @@
 /// The producing end.
 pub struct Sender<T> {
     ring: rtrb::Producer<T>,
-    /// Dropped after the ring's end, in the order of the fields. Rung before it, the consumer could
-    /// look while the ring still counts as held, and sleep for good.
+    /// Dropped after `ring`, by the order of the fields. If the consumer were woken first, it could
+    /// find the producer still present, wait again and never be woken.
     wake: WakeOnDrop,
     overflows: Arc<AtomicU64>,
 }
@@ -32,7 +32,7 @@
     notify: Arc<Notify>,
 }
 
-/// A ring that holds `capacity` values.
+/// Creates a ring that holds up to `capacity` values.
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let notify = Arc::new(Notify::new());
@@ -49,7 +49,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Adds `value`, or gives it back when the ring is full or its consumer is gone.
+    /// Adds `value`, or returns it as the error if the ring is full or its consumer was dropped.
     pub fn push(&mut self, value: T) -> Result<(), T> {
         if self.ring.is_abandoned() {
             return Err(value);
@@ -62,17 +62,18 @@
         pushed.map_err(|rtrb::PushError::Full(value)| value)
     }
 
-    /// Counter of values that found the ring full.
+    /// Returns the counter of pushes that found the ring full.
     pub fn overflows(&self) -> Arc<AtomicU64> {
         self.overflows.clone()
     }
 }
 
 impl<T> Receiver<T> {
-    /// The next value, or `None` when the producer is gone and the ring is empty.
+    /// Waits for the next value; returns `None` if the ring is empty and its producer was dropped.
     pub async fn pop(&mut self) -> Option<T> {
         loop {
-            // Read before the pop: a producer that pushes and then goes must not be missed.
+            // Read before the pop: otherwise a value that the producer pushes just before its drop
+            // could be missed.
             let producer_dropped = self.ring.is_abandoned();
             if let Ok(value) = self.ring.pop() {
                 return Some(value);
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -1,20 +1,20 @@
-//! What control publishes to the request workers and the admin listener.
+//! The state that the control thread publishes to the request workers.
 
 use crate::address::Address;
 use arc_swap::ArcSwapOption;
 use route::view::View;
 use std::sync::Arc;
 
-/// Control's knowledge at one moment.
+/// The state of the fleet at one moment, as the control thread knows it.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// The router's part.
+    /// The router's view of the fleet.
     pub view: Arc<View>,
-    /// By model of the bundle: the version that new requests are sent to.
+    /// Version that serves new requests, by model in the order of the bundle.
     pub versions: Vec<String>,
-    /// Entry nodes that take new callers, this one included unless it leaves.
+    /// Entry nodes that accept new callers, including this one unless it is leaving.
     pub addresses: Vec<Address>,
 }
 
-/// The place where control puts the newest snapshot; empty until a bundle is in force.
+/// The newest snapshot; `None` until a bundle is in force.
 pub type SharedSnapshot = Arc<ArcSwapOption<Snapshot>>;
--- a/crates/entry/src/worker.rs
+++ b/crates/entry/src/worker.rs
@@ -1,4 +1,4 @@
-//! A request worker: one thread with its own runtime, router, connections and listener.
+//! A request worker: one thread with its own runtime, router, connection pool and listener.
 
 use crate::core::{self, ControlEvent, Core, Reports, Rx, Tx, WorkerEvent};
 use crate::handler::{self, Shared};
@@ -21,48 +21,48 @@
 use tokio_util::sync::CancellationToken;
 use viz::Tree;
 
-/// What a worker is made of.
+/// A request worker that has not started yet.
 pub struct Worker {
-    /// Its number within the node.
+    /// Number of the worker within the node.
     pub number: usize,
-    /// The callers' listener; every worker has one of its own on the same address.
+    /// The listener for callers; all workers listen on the same address.
     pub listener: std::net::TcpListener,
-    /// Bounds of the listener.
+    /// Limits of the listener.
     pub limits: Limits,
-    /// Bounds of what a caller may ask for.
+    /// Defaults and limits of callers' requests.
     pub request_limits: RequestLimits,
-    /// Seconds for which callers may keep an address answer.
+    /// Seconds for which callers may cache a list of addresses.
     pub address_ttl: u64,
     /// Settings of the router.
     pub route: Settings,
     /// Seed of the router.
     pub seed: u64,
-    /// Certificate of the callers' listener.
+    /// TLS configuration of the listener, if it uses TLS.
     pub tls: Option<Arc<ReloadableConfig>>,
-    /// Where control publishes.
+    /// The snapshot that the control thread publishes.
     pub shared_snapshot: SharedSnapshot,
-    /// Counters.
+    /// Counters of the request path.
     pub metrics: Metrics,
-    /// What control tells.
+    /// Receives events from the control thread.
     pub control_events: ring::Receiver<ControlEvent>,
-    /// What is told to control.
+    /// Sends events to the control thread.
     pub worker_events: ring::Sender<WorkerEvent>,
-    /// Where the router's counters are put.
+    /// Receives the router's counters.
     pub reports: Reports,
-    /// When it ends.
+    /// Tokens that shut the listener down.
     pub shutdown: Shutdown,
 }
 
 /// A started worker.
 pub struct Handle {
-    /// Where commands go.
+    /// Sends commands to the worker's core.
     pub tx: Tx,
-    /// Its thread.
+    /// Thread of the worker.
     pub thread: JoinHandle<io::Result<()>>,
 }
 
 impl Worker {
-    /// Starts the thread.
+    /// Starts the worker's thread.
     pub fn start(self) -> io::Result<Handle> {
         let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
         let name = format!("worker-{}", self.number);
@@ -94,7 +94,7 @@
             start,
             reports: self.reports,
         });
-        // The core outlives the listener: requests in flight need it until the last has ended.
+        // The core outlives the listener, because requests in flight need it until they end.
         let end = CancellationToken::new();
         let running = tokio::spawn(core.run(rx, self.control_events, end.clone()));
         let shared = Shared {
