--- a/crates/entry/src/address.rs
+++ b/crates/entry/src/address.rs
@@ -1,53 +1,55 @@
-//! The answer to a caller that asks which entry node to use.
+//! The list of entry nodes that is offered to a caller.
 //!
-//! Nodes of the caller's availability zone come first, then those of its region, then the rest. Within a group the order is
-//! drawn with chances by free capacity, so that callers who all take the first address spread over
-//! the nodes by load instead of meeting at the least loaded one. A node that leaves is not named.
+//! Nodes of the caller's availability zone come first, then those of its region, then the rest.
+//! Within a group the order is random, weighted by free capacity: callers usually take the first
+//! address, and they spread over the nodes by load instead of all choosing the least loaded one.
+//! A node that is leaving is not offered.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Smallest chance weight: a node that reports itself full is still named, late.
+/// Lower bound of a node's weight: a node that reports no free capacity is still listed, usually
+/// near the end of its group.
 const MIN_FREE_FRACTION: f64 = 0.01;
 
-/// An entry node that takes new callers.
+/// An entry node that accepts new callers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Address {
     /// Name of the node.
     pub node: String,
-    /// Its callers' listener.
+    /// Address of its listener for callers.
     pub addr: SocketAddr,
-    /// Whether that listener speaks TLS.
+    /// Whether that listener uses TLS.
     pub tls: bool,
     /// Name of its availability zone.
     pub zone: String,
     /// Name of its region.
     pub region: String,
-    /// Share of its capacity that is free, 0 to 1, as last reported.
+    /// Fraction of its capacity that is free, 0 to 1, as last reported.
     pub free: f64,
 }
 
-/// One line of the answer.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Item {
-    /// Base URL.
+    /// Base URL of the node.
     pub url: String,
-    /// Availability zone.
+    /// Availability zone of the node.
     pub zone: String,
 }
 
-/// The answer.
+/// The body of the answer to `GET /v1/addresses`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct List {
-    /// Seconds for which the caller may keep it.
+    /// Seconds for which the caller may cache the list.
     pub ttl_seconds: u64,
     /// Entry nodes, best first.
     pub addresses: Vec<Item>,
 }
 
-/// Orders `addresses` for a caller in `zone` of `region`; at most `most` lines.
+/// Orders `addresses` for a caller at `location` and returns the first `max` of them.
 pub fn list(
     addresses: &[Address],
     location: &Location,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Where the caller is, as far as known.
+/// Location of a caller, as far as it is known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
     /// Availability zone.
@@ -86,8 +88,8 @@
     }
 }
 
-/// An exponential draw with rate `free`: the smallest of several is each one's with a chance in
-/// proportion to its rate.
+/// Draws from an exponential distribution with rate `free`. The probability that a node has the
+/// smallest draw of its group is proportional to its rate.
 fn exponential_draw(free: f64, rng: &mut StdRng) -> f64 {
     let u: f64 = rng.random();
     -(1.0 - u).ln() / free.clamp(MIN_FREE_FRACTION, 1.0)
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -1,4 +1,4 @@
-//! The callers' API: bodies, answers and errors in the shapes that chat-completion clients read.
+//! The callers' API: bodies, answers and errors in the format of chat-completion clients.
 
 pub mod chat;
 pub mod chunk;
--- a/crates/entry/src/api/chat.rs
+++ b/crates/entry/src/api/chat.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Most messages in one request.
+/// Maximum number of messages in a request.
 const MAX_MESSAGES: usize = 4096;
-/// Roles that a message may have.
+/// Supported roles of a message.
 const ROLES: [&str; 4] = ["system", "developer", "user", "assistant"];
 
 #[derive(Deserialize)]
@@ -37,7 +37,7 @@
     text: Option<String>,
 }
 
-/// Reads and checks a body.
+/// Parses and validates the body of a request.
 pub fn read(body: &[u8]) -> Result<Params> {
     let raw: RawChat = parse(body)?;
     let messages = raw.messages.unwrap_or_default();
@@ -54,8 +54,8 @@
     raw.shared.check(Kind::Chat, prompt)
 }
 
-/// The prompt that the messages make: a line with the role, then the text, for each; then the
-/// role that is to speak.
+/// Builds the prompt: for each message a line with its role and then its text, and at the end the
+/// line with the assistant's role.
 fn prompt(messages: Vec<RawMessage>) -> Result<Bytes> {
     let mut prompt = String::new();
     for (i, message) in messages.into_iter().enumerate() {
@@ -99,56 +99,57 @@
     Ok(joined)
 }
 
-/// A whole answer.
+/// The body of an answer that is not streamed.
 #[derive(Debug, Serialize)]
 pub struct Answer<'a> {
     /// Id of the answer.
     pub id: &'a str,
-    /// Kind of object.
+    /// Object type.
     pub object: &'static str,
-    /// Unix time of its making.
+    /// Unix time of its creation, in seconds.
     pub created: u64,
     /// Model, as named by the caller.
     pub model: &'a str,
-    /// The one choice.
+    /// The only choice.
     pub choices: [Choice<'a>; 1],
-    /// Tokens used.
+    /// Number of tokens used.
     pub usage: Usage,
 }
 
-/// The choice of a whole answer.
+/// The choice of an answer that is not streamed.
 #[derive(Debug, Serialize)]
 pub struct Choice<'a> {
     /// Always 0.
     pub index: u32,
-    /// The message.
+    /// The generated message.
     pub message: Message<'a>,
-    /// Why it ended: `stop` or `length`.
+    /// Reason for the end of the generation: `stop` or `length`.
     pub finish_reason: &'static str,
 }
 
-/// The message of a whole answer.
+/// The message of an answer that is not streamed.
 #[derive(Debug, Serialize)]
 pub struct Message<'a> {
     /// Always `assistant`.
     pub role: &'static str,
-    /// Its text.
+    /// Text of the message.
     pub content: &'a str,
 }
 
-/// Tokens used by a request.
+/// Number of tokens used by a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
-    /// Tokens of the prompt, as counted by the first stage.
+    /// Number of tokens of the prompt. It is the first stage's count, or an estimate if a stop
+    /// sequence ended the answer.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: u32,
-    /// Their sum.
+    /// Sum of the two, saturating.
     pub total_tokens: u32,
 }
 
 impl Usage {
-    /// Usage of a request.
+    /// Creates the usage of a request.
     pub fn new(prompt: u32, completion: u32) -> Self {
         Self {
             prompt_tokens: prompt,
@@ -158,24 +159,24 @@
     }
 }
 
-/// The choice of an event.
+/// The choice of an event of a streamed answer.
 #[derive(Debug, Serialize)]
 pub struct ChunkChoice<'a> {
     /// Always 0.
     pub index: u32,
-    /// What is added to the message.
+    /// Addition to the message.
     pub delta: Delta<'a>,
-    /// Why it ended, in the last one.
+    /// Reason for the end of the generation, in the last event with a choice.
     pub finish_reason: Option<&'static str>,
 }
 
-/// What an event adds to the message.
+/// The addition of one event to the message.
 #[derive(Debug, Default, Serialize)]
 pub struct Delta<'a> {
-    /// Role, in the first one.
+    /// Role, in the first event.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub role: Option<&'static str>,
-    /// Text.
+    /// Text to append.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub content: Option<&'a str>,
 }
--- a/crates/entry/src/api/completion.rs
+++ b/crates/entry/src/api/completion.rs
@@ -19,7 +19,7 @@
     Many(Vec<String>),
 }
 
-/// Reads and checks a body.
+/// Parses and validates the body of a request.
 pub fn read(body: &[u8]) -> Result<Params> {
     let raw: RawCompletion = parse(body)?;
     let prompt = prompt(raw.prompt)?;
@@ -42,13 +42,13 @@
     prompt.ok_or_else(|| Error::invalid_value("prompt", "there is no prompt"))
 }
 
-/// The choice.
+/// The choice of an answer or of an event.
 #[derive(Debug, Serialize)]
 pub struct Choice<'a> {
     /// Always 0.
     pub index: u32,
-    /// Text, or what an event adds to it.
+    /// Text of the answer, or the addition of an event to it.
     pub text: &'a str,
-    /// Why it ended.
+    /// Reason for the end of the generation; `None` in events before the end.
     pub finish_reason: Option<&'static str>,
 }
--- a/crates/entry/src/api/error.rs
+++ b/crates/entry/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the shape that chat-completion clients read, with the outcome added.
+//! Errors in the format of chat-completion clients, with the outcome of the request added.
 
 use http::StatusCode;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -9,29 +9,29 @@
 use std::time::Duration;
 use viz::{Body, IntoResponse, Response};
 
-/// Result of a handler's step.
+/// Result whose error is an answer to the caller.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An answer other than the one asked for.
+/// An error answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     /// HTTP status.
     pub status: StatusCode,
-    /// Stable word for programs.
+    /// Stable identifier of the error, for programs.
     pub code: &'static str,
-    /// Sentence for people.
+    /// Description of the error, for people.
     pub message: String,
-    /// The field or header at fault.
+    /// Name of the invalid field or header.
     pub param: Option<String>,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Base URL of the node that has the request's key; it alone can answer.
+    /// Base URL of the node that owns the request's idempotency key; only that node can answer.
     pub owner_url: Option<String>,
-    /// Id of the request, once it has one.
+    /// Id of the request, if it is known.
     pub request_id: Option<Id>,
-    /// The method that the path takes, for a request with another one.
+    /// The method that the path supports, if the request used another one.
     pub allowed_method: Option<&'static str>,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Error {
-    /// An error for a request that was not run.
+    /// Creates the error of a request that was not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A value that was understood but can't be served.
+    /// Creates the error for a field or header whose value is invalid or unsupported.
     pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
         let mut error = Self::new(
             StatusCode::UNPROCESSABLE_ENTITY,
@@ -76,7 +76,7 @@
         error
     }
 
-    /// A request that may have run and won't be repeated.
+    /// Creates the error of a request that may have run and is not retried.
     pub fn outcome_unknown() -> Self {
         let message = "the request may have run, in part or in whole, and was not repeated";
         let mut error = Self::new(StatusCode::BAD_GATEWAY, "outcome_unknown", message);
@@ -84,7 +84,7 @@
         error
     }
 
-    /// The error for a request that ended with `outcome` without a whole answer.
+    /// Creates the error of a request that ended with `outcome` and without a complete answer.
     pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun => Self::new(
@@ -96,19 +96,19 @@
         }
     }
 
-    /// The same error with a time to come back.
+    /// Sets the delay after which the caller may retry.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The same error, of the request with this id.
+    /// Sets the id of the request.
     pub fn with_request_id(mut self, id: Id) -> Self {
         self.request_id = Some(id);
         self
     }
 
-    /// Its JSON text, as a body or as a stream's last event.
+    /// Returns the error as JSON, for a body or for the last event of a stream.
     pub fn json(&self) -> String {
         let detail = Detail {
             message: &self.message,
@@ -175,8 +175,8 @@
         if let Some(method) = self.allowed_method {
             headers.insert(ALLOW, HeaderValue::from_static(method));
         }
-        // Clients of this API repeat a request on any 5xx by themselves; this header stops them.
-        // A request that may have run must not be doubled by its own client's library.
+        // Client libraries of this API retry on any 5xx status unless this header forbids it. A
+        // request that may have run must not be run twice by such a retry.
         if self.outcome == Outcome::Unknown {
             headers.insert(
                 super::header::SHOULD_RETRY,
@@ -193,12 +193,13 @@
     }
 }
 
-/// The outcome as a header's value.
+/// Returns the outcome as a header value.
 pub fn outcome_value(outcome: Outcome) -> HeaderValue {
     HeaderValue::from_static(outcome.as_str())
 }
 
-/// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
+/// Returns the value of `Retry-After`, which has whole seconds. It is rounded up, so that callers
+/// do not retry too early, and at least 1.
 fn rounded_up_seconds(after: Duration) -> u64 {
     after.as_millis().div_ceil(1000).max(1) as u64
 }
--- a/crates/entry/src/api/header.rs
+++ b/crates/entry/src/api/header.rs
@@ -1,4 +1,4 @@
-//! Headers of the callers' API beyond the usual ones, and their checked form.
+//! Headers that are specific to the callers' API, and their validation.
 
 use super::error::{Error, Result};
 use bundle::Bundle;
@@ -8,58 +8,58 @@
 use route::request::Id;
 use std::time::Duration;
 
-/// Outcome of the request, in every answer whose outcome is known when its head is sent.
+/// Outcome of the request, in every answer whose outcome is known when the head is sent.
 pub const OUTCOME: HeaderName = HeaderName::from_static("x-wigeonshelf-outcome");
-/// Name of a priority of the bundle.
+/// Priority of the request, by its name in the bundle.
 pub const PRIORITY: HeaderName = HeaderName::from_static("x-wigeonshelf-priority");
-/// Milliseconds after which the answer has lost its worth.
+/// Time in milliseconds after which the answer is of no use to the caller.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-wigeonshelf-deadline-ms");
 /// `false` for a request that must run at most once.
 pub const REPEATABLE: HeaderName = HeaderName::from_static("x-wigeonshelf-repeatable");
-/// `true` for an answer that comes whole or not at all.
+/// `true` if the answer must be sent completely or not at all.
 pub const WHOLE: HeaderName = HeaderName::from_static("x-wigeonshelf-whole");
 /// Id of the request, in every answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Names a request so that sending it again gives the first run's answer.
+/// Identifies a request, so that a retry gets the answer of the first run.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Base URL of the node that has the request's key.
+/// Base URL of the node that owns the request's idempotency key.
 pub const NODE: HeaderName = HeaderName::from_static("x-wigeonshelf-node");
-/// Set by a node that hands a request to another one.
+/// Set by a node that forwards a request to another node.
 pub const HOP: HeaderName = HeaderName::from_static("x-wigeonshelf-hop");
-/// Read by client libraries: whether to repeat the request by themselves.
+/// Tells client libraries whether to retry the request automatically.
 pub const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 
-/// Scheme of the `authorization` header; schemes have no case.
+/// Scheme of the `authorization` header; compared case-insensitively.
 const BEARER: &str = "Bearer";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Puts a request's id into the headers of its answer, as 32 hexadecimal digits.
+/// Sets the id of a request in the headers of its answer, as 32 hexadecimal digits.
 pub fn insert_request_id(headers: &mut HeaderMap, id: Id) {
     if let Ok(value) = HeaderValue::try_from(format!("{id:032x}")) {
         headers.insert(REQUEST_ID, value);
     }
 }
 
-/// What the headers of a request say, checked against the bundle.
+/// The headers of a request, validated against the bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The caller's team.
+    /// Team of the caller.
     pub team: TeamId,
-    /// Priority, the team's usual one if none is named.
+    /// Priority; the team's default if the request sets none.
     pub priority: PriorityId,
-    /// Time to answer, if named.
+    /// Time limit of the answer, if set.
     pub deadline: Option<Duration>,
-    /// Whether it may run more than once, if said.
+    /// Whether the request may run more than once, if set.
     pub repeatable: Option<bool>,
-    /// Whether the answer must come whole or not at all.
+    /// Whether the answer must be sent completely or not at all.
     pub whole: bool,
-    /// Idempotency key.
+    /// Idempotency key, if set.
     pub idempotency_key: Option<String>,
 }
 
 impl Header {
-    /// Checks `headers` against `bundle`.
+    /// Validates `headers` against `bundle`.
     pub fn check(headers: &HeaderMap, bundle: &Bundle) -> Result<Self> {
         let team = team(headers, bundle)?;
         Ok(Self {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The team whose bearer key the request carries.
+/// Returns the team whose bearer key the request carries.
 pub fn team(headers: &HeaderMap, bundle: &Bundle) -> Result<TeamId> {
     let unauthorized =
         |message: &str| Error::new(StatusCode::UNAUTHORIZED, "invalid_api_key", message);
@@ -145,7 +145,8 @@
     Ok(Some(key.to_owned()))
 }
 
-/// The header's text; one given twice is refused, since two hops could read it differently.
+/// Returns the value of a header as text. A repeated header is rejected, because two hops could
+/// read different values.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
--- a/crates/entry/src/api/models.rs
+++ b/crates/entry/src/api/models.rs
@@ -1,4 +1,4 @@
-//! The answer of `GET /v1/models`.
+//! The answer to `GET /v1/models`.
 
 use bundle::Bundle;
 use bundle::id::{ModelId, TeamId};
@@ -7,32 +7,32 @@
 /// A list of models.
 #[derive(Debug, Serialize)]
 pub struct List {
-    /// Kind of object.
+    /// Object type.
     pub object: &'static str,
-    /// The models.
+    /// The models and adapters.
     pub data: Vec<Model>,
 }
 
-/// A model.
+/// A model, or a model with an adapter.
 #[derive(Debug, Serialize)]
 pub struct Model {
-    /// Name that a request gives.
+    /// Name to use in requests: `model` or `model:adapter`.
     pub id: String,
-    /// Kind of object.
+    /// Object type.
     pub object: &'static str,
-    /// Always 0: bundles carry no time.
+    /// Always 0, because bundles contain no time of creation.
     pub created: u64,
-    /// Who offers it.
+    /// Owner of the model.
     pub owned_by: &'static str,
 }
 
-/// Whether `team` may use `model`.
+/// Returns whether `team` may use `model`. A team without a list of models may use all.
 pub fn allowed(bundle: &Bundle, team: TeamId, model: ModelId) -> bool {
     let models = &bundle.teams[usize::from(team)].models;
     models.is_empty() || models.contains(&model)
 }
 
-/// The models that `team` may use, each also with its adapters.
+/// Lists the models that `team` may use, each followed by its adapters.
 pub fn list(bundle: &Bundle, team: TeamId) -> List {
     let mut data = Vec::new();
     for (id, model) in (0..).zip(&bundle.models) {
--- a/crates/entry/src/api/params.rs
+++ b/crates/entry/src/api/params.rs
@@ -1,17 +1,17 @@
-//! What a chat or text completion asks for, checked.
+//! Validated parameters of a chat or text completion.
 
 use super::error::{Error, Result};
 use bytes::Bytes;
 use http::StatusCode;
 
-/// Bytes of a prompt that make a token, for the estimate.
+/// Assumed bytes of prompt per token, for the estimate of the prompt's tokens.
 const BYTES_PER_TOKEN: usize = 4;
-/// Most stop sequences in one request.
+/// Maximum number of stop sequences in a request.
 const MAX_STOP_SEQUENCES: usize = 4;
-/// Longest stop sequence, in bytes.
+/// Maximum length of a stop sequence, in bytes.
 const MAX_STOP_BYTES: usize = 256;
 
-/// Which of the two APIs is spoken.
+/// The API that a caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// `POST /v1/chat/completions`.
@@ -21,7 +21,7 @@
 }
 
 impl Kind {
-    /// The field that the prompt is made of.
+    /// Name of the body's field that contains the prompt.
     pub fn prompt_field(self) -> &'static str {
         match self {
             Self::Chat => "messages",
@@ -30,35 +30,36 @@
     }
 }
 
-/// A checked completion request, before the bundle is looked at.
+/// Parameters of a completion, validated without the bundle: the model may not exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Params {
-    /// Which API.
+    /// API that was called.
     pub kind: Kind,
     /// Model, as named by the caller: `model` or `model:adapter`.
     pub model: String,
-    /// Prompt text that the first stage tokenises.
+    /// Text of the prompt, which the first stage tokenises.
     pub prompt: Bytes,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether a streamed answer ends with its usage.
+    /// Whether a streamed answer ends with a usage event.
     pub include_usage: bool,
-    /// Most tokens to generate, if named.
+    /// Maximum number of tokens to generate, if set.
     pub max_tokens: Option<u32>,
-    /// Seed of the sampling.
+    /// Sampling seed.
     pub seed: u64,
-    /// Sequences at which the answer ends; they are not part of it.
+    /// Stop sequences. The answer ends before the first one.
     pub stops: Vec<String>,
 }
 
 impl Params {
-    /// An estimate of the prompt's tokens; the engines' own count comes with the answer's end.
+    /// Estimates the number of tokens of the prompt. The engines report the exact number at the end
+    /// of the answer.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
     }
 }
 
-/// Fields that both APIs share, as they come.
+/// Fields of the body that both APIs share, not yet validated.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 pub struct Raw {
     model: Option<String>,
@@ -91,7 +92,7 @@
 }
 
 impl Raw {
-    /// Checks the shared fields and joins them with the prompt.
+    /// Validates the shared fields and combines them with the prompt.
     pub fn check(self, kind: Kind, prompt: Bytes) -> Result<Params> {
         self.refuse_unsupported()?;
         let max_tokens = self.validated_max_tokens()?;
@@ -115,8 +116,8 @@
         })
     }
 
-    /// An option that the engines would not honour is refused: an answer that silently left it out
-    /// would not be the answer asked for.
+    /// Rejects options that the engines do not support. If they were ignored, the answer would
+    /// differ from the requested one without notice.
     fn refuse_unsupported(&self) -> Result<()> {
         let options = [
             ("n", self.n.is_some_and(|n| n != 1)),
@@ -190,7 +191,8 @@
     Ok(stops)
 }
 
-/// Parses `body`; broken JSON, wrong types and too deep nesting are told apart from bad values.
+/// Parses `body`. Wrong types are `invalid_type`, status 422; malformed JSON and JSON nested too
+/// deeply are `invalid_json`, status 400.
 pub fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| {
         let message = format!("the body can't be read: {error}");
--- a/crates/entry/src/api/stop.rs
+++ b/crates/entry/src/api/stop.rs
@@ -1,9 +1,9 @@
-//! Stop sequences: cuts an answer where one begins.
+//! Stop sequences, before which an answer ends.
 //!
-//! A sequence can begin in one token and end in a later one, so text that could still be the
-//! beginning of a sequence is held back until the next token decides.
+//! A sequence can begin in one token and end in a later one. Text that may be the beginning of a
+//! sequence is therefore held back until later tokens decide.
 
-/// Text of an answer, as far as it may be given to the caller.
+/// Passes on the text of an answer up to the first stop sequence.
 #[derive(Debug, Default)]
 pub struct Filter {
     stops: Vec<String>,
@@ -12,7 +12,7 @@
 }
 
 impl Filter {
-    /// A cutter for `stops`.
+    /// Creates a filter for the stop sequences `stops`.
     pub fn new(stops: Vec<String>) -> Self {
         Self {
             stops,
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Whether a stop sequence was met.
+    /// Returns whether a stop sequence was found.
     pub fn done(&self) -> bool {
         self.done
     }
 
-    /// Takes a token's text; returns what may be given now.
+    /// Adds the text of a token and returns the text that can be sent to the caller now.
     pub fn push(&mut self, text: &str) -> String {
         if self.stops.is_empty() {
             return text.to_owned();
@@ -44,28 +44,29 @@
         std::mem::replace(&mut self.held, rest)
     }
 
-    /// Returns what was held back, at the end of the answer.
+    /// Returns the text that is held back, at the end of the answer.
     pub fn finish(&mut self) -> String {
         std::mem::take(&mut self.held)
     }
 
-    /// Where the sequence begins that is complete first; of those complete together, the longest.
-    /// Taking the one that begins first instead would make the answer depend on where tokens end:
-    /// with the sequences `abc` and `b`, the text `abc` has met `b` before `c` comes.
+    /// Returns the start of the sequence that ends first; of several that end together, of the
+    /// longest one. Selecting the sequence that starts first instead would make the answer depend
+    /// on the boundaries of tokens: with the sequences `abc` and `b`, the text `abc` completes `b`
+    /// before `c` arrives.
     fn first_stop(&self) -> Option<usize> {
         let stops = self.stops.iter();
         let matches = stops.filter_map(|s| self.held.find(s.as_str()).map(|at| (at + s.len(), at)));
         matches.min().map(|(_, at)| at)
     }
 
-    /// Bytes at the end of the held text that begin some stop sequence.
+    /// Returns the length in bytes of the longest end of the held text that begins a stop sequence.
     fn partial_match_len(&self) -> usize {
         let stops = self.stops.iter();
         stops.map(|s| overlap(&self.held, s)).max().unwrap_or(0)
     }
 }
 
-/// Length of the longest proper prefix of `stop` that ends `text`.
+/// Returns the length in bytes of the longest proper prefix of `stop` that is a suffix of `text`.
 fn overlap(text: &str, stop: &str) -> usize {
     let longest = text.len().min(stop.len() - 1);
     (1..=longest)
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handlers of the callers' listener.
+//! HTTP handlers of the callers' listener.
 
 pub mod call;
 pub mod complete;
@@ -22,36 +22,37 @@
 use tokio::time::Instant;
 use viz::{IntoResponse, Request, Response, Router};
 
-/// Time to come back when no bundle is in force yet.
+/// Retry-after delay while no bundle is in force yet.
 const STARTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the handlers of one worker share.
+/// State shared by the handlers of one worker.
 pub struct Shared {
-    /// The worker's core.
+    /// Sends commands to the worker's core.
     pub tx: Tx,
-    /// Where control publishes.
+    /// The snapshot that the control thread publishes.
     pub shared_snapshot: SharedSnapshot,
-    /// Connections of this worker.
+    /// Connection pool of this worker.
     pub pool: Pool,
-    /// Bounds of the listener.
+    /// Limits of the listener.
     pub limits: Limits,
-    /// Bounds of what a caller may ask for.
+    /// Defaults and limits of callers' requests.
     pub request_limits: RequestLimits,
-    /// Seconds for which callers may keep an address answer.
+    /// Seconds for which callers may cache a list of addresses.
     pub address_ttl: u64,
-    /// Counters.
+    /// Counters of the request path.
     pub metrics: Metrics,
-    /// Zero of the router's time.
+    /// Origin of the router's clock.
     pub start: Instant,
-    /// Draws request ids and the order of addresses; only this worker's thread takes the lock.
+    /// Generator of request ids and of the order of addresses. Only this worker's thread takes the
+    /// lock.
     pub rng: Mutex<StdRng>,
 }
 
-/// Shared state, as handlers hold it.
+/// Handle of the shared state.
 pub type State = Arc<Shared>;
 
 impl Shared {
-    /// The newest snapshot, or a refusal while no bundle is in force.
+    /// Returns the newest snapshot, or an error while no bundle is in force.
     pub fn snapshot(&self) -> Result<Arc<Snapshot>, Error> {
         self.shared_snapshot.load_full().ok_or_else(|| {
             let message = "no bundle is in force on this node yet";
@@ -60,25 +61,27 @@
         })
     }
 
-    /// An id that no other request has, on any node: 128 random bits.
+    /// Returns a new request id. Its 128 random bits make it unique across all nodes.
     pub fn new_id(&self) -> Id {
         use rand::RngExt;
         self.rng().random()
     }
 
-    /// The generator. A panic of another handler can't leave it in a bad state.
+    /// Locks the generator. Poisoning is ignored, because a panic can't leave it in an invalid
+    /// state.
     pub fn rng(&self) -> std::sync::MutexGuard<'_, StdRng> {
         self.rng.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The router's time after `wait` from now, bounded by the longest deadline.
+    /// Returns the time on the router's clock that is `wait` from now, limited to the maximum
+    /// deadline.
     pub fn deadline(&self, wait: Option<Duration>) -> route::Now {
         let wait = wait.unwrap_or(self.request_limits.default_deadline);
         self.start.elapsed() + wait.min(self.request_limits.max_deadline)
     }
 }
 
-/// The callers' routes.
+/// Returns the routes of the callers' listener.
 pub fn routes(state: State) -> Router {
     let mut router = Router::new();
     let s = state.clone();
@@ -118,8 +121,8 @@
     })
 }
 
-/// Counts an error and turns either into an answer of the listener. Every answer has an id, also
-/// the one to a request that never got as far as a router: a caller can name it to the operators.
+/// Counts an error and converts it to a response. Every response has a request id, even if the
+/// request did not reach a router, so that a caller can refer to it when contacting the operators.
 fn finish(state: &Shared, result: Result<Response, Error>) -> viz::Result<Response> {
     let mut response = result.unwrap_or_else(|error| {
         state.metrics.record_rejection(error.code);
@@ -131,7 +134,7 @@
     Ok(response)
 }
 
-/// The error for a path or method that nothing serves.
+/// Returns the error for a path or method that is not served.
 fn unknown_route(req: &Request) -> Error {
     let path = req.uri().path();
     let known = match path {
@@ -155,14 +158,14 @@
     }
 }
 
-/// The same answer or error, with the request's id.
+/// Sets the request id of a response or error.
 fn with_request_id(result: Result<Response, Error>, id: Id) -> Result<Response, Error> {
     let mut response = result.map_err(|error| error.with_request_id(id))?;
     insert_request_id(response.headers_mut(), id);
     Ok(response)
 }
 
-/// The caller's address, if the listener knows it.
+/// Returns the caller's address, if the listener provides it.
 fn caller_addr(req: &Request) -> Option<SocketAddr> {
     viz::RequestExt::remote_addr(req).copied()
 }
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: `/services/NAME/...`.
+//! Calls of plain HTTP services, which are not models: `/services/NAME/...`.
 
 use super::complete::fingerprint;
 use super::forward::Original;
@@ -24,9 +24,9 @@
 use tokio::sync::mpsc;
 use viz::{Body, Request, Response};
 
-/// Where services are served.
+/// Prefix of the paths of services.
 const PATH_PREFIX: &str = "/services/";
-/// Headers that belong to one connection only, and those that are for this node only.
+/// Headers that apply to a single connection (hop-by-hop) or are meant for this node only.
 const NOT_FORWARDED: [HeaderName; 12] = [
     AUTHORIZATION,
     CONNECTION,
@@ -41,10 +41,10 @@
     REPEATABLE,
     WHOLE,
 ];
-/// The caller's address, for the service.
+/// Carries the caller's address to the service.
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 
-/// Any method on `/services/NAME/...`.
+/// Handles any method on `/services/NAME/...`.
 pub async fn service(state: &Shared, mut req: Request) -> Result<Response> {
     let snapshot = state.snapshot()?;
     let bundle = &snapshot.view.bundle;
@@ -56,7 +56,7 @@
         Error::new(StatusCode::NOT_FOUND, "service_not_found", message)
     })?;
     let service_repeatable = bundle.services[usize::from(service)].repeatable;
-    // A caller can forbid a repeat, but can't allow one that the operators have forbidden.
+    // A caller can forbid retries, but can't allow them if the operators have forbidden them.
     let repeatable = service_repeatable && header.repeatable.unwrap_or(true);
     let head = service_head(&req, rest)?;
     let fingerprint_path = path.to_owned();
@@ -101,7 +101,7 @@
     path.split_at(end)
 }
 
-/// The head that the service sees.
+/// Builds the head of the request to the service.
 fn service_head(req: &Request, rest: &str) -> Result<http::request::Parts> {
     let path = if rest.starts_with('/') {
         rest.to_owned()
@@ -166,9 +166,9 @@
     }
 }
 
-/// An answer of a plain service on its way to the caller.
+/// The body of a service's answer while it is sent to the caller.
 struct ResponseBody {
-    #[expect(dead_code, reason = "tells the core when it is dropped")]
+    #[expect(dead_code, reason = "notifies the core on drop")]
     guard: Guard,
     replies: mpsc::UnboundedReceiver<Reply>,
     chunks: mpsc::Receiver<Bytes>,
@@ -179,7 +179,7 @@
     for name in [CONNECTION, TRANSFER_ENCODING, TE, TRAILER, UPGRADE] {
         parts.headers.remove(name);
     }
-    // The outcome is not known yet: an answer that is not whole is broken off by the transport.
+    // The outcome is not known yet; an incomplete answer is shown by an aborted transfer.
     parts.headers.remove(&OUTCOME);
     Response::from_parts(parts, Body::from_stream(body_stream(body)))
 }
@@ -192,8 +192,8 @@
 }
 
 impl ResponseBody {
-    /// The next piece. The attempt sends every piece before it tells the core that it ended, so
-    /// what is still in the channel then is the rest of the answer.
+    /// Returns the next chunk. The attempt sends all chunks before it reports its end to the core,
+    /// so the chunks that are in the channel at that time are the rest of the answer.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.ended {
             return self.chunks.try_recv().ok().map(Ok);
@@ -212,7 +212,7 @@
                 outcome: Outcome::Complete,
                 ..
             })) => self.chunks.try_recv().ok().map(Ok),
-            _ => Some(Err(io::Error::other("the answer is not whole"))),
+            _ => Some(Err(io::Error::other("the answer is incomplete"))),
         }
     }
 }
--- a/crates/entry/src/handler/complete.rs
+++ b/crates/entry/src/handler/complete.rs
@@ -1,4 +1,4 @@
-//! Chat and text completions.
+//! Handlers of chat and text completions.
 
 use super::forward::Original;
 use super::{Shared, with_request_id};
@@ -24,17 +24,18 @@
 use viz::{Body, Request, Response};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// Bytes of a prompt per block of the prefix hashes.
+/// Size of the blocks of a prompt that the prefix hashes cover, in bytes.
 const PREFIX_BLOCK_BYTES: usize = 256;
-/// Most blocks that are hashed: longer common prefixes count as equal.
+/// Maximum number of blocks that are hashed. Prompts that differ only after them have equal
+/// hashes.
 const MAX_PREFIX_BLOCKS: usize = 64;
 
-/// `POST /v1/chat/completions`.
+/// Handles `POST /v1/chat/completions`.
 pub async fn chat(state: &Shared, req: Request) -> Result<Response> {
     complete(state, req, chat::read).await
 }
 
-/// `POST /v1/completions`.
+/// Handles `POST /v1/completions`.
 pub async fn text(state: &Shared, req: Request) -> Result<Response> {
     complete(state, req, completion::read).await
 }
@@ -44,7 +45,7 @@
     mut req: Request,
     read: fn(&[u8]) -> Result<Params>,
 ) -> Result<Response> {
-    // The key is checked before the body is read: a stranger costs no memory.
+    // The key is checked before the body is read, so that callers without a key use no memory.
     let snapshot = state.snapshot()?;
     let bundle = &snapshot.view.bundle;
     let header = Header::check(req.headers(), bundle)?;
@@ -68,7 +69,7 @@
     with_request_id(response, id)
 }
 
-/// The model and adapter that a request names.
+/// The model and adapter of a request, found in the bundle.
 struct ResolvedModel {
     model: ModelId,
     adapter: Option<(AdapterId, String)>,
@@ -104,7 +105,8 @@
     Ok(ResolvedModel { model, adapter })
 }
 
-/// Most tokens to generate, within what the model's context leaves.
+/// Returns the maximum number of tokens to generate; fails if the prompt and the answer exceed the
+/// model's context.
 fn max_tokens(state: &Shared, bundle: &Bundle, model: ModelId, params: &Params) -> Result<u32> {
     let context = bundle.models[usize::from(model)].context;
     let prompt = params.prompt_tokens();
@@ -168,7 +170,8 @@
     (arrival, answer)
 }
 
-/// Chained hashes of the prompt's blocks: equal up to where two prompts for one model differ.
+/// Returns chained hashes of the prompt's blocks. The hashes of two prompts for the same model are
+/// equal up to the first block that differs.
 fn prefix_hashes(model: &str, prompt: &[u8]) -> Vec<u64> {
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
     let blocks = prompt
@@ -182,8 +185,8 @@
         .collect()
 }
 
-/// Hash that a resend of the same body by the same team shares, also under another bundle: a team's
-/// id may change with the bundle, its name does not.
+/// Hashes a request so that a retry with the same body by the same team has the same fingerprint,
+/// even under another bundle. The team's name is used because its id may change with the bundle.
 pub fn fingerprint(team: &str, path: &str, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(&(team.len() as u64).to_le_bytes());
@@ -193,7 +196,8 @@
     hash.digest()
 }
 
-/// Waits for the first reply, so that a refusal still has its own status, then answers.
+/// Answers the caller. A streamed response starts only after the first reply, so that a refusal
+/// still gets its own status.
 async fn respond(mut answer: Answer, whole: bool) -> Result<Response> {
     if answer.wants_stream() && !whole {
         let first = answer.next_reply().await;
@@ -213,7 +217,7 @@
     Ok(json_response(&answer, &text, end))
 }
 
-/// The whole text, or an error: a part of an answer is never given as JSON.
+/// Collects the complete text. An incomplete answer is an error and is never sent as JSON.
 async fn collect(answer: &mut Answer) -> Result<(String, End)> {
     let mut text = String::new();
     loop {
--- a/crates/entry/src/handler/discover.rs
+++ b/crates/entry/src/handler/discover.rs
@@ -1,4 +1,4 @@
-//! What callers ask before they send work: models and addresses.
+//! Handlers of the lists of models and of entry nodes' addresses.
 
 use super::Shared;
 use crate::address::{self, Location};
@@ -7,10 +7,11 @@
 use crate::response::json;
 use viz::{Request, RequestExt, Response};
 
-/// Most addresses in one answer: a caller needs a few, and at full size the list is long.
+/// Maximum number of addresses in an answer. A caller needs only a few, while a large fleet has
+/// many.
 const MAX_ADDRESSES: usize = 16;
 
-/// `GET /v1/models`.
+/// Handles `GET /v1/models`.
 pub fn models(state: &Shared, req: &Request) -> Result<Response> {
     let snapshot = state.snapshot()?;
     let bundle = &snapshot.view.bundle;
@@ -23,8 +24,9 @@
     zone: Option<String>,
 }
 
-/// `GET /v1/addresses?zone=NAME`. It needs no key: a caller asks it before all else, and the
-/// answer holds no more than what it needs to connect. Without a zone the node's own is taken.
+/// Handles `GET /v1/addresses?zone=NAME`. No key is required, because this is a caller's first
+/// request and the answer contains only what is needed to connect. Without a known zone, the
+/// node's own zone is used.
 pub fn addresses(state: &Shared, req: &Request) -> Result<Response> {
     let snapshot = state.snapshot()?;
     let view = &snapshot.view;
--- a/crates/entry/src/handler/forward.rs
+++ b/crates/entry/src/handler/forward.rs
@@ -1,8 +1,8 @@
-//! Hands a request to the node that has its key, in one hop.
+//! Forwards a request to the node that owns its idempotency key, in one hop.
 //!
-//! A caller may send a request again to any node, but only the node that ran it has its answer.
-//! The request is passed on once: a node that was handed it answers by itself, so that two nodes
-//! that disagree can't pass it back and forth.
+//! A caller may retry a request on any node, but only the node that ran it has the answer. A
+//! request is forwarded only once: the node that receives a forwarded request answers it itself,
+//! so that two nodes with different views can't forward it in a loop.
 
 use super::Shared;
 use crate::api::error::Result;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use viz::{Body, Request, Response};
 
-/// What a node that is handed the request needs of it.
+/// The parts of a request that are needed to forward it, except its body.
 pub struct Original {
     method: Method,
     uri: Uri,
@@ -25,7 +25,7 @@
 }
 
 impl Original {
-    /// Keeps what is needed of `req`.
+    /// Copies the parts of `req`, without the headers that apply to its connection only.
     pub fn of(req: &Request) -> Self {
         let mut headers = req.headers().clone();
         let forwarded = headers.insert(HOP, HeaderValue::from_static("1")).is_some();
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The answer of the node that `error` names, or the error itself if there is none or it can't
-    /// be reached.
+    /// Forwards the request if `result` is an error that names the owner of its key, and returns
+    /// the owner's answer. Otherwise, or if the owner can't be reached, returns `result`.
     pub async fn or_forward(
         self,
         state: &Shared,
@@ -87,8 +87,8 @@
     }
 }
 
-/// The address of a node that speaks HTTP without TLS. One that speaks TLS is named to the caller
-/// instead: this node can't vouch for its certificate.
+/// Returns the address of a node that serves HTTP without TLS. A request for a node that uses TLS
+/// is not forwarded, because this node can't verify its certificate; the caller gets its URL.
 fn plain_http_addr(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.parse().ok()
 }
--- a/crates/entry/src/handler/key.rs
+++ b/crates/entry/src/handler/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys and tickets.
+//! Idempotency keys, and the handler of tickets.
 
 use super::Shared;
 use crate::api::error::{Error, Result};
@@ -16,11 +16,11 @@
 use tokio::time::timeout;
 use viz::{Request, Response};
 
-/// Longest time for a ticket.
+/// Timeout of the issue of a ticket, and the retry-after delay if it fails.
 const TICKET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The claim of a request that may not be repeated and has a key. A request that may be repeated
-/// needs none: its second run does no harm.
+/// Returns the claim of a request that is not repeatable and has a key. A repeatable request needs
+/// no claim, because a second run does no harm.
 pub fn claim(header: &Header, bundle: &Bundle, request: &Routed) -> Result<Option<Claim>> {
     let Some(key) = header
         .idempotency_key
@@ -43,7 +43,8 @@
     ticket: String,
 }
 
-/// `POST /v1/tickets`: a key that only this node runs, also while the log is out.
+/// Handles `POST /v1/tickets`. A ticket is an idempotency key that only this node runs, and that
+/// works even while the log is unavailable.
 pub async fn ticket(state: &Shared, req: &Request) -> Result<Response> {
     let snapshot = state.snapshot()?;
     header::team(req.headers(), &snapshot.view.bundle)?;
--- a/crates/entry/src/request_body.rs
+++ b/crates/entry/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body within its bounds.
+//! Reads the bodies of requests within the listener's limits.
 
 use crate::api::error::{Error, Result};
 use crate::limits::Limits;
@@ -7,8 +7,8 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use viz::{Body, Request};
 
-/// The whole body. A declared length over the bound is refused before a byte is read; a body that
-/// comes too slowly is given up on, so that slow callers can't pile up memory.
+/// Reads the complete body of `req`. A declared length above the limit is rejected before a byte
+/// is read. The timeout limits the memory that slow callers can occupy.
 pub async fn read(req: &mut Request, limits: &Limits) -> Result<Bytes> {
     let declared = viz::RequestExt::content_length(req).unwrap_or(0);
     if declared > limits.max_body_bytes as u64 {
--- a/crates/entry/src/sse.rs
+++ b/crates/entry/src/sse.rs
@@ -1,8 +1,8 @@
 //! Streamed answers as server-sent events.
 //!
-//! A stream that is not whole never ends like a whole one: it ends with an error event, has no
-//! `[DONE]`, and its body is broken off, so that a client that reads only the transport's end
-//! marks sees the difference too.
+//! An incomplete stream never ends like a complete one: it ends with an error event and without
+//! `[DONE]`, and the transfer of its body is aborted. Clients that only check whether the transfer
+//! ended properly thus notice it, too.
 
 use crate::answer::{Answer, Part};
 use crate::api::chat::{ChunkChoice, Delta, Usage};
@@ -19,16 +19,16 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Kind of object of a chat's event.
+/// Object type of a chat completion's events.
 const CHAT: &str = "chat.completion.chunk";
-/// Kind of object of a text completion's event.
+/// Object type of a text completion's events.
 const TEXT: &str = "text_completion";
-/// Choices of the event that only carries usage.
+/// Choices of the event that carries only the usage.
 const NO_CHOICE: Vec<()> = Vec::new();
-/// End mark of a whole stream.
+/// Data of the event that ends a complete stream.
 const DONE: &str = "[DONE]";
 
-/// An answer being streamed.
+/// The events of an answer that is being streamed.
 struct Events {
     answer: Answer,
     queue: VecDeque<Bytes>,
@@ -43,7 +43,7 @@
     Ended,
 }
 
-/// The body of a streamed answer; `first` is what has already come.
+/// Returns the body of a streamed answer; `first` is the reply that was already received.
 pub fn body(answer: Answer, first: Reply) -> impl Stream<Item = io::Result<Bytes>> + Send {
     let mut events = Events {
         answer,
@@ -58,7 +58,7 @@
     })
 }
 
-/// The body of a streamed answer that is already whole.
+/// Returns the body of a streamed answer whose text is already complete.
 pub fn complete_body(
     answer: Answer,
     text: String,
@@ -88,9 +88,9 @@
                 State::Complete | State::Ended => return None,
                 State::Failed => {
                     self.state = State::Ended;
-                    // Lets the error event leave before the connection is broken off.
+                    // Lets the error event be sent before the transfer is aborted.
                     tokio::task::yield_now().await;
-                    return Some(Err(io::Error::other("the answer is not whole")));
+                    return Some(Err(io::Error::other("the answer is incomplete")));
                 }
             }
         }
