--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -1,6 +1,7 @@
 //! The admin listener: readiness, metrics, dumps and the administration API.
 //!
-//! Its one write takes a signed bundle version. It can't change anything else about an instance.
+//! The only write operation publishes a signed bundle version. Nothing else about an instance can
+//! be changed through this API.
 
 use crate::api::error::Error;
 use crate::core::{Command, Tx};
@@ -18,27 +19,28 @@
 use tokio::time::timeout;
 use viz::{IntoResponse, Request, Response, Router};
 
-/// Questions that may wait for control; one more is answered with an error at once.
+/// Maximum number of requests that wait for the control thread; further ones fail at once.
 pub const MAX_PENDING_REQUESTS: usize = 64;
-/// Longest time that control or a worker has to answer.
+/// Timeout of an answer of the control thread or of a worker.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time that a published version has to be settled.
+/// Timeout of the publication of a bundle version.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the admin listener asks control.
+/// A request of the admin listener to the control thread, with the sender of its answer.
 #[derive(Debug)]
 pub enum ControlRequest {
-    /// The state of this node.
+    /// Returns the state of this node.
     Status(oneshot::Sender<Status>),
-    /// The versions that were in force.
+    /// Returns the bundle versions that have been in force.
     History(oneshot::Sender<Vec<Version>>),
-    /// The nodes and what is in force on each.
+    /// Returns the nodes of the fleet and the bundle version in force on each.
     Fleet(oneshot::Sender<Vec<Node>>),
-    /// The bundle in force as a full signed record, to make the next version of.
+    /// Returns the bundle in force as a complete signed record, from which the next version is
+    /// made.
     Head(oneshot::Sender<Option<Vec<u8>>>),
-    /// Appends a signed version.
+    /// Appends a signed bundle version to the log.
     Publish(Bytes, oneshot::Sender<Answer>),
-    /// The state of control in text, a part each.
+    /// Returns the state of the control thread as text, by component.
     Dump(oneshot::Sender<Vec<Part>>),
 }
 
@@ -49,77 +51,77 @@
     pub node: String,
     /// Availability zone.
     pub zone: String,
-    /// Incarnation: when it started, in milliseconds of Unix time.
+    /// Start time of this run in milliseconds of Unix time, which identifies the run.
     pub incarnation: u64,
-    /// Whether it serves callers.
+    /// Whether the node serves callers.
     pub ready: bool,
-    /// Whether it leaves.
+    /// Whether the node is leaving.
     pub leaving: bool,
     /// Number of the bundle in force; 0 before the first.
     pub number: u64,
     /// Digest of the bundle in force.
     pub digest: String,
-    /// Who signed it.
+    /// Signer of the bundle in force.
     pub signer: String,
-    /// Milliseconds since the log was last read to its end; none if never.
+    /// Milliseconds since the log was last read to its end; `None` if it never was.
     pub log_age_ms: Option<u64>,
-    /// Why the log could not be read last time.
+    /// Error of the last read of the log, if it failed.
     pub log_error: Option<String>,
 }
 
-/// A version that was in force.
+/// A bundle version that has been in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// Number.
+    /// Number of the version.
     pub number: u64,
-    /// Digest of the result.
+    /// Digest of the bundle that results from the version.
     pub digest: String,
-    /// Who signed it.
+    /// Signer of the version.
     pub signer: String,
-    /// Offset of its record; none when it came from a checkpoint or a peer.
+    /// Offset of its record in the log; `None` if it came from a checkpoint or a peer.
     pub offset: Option<u64>,
 }
 
 /// A node of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Name.
+    /// Name of the node.
     pub node: String,
     /// Availability zone.
     pub zone: String,
-    /// What the node that answers holds of it.
+    /// State of the node in the view of the node that answers.
     pub state: String,
-    /// Number of the bundle in force there, as last heard.
+    /// Number of the bundle in force there, as last reported.
     pub number: u64,
-    /// Digest of the bundle in force there, as last heard.
+    /// Digest of the bundle in force there, as last reported.
     pub digest: String,
 }
 
-/// A part of a dump.
+/// The dump of one component.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Name of the part.
+    /// Name of the component.
     pub part: String,
-    /// Its state.
+    /// State of the component.
     pub text: String,
 }
 
-/// What the handlers share.
+/// State shared by the admin handlers.
 pub struct Shared {
-    /// Where questions to control go.
+    /// Sends requests to the control thread.
     pub control: mpsc::Sender<ControlRequest>,
-    /// The workers.
+    /// Sends commands to the workers' cores.
     pub workers: Vec<Tx>,
-    /// The metrics page.
+    /// Source of the metrics page.
     pub registry: Registry,
-    /// Bounds.
+    /// Limits of the admin listener.
     pub limits: Limits,
 }
 
 type State = Arc<Shared>;
 type Result<T> = std::result::Result<T, Error>;
 
-/// The admin routes.
+/// Returns the routes of the admin listener.
 pub fn routes(state: State) -> Router {
     let mut router = Router::new().get("/healthz", |_: Request| async { Ok("ok\n") });
     let s = state.clone();
@@ -194,7 +196,8 @@
     Ok(result.unwrap_or_else(IntoResponse::into_response))
 }
 
-/// Asks control and waits for its answer, both within bounds.
+/// Sends a request to the control thread and waits up to `limit` for its answer. Fails at once if
+/// too many requests are waiting.
 async fn query_control<T>(
     state: &Shared,
     limit: Duration,
--- a/crates/entry/src/listener.rs
+++ b/crates/entry/src/listener.rs
@@ -4,15 +4,16 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections that the kernel holds until they are accepted.
+/// Length of the kernel's queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// Reserves `addr` without listening on it; with port 0 the kernel chooses one. Listeners of
+/// Reserves `addr` without listening on it; with port 0 the kernel chooses a port. Listeners of
 /// several threads can then be opened on the same port, and no connection goes to the reservation.
 ///
-/// Threads share a port by an option that any process of the same user may set as well. A second
-/// process would then share the port by mistake: each would get a part of the connections, and
-/// nobody would be told. So the port is first bound without the option, which fails if it is taken.
+/// The threads share the port through `SO_REUSEPORT`, which any process of the same user may set
+/// as well. A second process could thus share the port by mistake: each process would get part of
+/// the connections, without an error. Therefore the port is first bound without the option, which
+/// fails if the port is in use.
 pub fn reserve(addr: SocketAddr) -> io::Result<(Socket, SocketAddr)> {
     drop(bind(addr, false)?);
     let socket = bind(addr, true)?;
@@ -21,7 +22,8 @@
     Ok((socket, bound))
 }
 
-/// A listener on `addr`; the kernel spreads connections over all of one address.
+/// Opens a listener on `addr`. The kernel distributes connections over all listeners of an
+/// address.
 pub fn open(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = bind(addr, true)?;
     socket.listen(BACKLOG)?;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and times of the request path, by opentelemetry.
+//! OpenTelemetry counters and histograms of the request path.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter};
 use route::outcome::Outcome;
 use route::refusal::Reason;
 
-/// Upper bounds of the time histograms, in seconds.
+/// Upper bounds of the histograms' buckets, in seconds.
 const TIME_BOUNDS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.045, 0.1, 0.2, 0.5, 1.0, 1.4, 3.0, 10.0, 60.0,
 ];
@@ -13,23 +13,23 @@
 /// Instruments shared by the workers.
 #[derive(Clone)]
 pub struct Metrics {
-    /// Requests that ended, by outcome.
+    /// Ended requests, by outcome.
     pub requests: Counter<u64>,
-    /// Requests refused, by reason.
+    /// Refused requests, by reason.
     pub refusals: Counter<u64>,
-    /// Requests answered with an error before they reached a router, by code.
+    /// Requests that were answered with an error by the HTTP handlers, by error code.
     pub rejects: Counter<u64>,
-    /// Attempts started.
+    /// Started attempts.
     pub attempts: Counter<u64>,
-    /// Tokens given to callers.
+    /// Tokens sent to callers.
     pub tokens: Counter<u64>,
-    /// Requests given the answer of an earlier run under the same key.
+    /// Requests answered with the cached answer of an earlier run under the same key.
     pub replayed: Counter<u64>,
-    /// Requests handed to the node that has their key.
+    /// Requests forwarded to the node that owns their key.
     pub forwarded: Counter<u64>,
-    /// Events of ended attempts that were dropped.
+    /// Events that were ignored because their attempt had ended.
     pub stale_events: Counter<u64>,
-    /// Connections closed at once because the listener was full.
+    /// Connections closed on accept because the listener was at its limit.
     pub refused_connections: Counter<u64>,
     /// Seconds from arrival to the first token.
     pub first_token: Histogram<f64>,
@@ -38,7 +38,7 @@
 }
 
 impl Metrics {
-    /// Instruments of `meter`.
+    /// Creates the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
         let counter = |name: &'static str| meter.u64_counter(name).build();
         let time = |name: &'static str| {
@@ -60,20 +60,20 @@
         }
     }
 
-    /// Counts a request that ended.
+    /// Counts an ended request.
     pub fn record_end(&self, outcome: Outcome) {
         self.requests
             .add(1, &[KeyValue::new("outcome", outcome.as_str())]);
     }
 
-    /// Counts a refusal; it is an ended request too.
+    /// Counts a refused request, which is also an ended request.
     pub fn record_refusal(&self, reason: Reason) {
         self.record_end(Outcome::NotRun);
         self.refusals
             .add(1, &[KeyValue::new("reason", reason_label(reason))]);
     }
 
-    /// Counts an error given before the request reached a router.
+    /// Counts an error of an HTTP handler.
     pub fn record_rejection(&self, code: &'static str) {
         self.rejects.add(1, &[KeyValue::new("code", code)]);
     }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,13 +1,13 @@
-//! A bounded HTTP listener: connections, time and memory are limited, and a drain cuts nothing.
+//! An HTTP listener with limits on connections, time and memory, and with a graceful drain.
 //!
-//! A drain tells HTTP/2 callers to go away (GOAWAY) and HTTP/1 callers that their next answer is
-//! the last one of the connection (`connection: close`). A connection without a request yet is
-//! left alone, and new ones are still served: a caller may keep an address answer for a while, and
-//! closing on it would be a failed request. Only at the close are the idle ones ended.
+//! A drain sends GOAWAY to HTTP/2 callers, and `connection: close` with the next answer to HTTP/1
+//! callers. A connection without a request yet stays open, and new connections are still served:
+//! callers cache lists of addresses for a while, and a closed connection would fail their request.
+//! Idle connections are closed only when the listener closes.
 //!
-//! A connection is idle when nothing goes on that the node has to do. One whose answer is there and
-//! is not read is idle too: its caller may never read it, and the connection, the request and the
-//! endpoint that serves it would be taken for good.
+//! A connection is idle when no work is pending on the node. That includes a connection whose
+//! answer is ready but not read: the caller may never read it, and would otherwise occupy the
+//! connection, the request and the endpoint that serves it without limit.
 
 mod activity;
 
@@ -29,42 +29,44 @@
 use tokio_util::task::TaskTracker;
 use viz::{Responder, Tree};
 
-/// Pause after a failed accept, so that a lack of file descriptors does not spin the thread.
+/// Delay after a failed accept, so that the thread does not spin when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often a connection is looked at for being idle.
+/// Interval at which a connection is checked for being idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Frames that a caller may reset before the connection is closed, against reset floods.
+/// Maximum number of streams that a caller may reset before they are accepted; more of them close
+/// the connection. Limits HTTP/2 reset floods.
 const MAX_PENDING_RESETS: usize = 64;
-/// Bytes that wait for a caller who reads slowly, per stream.
+/// Maximum number of bytes that are buffered per stream for a caller that reads slowly.
 const MAX_SEND_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a listener is made of.
+/// A listener that is not running yet.
 pub struct Server {
-    /// Where it listens.
+    /// Listening socket.
     pub listener: TcpListener,
-    /// Routes.
+    /// Routes to the handlers.
     pub tree: Arc<Tree>,
-    /// Bounds.
+    /// Limits of the listener.
     pub limits: Limits,
-    /// Certificate, if it speaks TLS.
+    /// TLS configuration, if the listener uses TLS.
     pub tls: Option<Arc<ReloadableConfig>>,
-    /// Counters.
+    /// Counters of the request path.
     pub metrics: Metrics,
 }
 
-/// When a listener ends.
+/// Tokens that shut a listener down in steps.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
-    /// Callers are told to go elsewhere; all that comes is still served.
+    /// Asks callers to move to another node; all requests are still served.
     pub drain: CancellationToken,
-    /// No connection is accepted any more; returns once all have ended.
+    /// Stops accepting connections; the listener ends when all connections have ended.
     pub close: CancellationToken,
-    /// Connections are broken off.
+    /// Aborts all connections.
     pub kill: CancellationToken,
 }
 
 impl Server {
-    /// Serves until `stop.close`, then until every connection has ended or `stop.kill`.
+    /// Serves until `shutdown.close` is cancelled and all connections have ended, or until
+    /// `shutdown.kill` is cancelled.
     pub async fn run(self, shutdown: Shutdown) {
         let tracker = TaskTracker::new();
         let permits = Arc::new(Semaphore::new(self.limits.max_connections));
@@ -80,8 +82,8 @@
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Over the bound the connection is closed at once: the caller sees it and goes to
-            // another address, instead of waiting in a queue that it can't see.
+            // At the limit, a new connection is closed at once. The caller notices that and can
+            // use another address, instead of waiting in a queue that it can't see.
             let Ok(permit) = permits.clone().try_acquire_owned() else {
                 shared.metrics.refused_connections.add(1, &[]);
                 continue;
@@ -105,7 +107,7 @@
         let Some(tls) = &self.tls else {
             return self.http(stream, addr, shutdown).await;
         };
-        let acceptor = tokio_rustls::TlsAcceptor::from(tls.config());
+        let acceptor = tokio_rustls::TlsAcceptor::from(tls.current());
         let handshake = timeout(self.limits.head_timeout, acceptor.accept(stream));
         if let Ok(Ok(stream)) = handshake.await {
             self.http(stream, addr, shutdown).await;
@@ -147,8 +149,9 @@
         }
     }
 
-    /// A connection that has not brought its first request yet has the time of a head; without
-    /// this bound, callers that connect and say nothing would use up the connections.
+    /// Returns the idle timeout. Until the first request it is the timeout of a request's head,
+    /// because callers that connect without sending a request could otherwise occupy all
+    /// connections.
     fn idle_limit(&self, activity: &Activity) -> Duration {
         match activity.has_requests() {
             false => self.limits.head_timeout,
--- a/crates/entry/src/server/activity.rs
+++ b/crates/entry/src/server/activity.rs
@@ -1,4 +1,4 @@
-//! Watches the requests of one connection: whether the node or the caller is to move.
+//! Tracks the requests of one connection: whether each waits for the node or for its caller.
 
 use crate::api::error::Error;
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 use viz::{IntoResponse, Request, Responder, Response};
 
-/// Methods that routes can be made for.
+/// Methods that the routes support.
 const METHODS: [Method; 9] = [
     Method::GET,
     Method::POST,
@@ -28,32 +28,32 @@
     Method::TRACE,
 ];
 
-/// What goes on in one connection.
+/// Activity of one connection.
 #[derive(Default)]
 pub(super) struct Activity {
-    /// Requests whose next part the node has to make, so that the caller can only wait. One whose
-    /// part is made and not yet taken is not among them: it waits for the caller, who may never
+    /// Number of requests that wait for the node to produce the next part of the answer. A request
+    /// whose part is ready but not yet read is not counted: it waits for its caller, who may never
     /// read it.
     pending_on_node: AtomicUsize,
-    /// Requests that came and parts of answers that were asked for.
+    /// Number of requests received, plus number of polls for parts of answers.
     steps: AtomicUsize,
-    /// The steps at the last look.
+    /// Value of `steps` at the last call of `has_progressed`.
     last_steps: AtomicUsize,
     http2: AtomicBool,
 }
 
 impl Activity {
-    /// Whether a request came.
+    /// Returns whether any request was received.
     pub(super) fn has_requests(&self) -> bool {
         self.steps.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether it speaks HTTP/2, as far as its requests tell.
+    /// Returns whether the connection uses HTTP/2; false until its first request.
     pub(super) fn http2(&self) -> bool {
         self.http2.load(Ordering::Relaxed)
     }
 
-    /// Whether the node is at work, or anything went on since the last look.
+    /// Returns whether a request waits for the node, or there was a step since the last call.
     pub(super) fn has_progressed(&self) -> bool {
         let steps = self.steps.load(Ordering::Relaxed);
         let last_steps = self.last_steps.swap(steps, Ordering::Relaxed);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Watches the requests of one connection, bodies of answers included.
+/// Wraps the service of one connection and tracks its requests, including the bodies of answers.
 pub(super) struct TrackedService {
     inner: Responder<SocketAddr>,
     activity: Arc<Activity>,
@@ -69,7 +69,7 @@
 }
 
 impl TrackedService {
-    /// Requests of one connection, told to `busy`, go to `inner`.
+    /// Creates a service that passes requests to `inner` and records them in `activity`.
     pub(super) fn new(
         inner: Responder<SocketAddr>,
         activity: Arc<Activity>,
@@ -109,7 +109,7 @@
     }
 }
 
-/// The error for a request that no route can take: the routes know the usual methods only, and
+/// Returns the error for a request that the routes can't match: they support only `METHODS`, and
 /// paths that begin with a slash.
 fn unroutable(req: &Request<Incoming>) -> Option<Error> {
     let error = if !METHODS.contains(req.method()) {
@@ -127,8 +127,8 @@
     Some(error.with_request_id(rand::random()))
 }
 
-/// Whose turn it is in one request: the node's while its next part is being made, the caller's once
-/// it is there to be read.
+/// Activity of one request. `node_busy` is true while the node produces the next part of the
+/// answer, and false while the part waits to be read by the caller.
 struct RequestActivity {
     activity: Arc<Activity>,
     node_busy: bool,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The next part is asked for.
+    /// Records that the next part is requested.
     fn begin_step(&mut self) {
         self.activity.steps.fetch_add(1, Ordering::Relaxed);
         if !self.node_busy {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The part is there.
+    /// Records that the part is ready.
     fn end_step(&mut self) {
         if self.node_busy {
             self.node_busy = false;
@@ -170,7 +170,7 @@
     }
 }
 
-/// A body that tells whose turn it is.
+/// A body that records the activity of its request.
 struct TrackedBody {
     body: viz::Body,
     request: RequestActivity,
@@ -201,7 +201,7 @@
     }
 }
 
-/// The same body, watched until it has been sent or dropped.
+/// Wraps a body so that its activity is recorded until it is sent or dropped.
 fn track_body(body: viz::Body, request: RequestActivity) -> viz::Body {
     if body.is_end_stream() {
         return body;
--- a/crates/entry/src/tls.rs
+++ b/crates/entry/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of a listener, reloaded from its files without a restart.
+//! TLS configuration of a listener, reloaded from its files without a restart.
 
 use arc_swap::ArcSwap;
 use rustls::ServerConfig;
@@ -9,17 +9,17 @@
 use std::time::SystemTime;
 use std::{fmt, fs, io};
 
-/// Result of reading a certificate or key.
+/// Result of loading a certificate and key.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why a certificate and key can't be used.
+/// Error of loading a certificate and key.
 #[derive(Debug)]
 pub enum Error {
     /// A file can't be read.
     File(PathBuf, io::Error),
     /// A file holds no certificate or no key.
     Pem(PathBuf, rustls_pki_types::pem::Error),
-    /// The certificate and the key don't fit.
+    /// The certificate and the key do not match.
     Pair(rustls::Error),
 }
 
@@ -35,17 +35,17 @@
 
 impl std::error::Error for Error {}
 
-/// Where a certificate chain and its key are.
+/// Paths of a certificate chain and its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Files {
-    /// Certificate chain, PEM.
+    /// Path of the certificate chain, in PEM format.
     pub certificate: PathBuf,
-    /// Private key, PEM.
+    /// Path of the private key, in PEM format.
     pub key: PathBuf,
 }
 
 impl Files {
-    /// Reads both and makes a server's configuration of them.
+    /// Reads both files and creates a server configuration.
     pub fn load(&self) -> Result<Arc<ServerConfig>> {
         let chain = certificates(&self.certificate)?;
         let key = private_key(&self.key)?;
@@ -61,8 +61,8 @@
         Ok(Arc::new(config))
     }
 
-    /// When each of the two was written. The younger time alone would hide a certificate that is
-    /// new here and was made before the key's file was written.
+    /// Returns the modification times of both files. Comparing only the newer of the two would miss
+    /// a replaced certificate that is older than the key's file.
     fn modified(&self) -> ModifiedTimes {
         let time = |path: &Path| fs::metadata(path).and_then(|m| m.modified()).ok();
         ModifiedTimes {
@@ -72,7 +72,7 @@
     }
 }
 
-/// When the files were written, as far as the file system tells.
+/// Modification times of the files; `None` if the file system does not provide them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ModifiedTimes {
     certificate: Option<SystemTime>,
@@ -99,7 +99,7 @@
     fs::read(path).map_err(|e| Error::File(path.to_owned(), e))
 }
 
-/// The configuration in use, replaced when the files change.
+/// A TLS configuration that can be replaced while connections are served.
 pub struct ReloadableConfig {
     files: Files,
     config: ArcSwap<ServerConfig>,
@@ -107,7 +107,7 @@
 }
 
 impl ReloadableConfig {
-    /// Loads the files for the first time.
+    /// Loads the files and creates the configuration.
     pub fn open(files: Files) -> Result<Self> {
         let modified = files.modified();
         let config = files.load()?;
@@ -118,13 +118,13 @@
         })
     }
 
-    /// The configuration for a new connection.
-    pub fn config(&self) -> Arc<ServerConfig> {
+    /// Returns the configuration for a new connection.
+    pub fn current(&self) -> Arc<ServerConfig> {
         self.config.load_full()
     }
 
-    /// Loads the files again if they changed; whether they did. Files that don't fit leave the
-    /// old configuration in use: a renewal writes two files, and between them they don't fit.
+    /// Loads the files again if they have changed, and returns whether they had. On an error the
+    /// old configuration stays in use: a renewal writes two files, which do not match in between.
     pub fn reload(&self) -> Result<bool> {
         let now = self.files.modified();
         let mut modified = self.modified.lock().unwrap_or_else(|e| e.into_inner());
--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates that are replaced while a node runs.
+//! Replacement of certificates while a node runs.
 
 use entry::tls::{Error, Files, ReloadableConfig};
 use std::fs;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Files of a test's own folder.
+/// A directory for the files of one test, removed on drop.
 struct Folder {
     path: PathBuf,
     files: Files,
@@ -28,7 +28,7 @@
 impl Folder {
     fn new(name: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("create directory");
         let files = Files {
             certificate: path.join("cert.pem"),
             key: path.join("key.pem"),
@@ -36,12 +36,16 @@
         Self { path, files }
     }
 
-    /// Writes a file with a time of its own: two writes can fall into one tick of the file system.
+    /// Writes a file and sets its modification time, because the clock of the file system may not
+    /// advance between two writes.
     fn write(path: &PathBuf, text: &str, second: u64) {
-        fs::write(path, text).expect("written");
-        let file = fs::File::options().append(true).open(path).expect("a file");
+        fs::write(path, text).expect("write file");
+        let file = fs::File::options()
+            .append(true)
+            .open(path)
+            .expect("open file");
         let time = SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000 + second);
-        file.set_modified(time).expect("a time");
+        file.set_modified(time).expect("set modification time");
     }
 
     fn certificate(&self, text: &str, second: u64) {
@@ -59,25 +63,25 @@
     }
 }
 
-// Callers keep being served with the old pair while a renewal is half done: the new certificate is
-// there and the new key is not. Once both fit, new connections get the new pair.
+// During a renewal the new certificate may exist before its key. Callers are served with the old
+// pair until both files match; then new connections use the new pair.
 #[test]
 fn partial_renewal_keeps_the_old_pair() {
     let folder = Folder::new("half");
     let (old, new) = (pair(), pair());
     folder.certificate(&old.certificate, 1);
     folder.key(&old.key, 1);
-    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
-    let first = config.config();
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a valid pair");
+    let first = config.current();
     assert!(!config.reload().expect("unchanged"));
     folder.certificate(&new.certificate, 2);
     for _ in 0..2 {
         assert!(matches!(config.reload(), Err(Error::Pair(_))));
-        assert!(Arc::ptr_eq(&first, &config.config()));
+        assert!(Arc::ptr_eq(&first, &config.current()));
     }
     folder.key(&new.key, 3);
     assert!(config.reload().expect("changed"));
-    assert!(!Arc::ptr_eq(&first, &config.config()));
+    assert!(!Arc::ptr_eq(&first, &config.current()));
     assert!(!config.reload().expect("unchanged"));
 }
 
@@ -87,20 +91,20 @@
     let good = pair();
     folder.certificate(&good.certificate, 1);
     folder.key(&good.key, 1);
-    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
-    let first = config.config();
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a valid pair");
+    let first = config.current();
     folder.key("no key at all", 2);
     assert!(matches!(config.reload(), Err(Error::Pem(..))));
     folder.certificate("", 3);
     assert!(matches!(config.reload(), Err(Error::Pem(..))));
-    fs::remove_file(&folder.files.certificate).expect("removed");
+    fs::remove_file(&folder.files.certificate).expect("remove file");
     assert!(matches!(config.reload(), Err(Error::File(..))));
-    assert!(Arc::ptr_eq(&first, &config.config()));
+    assert!(Arc::ptr_eq(&first, &config.current()));
 }
 
-// An operator moves a certificate into place that was made before the key's file was last written
-// (the key is the same). The younger of the two times stays as it was, and the new certificate must
-// be seen all the same, or the old one is served until it runs out.
+// An operator installs a certificate whose modification time is before that of the key's file,
+// which does not change. If only the newer of the two times were compared, the certificate would
+// not be loaded, and the old one would be served until it expires.
 #[test]
 fn certificate_older_than_its_key_is_loaded() {
     let folder = Folder::new("older");
@@ -112,7 +116,7 @@
     };
     folder.certificate(&certificate(), 1);
     folder.key(&key.serialize_pem(), 9);
-    let config = ReloadableConfig::open(folder.files.clone()).expect("a store");
+    let config = ReloadableConfig::open(folder.files.clone()).expect("a valid pair");
     folder.certificate(&certificate(), 5);
     assert!(config.reload().expect("changed"));
 }
