--- a/crates/entry/tests/address.rs
+++ b/crates/entry/tests/address.rs
@@ -1,4 +1,4 @@
-//! The order of the addresses that a caller is told.
+//! The order of the addresses that are offered to a caller.
 
 use entry::address::{Address, Location, list};
 use rand::SeedableRng;
@@ -59,8 +59,8 @@
     assert!(urls(&[], 16, 1).is_empty());
 }
 
-// Callers take the first address. They spread over the nodes by free capacity; if all were told
-// the node with the most, they would meet there.
+// Callers take the first address. If the node with the most free capacity always came first, all
+// callers would connect to it; so the first address is drawn in proportion to free capacity.
 #[test]
 fn first_address_is_drawn_by_free_capacity() {
     const DRAWS: usize = 4000;
--- a/crates/entry/tests/ask.rs
+++ b/crates/entry/tests/ask.rs
@@ -1,4 +1,4 @@
-//! Bodies of completions: what is read, and what is told about what can't be.
+//! Bodies of completions: the parameters that are parsed, and the errors for invalid bodies.
 
 use entry::api::error::Error;
 use entry::api::params::{Kind, Params};
@@ -31,7 +31,7 @@
 
 #[test]
 fn minimal_body_gets_the_defaults() {
-    let params = chat_body(|_| {}).expect("an ask");
+    let params = chat_body(|_| {}).expect("valid parameters");
     assert_eq!(params.kind, Kind::Chat);
     assert_eq!(&params.prompt[..], b"<|user|>\nhello\n<|assistant|>\n");
     assert_eq!(
@@ -44,7 +44,7 @@
         (false, false, None, 0)
     );
     assert!(params.stops.is_empty());
-    let params = text_body(|_| {}).expect("an ask");
+    let params = text_body(|_| {}).expect("valid parameters");
     assert_eq!(
         (params.kind, &params.prompt[..]),
         (Kind::Text, &b"hello"[..])
@@ -69,7 +69,7 @@
         b["response_format"] = json!({"type": "text"});
         b["user"] = json!("someone");
     });
-    let params = params.expect("an ask");
+    let params = params.expect("valid parameters");
     assert_eq!(
         &params.prompt[..],
         b"<|developer|>\nbe short\n<|user|>\nab\n<|assistant|>\n"
@@ -97,8 +97,8 @@
     assert_eq!(params, chat_body(|_| {}));
 }
 
-// The caller is told which field is at fault. An option that was silently left out would give an
-// answer other than the one asked for.
+// An unsupported option that was ignored would give an answer other than the requested one. The
+// error names the option.
 #[test]
 fn errors_name_the_unsupported_option() {
     let given = [
@@ -236,13 +236,13 @@
     }
 }
 
-// A field of a message that nothing reads is skipped however deep it is, without a stack frame for
-// each level: a body within its bound can't overflow the stack.
+// An unknown field of a message is skipped at any depth without a stack frame for each level.
+// Otherwise a body within the size limit could overflow the stack.
 #[test]
 fn deeply_nested_unknown_field_does_not_overflow_the_stack() {
     let deep = format!("{}{}", "[".repeat(400_000), "]".repeat(400_000));
     let message = format!("{{\"role\":\"user\",\"content\":\"a\",\"other\":{deep}}}");
     let body = format!("{{\"model\":\"menu\",\"messages\":[{message}]}}");
-    let params = chat::read(body.as_bytes()).expect("an ask");
+    let params = chat::read(body.as_bytes()).expect("valid parameters");
     assert_eq!(&params.prompt[..], b"<|user|>\na\n<|assistant|>\n");
 }
--- a/crates/entry/tests/common.rs
+++ b/crates/entry/tests/common.rs
@@ -1,11 +1,11 @@
-//! A small bundle, parsed once.
+//! A small bundle that the tests share.
 
 use bundle::{Bundle, sign};
 use std::sync::LazyLock;
 
-/// Key of the team of everyday work.
+/// Key of the team `kitchens`, which may use only the priority `normal`.
 pub const KITCHENS_KEY: &str = "kitchens-key";
-/// Key of the team of urgent work.
+/// Key of the team `duty`, which may also use the urgent priority `alarm`.
 pub const DUTY_KEY: &str = "duty-key";
 
 /// A bundle with two teams and two priorities.
--- a/crates/entry/tests/garbage.rs
+++ b/crates/entry/tests/garbage.rs
@@ -1,5 +1,5 @@
-//! Garbage and mutated good input to everything that reads what callers send: an answer or an
-//! error, never a panic.
+//! Random and mutated valid input to all parsers of callers' data. They return a result or an
+//! error and never panic.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const SEEDS: u64 = 20_000;
-/// Bytes that mean something to a reader of JSON or of headers.
+/// Bytes with a meaning in the syntax of JSON or of headers, and bytes that are invalid there.
 const SYNTAX_BYTES: &[u8] = b"{}[]\",:\\/-+.eE0129 \t\r\nntfu\x00\x1f\x7f\xc3\xbf\xff";
 const VALID_BODIES: [&str; 4] = [
     r#"{"model":"menu","messages":[{"role":"user","content":"a"},{"role":"system","content":[{"type":"text","text":"b"}]}],"stop":["x","y"],"seed":-5,"max_tokens":7}"#,
@@ -41,7 +41,8 @@
     (0..length).map(|_| byte(rng)).collect()
 }
 
-/// One to eight changes: a byte put in, taken out or replaced, the end cut off, a part repeated.
+/// Makes one to eight changes: inserts, removes or replaces a byte, truncates the text or repeats
+/// a section.
 fn mutate(rng: &mut ChaCha8Rng, text: &mut Vec<u8>) {
     for _ in 0..rng.random_range(1..=8) {
         let at = rng.random_range(0..=text.len());
@@ -83,7 +84,7 @@
             }
         }
     }
-    assert!(read > 0, "no body was near enough to a good one to be read");
+    assert!(read > 0, "no mutated body was valid");
 }
 
 #[test]
@@ -106,7 +107,7 @@
                 1 => mutate(&mut rng, &mut value),
                 _ => {}
             }
-            // What the HTTP library refuses never reaches the check.
+            // Values that the HTTP library rejects never reach the check.
             if let Ok(value) = HeaderValue::from_bytes(&value) {
                 let name =
                     HeaderName::from_static(HEADER_NAMES[rng.random_range(0..HEADER_NAMES.len())]);
--- a/crates/entry/tests/header.rs
+++ b/crates/entry/tests/header.rs
@@ -75,7 +75,7 @@
     ] {
         assert_eq!(only(value), unauthorized, "{value:?}");
     }
-    // Of two keys, two hops could read a different one.
+    // Two hops could read different ones of two keys.
     let second = format!("Bearer {DUTY_KEY}");
     assert_eq!(
         status_and_code(check(KITCHENS_KEY, &[("authorization", &second)])),
@@ -83,7 +83,8 @@
     );
 }
 
-// The name of a scheme has no case (RFC 9110, 11.1), and some clients send it in lower case.
+// Names of schemes are case-insensitive (RFC 9110, section 11.1), and some clients send them in
+// lower case.
 #[test]
 fn scheme_is_case_insensitive() {
     for scheme in ["bearer", "BEARER", "Bearer"] {
@@ -120,7 +121,7 @@
     }
 }
 
-// Two hops that read a header given twice differently would disagree on what was asked for.
+// Two hops that read different values of a repeated header would disagree on the request.
 #[test]
 fn repeated_header_is_rejected() {
     let twice = [
--- a/crates/entry/tests/ring.rs
+++ b/crates/entry/tests/ring.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::Duration;
 
-/// Longest time for something that must come.
+/// Timeout of the transfer of all values.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 #[tokio::test]
@@ -44,7 +44,8 @@
     assert_eq!(receiver.pop().await, None);
 }
 
-/// A task that is polled again inside its wake-up, as one on another thread may be.
+/// A task that is polled inside its wake-up, which is the earliest that another thread could poll
+/// it.
 struct Eager {
     task: Mutex<Pin<Box<dyn Future<Output = Option<u32>> + Send>>>,
     result: Mutex<Option<Option<u32>>>,
@@ -56,13 +57,14 @@
         let mut context = Context::from_waker(&waker);
         let mut task = self.task.lock().expect("task");
         if let Poll::Ready(value) = task.as_mut().poll(&mut context) {
-            *self.result.lock().expect("ended") = Some(value);
+            *self.result.lock().expect("result") = Some(value);
         }
     }
 }
 
-// A duty never ends: its producer goes and wakes it, and it looks at once, before the producer's
-// end of the ring is marked as gone. It goes back to sleep, and nothing wakes it again.
+// Guards against a consumer that never ends. If a dropped producer wakes the consumer before its
+// end of the ring is marked as abandoned, the consumer may find the producer still present, wait
+// again and never be woken.
 #[test]
 fn dropped_producer_wakes_the_consumer() {
     let (sender, mut receiver) = ring(4);
@@ -71,13 +73,14 @@
         result: Mutex::default(),
     });
     eager.clone().wake();
-    assert_eq!(*eager.result.lock().expect("ended"), None);
+    assert_eq!(*eager.result.lock().expect("result"), None);
     drop(sender);
-    assert_eq!(*eager.result.lock().expect("ended"), Some(None));
+    assert_eq!(*eager.result.lock().expect("result"), Some(None));
 }
 
-// A consumer that sleeps through a push would stop a duty for good. The producer, on its own thread,
-// pushes with the ring mostly empty, so that the consumer goes to sleep before nearly every value.
+// Guards against a consumer that misses the wake-up of a push and stops for good. The producer
+// pushes on its own thread while the ring is mostly empty, so that the consumer waits before nearly
+// every value.
 #[tokio::test]
 async fn no_wake_up_is_lost() {
     const VALUES: u32 = 20_000;
@@ -98,6 +101,6 @@
     };
     tokio::time::timeout(TIMEOUT, all)
         .await
-        .expect("a value was slept through");
+        .expect("the consumer missed a wake-up");
     producer.join().expect("producer");
 }
--- a/crates/entry/tests/stop.rs
+++ b/crates/entry/tests/stop.rs
@@ -1,10 +1,10 @@
-//! Stop sequences over the bounds of tokens.
+//! Stop sequences that span several tokens.
 
 use entry::api::stop::Filter;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What is given for `tokens`, and whether a sequence was met.
+/// Returns the text that is released for `tokens`, and whether a stop sequence was found.
 fn cut(stops: &[&str], tokens: &[&str]) -> (String, bool) {
     let mut filter = Filter::new(stops.iter().map(|s| (*s).to_owned()).collect());
     let mut released: String = tokens.iter().map(|t| filter.push(t)).collect();
@@ -48,8 +48,8 @@
     assert_eq!(cut(&["日本"], &["日", "日", "本"]), ("日".to_owned(), true));
 }
 
-// Two callers who ask the same get the same answer, however the model cut the text into tokens: the
-// sequence that is complete first ends the answer.
+// The same text gives the same answer however it is split into tokens, because the stop sequence
+// that ends first ends the answer.
 #[test]
 fn answer_does_not_depend_on_token_boundaries() {
     const LETTERS: [char; 4] = ['a', 'b', 'c', 'ö'];
