--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const ROUNDS: u32 = 20_000;
-const LATE: Duration = Duration::from_secs(36_000);
+const FAR_DEADLINE: Duration = Duration::from_secs(36_000);
 
 /// `replicas` of two stages over `models` models and `zones` zones.
 fn fleet(replicas: usize, models: usize, zones: usize, slots: u32, teams: usize) -> Bundle {
@@ -61,7 +61,7 @@
             .map(|b| u64::from(i) % 60 * 100 + b)
             .collect();
         let target = Target::Model((i as usize % models) as u16, None);
-        let base = fixture::request(i.into(), LATE);
+        let base = fixture::request(i.into(), FAR_DEADLINE);
         let request = Request {
             prefix,
             target,
@@ -105,7 +105,7 @@
     let mut out = Vec::new();
     let mut id = 0_u32;
     let mut arrive = |router: &mut Router, now, out: &mut Vec<Action>| {
-        let base = fixture::request(id.into(), LATE);
+        let base = fixture::request(id.into(), FAR_DEADLINE);
         id += 1;
         let request = Request {
             team: (id as usize % teams) as u16,
@@ -143,7 +143,11 @@
     let (mut router, _) = router(fleet(40, 1, 3, 16, 10));
     let mut out = Vec::new();
     let mut now = Duration::from_secs(2);
-    router.handle(now, Event::Arrive(fixture::request(1, LATE)), &mut out);
+    router.handle(
+        now,
+        Event::Arrive(fixture::request(1, FAR_DEADLINE)),
+        &mut out,
+    );
     let started = Instant::now();
     for _ in 0..ROUNDS {
         now += Duration::from_millis(10);
--- a/crates/route/examples/crashers.rs
+++ b/crates/route/examples/crashers.rs
@@ -18,17 +18,17 @@
 use route::router::Router;
 use route::settings::Settings;
 use std::time::Duration;
-use world::{Brain, World};
+use world::{Handler, World};
 
 const NODES: usize = 8;
 const END: Duration = Duration::from_secs(60);
 const CRASHERS: u64 = 6;
 
-fn run<B: Brain>(name: &str, load: f64, brain: impl Fn(u64) -> B) {
+fn run<B: Handler>(name: &str, load: f64, handler: impl Fn(u64) -> B) {
     let bundle = fixture::fleet(4, 24, 10);
     let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
-    let mut world = World::new(bundle, NODES, 3, brain);
-    world.restart = Duration::from_secs(5);
+    let mut world = World::new(bundle, NODES, 3, handler);
+    world.restart_delay = Duration::from_secs(5);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let per_second = bound * load / 32.0;
     for i in 0..(per_second * END.as_secs_f64()) as u64 {
@@ -59,25 +59,29 @@
     print(name, load, &world);
 }
 
-fn print<B: Brain>(name: &str, load: f64, world: &World<B>) {
+fn print<B: Handler>(name: &str, load: f64, world: &World<B>) {
     let innocent: Vec<_> = world
         .calls
         .values()
         .filter(|c| c.request.id < 1_000_000)
         .collect();
-    let hit = innocent.iter().filter(|c| c.sent > 1).count();
+    let hit = innocent.iter().filter(|c| c.sent_attempts > 1).count();
     let failed = innocent
         .iter()
         .filter(|c| c.outcome != Some(Outcome::Complete))
         .count();
-    let stall = innocent.iter().filter(|c| c.sent > 1).map(|c| c.gap).max();
+    let stall = innocent
+        .iter()
+        .filter(|c| c.sent_attempts > 1)
+        .map(|c| c.max_gap)
+        .max();
     let lost = world.crashes as f64 / CRASHERS as f64;
     println!(
         "{name:12} {load:>5.2} {lost:>14.2} {:>8} {hit:>10} {failed:>7} {:>8.2}",
         innocent.len(),
         stall.unwrap_or_default().as_secs_f64()
     );
-    assert_eq!(world.faults(), Vec::<String>::new());
+    assert_eq!(world.all_violations(), Vec::<String>::new());
 }
 
 fn main() {
@@ -90,6 +94,6 @@
         run("wigeonshelf", load, |seed| {
             Router::new(seed, Settings::default())
         });
-        run("naive", load, |seed| Baseline::new(Policy::Two, seed));
+        run("naive", load, |seed| Baseline::new(Policy::TwoRandom, seed));
     }
 }
--- a/crates/route/examples/mixes.rs
+++ b/crates/route/examples/mixes.rs
@@ -19,7 +19,7 @@
 use route::router::Router;
 use route::settings::Settings;
 use std::time::Duration;
-use world::{Brain, Fault, World};
+use world::{Fault, Handler, World};
 
 const SLOTS: u32 = 24;
 const WARM: Duration = Duration::from_secs(10);
@@ -58,7 +58,7 @@
 /// Tokens generated per second when each request also computes `prompt` tokens that no cache
 /// holds.
 fn generated(bound: f64, most: u32, prompt: u32) -> f64 {
-    let work = f64::from(most) + f64::from(prompt) / host::PROMPT_PART;
+    let work = f64::from(most) + f64::from(prompt) / host::PROMPT_TOKENS_PER_OUTPUT_TOKEN;
     bound * f64::from(most) / work
 }
 
@@ -126,8 +126,8 @@
 }
 
 /// Runs a mix; returns throughput over the bound and the 95th percentile of the mean gap in ms.
-fn run<B: Brain>(mix: &Mix, nodes: usize, brain: impl Fn(u64) -> B) -> (f64, f64) {
-    let mut world = World::new(mix.bundle.clone(), nodes, 11, brain);
+fn run<B: Handler>(mix: &Mix, nodes: usize, handler: impl Fn(u64) -> B) -> (f64, f64) {
+    let mut world = World::new(mix.bundle.clone(), nodes, 11, handler);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let per_second = mix.bound * OFFERED / f64::from(mix.most);
     let count = (per_second * END.as_secs_f64()) as u64;
@@ -155,20 +155,20 @@
         .into_iter()
         .for_each(|h| world.fault(Duration::from_secs(2), Fault::Die(h)));
     world.run(WARM);
-    let before = world.made;
+    let before = world.tokens;
     world.run(END);
-    let rate = (world.made - before) as f64 / (END - WARM).as_secs_f64();
-    assert_eq!(world.faults(), Vec::<String>::new());
+    let rate = (world.tokens - before) as f64 / (END - WARM).as_secs_f64();
+    assert_eq!(world.all_violations(), Vec::<String>::new());
     (rate / mix.bound, gap(&world))
 }
 
-fn gap<B: Brain>(world: &World<B>) -> f64 {
+fn gap<B: Handler>(world: &World<B>) -> f64 {
     let whole = world
         .calls
         .values()
         .filter(|c| c.ended.is_some_and(|e| e > WARM));
     let gaps = whole.filter_map(|c| {
-        let time = c.ended?.checked_sub(c.first?)?;
+        let time = c.ended?.checked_sub(c.first_token?)?;
         (c.tokens > 1).then(|| time.as_secs_f64() * 1e3 / f64::from(c.tokens - 1))
     });
     let mut gaps: Vec<f64> = gaps.collect();
@@ -192,9 +192,9 @@
             let base = |policy| run(&mix, nodes, |seed| Baseline::new(policy, seed));
             let all = [
                 ours,
-                base(Policy::Turn),
-                base(Policy::Least),
-                base(Policy::Two),
+                base(Policy::RoundRobin),
+                base(Policy::LeastLoaded),
+                base(Policy::TwoRandom),
             ];
             let cells = all.map(|(rate, gap)| format!("{rate:.3} ({gap:.0})"));
             println!(
--- a/crates/route/examples/overload.rs
+++ b/crates/route/examples/overload.rs
@@ -54,7 +54,7 @@
         }
     }
     world.run(END + Duration::from_secs(1));
-    assert_eq!(world.faults(), Vec::<String>::new());
+    assert_eq!(world.all_violations(), Vec::<String>::new());
     world
 }
 
@@ -98,11 +98,11 @@
     ] {
         let world = run(fair, urgent);
         let starts = waits(&world, |c| c.started);
-        let tokens = waits(&world, |c| c.first);
+        let tokens = waits(&world, |c| c.first_token);
         let bound = route::plan::max_throughput(&world.bundle, 0) * 32.0 / 33.0;
         let done: f64 = (0..TEAMS as u16).map(|t| whole(&world, t, 1)).sum();
         let rate = done * 32.0 / (END - WARM + Duration::from_secs(1)).as_secs_f64();
-        let paused: u64 = world.nodes.iter().map(|n| n.brain.report().paused).sum();
+        let paused: u64 = world.nodes.iter().map(|n| n.handler.report().paused).sum();
         println!(
             "{fair:>6.2} {urgent:>7.2} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>9.3} {paused:>9}",
             at(&starts, 0.5),
--- a/crates/route/examples/recovery.rs
+++ b/crates/route/examples/recovery.rs
@@ -18,7 +18,7 @@
 use world::{Call, Fault, World};
 
 const NODES: usize = 8;
-const AT: Duration = Duration::from_secs(6);
+const FAULT_AT: Duration = Duration::from_secs(6);
 const END: Duration = Duration::from_secs(12);
 const SEEDS: u64 = 5;
 
@@ -38,9 +38,9 @@
         };
         world.arrive(at, rng.random_range(0..NODES), request);
     }
-    faults.iter().for_each(|&f| world.fault(AT, f));
+    faults.iter().for_each(|&f| world.fault(FAULT_AT, f));
     world.run(END + Duration::from_secs(20));
-    assert_eq!(world.faults(), Vec::<String>::new());
+    assert_eq!(world.all_violations(), Vec::<String>::new());
     world
 }
 
@@ -64,25 +64,25 @@
     let faults: [(&str, Vec<Fault>); 6] = [
         ("none", vec![]),
         ("stage dies", vec![Fault::Die(1)]),
-        ("stage goes dark", vec![Fault::Mute(1)]),
-        ("connections go silent", vec![Fault::Hush(1)]),
+        ("stage goes dark", vec![Fault::Unresponsive(1)]),
+        ("connections go silent", vec![Fault::SilenceConnections(1)]),
         ("stage 30 times slower", vec![Fault::Slow(1, 30.0)]),
-        ("zone dies", vec![Fault::Lose(0)]),
+        ("zone dies", vec![Fault::LoseZone(0)]),
     ];
     for (name, faults) in faults {
         let worlds: Vec<_> = (0..SEEDS).map(|seed| run(seed, &faults)).collect();
         let calls = || worlds.iter().flat_map(|w| w.calls.values());
-        let fault = AT + Duration::from_secs(1);
-        let over = |c: &&Call| c.first.is_some_and(|f| f < fault) && c.ended > Some(fault);
+        let fault = FAULT_AT + Duration::from_secs(1);
+        let over = |c: &&Call| c.first_token.is_some_and(|f| f < fault) && c.ended > Some(fault);
         let sorted = |mut all: Vec<f64>| {
             all.sort_by(f64::total_cmp);
             all
         };
-        let moved = calls().filter(over).filter(|c| c.sent > 1);
-        let pauses = sorted(moved.map(|c| c.gap.as_secs_f64() * 1e3).collect());
+        let moved = calls().filter(over).filter(|c| c.sent_attempts > 1);
+        let pauses = sorted(moved.map(|c| c.max_gap.as_secs_f64() * 1e3).collect());
         let new =
             calls().filter(|c| c.arrived >= fault && c.arrived < fault + Duration::from_secs(1));
-        let firsts = new.filter_map(|c| Some((c.first? - c.arrived).as_secs_f64() * 1e3));
+        let firsts = new.filter_map(|c| Some((c.first_token? - c.arrived).as_secs_f64() * 1e3));
         let firsts = sorted(firsts.collect());
         let broken = calls()
             .filter(|c| c.outcome != Some(Outcome::Complete))
--- a/crates/route/examples/storm.rs
+++ b/crates/route/examples/storm.rs
@@ -18,18 +18,18 @@
 use route::router::Router;
 use route::settings::Settings;
 use std::time::Duration;
-use world::{Brain, Fault, World};
+use world::{Fault, Handler, World};
 
 const NODES: usize = 8;
-const LOST: Duration = Duration::from_secs(6);
-const BACK: Duration = Duration::from_secs(16);
+const LOST_AT: Duration = Duration::from_secs(6);
+const RESTORED_AT: Duration = Duration::from_secs(16);
 const END: Duration = Duration::from_secs(24);
 
 /// Part of the bound of all endpoints that is offered.
-fn run<B: Brain>(name: &str, load: f64, dark: bool, brain: impl Fn(u64) -> B) {
+fn run<B: Handler>(name: &str, load: f64, unresponsive: bool, handler: impl Fn(u64) -> B) {
     let bundle = fixture::fleet(4, 24, 10);
     let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
-    let mut world = World::new(bundle, NODES, 3, brain);
+    let mut world = World::new(bundle, NODES, 3, handler);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let per_second = bound * load / 32.0;
     let count = (per_second * END.as_secs_f64()) as u64;
@@ -49,48 +49,48 @@
     let hosts: Vec<usize> = (0..world.hosts.len())
         .filter(|&h| world.hosts[h].zone == 0)
         .collect();
-    if dark {
+    if unresponsive {
         hosts
             .iter()
-            .for_each(|&h| world.fault(LOST, Fault::Mute(h)));
+            .for_each(|&h| world.fault(LOST_AT, Fault::Unresponsive(h)));
     } else {
-        world.fault(LOST, Fault::Lose(0));
+        world.fault(LOST_AT, Fault::LoseZone(0));
     }
-    world.fault(BACK, Fault::Regain(0));
+    world.fault(RESTORED_AT, Fault::RestartZone(0));
     world.run(END + Duration::from_secs(10));
-    print(name, load, dark, &world);
+    print(name, load, unresponsive, &world);
 }
 
-fn print<B: Brain>(name: &str, load: f64, dark: bool, world: &World<B>) {
+fn print<B: Handler>(name: &str, load: f64, unresponsive: bool, world: &World<B>) {
     let start = Duration::from_secs(1);
     let during = world.calls.values().filter(|c| {
         let (at, end) = (c.arrived, c.ended.unwrap_or(Duration::MAX));
-        end >= LOST + start && at <= BACK + start
+        end >= LOST_AT + start && at <= RESTORED_AT + start
     });
     let (mut calls, mut sent, mut whole, mut unknown, mut refused) = (0_u32, 0, 0, 0, 0);
     let mut most = 0;
     let mut stall = Duration::ZERO;
     for call in during {
         calls += 1;
-        sent += call.sent;
-        most = most.max(call.sent);
+        sent += call.sent_attempts;
+        most = most.max(call.sent_attempts);
         match call.outcome {
             Some(Outcome::Complete) => whole += 1,
             Some(Outcome::NotRun) => refused += 1,
             _ => unknown += 1,
         }
-        let hit = call.first.is_some_and(|f| f < LOST + start) && call.sent > 1;
+        let hit = call.first_token.is_some_and(|f| f < LOST_AT + start) && call.sent_attempts > 1;
         if hit && call.outcome == Some(Outcome::Complete) {
-            stall = stall.max(call.gap);
+            stall = stall.max(call.max_gap);
         }
     }
-    let how = if dark { "dark" } else { "dead" };
+    let how = if unresponsive { "dark" } else { "dead" };
     println!(
         "{name:12} {how:>5} {load:>5.2} {calls:>6} {:>9.2} {most:>5} {whole:>6} {refused:>8} {unknown:>8} {:>8.2}",
         f64::from(sent) / f64::from(calls.max(1)),
         stall.as_secs_f64()
     );
-    assert_eq!(world.faults(), Vec::<String>::new());
+    assert_eq!(world.all_violations(), Vec::<String>::new());
 }
 
 fn main() {
@@ -102,11 +102,13 @@
         "", "how", "load", "calls", "sent/call", "most", "whole", "refused", "unknown", "stall s"
     );
     for load in [0.5, 0.9] {
-        for dark in [false, true] {
-            run("wigeonshelf", load, dark, |seed| {
+        for unresponsive in [false, true] {
+            run("wigeonshelf", load, unresponsive, |seed| {
                 Router::new(seed, Settings::default())
             });
-            run("naive", load, dark, |seed| Baseline::new(Policy::Two, seed));
+            run("naive", load, unresponsive, |seed| {
+                Baseline::new(Policy::TwoRandom, seed)
+            });
         }
     }
 }
--- a/crates/route/examples/team_limits.rs
+++ b/crates/route/examples/team_limits.rs
@@ -16,7 +16,7 @@
 const OFFERED: u64 = 600;
 const SECONDS: u64 = 30;
 /// Time that a request is in flight.
-const TIME: Duration = Duration::from_secs(2);
+const REQUEST_TIME: Duration = Duration::from_secs(2);
 
 fn run(workers: usize, parts: f64, busy: usize) {
     let bundle = fixture::bundle(1);
@@ -39,7 +39,7 @@
         }
         let worker = rng.random_range(0..busy);
         if tables[worker].admit(now, 0, false, 1.0).is_ok() {
-            ends.push_back((now + TIME, worker));
+            ends.push_back((now + REQUEST_TIME, worker));
             first += u64::from(now < Duration::from_secs(1));
             late += u64::from(now >= Duration::from_secs(10));
         }
--- a/crates/route/tests/broken.rs
+++ b/crates/route/tests/broken.rs
@@ -25,29 +25,29 @@
 use route::settings::Settings;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use world::Brain;
+use world::Handler;
 
 /// How a variant is broken.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     /// Runs the hops of a chain in the wrong order.
-    Swapped,
+    SwapsHops,
     /// Leaves out the last layer of the first hop.
-    Skipped,
+    SkipsLayer,
     /// Starts work that must not be repeated again instead of calling it unknown.
-    Repeats,
+    RepeatsWork,
     /// Calls work not run that may have run.
-    Denies,
+    DeniesWork,
     /// Calls an answer whole at its first token.
-    Early,
+    FinishesEarly,
     /// Ends a request twice.
-    Twice,
+    FinishesTwice,
     /// Starts a second attempt while one runs.
-    Doubles,
+    StartsTwice,
     /// Does not look at which endpoints leave.
-    Blind,
+    IgnoresLeaving,
     /// Does not look at which requests are condemned.
-    Deaf,
+    IgnoresCondemned,
 }
 
 struct Variant {
@@ -71,49 +71,49 @@
         }
     }
 
-    /// What the router is told.
-    fn told(&self, event: &Event) -> Event {
+    /// Task the router is told.
+    fn visible_event(&self, event: &Event) -> Event {
         let Event::View(view) = event else {
             return event.clone();
         };
         let mut view = (**view).clone();
         match self.defect {
-            Defect::Blind => view.available.fill(true),
-            Defect::Deaf => view.condemned.clear(),
+            Defect::IgnoresLeaving => view.available.fill(true),
+            Defect::IgnoresCondemned => view.condemned.clear(),
             _ => {}
         }
         Event::View(Arc::new(view))
     }
 
-    /// What is said in place of an action.
-    fn said(&mut self, action: Action) -> Vec<Action> {
+    /// Task is altered in place of an action.
+    fn alter(&mut self, action: Action) -> Vec<Action> {
         if let Action::Start(id, attempt, hops) = &action {
             self.chains.insert(*id, (*attempt, hops.clone()));
         }
         match (self.defect, action) {
-            (Defect::Swapped, Action::Start(id, attempt, mut hops)) => {
+            (Defect::SwapsHops, Action::Start(id, attempt, mut hops)) => {
                 hops.reverse();
                 vec![Action::Start(id, attempt, hops)]
             }
-            (Defect::Skipped, Action::Start(id, attempt, mut hops)) => {
+            (Defect::SkipsLayer, Action::Start(id, attempt, mut hops)) => {
                 hops[0].to = hops[0].to.saturating_sub(1);
                 vec![Action::Start(id, attempt, hops)]
             }
-            (Defect::Repeats, Action::Finish(id, Outcome::Unknown)) => {
+            (Defect::RepeatsWork, Action::Finish(id, Outcome::Unknown)) => {
                 let (attempt, hops) = self.chains[&id].clone();
                 vec![Action::Start(id, attempt + 1, hops)]
             }
-            (Defect::Denies, Action::Finish(id, Outcome::Unknown)) => {
+            (Defect::DeniesWork, Action::Finish(id, Outcome::Unknown)) => {
                 let refusal = Refusal {
                     reason: Reason::Overload,
                     retry_after: None,
                 };
                 vec![Action::Refuse(id, refusal)]
             }
-            (Defect::Twice, Action::Finish(id, outcome)) => {
+            (Defect::FinishesTwice, Action::Finish(id, outcome)) => {
                 vec![Action::Finish(id, outcome), Action::Finish(id, outcome)]
             }
-            (Defect::Doubles, Action::Start(id, attempt, hops)) => {
+            (Defect::StartsTwice, Action::Start(id, attempt, hops)) => {
                 let again = Action::Start(id, attempt + 1, hops.clone());
                 vec![Action::Start(id, attempt, hops), again]
             }
@@ -122,17 +122,18 @@
     }
 }
 
-impl Brain for Variant {
+impl Handler for Variant {
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         self.audit.event(&event);
         let mut actions = Vec::new();
-        self.router.handle(now, self.told(&event), &mut actions);
-        if let (Defect::Early, Event::Token(id, _)) = (self.defect, &event) {
+        self.router
+            .handle(now, self.visible_event(&event), &mut actions);
+        if let (Defect::FinishesEarly, Event::Token(id, _)) = (self.defect, &event) {
             actions.push(Action::Finish(*id, Outcome::Complete));
         }
         for action in actions {
-            for said in self.said(action) {
-                self.found.extend(self.audit.action(&said));
+            for altered in self.alter(action) {
+                self.found.extend(self.audit.action(&altered));
             }
         }
         self.found.extend(self.audit.end_left(&event));
@@ -141,64 +142,64 @@
 }
 
 /// A sound router whose actions are carried out, beside a variant that only speaks to its audit.
-struct Beside {
-    sound: Router,
+struct Pair {
+    correct: Router,
     variant: Variant,
 }
 
-impl Brain for Beside {
+impl Handler for Pair {
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         self.variant.handle(now, event.clone(), &mut Vec::new());
-        self.sound.handle(now, event, out);
+        self.correct.handle(now, event, out);
     }
 }
 
 /// Faults that the audit of a variant finds in one case.
 fn found(defect: Defect, seed: u64) -> Vec<Fault> {
     let case = Case {
-        crashers: 30,
+        crasher_interval: 30,
         ..Case::draw(seed)
     };
-    let mut world = case.world(|seed| Beside {
-        sound: Router::new(seed, Settings::default()),
+    let mut world = case.world(|seed| Pair {
+        correct: Router::new(seed, Settings::default()),
         variant: Variant::new(seed, defect),
     });
     world.run(case.end());
     assert_eq!(
-        world.faults(),
+        world.all_violations(),
         Vec::<String>::new(),
         "the sound router, seed {seed}"
     );
-    let variants = world.nodes.iter().map(|n| &n.brain.variant);
+    let variants = world.nodes.iter().map(|n| &n.handler.variant);
     variants.flat_map(|v| &v.found).map(|f| f.fault).collect()
 }
 
 /// Whether a fault is the one that a defect must lead to.
 fn expected(defect: Defect, fault: &Fault) -> bool {
     match defect {
-        Defect::Swapped | Defect::Skipped => matches!(fault, Fault::Gap(..)),
-        Defect::Repeats => matches!(fault, Fault::Repeated),
-        Defect::Denies => matches!(fault, Fault::Sent),
-        Defect::Early => matches!(fault, Fault::Partial),
-        Defect::Twice => matches!(fault, Fault::Ended),
-        Defect::Doubles => matches!(fault, Fault::Twice),
-        Defect::Blind => matches!(fault, Fault::Closed(_)),
-        Defect::Deaf => matches!(fault, Fault::Condemned),
+        Defect::SwapsHops | Defect::SkipsLayer => matches!(fault, Fault::Gap(..)),
+        Defect::RepeatsWork => matches!(fault, Fault::Repeated),
+        Defect::DeniesWork => matches!(fault, Fault::Sent),
+        Defect::FinishesEarly => matches!(fault, Fault::Partial),
+        Defect::FinishesTwice => matches!(fault, Fault::Ended),
+        Defect::StartsTwice => matches!(fault, Fault::Twice),
+        Defect::IgnoresLeaving => matches!(fault, Fault::Closed(_)),
+        Defect::IgnoresCondemned => matches!(fault, Fault::Condemned),
     }
 }
 
 #[test]
 fn each_defect_is_caught() {
     let defects = [
-        Defect::Swapped,
-        Defect::Skipped,
-        Defect::Repeats,
-        Defect::Denies,
-        Defect::Early,
-        Defect::Twice,
-        Defect::Doubles,
-        Defect::Blind,
-        Defect::Deaf,
+        Defect::SwapsHops,
+        Defect::SkipsLayer,
+        Defect::RepeatsWork,
+        Defect::DeniesWork,
+        Defect::FinishesEarly,
+        Defect::FinishesTwice,
+        Defect::StartsTwice,
+        Defect::IgnoresLeaving,
+        Defect::IgnoresCondemned,
     ];
     for defect in defects {
         let caught = (0..12).any(|seed| found(defect, seed).iter().any(|f| expected(defect, f)));
--- a/crates/route/tests/parts.rs
+++ b/crates/route/tests/parts.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_bound_is_the_narrowest_cut() {
+fn max_throughput_is_the_minimum_cut() {
     // Two replicas in each of three zones: 6400 layers/s over 16 layers, six times.
     let equal = fixture::fleet(2, 4, 1);
     assert!((plan::max_throughput(&equal, 0) - 2400.0).abs() < 1e-3);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn overlapping_stages_cover_where_whole_ones_cannot() {
+fn chain_may_enter_an_overlapping_stage_at_an_inner_layer() {
     // A holds 0..20 and B 12..32: a chain enters B at 20.
     let mut bundle = fixture::bundle(1);
     fixture::stage(&mut bundle, 0, 0, 0, 20, 4);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn teams_get_their_weights_of_a_full_line() {
+fn full_line_is_shared_by_team_weight() {
     let mut queue = Queue::default();
     let mut waiting = std::collections::BTreeMap::new();
     for id in 0..4000 {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_team_is_held_to_its_share() {
+fn team_is_limited_to_its_share() {
     // Eight workers with an eighth of 40 requests/s and of 12 in flight each.
     let bundle = fixture::bundle(1);
     let share = Share {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn concurrency_follows_the_time_of_a_hop() {
+fn limit_follows_the_hop_time() {
     let mut pace = Limiter::new(16);
     let mut now = ms(0);
     for _ in 0..200 {
@@ -239,7 +239,7 @@
 // the time aimed at can't be made fast enough by lowering its concurrency; the limit must stay at
 // what its batch computes at once, and must not fall to one.
 #[test]
-fn limit_does_not_fall_where_that_makes_nothing_faster() {
+fn limit_does_not_fall_below_the_batch_size() {
     let mut pace = Limiter::new(40);
     let limits = paced(&mut pace, ms(15), 30, |running| batched(running, 8, ms(20)));
     let settled = &limits[5..];
@@ -274,7 +274,7 @@
 // starts one request, which says nothing of how many it could start; only starts while others wait
 // do, and idle time must not thin them out.
 #[test]
-fn idle_time_is_not_taken_for_a_slow_line() {
+fn idle_time_does_not_lower_the_start_rate() {
     let mut meter = route::meter::Meter::default();
     meter.record_start(ms(30_000), false);
     meter.record_start(ms(62_000), false);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn the_time_that_counts_as_silence_is_bounded() {
+fn silence_timeout_is_bounded() {
     let mut pace = Limiter::new(16);
     (0..1000).for_each(|i| pace.record_hop(ms(i * 300), ms(200), ms(22), 1));
     (0..20).for_each(|_| pace.extend_silence());
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn an_ejected_endpoint_returns_on_trial_and_backs_off_longer() {
+fn ejected_endpoint_returns_on_trial_with_exponential_backoff() {
     let mut health = Health::default();
     assert!(health.begin_probe(ms(0)) && !health.accepts_work());
     health.eject(ms(10), ms(1000), ms(60_000), 0.0);
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn the_budget_grants_a_burst_and_then_a_fraction() {
+fn budget_grants_a_burst_and_then_a_fraction() {
     let mut budget = Budget::new(4.0);
     assert_eq!((0..10).filter(|_| budget.take()).count(), 4);
     (0..100).for_each(|_| budget.earn(0.1, 4.0, 0));
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_request_that_kills_twice_is_condemned_and_its_neighbours_are_not() {
+fn request_that_crashes_two_endpoints_is_condemned_alone() {
     // Requests 1, 2, 3 are in flight when an endpoint dies. 2 and 3 complete elsewhere; 1 runs
     // alone and takes the next endpoint down: two endpoints are lost, and 1 is condemned.
     let mut table = crash::Table::new(64);
@@ -355,15 +355,15 @@
 }
 
 #[test]
-fn a_lost_zone_condemns_nobody() {
+fn zone_loss_condemns_no_request() {
     // Request 1 is suspect after a death and runs alone when a whole zone dies under it: several
     // endpoints died together, so none of these deaths speaks against what each one ran.
     let mut table = crash::Table::new(64);
     table.open_incident(ms(0), 0, vec![1, 2]);
     table.record_dead(ms(1), 0);
-    let prints = [vec![1], vec![4], vec![5]];
-    for (endpoint, prints) in (10..).zip(prints) {
-        table.open_incident(ms(9000), endpoint, prints);
+    let fingerprints = [vec![1], vec![4], vec![5]];
+    for (endpoint, fingerprints) in (10..).zip(fingerprints) {
+        table.open_incident(ms(9000), endpoint, fingerprints);
     }
     for endpoint in 10..13 {
         table.record_dead(ms(9001 + u64::from(endpoint)), endpoint);
--- a/crates/route/tests/recover.rs
+++ b/crates/route/tests/recover.rs
@@ -5,7 +5,7 @@
 #[path = "support/fixture.rs"]
 mod fixture;
 
-use bench::{Bench, LATE, started};
+use bench::{Bench, FAR_DEADLINE, find_start};
 use route::action::{Action, Observation};
 use route::event::Event;
 use route::failure::Cause;
@@ -19,7 +19,7 @@
 fn urgent(id: u128) -> Request {
     Request {
         priority: 0,
-        ..fixture::request(id, LATE)
+        ..fixture::request(id, FAR_DEADLINE)
     }
 }
 
@@ -29,214 +29,214 @@
 }
 
 #[test]
-fn a_silent_connection_is_not_taken_for_a_dead_endpoint() {
+fn silent_connection_does_not_eject_its_endpoint() {
     // The caller sees a pause under a second. The stream stops without an error; the endpoint
     // answers a probe on a new connection, so only the old connections are dropped and the
     // request goes on from its two tokens. The endpoint stays in use.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     for _ in 0..2 {
-        bench.on(Event::Progress(1, 1, 0));
-        bench.on(Event::Progress(1, 1, 1));
-        bench.on(Event::Token(1, 1));
+        bench.handle(Event::Progress(1, 1, 0));
+        bench.handle(Event::Progress(1, 1, 1));
+        bench.handle(Event::Token(1, 1));
     }
-    let out = bench.pass(Duration::from_millis(700));
+    let out = bench.advance(Duration::from_millis(700));
     assert!(out.contains(&Action::Probe(hops[0].endpoint)), "{out:?}");
-    let out = bench.on(Event::Probed(hops[0].endpoint, true));
+    let out = bench.handle(Event::Probed(hops[0].endpoint, true));
     assert!(out.contains(&Action::Disconnect(hops[0].endpoint)));
     assert!(out.contains(&Action::Cancel(1, 1)));
-    assert_eq!(started(&out, 1).map(|s| s.0), Some(2));
+    assert_eq!(find_start(&out, 1).map(|s| s.0), Some(2));
     assert_eq!(bench.router.report().ejected, 0);
 }
 
 #[test]
-fn a_paused_node_accuses_nobody() {
+fn paused_node_ejects_no_endpoint() {
     // Callers see only the node's own pause. The node stands still for five seconds, once while
     // an answer runs and once while a probe is out: neither is held against the endpoint.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    bench.on(Event::Tick);
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
-    bench.on(Event::Token(1, 1));
+    bench.handle(Event::Tick);
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
+    bench.handle(Event::Token(1, 1));
     bench.now += Duration::from_secs(5);
-    assert_eq!(bench.on(Event::Tick), []);
-    bench.on(Event::Progress(1, 1, 0));
-    let out = bench.pass(Duration::from_millis(700));
+    assert_eq!(bench.handle(Event::Tick), []);
+    bench.handle(Event::Progress(1, 1, 0));
+    let out = bench.advance(Duration::from_millis(700));
     let probed = hops[1].endpoint;
     assert!(out.contains(&Action::Probe(probed)), "{out:?}");
     bench.now += Duration::from_secs(5);
-    assert_eq!(bench.on(Event::Tick), []);
-    bench.on(Event::Probed(probed, true));
+    assert_eq!(bench.handle(Event::Tick), []);
+    bench.handle(Event::Probed(probed, true));
     assert_eq!(bench.router.report().ejected, 0);
 }
 
 #[test]
-fn an_unanswered_probe_ejects_and_a_trial_brings_back() {
+fn unanswered_probe_ejects_and_a_trial_restores() {
     // The caller sees one pause. The endpoint answers nothing; it is ejected and told to the other
     // nodes, probed after its time out, and gets single requests until three went well.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     let dead = hops[0].endpoint;
     bench.fail(1, 1, dead, Cause::Reset, true);
-    let out = bench.pass(Duration::from_millis(600));
+    let out = bench.advance(Duration::from_millis(600));
     assert!(
         out.contains(&Action::Observe(Observation::Ejected(dead))),
         "{out:?}"
     );
-    assert_eq!(started(&out, 1).map(|s| s.0), Some(2));
-    bench.on(Event::Finished(1, 2));
-    let out = bench.pass(Duration::from_millis(1600));
+    assert_eq!(find_start(&out, 1).map(|s| s.0), Some(2));
+    bench.handle(Event::Finished(1, 2));
+    let out = bench.advance(Duration::from_millis(1600));
     assert!(out.contains(&Action::Probe(dead)));
-    bench.on(Event::Probed(dead, true));
+    bench.handle(Event::Probed(dead, true));
     let mut restored = Vec::new();
     for id in 10..200 {
-        let out = bench.on(Event::Arrive(fixture::request(id, LATE)));
-        assert!(started(&out, id).is_some());
-        restored.extend(bench.on(Event::Finished(id, 1)));
+        let out = bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE)));
+        assert!(find_start(&out, id).is_some());
+        restored.extend(bench.handle(Event::Finished(id, 1)));
     }
     assert!(restored.contains(&Action::Observe(Observation::Restored(dead))));
 }
 
 #[test]
-fn urgent_work_takes_the_place_of_what_can_go_on_later() {
+fn urgent_work_pauses_repeatable_work() {
     // The duty desk's alarm starts at once on a full fleet. One menu check is paused and goes on
     // from its token when the alarm is done: no retry is counted for it.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     (1..=3).for_each(|id| {
-        bench.on(Event::Arrive(fixture::request(id, LATE)));
+        bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE)));
     });
-    bench.on(Event::Token(1, 1));
-    let out = bench.on(Event::Arrive(urgent(9)));
+    bench.handle(Event::Token(1, 1));
+    let out = bench.handle(Event::Arrive(urgent(9)));
     let paused = out.iter().find_map(|a| match a {
         Action::Cancel(id, 1) => Some(*id),
         _ => None,
     });
     let paused = paused.expect("something is paused");
-    assert!(started(&out, 9).is_some());
-    let out = bench.on(Event::Finished(9, 1));
-    assert_eq!(started(&out, paused).map(|s| s.0), Some(2));
+    assert!(find_start(&out, 9).is_some());
+    let out = bench.handle(Event::Finished(9, 1));
+    assert_eq!(find_start(&out, paused).map(|s| s.0), Some(2));
     let report = bench.router.report();
     assert_eq!((report.paused, report.resumed, report.retries), (1, 1, 0));
 }
 
 #[test]
-fn work_that_must_not_be_repeated_is_never_paused() {
+fn non_repeatable_work_is_never_paused() {
     // Newsletter checks fill the fleet. An alarm waits for the first of them to end, since a
     // paused one would have to run again.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     for id in 1..=3 {
-        bench.on(Event::Arrive(Request {
+        bench.handle(Event::Arrive(Request {
             repeatable: false,
-            ..fixture::request(id, LATE)
+            ..fixture::request(id, FAR_DEADLINE)
         }));
     }
-    let out = bench.on(Event::Arrive(urgent(9)));
+    let out = bench.handle(Event::Arrive(urgent(9)));
     assert_eq!(out, []);
     assert_eq!(bench.router.report().waiting_urgent, 1);
-    let out = bench.on(Event::Finished(2, 1));
-    assert!(started(&out, 9).is_some());
+    let out = bench.handle(Event::Finished(2, 1));
+    assert!(find_start(&out, 9).is_some());
 }
 
 #[test]
-fn a_request_that_crashes_endpoints_runs_alone_and_is_then_refused() {
+fn crashing_request_runs_alone_and_is_then_refused() {
     // Its caller is told "unknown", then refusals; the neighbour's answer goes on. Two requests
     // are in flight when an endpoint dies. Both are suspect and run on endpoints of their own;
     // the second death has only one of them in flight, which is condemned on every node.
     let mut bench = Bench::new(fixture::fleet(2, 8, 1));
     let crasher = |id| Request {
         fingerprint: 666,
-        ..fixture::request(id, LATE)
+        ..fixture::request(id, FAR_DEADLINE)
     };
-    let first = bench.on(Event::Arrive(crasher(1)));
-    let (_, hops) = started(&first, 1).expect("starts");
+    let first = bench.handle(Event::Arrive(crasher(1)));
+    let (_, hops) = find_start(&first, 1).expect("starts");
     let dead = hops[0].endpoint;
     // Neighbours until one shares the endpoint.
     let mut neighbour = 2;
     loop {
-        let out = bench.on(Event::Arrive(fixture::request(neighbour, LATE)));
-        let (_, hops) = started(&out, neighbour).expect("starts");
+        let out = bench.handle(Event::Arrive(fixture::request(neighbour, FAR_DEADLINE)));
+        let (_, hops) = find_start(&out, neighbour).expect("starts");
         if hops[0].endpoint == dead {
             break;
         }
-        bench.on(Event::Finished(neighbour, 1));
+        bench.handle(Event::Finished(neighbour, 1));
         neighbour += 1;
     }
     bench.fail(1, 1, dead, Cause::Reset, true);
-    let out = bench.on(Event::Probed(dead, false));
+    let out = bench.handle(Event::Probed(dead, false));
     assert!(out.contains(&Action::Observe(Observation::Suspect(666))));
-    let (_, alone) = started(&out, 1).expect("runs alone");
-    let (attempt, beside) = started(&out, neighbour).expect("runs elsewhere");
+    let (_, alone) = find_start(&out, 1).expect("runs alone");
+    let (attempt, beside) = find_start(&out, neighbour).expect("runs elsewhere");
     assert!(
         alone
             .iter()
             .all(|h| beside.iter().all(|b| b.endpoint != h.endpoint))
     );
-    bench.on(Event::Finished(neighbour, attempt));
-    bench.pass(Duration::from_secs(3));
+    bench.handle(Event::Finished(neighbour, attempt));
+    bench.advance(Duration::from_secs(3));
     let next = alone[0].endpoint;
     bench.fail(1, 2, next, Cause::Reset, true);
-    bench.on(Event::Probed(next, false));
-    let out = bench.pass(Duration::from_secs(2));
+    bench.handle(Event::Probed(next, false));
+    let out = bench.advance(Duration::from_secs(2));
     assert!(
         out.contains(&Action::Observe(Observation::Condemned(666))),
         "{out:?}"
     );
     assert!(out.contains(&Action::Finish(1, Outcome::Unknown)));
-    let out = bench.on(Event::Arrive(crasher(99)));
+    let out = bench.handle(Event::Arrive(crasher(99)));
     assert!(refused(&out, Reason::Condemned));
     assert_eq!(bench.router.report().condemned, 1);
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_new_work_and_keeps_what_runs() {
+fn leaving_endpoint_finishes_its_work_and_gets_no_new() {
     // Callers notice nothing: the answer in flight is finished, new ones run elsewhere.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     let leaves = hops[0].endpoint;
     let mut view = bench.view.clone();
     view.available[leaves as usize] = false;
-    bench.show(view);
+    bench.publish_view(view);
     for id in 2..20 {
-        let out = bench.on(Event::Arrive(fixture::request(id, LATE)));
-        let (_, hops) = started(&out, id).expect("starts");
+        let out = bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE)));
+        let (_, hops) = find_start(&out, id).expect("starts");
         assert!(hops.iter().all(|h| h.endpoint != leaves));
-        bench.on(Event::Finished(id, 1));
+        bench.handle(Event::Finished(id, 1));
     }
     assert_eq!(
-        bench.on(Event::Finished(1, 1)),
+        bench.handle(Event::Finished(1, 1)),
         [Action::Finish(1, Outcome::Complete)]
     );
 }
 
 #[test]
-fn a_leaving_node_refuses_new_work_and_finishes_what_runs() {
+fn leaving_node_finishes_its_work_and_refuses_new() {
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
-    bench.on(Event::Arrive(fixture::request(1, LATE)));
+    bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let mut view = bench.view.clone();
     view.leaving = true;
-    bench.show(view);
-    let out = bench.on(Event::Arrive(fixture::request(2, LATE)));
+    bench.publish_view(view);
+    let out = bench.handle(Event::Arrive(fixture::request(2, FAR_DEADLINE)));
     assert!(refused(&out, Reason::Leaving));
     assert_eq!(
-        bench.on(Event::Finished(1, 1)),
+        bench.handle(Event::Finished(1, 1)),
         [Action::Finish(1, Outcome::Complete)]
     );
 }
 
 #[test]
-fn a_team_over_its_limit_is_told_when_to_come_back() {
+fn team_over_its_limit_gets_a_retry_after_delay() {
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
     let mut view = bench.view.clone();
     view.shares = vec![Share {
         rate: 2.0,
         in_flight: 100.0,
     }];
-    bench.show(view);
+    bench.publish_view(view);
     let out: Vec<_> = (1..=4)
-        .flat_map(|id| bench.on(Event::Arrive(fixture::request(id, LATE))))
+        .flat_map(|id| bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE))))
         .collect();
     let waits: Vec<_> = out
         .iter()
@@ -253,12 +253,12 @@
 }
 
 #[test]
-fn an_answer_in_flight_survives_a_bundle_that_renumbers_endpoints() {
+fn answer_in_flight_survives_renumbered_endpoints() {
     // Callers notice nothing. The new bundle lists endpoints in another order, so each id means
     // another endpoint; the failure of the old attempt still names the old id.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     let mut view = bench.view.clone();
     let mut bundle = (*view.bundle).clone();
     bundle.endpoints.rotate_left(1);
@@ -268,7 +268,7 @@
         .clone();
     let now = bundle.endpoint(&name).expect("still there");
     view.bundle = Arc::new(bundle);
-    bench.show(view);
+    bench.publish_view(view);
     let out = bench.fail(1, 1, hops[0].endpoint, Cause::Reset, true);
     assert!(
         out.contains(&Action::Probe(now)),
@@ -277,17 +277,17 @@
 }
 
 #[test]
-fn an_answer_is_not_continued_on_another_version_of_its_model() {
+fn answer_is_not_resumed_on_another_model_version() {
     // The caller is told "unknown" rather than given half an answer of each version.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
-    bench.on(Event::Token(1, 1));
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
+    bench.handle(Event::Token(1, 1));
     let mut view = bench.view.clone();
     let mut bundle = (*view.bundle).clone();
     bundle.models[0].version = "2".into();
     view.bundle = Arc::new(bundle);
-    bench.show(view);
+    bench.publish_view(view);
     let out = bench.fail(1, 1, hops[0].endpoint, Cause::Reset, true);
     assert!(
         out.contains(&Action::Finish(1, Outcome::Unknown)),
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_call_of_a_living_service_is_waited_for_until_its_deadline() {
+fn service_call_is_awaited_until_its_deadline() {
     // A tower lock call takes half a minute. No progress can be seen, but each probe is answered:
     // calling it unknown early would send somebody out to look.
     let mut bundle = fixture::bundle(1);
@@ -306,41 +306,41 @@
     let request = Request {
         target,
         repeatable: false,
-        ..fixture::request(1, LATE)
+        ..fixture::request(1, FAR_DEADLINE)
     };
-    bench.on(Event::Arrive(request));
+    bench.handle(Event::Arrive(request));
     for _ in 0..100 {
-        let out = bench.pass(Duration::from_millis(300));
+        let out = bench.advance(Duration::from_millis(300));
         assert!(
             !out.iter().any(|a| matches!(a, Action::Finish(..))),
             "{out:?}"
         );
         if out.contains(&Action::Probe(0)) {
-            bench.on(Event::Probed(0, true));
+            bench.handle(Event::Probed(0, true));
         }
     }
     assert_eq!(
-        bench.on(Event::Finished(1, 1)),
+        bench.handle(Event::Finished(1, 1)),
         [Action::Finish(1, Outcome::Complete)]
     );
 }
 
 #[test]
-fn a_dry_budget_holds_retries_back_until_it_fills() {
+fn empty_budget_delays_retries_until_it_refills() {
     // Callers see a longer pause, and what is left of the fleet no storm. Each arrival fails
     // once; the budget grants its burst, later failures wait for the fleet's rate of 1/s.
     let mut bench = Bench::new(fixture::fleet(12, 64, 1));
     let mut retried = 0;
     for id in 0..60 {
-        let out = bench.on(Event::Arrive(fixture::request(id, LATE)));
-        let (_, hops) = started(&out, id).expect("starts");
+        let out = bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE)));
+        let (_, hops) = find_start(&out, id).expect("starts");
         let out = bench.fail(id, 1, hops[0].endpoint, Cause::Internal, true);
-        retried += usize::from(started(&out, id).is_some());
-        bench.on(Event::Finished(id, 2));
+        retried += usize::from(find_start(&out, id).is_some());
+        bench.handle(Event::Finished(id, 2));
     }
     assert!((16..=24).contains(&retried), "{retried}");
     assert!(bench.router.report().parked > 30);
-    let out = bench.pass(Duration::from_secs(5));
+    let out = bench.advance(Duration::from_secs(5));
     let later = out
         .iter()
         .filter(|a| matches!(a, Action::Start(..)))
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -5,7 +5,7 @@
 #[path = "support/fixture.rs"]
 mod fixture;
 
-use bench::{Bench, LATE, started};
+use bench::{Bench, FAR_DEADLINE, find_start};
 use route::action::{Action, Hop};
 use route::event::Event;
 use route::failure::Cause;
@@ -17,77 +17,77 @@
 fn once(id: Id) -> Request {
     Request {
         repeatable: false,
-        ..fixture::request(id, LATE)
+        ..fixture::request(id, FAR_DEADLINE)
     }
 }
 
 #[test]
-fn an_answer_that_is_whole_is_complete() {
+fn finished_answer_is_complete() {
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (attempt, hops) = started(&out, 1).expect("starts at once");
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (attempt, hops) = find_start(&out, 1).expect("starts at once");
     assert_eq!(
         (hops[0].from, hops[0].to, hops[1].from, hops[1].to),
         (0, 16, 16, 32)
     );
-    bench.on(Event::Token(1, attempt));
-    let out = bench.on(Event::Finished(1, attempt));
+    bench.handle(Event::Token(1, attempt));
+    let out = bench.handle(Event::Finished(1, attempt));
     assert_eq!(out, [Action::Finish(1, Outcome::Complete)]);
     assert_eq!(bench.router.report().complete, 1);
 }
 
 #[test]
-fn a_dead_stage_is_replaced_and_the_answer_goes_on() {
+fn answer_resumes_without_a_dead_stage() {
     // The caller sees a short pause. The second stage's connection breaks after one token, a
     // probe finds the endpoint dead, and the request goes on as attempt 2 on a chain that keeps
     // clear of it: other stages take its layers at once.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
-    let (_, hops) = started(&out, 1).expect("starts");
-    bench.on(Event::Token(1, 1));
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
+    bench.handle(Event::Token(1, 1));
     let out = bench.fail(1, 1, hops[1].endpoint, Cause::Reset, true);
     assert!(out.contains(&Action::Probe(hops[1].endpoint)));
-    assert!(started(&out, 1).is_none(), "waits for the probe");
-    let out = bench.on(Event::Probed(hops[1].endpoint, false));
-    let (attempt, again) = started(&out, 1).expect("goes on");
+    assert!(find_start(&out, 1).is_none(), "waits for the probe");
+    let out = bench.handle(Event::Probed(hops[1].endpoint, false));
+    let (attempt, again) = find_start(&out, 1).expect("goes on");
     assert_eq!(attempt, 2);
     assert!(again.iter().all(|h| h.endpoint != hops[1].endpoint));
     assert!(
-        bench.on(Event::Token(1, 1)).is_empty(),
+        bench.handle(Event::Token(1, 1)).is_empty(),
         "frames of attempt 1 are dropped"
     );
 }
 
 #[test]
-fn work_that_must_not_be_repeated_ends_unknown_once_it_was_sent() {
+fn non_repeatable_work_ends_unknown_once_sent() {
     // The caller is told "unknown", never a second run: the connection broke after bytes had
     // left, so the lock call may have been carried out.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    let out = bench.on(Event::Arrive(once(1)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(once(1)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     let out = bench.fail(1, 1, hops[0].endpoint, Cause::Reset, true);
     assert!(out.contains(&Action::Finish(1, Outcome::Unknown)));
-    assert!(started(&out, 1).is_none());
+    assert!(find_start(&out, 1).is_none());
 }
 
 #[test]
-fn work_that_must_not_be_repeated_may_try_elsewhere_while_no_byte_left() {
+fn non_repeatable_work_is_retried_if_no_byte_was_sent() {
     // The caller sees nothing of it: the first endpoint refused the connection, so the request
     // truly was not run and goes to another endpoint.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
-    let out = bench.on(Event::Arrive(once(1)));
-    let (_, hops) = started(&out, 1).expect("starts");
+    let out = bench.handle(Event::Arrive(once(1)));
+    let (_, hops) = find_start(&out, 1).expect("starts");
     let out = bench.fail(1, 1, hops[0].endpoint, Cause::Connect, false);
-    let (attempt, _) = started(&out, 1).expect("tries elsewhere");
+    let (attempt, _) = find_start(&out, 1).expect("tries elsewhere");
     assert_eq!(attempt, 2);
 }
 
 #[test]
-fn a_request_that_nothing_serves_is_refused_at_once() {
+fn unserved_request_is_refused_immediately() {
     let mut bundle = fixture::bundle(1);
     fixture::stage(&mut bundle, 0, 0, 0, 16, 4);
     let mut bench = Bench::new(bundle);
-    let out = bench.on(Event::Arrive(fixture::request(1, LATE)));
+    let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let Action::Refuse(1, refusal) = &out[0] else {
         panic!("{out:?}")
     };
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_plain_service_is_one_hop() {
+fn plain_service_is_one_hop() {
     let mut bundle = fixture::bundle(1);
     fixture::plain(&mut bundle, 0, 4);
     let mut bench = Bench::new(bundle);
@@ -103,7 +103,7 @@
         target: Target::Service(0),
         ..once(1)
     };
-    let out = bench.on(Event::Arrive(request));
+    let out = bench.handle(Event::Arrive(request));
     let hop = Hop {
         endpoint: 0,
         from: 0,
@@ -111,19 +111,19 @@
     };
     assert_eq!(out, [Action::Start(1, 1, vec![hop])]);
     assert_eq!(
-        bench.on(Event::Finished(1, 1)),
+        bench.handle(Event::Finished(1, 1)),
         [Action::Finish(1, Outcome::Complete)]
     );
 }
 
 #[test]
-fn a_request_past_its_deadline_is_refused_not_run() {
+fn request_past_its_deadline_is_refused() {
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     let deadline = bench.now + Duration::from_millis(200);
     for id in 0..4 {
-        bench.on(Event::Arrive(fixture::request(id, deadline)));
+        bench.handle(Event::Arrive(fixture::request(id, deadline)));
     }
-    let out = bench.pass(Duration::from_millis(300));
+    let out = bench.advance(Duration::from_millis(300));
     let refused = |a: &&Action| matches!(a, Action::Refuse(_, r) if r.reason == Reason::Deadline);
     assert_eq!(out.iter().filter(refused).count(), 1, "{out:?}");
 }
--- a/crates/route/tests/runs.rs
+++ b/crates/route/tests/runs.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn random_cases_keep_every_promise() {
+fn random_cases_violate_no_invariant() {
     for seed in SEEDS {
         let case = Case::draw(seed);
         let found = wrong(&case);
@@ -63,7 +63,7 @@
         let mut world = case.world(router);
         world.run(case.end());
         for node in &world.nodes {
-            let rows = node.brain.report().rows();
+            let rows = node.handler.report().rows();
             rows.into_iter()
                 .for_each(|(name, value)| *sums.entry(name).or_default() += value);
         }
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn one_hot_prefix_does_not_queue_before_a_few_endpoints() {
+fn hot_prefix_spreads_beyond_its_home_endpoints() {
     // Parents of one school ask about the same menu: all prompts are alike. At 0.6 of the bound
     // each must start soon, though the endpoints that the prefix names can't take them all.
     let bundle = fixture::fleet(4, 24, 1);
@@ -119,7 +119,7 @@
         );
     }
     world.run(std::time::Duration::from_secs(20));
-    assert_eq!(world.faults(), Vec::<String>::new());
+    assert_eq!(world.all_violations(), Vec::<String>::new());
     let waits = world
         .calls
         .values()
@@ -136,7 +136,7 @@
 
 /// Cases that once failed, each told in its file.
 #[test]
-fn shrunk_cases_stay_mended() {
+fn recorded_cases_stay_fixed() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/cases");
     let mut paths: Vec<_> = std::fs::read_dir(folder)
         .expect("the folder")
@@ -167,5 +167,5 @@
         .iter()
         .flatten()
         .for_each(|line| println!("{line}"));
-    println!("{:?}\n{}", world.faults(), world.nodes[0].brain);
+    println!("{:?}\n{}", world.all_violations(), world.nodes[0].handler);
 }
--- a/crates/route/tests/strikes.rs
+++ b/crates/route/tests/strikes.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Wrong answers after which any endpoint has been ejected.
-const MANY: u128 = 60;
+const MAX_REQUESTS: u128 = 60;
 
 // Callers see whole answers. One stage answers every step with frames that break the protocol. The
 // failure that ejects it ended the attempt that it is told of, so this attempt must not be
@@ -29,21 +29,21 @@
         &mut out,
     );
     // Whichever stage the router likes best: it is tried again and again.
-    let mut bad = None;
-    for id in 1..=MANY {
+    let mut faulty = None;
+    for id in 1..=MAX_REQUESTS {
         now += Duration::from_millis(10);
         out.clear();
         let request = fixture::request(id, now + Duration::from_secs(60));
         router.handle(now, Event::Arrive(request), &mut out);
         while let Some((attempt, hops)) = started(&out, id) {
             out.clear();
-            let bad = *bad.get_or_insert(hops[1].endpoint);
-            if hops.iter().all(|h| h.endpoint != bad) {
+            let faulty = *faulty.get_or_insert(hops[1].endpoint);
+            if hops.iter().all(|h| h.endpoint != faulty) {
                 router.handle(now, Event::Finished(id, attempt), &mut out);
                 break;
             }
             let failure = Failure {
-                endpoint: bad,
+                endpoint: faulty,
                 cause: Cause::Protocol,
                 sent: true,
                 retry_after: None,
--- a/crates/route/tests/support/baseline.rs
+++ b/crates/route/tests/support/baseline.rs
@@ -1,7 +1,7 @@
 //! Baselines to compare the router's choice with: each picks an endpoint per range of layers.
 #![allow(dead_code)]
 
-use super::world::Brain;
+use super::world::Handler;
 use bundle::id::EndpointId;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,21 +20,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// The next one in turn.
-    Turn,
+    RoundRobin,
     /// The one with the least in flight: own work and what was last reported of others.
-    Least,
+    LeastLoaded,
     /// The lesser of two random ones.
-    Two,
+    TwoRandom,
 }
 
 #[derive(Clone, Default)]
 struct Row {
     own: u32,
     others: u32,
-    hold: Now,
+    backoff_until: Now,
 }
 
-struct Live {
+struct Job {
     request: Request,
     attempt: Attempt,
     hops: Vec<Hop>,
@@ -44,35 +44,35 @@
 pub struct Baseline {
     policy: Policy,
     /// Most attempts of a request.
-    tries: u32,
+    max_attempts: u32,
     rng: ChaCha8Rng,
     view: Option<Arc<View>>,
     rows: Vec<Row>,
     ranges: Vec<(u16, u16, Vec<EndpointId>)>,
-    turns: Vec<usize>,
+    positions: Vec<usize>,
     queue: VecDeque<Id>,
-    lives: BTreeMap<Id, Live>,
+    jobs: BTreeMap<Id, Job>,
 }
 
 /// Time an endpoint gets no new work after it answered that it is full.
-const BUSY: Duration = Duration::from_millis(100);
+const BUSY_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Baseline {
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
-            tries: 12,
+            max_attempts: 12,
             rng: ChaCha8Rng::seed_from_u64(seed),
             view: None,
             rows: Vec::new(),
             ranges: Vec::new(),
-            turns: Vec::new(),
+            positions: Vec::new(),
             queue: VecDeque::new(),
-            lives: BTreeMap::new(),
+            jobs: BTreeMap::new(),
         }
     }
 
-    fn follow(&mut self, view: Arc<View>) {
+    fn apply_view(&mut self, view: Arc<View>) {
         let mut ranges: BTreeMap<(u16, u16), Vec<EndpointId>> = BTreeMap::new();
         for (id, row) in view.bundle.endpoints.iter().enumerate() {
             let spans = row.spans.iter().filter(|s| s.model == 0);
@@ -87,7 +87,7 @@
             .into_iter()
             .map(|((from, to), ids)| (from, to, ids))
             .collect();
-        self.turns = vec![self.rng.random_range(0..1000); self.ranges.len()];
+        self.positions = vec![self.rng.random_range(0..1000); self.ranges.len()];
         self.rows
             .resize(view.bundle.endpoints.len(), Row::default());
         self.view = Some(view);
@@ -99,7 +99,7 @@
         let free = |e: &EndpointId| {
             let row = &self.rows[*e as usize];
             let slots = view.bundle.endpoints[*e as usize].slots;
-            view.available[*e as usize] && row.own < slots && row.hold <= now
+            view.available[*e as usize] && row.own < slots && row.backoff_until <= now
         };
         let load = |e: &EndpointId| self.rows[*e as usize].own + self.rows[*e as usize].others;
         let open: Vec<EndpointId> = ids.iter().copied().filter(free).collect();
@@ -108,16 +108,16 @@
             return None;
         }
         match self.policy {
-            Policy::Turn => {
-                let turn = &mut self.turns[range];
+            Policy::RoundRobin => {
+                let turn = &mut self.positions[range];
                 let next = (1..=ids.len()).map(|i| ids[(*turn + i) % ids.len()]);
                 let found = next.zip(1..).find(|(e, _)| free(e));
                 let (e, steps) = found?;
                 *turn += steps;
                 Some(e)
             }
-            Policy::Least => open.iter().copied().min_by_key(load),
-            Policy::Two => {
+            Policy::LeastLoaded => open.iter().copied().min_by_key(load),
+            Policy::TwoRandom => {
                 let pair = [any(&mut self.rng), any(&mut self.rng)];
                 pair.into_iter().min_by_key(load)
             }
@@ -126,7 +126,7 @@
 
     fn dispatch(&mut self, now: Now, out: &mut Vec<Action>) {
         while let Some(&id) = self.queue.front() {
-            if !self.lives.contains_key(&id) {
+            if !self.jobs.contains_key(&id) {
                 self.queue.pop_front();
                 continue;
             }
@@ -139,55 +139,55 @@
                 .collect();
             hops.iter()
                 .for_each(|h| self.rows[h.endpoint as usize].own += 1);
-            let live = self.lives.get_mut(&id).expect("just seen");
-            live.attempt += 1;
-            live.hops = hops.clone();
-            out.push(Action::Start(id, live.attempt, hops));
+            let job = self.jobs.get_mut(&id).expect("just seen");
+            job.attempt += 1;
+            job.hops = hops.clone();
+            out.push(Action::Start(id, job.attempt, hops));
         }
     }
 
     fn release(&mut self, id: Id) {
-        let Some(live) = self.lives.get_mut(&id) else {
+        let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        for hop in live.hops.drain(..) {
+        for hop in job.hops.drain(..) {
             let row = &mut self.rows[hop.endpoint as usize];
             row.own = row.own.saturating_sub(1);
         }
     }
 }
 
-impl Brain for Baseline {
+impl Handler for Baseline {
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::View(view) => self.follow(view),
+            Event::View(view) => self.apply_view(view),
             Event::Arrive(request) => {
                 if let Target::Model(..) = request.target {
                     self.queue.push_back(request.id);
-                    let live = Live {
+                    let job = Job {
                         request,
                         attempt: 0,
                         hops: Vec::new(),
                     };
-                    self.lives.insert(live.request.id, live);
+                    self.jobs.insert(job.request.id, job);
                 }
             }
             Event::Finished(id, _) => {
                 self.release(id);
-                self.lives.remove(&id);
+                self.jobs.remove(&id);
                 out.push(Action::Finish(id, Outcome::Complete));
             }
             Event::Failed(id, _, failure) => {
                 self.release(id);
                 let row = &mut self.rows[failure.endpoint as usize];
                 if failure.cause == Cause::Busy {
-                    row.hold = now + BUSY;
+                    row.backoff_until = now + BUSY_BACKOFF;
                 }
-                let Some(live) = self.lives.get(&id) else {
+                let Some(job) = self.jobs.get(&id) else {
                     return;
                 };
-                if live.attempt >= self.tries && failure.cause != Cause::Busy {
-                    self.lives.remove(&id);
+                if job.attempt >= self.max_attempts && failure.cause != Cause::Busy {
+                    self.jobs.remove(&id);
                     out.push(Action::Finish(id, Outcome::Unknown));
                 } else {
                     self.queue.push_front(id);
--- a/crates/route/tests/support/bench.rs
+++ b/crates/route/tests/support/bench.rs
@@ -20,7 +20,7 @@
 }
 
 /// A deadline that no test comes near.
-pub const LATE: Duration = Duration::from_secs(60);
+pub const FAR_DEADLINE: Duration = Duration::from_secs(60);
 
 impl Bench {
     pub fn new(bundle: bundle::Bundle) -> Self {
@@ -32,17 +32,17 @@
             now,
             view: view.clone(),
         };
-        bench.show(view);
+        bench.publish_view(view);
         bench
     }
 
     /// Gives the router another view.
-    pub fn show(&mut self, view: View) {
+    pub fn publish_view(&mut self, view: View) {
         self.view = view.clone();
-        self.on(Event::View(Arc::new(view)));
+        self.handle(Event::View(Arc::new(view)));
     }
 
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.now += Duration::from_millis(1);
         self.router.handle(self.now, event, &mut out);
@@ -54,7 +54,7 @@
         out
     }
 
-    pub fn pass(&mut self, time: Duration) -> Vec<Action> {
+    pub fn advance(&mut self, time: Duration) -> Vec<Action> {
         let end = self.now + time;
         let mut out = Vec::new();
         while self.now < end {
@@ -78,12 +78,12 @@
             sent,
             retry_after: None,
         };
-        self.on(Event::Failed(id, attempt, failure))
+        self.handle(Event::Failed(id, attempt, failure))
     }
 }
 
 /// The start of a request among actions.
-pub fn started(out: &[Action], id: Id) -> Option<(u32, Vec<Hop>)> {
+pub fn find_start(out: &[Action], id: Id) -> Option<(u32, Vec<Hop>)> {
     out.iter().find_map(|a| match a {
         Action::Start(i, attempt, hops) if *i == id => Some((*attempt, hops.clone())),
         _ => None,
--- a/crates/route/tests/support/case.rs
+++ b/crates/route/tests/support/case.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::fixture;
-use super::world::{Brain, Fault, World};
+use super::world::{Fault, Handler, World};
 use bundle::Bundle;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,9 +26,9 @@
     /// Number of requests.
     pub requests: u64,
     /// Milliseconds between two requests.
-    pub every: u64,
+    pub interval_ms: u64,
     /// One request in this many crashes what runs it; 0 for none.
-    pub crashers: u64,
+    pub crasher_interval: u64,
     /// Faults by time in milliseconds.
     pub faults: Vec<(u64, Fault)>,
 }
@@ -36,25 +36,25 @@
 /// Time after the last request by which all must have ended.
 const SETTLE: Duration = Duration::from_secs(40);
 /// Time after which the caller of a crashing request sends it again, and how often.
-const RESEND: Duration = Duration::from_secs(4);
-const RESENDS: u32 = 4;
+const RESEND_INTERVAL: Duration = Duration::from_secs(4);
+const MAX_RESENDS: u32 = 4;
 /// One caller in this many goes away early.
-const LEAVES: u64 = 13;
+const DISCONNECT_INTERVAL: u64 = 13;
 /// Plain services in the fleet.
-const PLAIN: usize = 3;
+const PLAIN_SERVICES: usize = 3;
 
 impl Case {
     /// Draws a case with faults of every sort, singly, together and twice.
     pub fn draw(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let replicas = rng.random_range(1..=3);
-        let hosts = replicas * 6 + PLAIN;
+        let hosts = replicas * 6 + PLAIN_SERVICES;
         let every = rng.random_range(5..40);
         let requests = rng.random_range(100..300);
         let mut faults = Vec::new();
         for _ in 0..rng.random_range(1..10) {
             let at = rng.random_range(100..every * requests + 1000);
-            faults.extend(some(&mut rng, at, hosts));
+            faults.extend(draw_fault(&mut rng, at, hosts));
         }
         faults.sort_by_key(|f| f.0);
         Self {
@@ -64,8 +64,8 @@
             nodes: rng.random_range(1..=3),
             first: 0,
             requests,
-            every,
-            crashers: if rng.random_bool(0.3) {
+            interval_ms: every,
+            crasher_interval: if rng.random_bool(0.3) {
                 rng.random_range(40..120)
             } else {
                 0
@@ -77,16 +77,16 @@
     /// The fleet.
     pub fn bundle(&self) -> Bundle {
         let mut bundle = fixture::fleet(self.replicas, self.slots, 3);
-        for zone in 0..PLAIN {
+        for zone in 0..PLAIN_SERVICES {
             fixture::plain(&mut bundle, zone as u16, self.slots);
         }
         bundle
     }
 
     /// Runs the case to its end; returns the world for a look at it.
-    pub fn world<B: Brain>(&self, brain: impl Fn(u64) -> B) -> World<B> {
-        let mut world = World::new(self.bundle(), self.nodes, self.seed, brain);
-        world.lag = Duration::from_millis(200);
+    pub fn world<B: Handler>(&self, handler: impl Fn(u64) -> B) -> World<B> {
+        let mut world = World::new(self.bundle(), self.nodes, self.seed, handler);
+        world.report_delay = Duration::from_millis(200);
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x10ad);
         for i in 0..self.first + self.requests {
             let request = self.request(i, &mut rng);
@@ -94,12 +94,12 @@
             if i < self.first {
                 continue;
             }
-            if self.crashers > 0 && i % self.crashers == self.crashers / 2 {
+            if self.crasher_interval > 0 && i % self.crasher_interval == self.crasher_interval / 2 {
                 world.crashers.push(request.fingerprint);
                 self.resend(&mut world, i, &request, &mut rng);
             }
-            let at = Duration::from_millis(i * self.every);
-            if i % LEAVES == 0 {
+            let at = Duration::from_millis(i * self.interval_ms);
+            if i % DISCONNECT_INTERVAL == 0 {
                 let stay = Duration::from_millis(i * 37 % 900);
                 world.depart(at + stay, request.id);
             }
@@ -112,17 +112,17 @@
     }
 
     /// The caller of a request that crashes endpoints sends it again and again.
-    fn resend<B: Brain>(
+    fn resend<B: Handler>(
         &self,
         world: &mut World<B>,
         i: u64,
         request: &Request,
         rng: &mut ChaCha8Rng,
     ) {
-        for again in 1..=RESENDS {
-            let at = Duration::from_millis(i * self.every) + RESEND * again;
+        for again in 1..=MAX_RESENDS {
+            let at = Duration::from_millis(i * self.interval_ms) + RESEND_INTERVAL * again;
             let id = request.id + Id::from(again) * 1_000_000;
-            let deadline = at + RESEND * 4;
+            let deadline = at + RESEND_INTERVAL * 4;
             let node = rng.random_range(0..self.nodes);
             world.arrive(
                 at,
@@ -137,10 +137,10 @@
     }
 
     /// Everything wrong in a run of the case.
-    pub fn run<B: Brain>(&self, brain: impl Fn(u64) -> B) -> Vec<String> {
-        let mut world = self.world(brain);
+    pub fn run<B: Handler>(&self, handler: impl Fn(u64) -> B) -> Vec<String> {
+        let mut world = self.world(handler);
         world.run(self.end());
-        let mut wrong = world.faults();
+        let mut wrong = world.all_violations();
         let open = world.open_calls();
         if open > 0 {
             wrong.push(format!("{open} requests never ended"));
@@ -151,17 +151,17 @@
     /// When all must have ended.
     pub fn end(&self) -> Duration {
         let last = self.faults.last().map_or(0, |f| f.0);
-        let load = (self.first + self.requests) * self.every;
+        let load = (self.first + self.requests) * self.interval_ms;
         Duration::from_millis(load.max(last)) + SETTLE
     }
 
     fn request(&self, i: u64, rng: &mut ChaCha8Rng) -> Request {
-        let at = Duration::from_millis(i * self.every + 1000);
+        let at = Duration::from_millis(i * self.interval_ms + 1000);
         let deadline = at + Duration::from_millis(rng.random_range(300..20_000));
         let base = fixture::request(Id::from(i), deadline);
         let service = rng.random_bool(0.15);
         // One in ten has the same body as an earlier one: a resend.
-        let print = if rng.random_bool(0.1) { i / 2 } else { i };
+        let fingerprint = if rng.random_bool(0.1) { i / 2 } else { i };
         Request {
             team: rng.random_range(0..3),
             target: if service {
@@ -174,7 +174,7 @@
             max_tokens: rng.random_range(1..60),
             prompt_tokens: rng.random_range(1..800),
             prefix: (0..4).map(|b| rng.random_range(0..3) * 10 + b).collect(),
-            fingerprint: print + 1000,
+            fingerprint: fingerprint + 1000,
             ..base
         }
     }
@@ -183,7 +183,7 @@
     pub fn shrink(&self, fails: impl Fn(&Case) -> bool) -> Case {
         let mut best = self.clone();
         loop {
-            let smaller = best.smaller().into_iter().find(|c| fails(c));
+            let smaller = best.smaller_cases().into_iter().find(|c| fails(c));
             match smaller {
                 Some(case) => best = case,
                 None => return best,
@@ -191,7 +191,7 @@
         }
     }
 
-    fn smaller(&self) -> Vec<Case> {
+    fn smaller_cases(&self) -> Vec<Case> {
         let mut cases = Vec::new();
         for at in 0..self.faults.len() {
             let mut case = self.clone();
@@ -224,30 +224,36 @@
 }
 
 /// A fault with its end, or the same thing twice.
-fn some(rng: &mut ChaCha8Rng, at: u64, hosts: usize) -> Vec<(u64, Fault)> {
+fn draw_fault(rng: &mut ChaCha8Rng, at: u64, hosts: usize) -> Vec<(u64, Fault)> {
     let host = rng.random_range(0..hosts);
     let zone = rng.random_range(0..3);
     let end = at + rng.random_range(200..8000);
     match rng.random_range(0..10) {
-        0 => vec![(at, Fault::Die(host)), (end, Fault::Back(host))],
-        1 => vec![(at, Fault::Mute(host)), (end, Fault::Back(host))],
-        2 => vec![(at, Fault::Hush(host))],
+        0 => vec![(at, Fault::Die(host)), (end, Fault::Restart(host))],
+        1 => vec![(at, Fault::Unresponsive(host)), (end, Fault::Restart(host))],
+        2 => vec![(at, Fault::SilenceConnections(host))],
         3 => vec![(at, Fault::Slow(host, 30.0)), (end, Fault::Slow(host, 1.0))],
         4 => vec![(at, Fault::Leave(host))],
-        5 => vec![(at, Fault::Lose(zone)), (end, Fault::Regain(zone))],
+        5 => vec![(at, Fault::LoseZone(zone)), (end, Fault::RestartZone(zone))],
         6 => vec![(at, Fault::Publish)],
-        7 => vec![(at, Fault::Sick(host)), (end, Fault::Back(host))],
+        7 => vec![(at, Fault::ComputeError(host)), (end, Fault::Restart(host))],
         8 => {
             let other = rng.random_range(0..hosts);
-            let both = [(at, Fault::Die(host)), (at, Fault::Hush(other))];
-            [&both[..], &[(end, Fault::Back(host))]].concat()
+            let both = [
+                (at, Fault::Die(host)),
+                (at, Fault::SilenceConnections(other)),
+            ];
+            [&both[..], &[(end, Fault::Restart(host))]].concat()
         }
         _ => {
             let again = end + 100;
-            let once = [(at, Fault::Die(host)), (end, Fault::Back(host))];
+            let once = [(at, Fault::Die(host)), (end, Fault::Restart(host))];
             [
                 &once[..],
-                &[(again, Fault::Die(host)), (again + 3000, Fault::Back(host))],
+                &[
+                    (again, Fault::Die(host)),
+                    (again + 3000, Fault::Restart(host)),
+                ],
             ]
             .concat()
         }
@@ -259,18 +265,22 @@
         writeln!(f, "seed {}", self.seed)?;
         writeln!(f, "fleet {} {}", self.replicas, self.slots)?;
         writeln!(f, "nodes {}", self.nodes)?;
-        writeln!(f, "load {} {} {}", self.first, self.requests, self.every)?;
-        writeln!(f, "crashers {}", self.crashers)?;
+        writeln!(
+            f,
+            "load {} {} {}",
+            self.first, self.requests, self.interval_ms
+        )?;
+        writeln!(f, "crashers {}", self.crasher_interval)?;
         self.faults.iter().try_for_each(|(at, fault)| match fault {
             Fault::Die(h) => writeln!(f, "at {at} die {h}"),
-            Fault::Back(h) => writeln!(f, "at {at} back {h}"),
-            Fault::Mute(h) => writeln!(f, "at {at} mute {h}"),
-            Fault::Sick(h) => writeln!(f, "at {at} sick {h}"),
-            Fault::Hush(h) => writeln!(f, "at {at} hush {h}"),
+            Fault::Restart(h) => writeln!(f, "at {at} back {h}"),
+            Fault::Unresponsive(h) => writeln!(f, "at {at} mute {h}"),
+            Fault::ComputeError(h) => writeln!(f, "at {at} sick {h}"),
+            Fault::SilenceConnections(h) => writeln!(f, "at {at} hush {h}"),
             Fault::Slow(h, by) => writeln!(f, "at {at} slow {h} {by}"),
             Fault::Leave(h) => writeln!(f, "at {at} leave {h}"),
-            Fault::Lose(z) => writeln!(f, "at {at} lose {z}"),
-            Fault::Regain(z) => writeln!(f, "at {at} regain {z}"),
+            Fault::LoseZone(z) => writeln!(f, "at {at} lose {z}"),
+            Fault::RestartZone(z) => writeln!(f, "at {at} regain {z}"),
             Fault::Publish => writeln!(f, "at {at} publish"),
         })
     }
@@ -288,8 +298,8 @@
             nodes: 1,
             first: 0,
             requests: 0,
-            every: 1,
-            crashers: 0,
+            interval_ms: 1,
+            crasher_interval: 0,
             faults: Vec::new(),
         };
         let lines = text
@@ -297,35 +307,36 @@
             .filter(|l| !l.is_empty() && !l.starts_with('#'));
         for line in lines {
             let words: Vec<&str> = line.split_whitespace().collect();
-            case.read(&words).ok_or(format!("cannot read: {line}"))?;
+            case.parse_line(&words)
+                .ok_or(format!("cannot read: {line}"))?;
         }
         Ok(case)
     }
 }
 
 impl Case {
-    fn read(&mut self, words: &[&str]) -> Option<()> {
+    fn parse_line(&mut self, words: &[&str]) -> Option<()> {
         let number = |at: usize| words.get(at)?.parse::<u64>().ok();
         match *words.first()? {
             "seed" => self.seed = number(1)?,
             "fleet" => (self.replicas, self.slots) = (number(1)? as usize, number(2)? as u32),
             "nodes" => self.nodes = number(1)? as usize,
             "load" => {
-                (self.first, self.requests, self.every) = (number(1)?, number(2)?, number(3)?)
+                (self.first, self.requests, self.interval_ms) = (number(1)?, number(2)?, number(3)?)
             }
-            "crashers" => self.crashers = number(1)?,
+            "crashers" => self.crasher_interval = number(1)?,
             "at" => {
                 let which = || number(3).map(|n| n as usize);
                 let fault = match *words.get(2)? {
                     "die" => Fault::Die(which()?),
-                    "back" => Fault::Back(which()?),
-                    "mute" => Fault::Mute(which()?),
-                    "sick" => Fault::Sick(which()?),
-                    "hush" => Fault::Hush(which()?),
+                    "back" => Fault::Restart(which()?),
+                    "mute" => Fault::Unresponsive(which()?),
+                    "sick" => Fault::ComputeError(which()?),
+                    "hush" => Fault::SilenceConnections(which()?),
                     "slow" => Fault::Slow(which()?, words.get(4)?.parse().ok()?),
                     "leave" => Fault::Leave(which()?),
-                    "lose" => Fault::Lose(which()? as u16),
-                    "regain" => Fault::Regain(which()? as u16),
+                    "lose" => Fault::LoseZone(which()? as u16),
+                    "regain" => Fault::RestartZone(which()? as u16),
                     "publish" => Fault::Publish,
                     _ => return None,
                 };
--- a/crates/route/tests/support/host.rs
+++ b/crates/route/tests/support/host.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// Prompt tokens that cost as much as one generated token.
-pub const PROMPT_PART: f64 = 16.0;
+pub const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 16.0;
 /// Tokens in a block of a prompt.
 pub const BLOCK: u32 = 64;
 /// Time that a plain service takes for a call.
-const CALL: Duration = Duration::from_millis(40);
+const CALL_TIME: Duration = Duration::from_millis(40);
 
 /// Work of one hop.
 pub struct Cost<'a> {
@@ -29,23 +29,23 @@
     pub zone: ZoneId,
     pub slots: usize,
     pub alive: bool,
-    pub mute: bool,
+    pub unresponsive: bool,
     pub leaving: bool,
     /// Whether it answers that it cannot compute.
-    pub sick: bool,
-    pub slow: f64,
+    pub compute_error: bool,
+    pub slowdown: f64,
     /// Prefix blocks that fit in the cache.
-    pub room: usize,
+    pub cache_capacity: usize,
     pub running: BTreeSet<(usize, Id, Attempt)>,
     /// Prefix blocks found in the cache, and not found.
     pub hits: u64,
     pub misses: u64,
     /// Time spent computing.
-    pub worked: Duration,
+    pub busy_time: Duration,
     speed: f64,
-    busy: Now,
+    busy_until: Now,
     cache: VecDeque<u64>,
-    pace: f64,
+    mean_time: f64,
 }
 
 impl Host {
@@ -54,37 +54,37 @@
             zone: endpoint.zone,
             slots: endpoint.slots as usize,
             alive: true,
-            mute: false,
+            unresponsive: false,
             leaving: false,
-            sick: false,
-            slow: 1.0,
-            room: 128,
+            compute_error: false,
+            slowdown: 1.0,
+            cache_capacity: 128,
             running: BTreeSet::new(),
             hits: 0,
             misses: 0,
-            worked: Duration::ZERO,
+            busy_time: Duration::ZERO,
             speed: endpoint
                 .kind
                 .map_or(0.0, |k| bundle.kinds[k as usize].layers_per_second),
-            busy: Now::ZERO,
+            busy_until: Now::ZERO,
             cache: VecDeque::new(),
-            pace: 0.0,
+            mean_time: 0.0,
         }
     }
 
     pub fn restart(&mut self, now: Now) {
         self.alive = true;
-        self.mute = false;
-        self.sick = false;
-        self.slow = 1.0;
-        self.busy = now;
+        self.unresponsive = false;
+        self.compute_error = false;
+        self.slowdown = 1.0;
+        self.busy_until = now;
         self.cache.clear();
     }
 
     /// When a hop that is ready at `ready` is done.
     pub fn serve(&mut self, ready: Now, cost: &Cost) -> Now {
         if self.speed == 0.0 {
-            return ready + CALL.mul_f64(self.slow);
+            return ready + CALL_TIME.mul_f64(self.slowdown);
         }
         let known = cost
             .prefix
@@ -97,16 +97,16 @@
             self.cache.retain(|&h| h != hash);
             self.cache.push_back(hash);
         }
-        while self.cache.len() > self.room {
+        while self.cache.len() > self.cache_capacity {
             self.cache.pop_front();
         }
         let prompt = cost.prompt.saturating_sub(known * BLOCK);
-        let tokens = 1.0 + f64::from(prompt) / PROMPT_PART;
-        let time = tokens * f64::from(cost.layers) / self.speed * self.slow;
-        self.worked += Duration::from_secs_f64(time);
-        let done = ready.max(self.busy) + Duration::from_secs_f64(time);
-        self.pace += 0.05 * ((done - ready).as_secs_f64() - self.pace);
-        self.busy = done;
+        let tokens = 1.0 + f64::from(prompt) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
+        let time = tokens * f64::from(cost.layers) / self.speed * self.slowdown;
+        self.busy_time += Duration::from_secs_f64(time);
+        let done = ready.max(self.busy_until) + Duration::from_secs_f64(time);
+        self.mean_time += 0.05 * ((done - ready).as_secs_f64() - self.mean_time);
+        self.busy_until = done;
         done
     }
 
@@ -115,7 +115,7 @@
         Report {
             running,
             waiting: 0,
-            inter_token: Duration::from_secs_f64(self.pace),
+            inter_token: Duration::from_secs_f64(self.mean_time),
             age,
         }
     }
--- a/crates/route/tests/support/world.rs
+++ b/crates/route/tests/support/world.rs
@@ -24,8 +24,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What decides: the router, a baseline, or a broken variant.
-pub trait Brain {
+/// Task decides: the router, a baseline, or a broken variant.
+pub trait Handler {
     /// As [`Router::handle`].
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>);
     /// Everything found wrong so far.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Brain for Router {
+impl Handler for Router {
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>) {
         Router::handle(self, now, event, out);
     }
@@ -46,7 +46,7 @@
 
 /// One node with one worker.
 pub struct Node<B> {
-    pub brain: B,
+    pub handler: B,
     pub view: View,
     /// By endpoint of its bundle: the host.
     pub hosts: Vec<usize>,
@@ -58,21 +58,21 @@
     /// The process dies; connections break.
     Die(usize),
     /// It starts again, with nothing in its cache.
-    Back(usize),
+    Restart(usize),
     /// It answers nothing any more, and no connection breaks.
-    Mute(usize),
+    Unresponsive(usize),
     /// Open connections to it go silent for good; new ones work.
-    Hush(usize),
+    SilenceConnections(usize),
     /// It answers that it cannot compute.
-    Sick(usize),
+    ComputeError(usize),
     /// It computes this many times slower.
     Slow(usize, f64),
     /// It leaves: refuses new work; the list tells it a second later.
     Leave(usize),
     /// All in a zone die.
-    Lose(ZoneId),
+    LoseZone(ZoneId),
     /// All in a zone start again.
-    Regain(ZoneId),
+    RestartZone(ZoneId),
     /// A new bundle that lists the endpoints in another order.
     Publish,
 }
@@ -85,18 +85,18 @@
     pub arrived: Now,
     /// When its first attempt was sent.
     pub started: Option<Now>,
-    pub first: Option<Now>,
+    pub first_token: Option<Now>,
     pub ended: Option<Now>,
     pub outcome: Option<Outcome>,
     pub refusal: Option<Refusal>,
     pub tokens: u32,
     /// Attempts of which a byte left for an endpoint.
-    pub began: u32,
+    pub begun_attempts: u32,
     /// Attempts sent, whether anything began or not.
-    pub sent: u32,
+    pub sent_attempts: u32,
     /// Longest time between two tokens.
-    pub gap: Duration,
-    pub latest: Now,
+    pub max_gap: Duration,
+    pub latest_token: Now,
 }
 
 type Key = (usize, Id, Attempt);
@@ -114,23 +114,23 @@
     silent: bool,
 }
 
-enum What {
+enum Task {
     Deliver(usize, Box<Event>),
-    Loaded(usize, usize, route::load::Report),
+    Load(usize, usize, route::load::Report),
     Probed(usize, usize, bool),
     Open(Key),
     Step(Key, usize),
     Tick(usize),
     Report,
     Arrive(usize, Box<Request>),
-    Depart(Id),
+    Disconnect(Id),
     Fault(Fault),
-    Listed(usize, bool),
-    Tell(usize, Told),
+    SetAvailable(usize, bool),
+    Publish(usize, Update),
 }
 
 #[derive(Clone, Copy)]
-enum Told {
+enum Update {
     Ejected(usize),
     Restored(usize),
     Suspect(u64),
@@ -149,34 +149,34 @@
     pub calls: BTreeMap<Id, Call>,
     pub rng: ChaCha8Rng,
     /// Age of load reports when they come.
-    pub lag: Duration,
+    pub report_delay: Duration,
     /// Fingerprints that crash the endpoints that run them.
     pub crashers: Vec<u64>,
     /// Time until a crashed endpoint is back.
-    pub restart: Duration,
+    pub restart_delay: Duration,
     /// Endpoints lost to crashers, and tokens made.
     pub crashes: u64,
-    pub made: u64,
-    /// What a caller or an endpoint saw that must not be.
-    pub wrong: Vec<String>,
+    pub tokens: u64,
+    /// Task a caller or an endpoint saw that must not be.
+    pub violations: Vec<String>,
     /// Text of every event and action, if wanted.
     pub trace: Option<Vec<String>>,
     streams: BTreeMap<Key, Stream>,
     links: BTreeMap<(ZoneId, ZoneId), Now>,
     heap: BinaryHeap<Reverse<(Now, u64)>>,
-    whats: BTreeMap<u64, What>,
+    tasks: BTreeMap<u64, Task>,
     seq: u64,
 }
 
 const ROUND_TRIP: Duration = Duration::from_micros(300);
-const MUTE: Duration = Duration::from_secs(1);
-const SPREAD: Duration = Duration::from_millis(300);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(1);
+const PUBLISH_DELAY: Duration = Duration::from_millis(300);
 /// Time that nodes hold back a request on which another node awaits a verdict.
-const HELD: Duration = Duration::from_secs(4);
-const REPORTS: Duration = Duration::from_millis(100);
+const PENDING_TTL: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-impl<B: Brain> World<B> {
-    pub fn new(bundle: Bundle, nodes: usize, seed: u64, brain: impl Fn(u64) -> B) -> Self {
+impl<B: Handler> World<B> {
+    pub fn new(bundle: Bundle, nodes: usize, seed: u64, handler: impl Fn(u64) -> B) -> Self {
         let bundle = Arc::new(bundle);
         let hosts = bundle
             .endpoints
@@ -189,17 +189,17 @@
             hosts,
             calls: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            lag: Duration::from_millis(500),
+            report_delay: Duration::from_millis(500),
             crashers: Vec::new(),
-            restart: Duration::from_secs(2),
+            restart_delay: Duration::from_secs(2),
             crashes: 0,
-            made: 0,
-            wrong: Vec::new(),
+            tokens: 0,
+            violations: Vec::new(),
             trace: None,
             streams: BTreeMap::new(),
             links: BTreeMap::new(),
             heap: BinaryHeap::new(),
-            whats: BTreeMap::new(),
+            tasks: BTreeMap::new(),
             seq: 0,
             bundle,
         };
@@ -208,40 +208,40 @@
             let view = super::fixture::view(&world.bundle, zone);
             let hosts = (0..world.hosts.len()).collect();
             world.nodes.push(Node {
-                brain: brain(seed + node as u64),
+                handler: handler(seed + node as u64),
                 view,
                 hosts,
             });
-            world.show(node);
-            world.after(TICK, What::Tick(node));
+            world.publish_view(node);
+            world.schedule(TICK, Task::Tick(node));
         }
-        world.after(REPORTS, What::Report);
+        world.schedule(REPORT_INTERVAL, Task::Report);
         world
     }
 
-    fn after(&mut self, time: Duration, what: What) {
+    fn schedule(&mut self, time: Duration, task: Task) {
         self.seq += 1;
         self.heap.push(Reverse((self.now + time, self.seq)));
-        self.whats.insert(self.seq, what);
+        self.tasks.insert(self.seq, task);
     }
 
     /// Lets a request arrive at a node after a time.
     pub fn arrive(&mut self, time: Duration, node: usize, request: Request) {
-        self.after(time, What::Arrive(node, Box::new(request)));
+        self.schedule(time, Task::Arrive(node, Box::new(request)));
     }
 
     /// Lets the caller of a request go away after a time.
     pub fn depart(&mut self, time: Duration, id: Id) {
-        self.after(time, What::Depart(id));
+        self.schedule(time, Task::Disconnect(id));
     }
 
     /// Lets a fault happen after a time.
     pub fn fault(&mut self, time: Duration, fault: Fault) {
-        self.after(time, What::Fault(fault));
+        self.schedule(time, Task::Fault(fault));
     }
 
     /// Gives a node its view again after a change.
-    pub fn show(&mut self, node: usize) {
+    pub fn publish_view(&mut self, node: usize) {
         let view = Arc::new(self.nodes[node].view.clone());
         self.event(node, Event::View(view));
     }
@@ -254,37 +254,37 @@
             }
             self.heap.pop();
             self.now = at;
-            let what = self.whats.remove(&seq).expect("scheduled once");
-            self.happen(what);
+            let task = self.tasks.remove(&seq).expect("scheduled once");
+            self.run_task(task);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Deliver(node, event) => self.deliver(node, *event),
-            What::Loaded(node, host, report) => {
+    fn run_task(&mut self, task: Task) {
+        match task {
+            Task::Deliver(node, event) => self.deliver(node, *event),
+            Task::Load(node, host, report) => {
                 if let Some(id) = self.id(node, host) {
                     self.event(node, Event::Load(id, report));
                 }
             }
-            What::Probed(node, host, alive) => {
+            Task::Probed(node, host, alive) => {
                 if let Some(id) = self.id(node, host) {
                     self.event(node, Event::Probed(id, alive));
                 }
             }
-            What::Open(key) => self.open(key),
-            What::Step(key, hop) => self.step(key, hop),
-            What::Tick(node) => {
+            Task::Open(key) => self.open(key),
+            Task::Step(key, hop) => self.complete_hop(key, hop),
+            Task::Tick(node) => {
                 self.event(node, Event::Tick);
-                self.after(TICK, What::Tick(node));
+                self.schedule(TICK, Task::Tick(node));
             }
-            What::Report => self.report(),
-            What::Arrive(node, request) => self.arrived(node, *request),
-            What::Depart(id) => self.leave(id),
-            What::Fault(fault) => self.strike(fault),
-            What::Listed(host, open) => self.listed(host, open),
-            What::Tell(node, told) => self.told(node, told),
+            Task::Report => self.report(),
+            Task::Arrive(node, request) => self.arrived(node, *request),
+            Task::Disconnect(id) => self.disconnect(id),
+            Task::Fault(fault) => self.inject(fault),
+            Task::SetAvailable(host, open) => self.set_available(host, open),
+            Task::Publish(node, update) => self.apply_update(node, update),
         }
     }
 
@@ -298,15 +298,15 @@
             node,
             arrived: self.now,
             started: None,
-            first: None,
+            first_token: None,
             ended: None,
             outcome: None,
             refusal: None,
             tokens: 0,
-            began: 0,
-            sent: 0,
-            gap: Duration::ZERO,
-            latest: self.now,
+            begun_attempts: 0,
+            sent_attempts: 0,
+            max_gap: Duration::ZERO,
+            latest_token: self.now,
             request: request.clone(),
         };
         self.calls.insert(request.id, call);
@@ -314,7 +314,7 @@
     }
 
     /// The caller of `id` goes away.
-    fn leave(&mut self, id: Id) {
+    fn disconnect(&mut self, id: Id) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.ended.is_none()) else {
             return;
         };
@@ -344,13 +344,13 @@
         let now = self.now;
         let call = self.calls.get_mut(&id).expect("known");
         call.tokens += 1;
-        if call.first.is_some() {
-            call.gap = call.gap.max(now - call.latest);
+        if call.first_token.is_some() {
+            call.max_gap = call.max_gap.max(now - call.latest_token);
         }
-        call.latest = now;
-        call.first.get_or_insert(now);
+        call.latest_token = now;
+        call.first_token.get_or_insert(now);
         if call.tokens > call.request.max_tokens {
-            self.wrong.push(format!("{id:x}: a token twice"));
+            self.violations.push(format!("{id:x}: a token twice"));
         }
     }
 
@@ -360,7 +360,7 @@
             plain.then(|| trace.push(format!("{:?} n{node} <- {event:?}", self.now)));
         }
         let mut out = Vec::new();
-        self.nodes[node].brain.handle(self.now, event, &mut out);
+        self.nodes[node].handler.handle(self.now, event, &mut out);
         for action in out {
             if let Some(trace) = &mut self.trace {
                 trace.push(format!("{:?} n{node} -> {action:?}", self.now));
@@ -378,62 +378,65 @@
             Action::Probe(endpoint) => {
                 let at = self.nodes[node].hosts[endpoint as usize];
                 let host = &self.hosts[at];
-                let time = if host.mute && host.alive {
-                    MUTE
+                let time = if host.unresponsive && host.alive {
+                    UNRESPONSIVE_TIMEOUT
                 } else {
                     ROUND_TRIP
                 };
-                let alive = host.alive && !host.mute;
-                self.after(time, What::Probed(node, at, alive));
+                let alive = host.alive && !host.unresponsive;
+                self.schedule(time, Task::Probed(node, at, alive));
             }
             Action::Disconnect(_) => {}
-            Action::Observe(observation) => self.observed(node, observation),
+            Action::Observe(observation) => self.publish_observation(node, observation),
         }
     }
 
-    fn observed(&mut self, node: usize, observation: Observation) {
+    fn publish_observation(&mut self, node: usize, observation: Observation) {
         let hosts = &self.nodes[node].hosts;
-        let told = match observation {
-            Observation::Ejected(e) => Told::Ejected(hosts[e as usize]),
-            Observation::Restored(e) => Told::Restored(hosts[e as usize]),
-            Observation::Suspect(print) => Told::Suspect(print),
-            Observation::Pending(print) => Told::Pending(print),
-            Observation::Condemned(print) => Told::Condemned(print),
+        let update = match observation {
+            Observation::Ejected(e) => Update::Ejected(hosts[e as usize]),
+            Observation::Restored(e) => Update::Restored(hosts[e as usize]),
+            Observation::Suspect(fingerprint) => Update::Suspect(fingerprint),
+            Observation::Pending(fingerprint) => Update::Pending(fingerprint),
+            Observation::Condemned(fingerprint) => Update::Condemned(fingerprint),
         };
         for other in (0..self.nodes.len()).filter(|&n| n != node) {
-            self.after(SPREAD, What::Tell(other, told));
-            if let Told::Pending(print) = told {
-                self.after(HELD, What::Tell(other, Told::Lapsed(print)));
+            self.schedule(PUBLISH_DELAY, Task::Publish(other, update));
+            if let Update::Pending(fingerprint) = update {
+                self.schedule(
+                    PENDING_TTL,
+                    Task::Publish(other, Update::Lapsed(fingerprint)),
+                );
             }
         }
     }
 
-    fn told(&mut self, node: usize, told: Told) {
-        let id = match told {
-            Told::Ejected(host) | Told::Restored(host) => self.id(node, host),
+    fn apply_update(&mut self, node: usize, update: Update) {
+        let id = match update {
+            Update::Ejected(host) | Update::Restored(host) => self.id(node, host),
             _ => None,
         };
         let view = &mut self.nodes[node].view;
-        match told {
-            Told::Ejected(_) => view.ejected.extend(id),
-            Told::Restored(_) => view.ejected.retain(|e| Some(*e) != id),
-            Told::Suspect(print) => view.suspects.push(print),
-            Told::Pending(print) => view.pending.push(print),
-            Told::Lapsed(print) => view.pending.retain(|p| *p != print),
-            Told::Condemned(print) => view.condemned.push(print),
+        match update {
+            Update::Ejected(_) => view.ejected.extend(id),
+            Update::Restored(_) => view.ejected.retain(|e| Some(*e) != id),
+            Update::Suspect(fingerprint) => view.suspects.push(fingerprint),
+            Update::Pending(fingerprint) => view.pending.push(fingerprint),
+            Update::Lapsed(fingerprint) => view.pending.retain(|p| *p != fingerprint),
+            Update::Condemned(fingerprint) => view.condemned.push(fingerprint),
         }
-        self.show(node);
+        self.publish_view(node);
     }
 
     fn end(&mut self, id: Id, outcome: Outcome, refusal: Option<Refusal>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return self
-                .wrong
+                .violations
                 .push(format!("{id:x}: answered though it never came"));
         };
         if call.ended.replace(now).is_some() {
-            self.wrong.push(format!("{id:x}: ended twice"));
+            self.violations.push(format!("{id:x}: ended twice"));
         }
         let call = self.calls.get_mut(&id).expect("known");
         call.outcome = Some(outcome);
@@ -441,10 +444,10 @@
         let whole = call.tokens == call.request.max_tokens;
         let service = matches!(call.request.target, Target::Service(_));
         if outcome == Outcome::Complete && !whole && !service {
-            self.wrong
+            self.violations
                 .push(format!("{id:x}: complete without its last token"));
-        } else if outcome == Outcome::NotRun && call.began > 0 {
-            self.wrong
+        } else if outcome == Outcome::NotRun && call.begun_attempts > 0 {
+            self.violations
                 .push(format!("{id:x}: called not run, but an endpoint ran it"));
         }
     }
@@ -455,10 +458,11 @@
             .map(|h| self.nodes[node].hosts[h.endpoint as usize])
             .collect();
         let call = self.calls.get_mut(&id).expect("known");
-        call.sent += 1;
+        call.sent_attempts += 1;
         call.started.get_or_insert(self.now);
         if call.ended.is_some() {
-            self.wrong.push(format!("{id:x}: started after its end"));
+            self.violations
+                .push(format!("{id:x}: started after its end"));
         }
         let left = call.request.max_tokens.saturating_sub(call.tokens);
         let stream = Stream {
@@ -472,7 +476,7 @@
             silent: false,
         };
         self.streams.insert((node, id, attempt), stream);
-        self.after(ROUND_TRIP, What::Open((node, id, attempt)));
+        self.schedule(ROUND_TRIP, Task::Open((node, id, attempt)));
     }
 
     fn open(&mut self, key: Key) {
@@ -487,15 +491,19 @@
                 let host = &self.hosts[at];
                 let cause = match () {
                     () if !host.alive => Cause::Connect,
-                    () if host.mute => Cause::Connect,
+                    () if host.unresponsive => Cause::Connect,
                     () if host.leaving => Cause::Leaving,
                     () if host.running.len() >= host.slots => Cause::Busy,
                     () => return None,
                 };
-                Some((cause, hop.endpoint, host.mute && host.alive))
+                Some((cause, hop.endpoint, host.unresponsive && host.alive))
             });
         if let Some((cause, endpoint, slow)) = refusal {
-            let time = if slow { MUTE } else { ROUND_TRIP };
+            let time = if slow {
+                UNRESPONSIVE_TIMEOUT
+            } else {
+                ROUND_TRIP
+            };
             return self.fail(time, key, endpoint, cause, false);
         }
         let stream = self.streams.get_mut(&key).expect("just seen");
@@ -504,11 +512,11 @@
             self.hosts[host].running.insert(key);
         }
         let call = self.calls.get_mut(&key.1).expect("known");
-        call.began += 1;
-        if call.began > 1 && !call.request.repeatable {
-            self.wrong.push(format!("{:x}: run twice", key.1));
+        call.begun_attempts += 1;
+        if call.begun_attempts > 1 && !call.request.repeatable {
+            self.violations.push(format!("{:x}: run twice", key.1));
         }
-        self.hop(key);
+        self.run_hop(key);
     }
 
     fn fail(&mut self, time: Duration, key: Key, endpoint: EndpointId, cause: Cause, sent: bool) {
@@ -520,7 +528,7 @@
         };
         let event = Event::Failed(key.1, key.2, failure);
         self.drop_stream(key);
-        self.after(time, What::Deliver(key.0, Box::new(event)));
+        self.schedule(time, Task::Deliver(key.0, Box::new(event)));
     }
 
     fn drop_stream(&mut self, key: Key) {
@@ -533,7 +541,7 @@
     }
 
     /// Activations wait for the link, then for the host.
-    fn hop(&mut self, key: Key) {
+    fn run_hop(&mut self, key: Key) {
         let stream = &self.streams[&key];
         let at = stream.hosts[stream.hop];
         let hop = stream.hops[stream.hop];
@@ -545,7 +553,7 @@
             .map(|h| self.hosts[stream.hosts[h]].zone);
         // Only activations load a link; the token itself, sent to the first hop, does not.
         let ready = match before {
-            Some(before) => self.cross(before, zone),
+            Some(before) => self.cross_link(before, zone),
             None => self.now + ROUND_TRIP / 2,
         };
         let call = &self.calls[&key.1];
@@ -560,11 +568,11 @@
         };
         let done = self.hosts[at].serve(ready, &cost);
         let hop = stream_hop(&self.streams, key);
-        self.after(done - self.now, What::Step(key, hop));
+        self.schedule(done - self.now, Task::Step(key, hop));
     }
 
     /// When activations sent now have crossed a link.
-    fn cross(&mut self, from: ZoneId, to: ZoneId) -> Now {
+    fn cross_link(&mut self, from: ZoneId, to: ZoneId) -> Now {
         let pair = (from.min(to), from.max(to));
         let link = self.bundle.links.iter().find(|l| (l.a, l.b) == pair);
         let Some(link) = link else { return self.now };
@@ -574,27 +582,27 @@
         *busy + link.latency
     }
 
-    fn step(&mut self, key: Key, hop: usize) {
+    fn complete_hop(&mut self, key: Key, hop: usize) {
         let Some(stream) = self.streams.get_mut(&key).filter(|s| !s.silent) else {
             return;
         };
         let at = stream.hosts[hop];
-        if !self.hosts[at].alive || self.hosts[at].mute {
+        if !self.hosts[at].alive || self.hosts[at].unresponsive {
             return;
         }
-        if self.hosts[at].sick {
+        if self.hosts[at].compute_error {
             let endpoint = stream.hops[hop].endpoint;
             return self.fail(ROUND_TRIP, key, endpoint, Cause::Internal, true);
         }
-        let print = self.calls[&key.1].request.fingerprint;
-        if self.crashers.contains(&print) && hop + 1 == stream.hops.len() {
+        let fingerprint = self.calls[&key.1].request.fingerprint;
+        if self.crashers.contains(&fingerprint) && hop + 1 == stream.hops.len() {
             self.crashes += 1;
-            let back = self.restart;
-            self.strike(Fault::Die(at));
-            return self.fault(back, Fault::Back(at));
+            let back = self.restart_delay;
+            self.inject(Fault::Die(at));
+            return self.fault(back, Fault::Restart(at));
         }
         if stream.layer != stream.hops[hop].from {
-            self.wrong
+            self.violations
                 .push(format!("{:x}: layer {} out of order", key.1, stream.layer));
         }
         let stream = self.streams.get_mut(&key).expect("just seen");
@@ -602,19 +610,19 @@
         let last = hop + 1 == stream.hops.len();
         stream.hop = if last { hop } else { hop + 1 };
         let progress = Event::Progress(key.1, key.2, hop as u8);
-        self.after(Duration::ZERO, What::Deliver(key.0, Box::new(progress)));
+        self.schedule(Duration::ZERO, Task::Deliver(key.0, Box::new(progress)));
         if last {
-            return self.tokened(key);
+            return self.complete_token(key);
         }
-        self.hop(key);
+        self.run_hop(key);
     }
 
-    fn tokened(&mut self, key: Key) {
-        self.made += 1;
+    fn complete_token(&mut self, key: Key) {
+        self.tokens += 1;
         let stream = self.streams.get_mut(&key).expect("known");
         let service = stream.hops[0].to == 0;
         if !service && stream.layer != super::fixture::LAYERS {
-            self.wrong
+            self.violations
                 .push(format!("{:x}: token after layer {}", key.1, stream.layer));
         }
         stream.layer = 0;
@@ -624,43 +632,43 @@
         let more = stream.left > 0 && !service;
         if !service {
             let token = Event::Token(key.1, key.2);
-            self.after(Duration::ZERO, What::Deliver(key.0, Box::new(token)));
+            self.schedule(Duration::ZERO, Task::Deliver(key.0, Box::new(token)));
         }
         if more {
-            return self.hop(key);
+            return self.run_hop(key);
         }
         let hosts = self.streams[&key].hosts.clone();
         for host in hosts {
             self.hosts[host].running.remove(&key);
         }
         let finished = Event::Finished(key.1, key.2);
-        self.after(Duration::ZERO, What::Deliver(key.0, Box::new(finished)));
+        self.schedule(Duration::ZERO, Task::Deliver(key.0, Box::new(finished)));
     }
 
     fn report(&mut self) {
         for host in 0..self.hosts.len() {
-            if !self.hosts[host].alive || self.hosts[host].mute {
+            if !self.hosts[host].alive || self.hosts[host].unresponsive {
                 continue;
             }
-            let report = self.hosts[host].report(self.lag);
+            let report = self.hosts[host].report(self.report_delay);
             for node in 0..self.nodes.len() {
-                self.after(self.lag, What::Loaded(node, host, report));
+                self.schedule(self.report_delay, Task::Load(node, host, report));
             }
         }
-        self.after(REPORTS, What::Report);
+        self.schedule(REPORT_INTERVAL, Task::Report);
     }
 
     /// A fault happens now.
-    pub fn strike(&mut self, fault: Fault) {
+    pub fn inject(&mut self, fault: Fault) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:?} {fault:?}", self.now));
         }
         match fault {
             Fault::Die(host) => self.die(host),
-            Fault::Back(host) => self.hosts[host].restart(self.now),
-            Fault::Mute(host) => self.hosts[host].mute = true,
-            Fault::Sick(host) => self.hosts[host].sick = true,
-            Fault::Hush(host) => {
+            Fault::Restart(host) => self.hosts[host].restart(self.now),
+            Fault::Unresponsive(host) => self.hosts[host].unresponsive = true,
+            Fault::ComputeError(host) => self.hosts[host].compute_error = true,
+            Fault::SilenceConnections(host) => {
                 let keys: Vec<_> = self.hosts[host].running.iter().copied().collect();
                 for key in keys {
                     self.streams
@@ -669,18 +677,18 @@
                         .for_each(|s| s.silent = true);
                 }
             }
-            Fault::Slow(host, factor) => self.hosts[host].slow = factor,
+            Fault::Slow(host, factor) => self.hosts[host].slowdown = factor,
             Fault::Leave(host) => {
                 self.hosts[host].leaving = true;
-                self.after(Duration::from_secs(1), What::Listed(host, false));
+                self.schedule(Duration::from_secs(1), Task::SetAvailable(host, false));
             }
-            Fault::Lose(zone) => self.zone(zone).into_iter().for_each(|h| self.die(h)),
-            Fault::Regain(zone) => {
+            Fault::LoseZone(zone) => self.zone(zone).into_iter().for_each(|h| self.die(h)),
+            Fault::RestartZone(zone) => {
                 for host in self.zone(zone) {
                     self.hosts[host].restart(self.now);
                 }
             }
-            Fault::Publish => self.publish(),
+            Fault::Publish => self.publish_bundle(),
         }
     }
 
@@ -708,17 +716,17 @@
         }
     }
 
-    fn listed(&mut self, host: usize, open: bool) {
+    fn set_available(&mut self, host: usize, open: bool) {
         for node in 0..self.nodes.len() {
             if let Some(id) = self.id(node, host) {
                 self.nodes[node].view.available[id as usize] = open;
-                self.show(node);
+                self.publish_view(node);
             }
         }
     }
 
     /// Rotates the endpoints, so that every id changes.
-    fn publish(&mut self) {
+    fn publish_bundle(&mut self) {
         for node in 0..self.nodes.len() {
             let view = &mut self.nodes[node].view;
             let mut bundle = (*view.bundle).clone();
@@ -735,14 +743,14 @@
             view.ejected = ids.collect();
             view.bundle = Arc::new(bundle);
             self.nodes[node].hosts.rotate_left(1);
-            self.show(node);
+            self.publish_view(node);
         }
     }
 
     /// Everything wrong: what callers and endpoints saw, and what the routers found.
-    pub fn faults(&self) -> Vec<String> {
-        let found = self.nodes.iter().flat_map(|n| n.brain.verify());
-        self.wrong.iter().cloned().chain(found).collect()
+    pub fn all_violations(&self) -> Vec<String> {
+        let found = self.nodes.iter().flat_map(|n| n.handler.verify());
+        self.violations.iter().cloned().chain(found).collect()
     }
 
     /// Calls that have not ended.
@@ -759,7 +767,7 @@
     }
 
     /// A random time below `most`.
-    pub fn any(&mut self, most: Duration) -> Duration {
+    pub fn random_time(&mut self, most: Duration) -> Duration {
         most.mul_f64(self.rng.random())
     }
 }
