--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -1,5 +1,5 @@
-//! Costs of one router's decisions: per choice at 40, 260 and 4,700 replicas, per admission at 10
-//! and 470 teams, per tick and per view. Wall-clock times of this machine.
+//! Measures the cost of a router's decisions in wall-clock time: per selection with 40, 260 and
+//! 4,700 replicas, per admission with 10 and 470 teams, per tick and per view.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
@@ -17,7 +17,7 @@
 const ROUNDS: u32 = 20_000;
 const FAR_DEADLINE: Duration = Duration::from_secs(36_000);
 
-/// `replicas` of two stages over `models` models and `zones` zones.
+/// Returns a fleet of `replicas` two-stage replicas, spread over `models` models and `zones` zones.
 fn fleet(replicas: usize, models: usize, zones: usize, slots: u32, teams: usize) -> Bundle {
     let mut bundle = fixture::bundle(teams);
     let zone = |z: usize| Zone {
@@ -49,7 +49,7 @@
     (router, started.elapsed())
 }
 
-/// Arrival that starts at once, and its end.
+/// Measures an arrival that starts immediately, and its end.
 fn choice(replicas: usize, models: usize, zones: usize, prefixes: usize) {
     let (mut router, view) = router(fleet(replicas, models, zones, 64, 10));
     let mut now = Duration::from_secs(2);
@@ -98,7 +98,8 @@
     started.elapsed() / 200
 }
 
-/// Arrival into full queues; and an end that starts the next by fair shares.
+/// Measures an arrival while the queues are full, and an end that starts the next request by fair
+/// shares.
 fn admission(teams: usize, waiting: u32) {
     let (mut router, _) = router(fleet(40, 1, 3, 2, teams));
     let mut now = Duration::from_secs(2);
@@ -138,7 +139,7 @@
     );
 }
 
-/// Progress and token of one hop each.
+/// Measures the progress of two hops and the token that they generate.
 fn token() {
     let (mut router, _) = router(fleet(40, 1, 3, 16, 10));
     let mut out = Vec::new();
--- a/crates/route/examples/crashers.rs
+++ b/crates/route/examples/crashers.rs
@@ -1,5 +1,5 @@
-//! Endpoints lost per request that crashes what runs it, beside a naive retry; its caller sends
-//! it again five times, to any node.
+//! Measures the endpoints lost per request that crashes the endpoints running it, compared with
+//! naive retries. Its caller sends it again five times, each time to a random node.
 
 #[path = "../tests/support/baseline.rs"]
 mod baseline;
--- a/crates/route/examples/mixes.rs
+++ b/crates/route/examples/mixes.rs
@@ -1,6 +1,6 @@
-//! Achieved throughput over the bound of the hardware, for mixes of endpoints and links, with 1,
-//! 3 and 8 routers that choose on load reports 500 ms old, beside three baselines; of one mix if
-//! its name is given.
+//! Measures throughput relative to the maximum of the hardware for mixes of endpoints and links.
+//! Runs 1, 3 and 8 routers with load reports that are 500 ms old, compared with three baselines. An
+//! argument restricts the run to the mix of that name.
 
 #[path = "../tests/support/baseline.rs"]
 mod baseline;
@@ -24,10 +24,10 @@
 const SLOTS: u32 = 24;
 const WARM: Duration = Duration::from_secs(10);
 const END: Duration = Duration::from_secs(20);
-/// Offered load over the bound: something always waits.
+/// Offered load relative to the maximum throughput; above 1, so that requests always wait.
 const OFFERED: f64 = 1.25;
 
-/// A mix: a fleet, a load and the bound in generated tokens per second.
+/// Mix of a fleet and a load, with its maximum throughput in generated tokens per second.
 struct Mix {
     name: &'static str,
     bundle: Bundle,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Tokens generated per second when each request also computes `prompt` tokens that no cache
-/// holds.
+/// Returns the tokens generated per second if each request also computes `prompt` tokens that no
+/// cache holds.
 fn generated(bound: f64, most: u32, prompt: u32) -> f64 {
     let work = f64::from(most) + f64::from(prompt) / host::PROMPT_TOKENS_PER_OUTPUT_TOKEN;
     bound * f64::from(most) / work
@@ -73,7 +73,7 @@
     ]
 }
 
-/// The second stage of each zone on one fast and four slow accelerators.
+/// Second stages of each zone run on one fast and four slow accelerators.
 fn slow_kind() -> Bundle {
     let mut bundle = fixture::bundle(10);
     for zone in 0..3 {
@@ -87,7 +87,8 @@
     bundle
 }
 
-/// First stages in zone a, second stages in zone b behind a slow link, some of both in c.
+/// First stages are in zone a, second stages in zone b behind a slow link, and some of both in zone
+/// c.
 fn slow_link() -> Bundle {
     let mut bundle = fixture::bundle(10);
     for _ in 0..4 {
@@ -103,7 +104,7 @@
     bundle
 }
 
-/// Two second stages die before the measurement.
+/// One second stage dies before the measurement.
 fn lost(bundle: Bundle) -> Mix {
     let mut less = bundle.clone();
     less.endpoints[1].spans.clear();
@@ -114,7 +115,7 @@
     }
 }
 
-/// Requests over 60 menus of 8 blocks each; the bound counts each menu as cached.
+/// Requests use 60 menus of 8 blocks each; the maximum throughput assumes that each menu is cached.
 fn waves(bundle: Bundle) -> Mix {
     let bound = generated(route::plan::max_throughput(&bundle, 0), 32, host::BLOCK);
     Mix {
@@ -125,7 +126,8 @@
     }
 }
 
-/// Runs a mix; returns throughput over the bound and the 95th percentile of the mean gap in ms.
+/// Runs a mix; returns throughput relative to the maximum, and the 95th percentile of the mean gap
+/// between tokens in milliseconds.
 fn run<B: Handler>(mix: &Mix, nodes: usize, handler: impl Fn(u64) -> B) -> (f64, f64) {
     let mut world = World::new(mix.bundle.clone(), nodes, 11, handler);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -163,11 +165,11 @@
 }
 
 fn gap<B: Handler>(world: &World<B>) -> f64 {
-    let whole = world
+    let ended = world
         .calls
         .values()
         .filter(|c| c.ended.is_some_and(|e| e > WARM));
-    let gaps = whole.filter_map(|c| {
+    let gaps = ended.filter_map(|c| {
         let time = c.ended?.checked_sub(c.first_token?)?;
         (c.tokens > 1).then(|| time.as_secs_f64() * 1e3 / f64::from(c.tokens - 1))
     });
--- a/crates/route/examples/overload.rs
+++ b/crates/route/examples/overload.rs
@@ -1,4 +1,5 @@
-//! Urgent waits and fair shares at three times overload, with 8 routers.
+//! Measures waits of urgent requests and fair shares at three times the maximum load, with 8
+//! routers.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
@@ -20,11 +21,11 @@
 const TEAMS: usize = 10;
 const WARM: Duration = Duration::from_secs(6);
 const END: Duration = Duration::from_secs(26);
-/// Weight of the first team; the others have 1.
+/// Weight of the first team; the other teams have weight 1.
 const WEIGHT: u32 = 3;
 
-/// Runs fair work at `fair` and urgent work at `urgent` times the bound; the first team offers
-/// 30 in 100 of it, the second 40, the others 30 together.
+/// Runs ordinary load at `fair` and urgent load at `urgent` times the maximum throughput. The first
+/// team sends 30 % of it, the second 40 %, the others 30 % together.
 fn run(fair: f64, urgent: f64) -> World<Router> {
     let mut bundle = fixture::fleet(4, 24, TEAMS);
     bundle.teams[0].weight = WEIGHT;
@@ -58,7 +59,8 @@
     world
 }
 
-/// Sorted times in ms from arrival to what `until` names; infinite where it never came.
+/// Returns the sorted times in milliseconds from arrival to the time given by `until`; infinite if
+/// there is none.
 fn waits(world: &World<Router>, until: impl Fn(&Call) -> Option<Duration>) -> Vec<f64> {
     let calls = world.calls.values().filter(|c| c.request.priority == 0);
     let late = calls.filter(|c| c.arrived > WARM && c.arrived < END - Duration::from_secs(2));
@@ -75,7 +77,7 @@
         .unwrap_or(f64::NAN)
 }
 
-fn whole(world: &World<Router>, team: u16, priority: u8) -> f64 {
+fn complete(world: &World<Router>, team: u16, priority: u8) -> f64 {
     let calls = world.calls.values();
     let done = calls.filter(|c| c.outcome == Some(Outcome::Complete) && c.ended > Some(WARM));
     done.filter(|c| c.request.team == team && c.request.priority == priority)
@@ -100,7 +102,7 @@
         let starts = waits(&world, |c| c.started);
         let tokens = waits(&world, |c| c.first_token);
         let bound = route::plan::max_throughput(&world.bundle, 0) * 32.0 / 33.0;
-        let done: f64 = (0..TEAMS as u16).map(|t| whole(&world, t, 1)).sum();
+        let done: f64 = (0..TEAMS as u16).map(|t| complete(&world, t, 1)).sum();
         let rate = done * 32.0 / (END - WARM + Duration::from_secs(1)).as_secs_f64();
         let paused: u64 = world.nodes.iter().map(|n| n.handler.report().paused).sum();
         println!(
@@ -115,10 +117,10 @@
     shares();
 }
 
-/// Fair shares at three times overload: work done by each team over its weight.
+/// Prints the fair shares at three times the maximum load: work done by each team over its weight.
 fn shares() {
     let world = run(3.0, 0.0);
-    let done: Vec<f64> = (0..TEAMS as u16).map(|t| whole(&world, t, 1)).collect();
+    let done: Vec<f64> = (0..TEAMS as u16).map(|t| complete(&world, t, 1)).collect();
     println!("\nrequests done by team at 3.00: team0 has weight {WEIGHT}, team1 sends 40 in 100");
     done.iter()
         .enumerate()
--- a/crates/route/examples/recovery.rs
+++ b/crates/route/examples/recovery.rs
@@ -1,5 +1,5 @@
-//! Time to recover: the longest pause that an answer in flight sees, by fault, at half load with
-//! 8 routers; and how the first second after the fault does for new requests.
+//! Measures the recovery from faults at half load with 8 routers: the longest pause of answers in
+//! flight, and the first token of requests that arrive in the second after the fault.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
--- a/crates/route/examples/soak.rs
+++ b/crates/route/examples/soak.rs
@@ -1,4 +1,4 @@
-//! Long randomised runs: `soak [FIRST] [COUNT]` draws COUNT cases from seed FIRST on, and prints
+//! Runs long randomised tests: `soak [FIRST] [COUNT]` draws COUNT cases from seed FIRST and prints
 //! the first failing one in its smallest form, for `tests/cases/`.
 
 #[path = "../tests/support/case.rs"]
@@ -15,7 +15,7 @@
 use route::settings::Settings;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-fn wrong(case: &Case) -> Vec<String> {
+fn violations(case: &Case) -> Vec<String> {
     let run = AssertUnwindSafe(|| case.run(|seed| Router::new(seed, Settings::default())));
     catch_unwind(run).unwrap_or_else(|_| vec!["panic".into()])
 }
@@ -28,11 +28,11 @@
     let count: u64 = args.next().unwrap_or(2000);
     for seed in first..first + count {
         let case = Case::draw(seed);
-        if !wrong(&case).is_empty() {
-            let small = case.shrink(|c| !wrong(c).is_empty());
-            println!("seed {seed} fails: {:?}\n{small}", wrong(&small));
+        if !violations(&case).is_empty() {
+            let small = case.shrink(|c| !violations(c).is_empty());
+            println!("seed {seed} fails: {:?}\n{small}", violations(&small));
             std::process::exit(1);
         }
     }
-    println!("{count} cases from seed {first} on: every promise kept");
+    println!("{count} cases from seed {first} on: no violations");
 }
--- a/crates/route/examples/storm.rs
+++ b/crates/route/examples/storm.rs
@@ -1,5 +1,5 @@
-//! Attempts sent per request while a third of the endpoints is gone, beside a naive retry that
-//! tries again at once and without a budget; and the time to recover.
+//! Measures attempts per request while a third of the endpoints is lost, compared with naive
+//! retries (immediate and without a budget), and the time to recover.
 
 #[path = "../tests/support/baseline.rs"]
 mod baseline;
@@ -25,7 +25,7 @@
 const RESTORED_AT: Duration = Duration::from_secs(16);
 const END: Duration = Duration::from_secs(24);
 
-/// Part of the bound of all endpoints that is offered.
+/// Runs a load relative to the maximum throughput of all endpoints.
 fn run<B: Handler>(name: &str, load: f64, unresponsive: bool, handler: impl Fn(u64) -> B) {
     let bundle = fixture::fleet(4, 24, 10);
     let bound = route::plan::max_throughput(&bundle, 0) * 32.0 / 33.0;
@@ -67,7 +67,7 @@
         let (at, end) = (c.arrived, c.ended.unwrap_or(Duration::MAX));
         end >= LOST_AT + start && at <= RESTORED_AT + start
     });
-    let (mut calls, mut sent, mut whole, mut unknown, mut refused) = (0_u32, 0, 0, 0, 0);
+    let (mut calls, mut sent, mut complete, mut unknown, mut refused) = (0_u32, 0, 0, 0, 0);
     let mut most = 0;
     let mut stall = Duration::ZERO;
     for call in during {
@@ -75,7 +75,7 @@
         sent += call.sent_attempts;
         most = most.max(call.sent_attempts);
         match call.outcome {
-            Some(Outcome::Complete) => whole += 1,
+            Some(Outcome::Complete) => complete += 1,
             Some(Outcome::NotRun) => refused += 1,
             _ => unknown += 1,
         }
@@ -86,7 +86,7 @@
     }
     let how = if unresponsive { "dark" } else { "dead" };
     println!(
-        "{name:12} {how:>5} {load:>5.2} {calls:>6} {:>9.2} {most:>5} {whole:>6} {refused:>8} {unknown:>8} {:>8.2}",
+        "{name:12} {how:>5} {load:>5.2} {calls:>6} {:>9.2} {most:>5} {complete:>6} {refused:>8} {unknown:>8} {:>8.2}",
         f64::from(sent) / f64::from(calls.max(1)),
         stall.as_secs_f64()
     );
--- a/crates/route/examples/team_limits.rs
+++ b/crates/route/examples/team_limits.rs
@@ -1,5 +1,5 @@
-//! Overshoot of a team's limits with 8 and 370 workers that each hold an equal share, and with
-//! half of them parted, so that each half divides the whole limit among itself.
+//! Measures how far a team's limits are exceeded with 8 and 370 workers that hold equal shares, and
+//! while the workers are split into two partitions that each divide the whole limit.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
@@ -15,7 +15,7 @@
 /// Offered requests per second.
 const OFFERED: u64 = 600;
 const SECONDS: u64 = 30;
-/// Time that a request is in flight.
+/// Time for which a request is in flight.
 const REQUEST_TIME: Duration = Duration::from_secs(2);
 
 fn run(workers: usize, parts: f64, busy: usize) {
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -153,7 +153,7 @@
                     .into_iter()
                     .flatten(),
             );
-            assert!(found.is_empty(), "broken invariants: {found:?}\n{self}");
+            assert!(found.is_empty(), "violated invariants: {found:?}\n{self}");
         }
     }
 
--- a/crates/route/src/router/pick.rs
+++ b/crates/route/src/router/pick.rs
@@ -198,9 +198,9 @@
                 if let Some(chain) = self.choice(near, capacity, job, draws)?.draw(rng) {
                     return Some((hops(near, &chain), false));
                 }
-                let whole = self.plan.full.get(model as usize)?;
-                let chain = self.choice(whole, capacity, job, draws)?.search()?;
-                Some((hops(whole, &chain), true))
+                let full = self.plan.full.get(model as usize)?;
+                let chain = self.choice(full, capacity, job, draws)?.search()?;
+                Some((hops(full, &chain), true))
             }
         }
     }
--- a/crates/route/tests/broken.rs
+++ b/crates/route/tests/broken.rs
@@ -1,7 +1,8 @@
-//! The invariants bite: deliberately broken variants of the router, each caught by a run.
+//! Mutation tests of the audit: deliberately defective variants of the router must each be caught
+//! in a run.
 //!
-//! A variant passes events to a sound router and spoils what it says; an audit of its own, as
-//! the router runs one over itself, looks at the result.
+//! A variant passes events to a correct router and alters its actions. A separate audit, of the
+//! kind that each router runs over itself, checks the result.
 
 #[path = "support/case.rs"]
 mod case;
@@ -27,26 +28,26 @@
 use std::sync::Arc;
 use world::Handler;
 
-/// How a variant is broken.
+/// Defect of a variant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     /// Runs the hops of a chain in the wrong order.
     SwapsHops,
     /// Leaves out the last layer of the first hop.
     SkipsLayer,
-    /// Starts work that must not be repeated again instead of calling it unknown.
+    /// Starts non-repeatable work again instead of ending it with an unknown outcome.
     RepeatsWork,
-    /// Calls work not run that may have run.
+    /// Refuses work as not run although it may have run.
     DeniesWork,
-    /// Calls an answer whole at its first token.
+    /// Ends an answer as complete at its first token.
     FinishesEarly,
     /// Ends a request twice.
     FinishesTwice,
-    /// Starts a second attempt while one runs.
+    /// Starts a second attempt while another one runs.
     StartsTwice,
-    /// Does not look at which endpoints leave.
+    /// Ignores which endpoints are leaving.
     IgnoresLeaving,
-    /// Does not look at which requests are condemned.
+    /// Ignores which requests are condemned.
     IgnoresCondemned,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Task the router is told.
+    /// Returns the event as the router sees it.
     fn visible_event(&self, event: &Event) -> Event {
         let Event::View(view) = event else {
             return event.clone();
@@ -85,7 +86,7 @@
         Event::View(Arc::new(view))
     }
 
-    /// Task is altered in place of an action.
+    /// Returns the actions that replace an action of the router.
     fn alter(&mut self, action: Action) -> Vec<Action> {
         if let Action::Start(id, attempt, hops) = &action {
             self.chains.insert(*id, (*attempt, hops.clone()));
@@ -141,7 +142,7 @@
     }
 }
 
-/// A sound router whose actions are carried out, beside a variant that only speaks to its audit.
+/// Correct router whose actions are carried out, next to a variant whose actions are only audited.
 struct Pair {
     correct: Router,
     variant: Variant,
@@ -154,7 +155,7 @@
     }
 }
 
-/// Faults that the audit of a variant finds in one case.
+/// Returns the faults that the audit of a variant finds in one case.
 fn found(defect: Defect, seed: u64) -> Vec<Fault> {
     let case = Case {
         crasher_interval: 30,
@@ -174,7 +175,7 @@
     variants.flat_map(|v| &v.found).map(|f| f.fault).collect()
 }
 
-/// Whether a fault is the one that a defect must lead to.
+/// Returns whether a fault is of the kind that a defect must cause.
 fn expected(defect: Defect, fault: &Fault) -> bool {
     match defect {
         Defect::SwapsHops | Defect::SkipsLayer => matches!(fault, Fault::Gap(..)),
--- a/crates/route/tests/parts.rs
+++ b/crates/route/tests/parts.rs
@@ -1,4 +1,5 @@
-//! The parts by themselves: flows, queues, shares, pace, health, budget, crash table.
+//! Unit tests of flows, queues, team limits, concurrency limits, health, retry budget and crash
+//! table.
 
 #[path = "support/fixture.rs"]
 mod fixture;
@@ -23,17 +24,17 @@
 
 #[test]
 fn max_throughput_is_the_minimum_cut() {
-    // Two replicas in each of three zones: 6400 layers/s over 16 layers, six times.
+    // Two replicas in each of three zones, each with 6400 layers/s over 16 layers.
     let equal = fixture::fleet(2, 4, 1);
     assert!((plan::max_throughput(&equal, 0) - 2400.0).abs() < 1e-3);
-    // Stages in two zones only meet over a link of 100 tokens/s.
+    // The stages are in two zones that are connected by a link of 100 tokens/s only.
     let mut split = fixture::bundle(1);
     fixture::stage(&mut split, 0, 0, 0, 16, 4);
     fixture::stage(&mut split, 1, 0, 16, 32, 4);
     assert!((plan::max_throughput(&split, 0) - 400.0).abs() < 1e-3);
     fixture::link(&mut split, 0, 1, 100.0);
     assert!((plan::max_throughput(&split, 0) - 100.0).abs() < 1e-3);
-    // Without a second stage nothing flows.
+    // Without a second stage there is no flow.
     split.endpoints.pop();
     assert_eq!(plan::max_throughput(&split, 0), 0.0);
 }
@@ -52,7 +53,7 @@
 
 #[test]
 fn chain_may_enter_an_overlapping_stage_at_an_inner_layer() {
-    // A holds 0..20 and B 12..32: a chain enters B at 20.
+    // One endpoint holds layers 0..20, the other 12..32; a chain enters the latter at 20.
     let mut bundle = fixture::bundle(1);
     fixture::stage(&mut bundle, 0, 0, 0, 20, 4);
     fixture::stage(&mut bundle, 0, 0, 12, 32, 4);
@@ -78,7 +79,7 @@
     let mut queue = Queue::default();
     let mut waiting = std::collections::BTreeMap::new();
     for id in 0..4000 {
-        // Team 0 sends half of all, team 1 has weight 3.
+        // Team 0 sends half of all requests; team 1 has weight 3.
         let team = if id % 2 == 0 {
             0
         } else {
@@ -117,7 +118,7 @@
         queue.remove(&entry);
         queue.charge(&entry, 10.0);
     }
-    // Team 2 comes after team 1 was served for long: the two take turns from now on.
+    // Team 2 arrives after team 1 was served for a long time; from now on they alternate.
     for id in 100..200 {
         queue.push(&entry(id, 2, 1));
     }
@@ -138,7 +139,7 @@
 
 #[test]
 fn team_is_limited_to_its_share() {
-    // Eight workers with an eighth of 40 requests/s and of 12 in flight each.
+    // Eight workers, each with an eighth of 40 requests/s and of 12 requests in flight.
     let bundle = fixture::bundle(1);
     let share = Share {
         rate: 5.0,
@@ -157,7 +158,7 @@
             }
         }
     }
-    // Ten seconds at 40/s, and one bucket of a second at the start.
+    // Ten seconds at 40/s, plus the initial bucket of one second.
     assert!((400..=440).contains(&taken), "{taken}");
     let mut held = 0;
     for table in &mut workers {
@@ -166,7 +167,7 @@
             held += 1;
         }
     }
-    // A share of 1.5 admits 2: the overshoot of a worker is less than one request.
+    // A share of 1.5 admits 2 requests: a worker overshoots by less than one request.
     assert_eq!(held, 16);
 }
 
@@ -209,12 +210,13 @@
     assert_eq!(pace.limit, 16.0);
 }
 
-/// An endpoint that computes `batch` steps at once, each in `step`; a hop at `running` takes this.
+/// Returns the time of a hop on an endpoint that computes `batch` steps at once, each in `step`,
+/// while it runs `running` requests.
 fn batched(running: u32, batch: u32, step: Duration) -> Duration {
     step.mul_f64(f64::from(running.max(batch)) / f64::from(batch))
 }
 
-/// Runs hops one after another as they end, and returns the limits at the end of each second.
+/// Runs hops back to back and returns the limit at the end of each second.
 fn paced(
     pace: &mut Limiter,
     allowed: Duration,
@@ -235,9 +237,9 @@
     limits
 }
 
-// Callers see low throughput beside idle accelerators. An endpoint whose single step takes longer than
-// the time aimed at can't be made fast enough by lowering its concurrency; the limit must stay at
-// what its batch computes at once, and must not fall to one.
+// Guards against low throughput beside idle accelerators. An endpoint whose single step takes
+// longer than the target time can't become fast enough by a lower concurrency. Its limit must stay
+// at the batch that it computes at once and must not fall to one.
 #[test]
 fn limit_does_not_fall_below_the_batch_size() {
     let mut pace = Limiter::new(40);
@@ -249,8 +251,8 @@
     );
 }
 
-// The same of an accelerator whose single step takes five times the time aimed at: one request at a
-// time would leave a batch of 64 almost empty, and be no faster.
+// As above, for an accelerator whose single step takes five times the target time: one request at a
+// time would leave a batch of 64 almost empty without being faster.
 #[test]
 fn slow_accelerator_keeps_its_batch() {
     let mut pace = Limiter::new(40);
@@ -260,8 +262,9 @@
     assert!(limits[15..].iter().all(|l| *l >= 30.0), "{limits:?}");
 }
 
-// Callers see throughput that swings. From far above, the limit must come down to the aimed time and
-// stay near it: averages that lag behind the limit made it fall on to one.
+// Guards against oscillating throughput. From far above, the limit must fall to the target time and
+// stay close to it. Averages that include hops from before an adjustment lag behind the limit and
+// make it fall to one.
 #[test]
 fn limit_does_not_undershoot() {
     let mut pace = Limiter::new(40);
@@ -270,9 +273,9 @@
     assert!(limits[10..].iter().all(|l| *l <= 16.0), "{limits:?}");
 }
 
-// Callers of a burst are refused as if the fleet were overloaded. A node that was idle for a while
-// starts one request, which says nothing of how many it could start; only starts while others wait
-// do, and idle time must not thin them out.
+// Guards against refusals of a burst as overload. A node that was idle starts a single request,
+// which does not show how many it could start. Only starts while others wait are measured, and idle
+// time must not lower the measured rate.
 #[test]
 fn idle_time_does_not_lower_the_start_rate() {
     let mut meter = route::meter::Meter::default();
@@ -312,10 +315,10 @@
     health.record_answer();
     assert!(!health.record_success(3) && !health.record_success(3) && health.record_success(3));
     assert_eq!(health.state, State::Up);
-    let struck = (0..EJECTION_THRESHOLD)
+    let reached = (0..EJECTION_THRESHOLD)
         .filter(|&i| health.record_failure(ms(5000 + u64::from(i))))
         .count();
-    assert_eq!(struck, 1, "only the last strike is one too many");
+    assert_eq!(reached, 1, "only the last failure reaches the threshold");
 }
 
 #[test]
@@ -326,7 +329,7 @@
     assert_eq!(
         (0..10).filter(|_| budget.take()).count(),
         4,
-        "no more than the bucket holds"
+        "no more than the capacity of the bucket"
     );
     budget.refill(ms(1000), 2.0, 4.0, 0);
     assert_eq!((0..10).filter(|_| budget.take()).count(), 2);
@@ -335,8 +338,8 @@
 
 #[test]
 fn request_that_crashes_two_endpoints_is_condemned_alone() {
-    // Requests 1, 2, 3 are in flight when an endpoint dies. 2 and 3 complete elsewhere; 1 runs
-    // alone and takes the next endpoint down: two endpoints are lost, and 1 is condemned.
+    // Requests 1, 2 and 3 are in flight when an endpoint dies. 2 and 3 complete on other endpoints;
+    // 1 runs alone when the next endpoint dies. Two endpoints are lost, and 1 is condemned.
     let mut table = crash::Table::new(64);
     table.open_incident(ms(0), 0, vec![1, 2, 3]);
     assert_eq!(table.record_dead(ms(1), 0), [1, 2, 3]);
@@ -348,7 +351,7 @@
     assert!(table.is_pending(1));
     assert!(
         table.conclude(ms(5002)).is_empty(),
-        "the verdict waits out the window"
+        "the verdict is delayed by the window"
     );
     assert_eq!(table.conclude(ms(5001) + crash::CORRELATION_WINDOW), [1]);
     assert!(table.is_condemned(1) && !table.is_condemned(2));
@@ -356,8 +359,9 @@
 
 #[test]
 fn zone_loss_condemns_no_request() {
-    // Request 1 is suspect after a death and runs alone when a whole zone dies under it: several
-    // endpoints died together, so none of these deaths speaks against what each one ran.
+    // Request 1 is suspect after a death and runs alone on an endpoint when its whole zone dies.
+    // Several endpoints died together, so that none of these deaths is evidence against the
+    // requests on them.
     let mut table = crash::Table::new(64);
     table.open_incident(ms(0), 0, vec![1, 2]);
     table.record_dead(ms(1), 0);
--- a/crates/route/tests/recover.rs
+++ b/crates/route/tests/recover.rs
@@ -1,4 +1,4 @@
-//! Failures and limits at the router's interface, one story each.
+//! Failures and limits, tested through the router's events and actions.
 
 #[path = "support/bench.rs"]
 mod bench;
@@ -30,9 +30,9 @@
 
 #[test]
 fn silent_connection_does_not_eject_its_endpoint() {
-    // The caller sees a pause under a second. The stream stops without an error; the endpoint
-    // answers a probe on a new connection, so only the old connections are dropped and the
-    // request goes on from its two tokens. The endpoint stays in use.
+    // A stream stops without an error, and the endpoint answers a probe on a new connection. Only
+    // the old connections are dropped; the request resumes from its two tokens within a second, and
+    // the endpoint stays in use.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -52,8 +52,8 @@
 
 #[test]
 fn paused_node_ejects_no_endpoint() {
-    // Callers see only the node's own pause. The node stands still for five seconds, once while
-    // an answer runs and once while a probe is out: neither is held against the endpoint.
+    // The node is paused for five seconds, once while an answer runs and once while a probe is in
+    // flight. Neither may count against the endpoint.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     bench.handle(Event::Tick);
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
@@ -73,8 +73,9 @@
 
 #[test]
 fn unanswered_probe_ejects_and_a_trial_restores() {
-    // The caller sees one pause. The endpoint answers nothing; it is ejected and told to the other
-    // nodes, probed after its time out, and gets single requests until three went well.
+    // An endpoint stops answering. It is ejected, which is published to the other nodes, and probed
+    // after the ejection; it then gets single requests until three have succeeded. The caller sees
+    // one pause.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -101,8 +102,8 @@
 
 #[test]
 fn urgent_work_pauses_repeatable_work() {
-    // The duty desk's alarm starts at once on a full fleet. One menu check is paused and goes on
-    // from its token when the alarm is done: no retry is counted for it.
+    // An urgent request starts immediately on a full fleet. One repeatable request is paused and
+    // resumes from its token once the urgent one ends; this does not count as a retry.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     (1..=3).for_each(|id| {
         bench.handle(Event::Arrive(fixture::request(id, FAR_DEADLINE)));
@@ -123,8 +124,8 @@
 
 #[test]
 fn non_repeatable_work_is_never_paused() {
-    // Newsletter checks fill the fleet. An alarm waits for the first of them to end, since a
-    // paused one would have to run again.
+    // Non-repeatable requests fill the fleet. An urgent request waits for the first of them to end,
+    // since a paused one would have to run again.
     let mut bench = Bench::new(fixture::fleet(1, 1, 1));
     for id in 1..=3 {
         bench.handle(Event::Arrive(Request {
@@ -141,9 +142,10 @@
 
 #[test]
 fn crashing_request_runs_alone_and_is_then_refused() {
-    // Its caller is told "unknown", then refusals; the neighbour's answer goes on. Two requests
-    // are in flight when an endpoint dies. Both are suspect and run on endpoints of their own;
-    // the second death has only one of them in flight, which is condemned on every node.
+    // Two requests are in flight when an endpoint dies. Both become suspect and run on endpoints of
+    // their own. At the second death only one of them is in flight; it is condemned on every node.
+    // Its caller gets the outcome "unknown", then refusals, while the other request's answer
+    // continues.
     let mut bench = Bench::new(fixture::fleet(2, 8, 1));
     let crasher = |id| Request {
         fingerprint: 666,
@@ -152,7 +154,7 @@
     let first = bench.handle(Event::Arrive(crasher(1)));
     let (_, hops) = find_start(&first, 1).expect("starts");
     let dead = hops[0].endpoint;
-    // Neighbours until one shares the endpoint.
+    // Sends further requests until one shares the endpoint.
     let mut neighbour = 2;
     loop {
         let out = bench.handle(Event::Arrive(fixture::request(neighbour, FAR_DEADLINE)));
@@ -191,7 +193,8 @@
 
 #[test]
 fn leaving_endpoint_finishes_its_work_and_gets_no_new() {
-    // Callers notice nothing: the answer in flight is finished, new ones run elsewhere.
+    // The answer in flight is completed, and new requests run on other endpoints; callers notice
+    // nothing.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -254,8 +257,8 @@
 
 #[test]
 fn answer_in_flight_survives_renumbered_endpoints() {
-    // Callers notice nothing. The new bundle lists endpoints in another order, so each id means
-    // another endpoint; the failure of the old attempt still names the old id.
+    // A new bundle lists the endpoints in another order, so that each id denotes another endpoint.
+    // The failure of the old attempt still uses the old id. Callers notice nothing.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -278,7 +281,7 @@
 
 #[test]
 fn answer_is_not_resumed_on_another_model_version() {
-    // The caller is told "unknown" rather than given half an answer of each version.
+    // The caller gets the outcome "unknown" rather than an answer composed of two versions.
     let mut bench = Bench::new(fixture::fleet(1, 8, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -297,8 +300,8 @@
 
 #[test]
 fn service_call_is_awaited_until_its_deadline() {
-    // A tower lock call takes half a minute. No progress can be seen, but each probe is answered:
-    // calling it unknown early would send somebody out to look.
+    // A call of a lock service takes half a minute. It shows no progress, but each probe is
+    // answered. An early "unknown" would make somebody check the lock on site for nothing.
     let mut bundle = fixture::bundle(1);
     fixture::plain(&mut bundle, 0, 4);
     let mut bench = Bench::new(bundle);
@@ -327,8 +330,9 @@
 
 #[test]
 fn empty_budget_delays_retries_until_it_refills() {
-    // Callers see a longer pause, and what is left of the fleet no storm. Each arrival fails
-    // once; the budget grants its burst, later failures wait for the fleet's rate of 1/s.
+    // Each request fails once. The budget grants its burst of retries; later failures wait for the
+    // fleet's rate of 1/s. Callers see a longer pause, but the remaining endpoints see no retry
+    // storm.
     let mut bench = Bench::new(fixture::fleet(12, 64, 1));
     let mut retried = 0;
     for id in 0..60 {
@@ -345,6 +349,7 @@
         .iter()
         .filter(|a| matches!(a, Action::Start(..)))
         .count();
-    // Five seconds' worth, and what the 1.2 s since the start and fractions of before left over.
+    // Five retries for the five seconds, plus what remains from the 1.2 s since the start and from
+    // fractions earned before.
     assert!((5..=7).contains(&later), "{later}");
 }
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router at its interface: one event at a time.
+//! The router tested through single events.
 
 #[path = "support/bench.rs"]
 mod bench;
@@ -25,7 +25,7 @@
 fn finished_answer_is_complete() {
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
-    let (attempt, hops) = find_start(&out, 1).expect("starts at once");
+    let (attempt, hops) = find_start(&out, 1).expect("starts immediately");
     assert_eq!(
         (hops[0].from, hops[0].to, hops[1].from, hops[1].to),
         (0, 16, 16, 32)
@@ -38,20 +38,20 @@
 
 #[test]
 fn answer_resumes_without_a_dead_stage() {
-    // The caller sees a short pause. The second stage's connection breaks after one token, a
-    // probe finds the endpoint dead, and the request goes on as attempt 2 on a chain that keeps
-    // clear of it: other stages take its layers at once.
+    // The connection to the second stage breaks after one token and a probe stays unanswered. The
+    // request resumes as attempt 2 on a chain without that endpoint, since other stages hold the
+    // same layers. The caller sees a short pause.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     let out = bench.handle(Event::Arrive(fixture::request(1, FAR_DEADLINE)));
     let (_, hops) = find_start(&out, 1).expect("starts");
     bench.handle(Event::Token(1, 1));
     let out = bench.fail(1, 1, hops[1].endpoint, Cause::Reset, true);
     assert!(out.contains(&Action::Probe(hops[1].endpoint)));
-    assert!(find_start(&out, 1).is_none(), "waits for the probe");
+    assert!(find_start(&out, 1).is_none(), "must wait for the probe");
     let out = bench.handle(Event::Probed(hops[1].endpoint, false));
-    let (attempt, again) = find_start(&out, 1).expect("goes on");
+    let (attempt, chain) = find_start(&out, 1).expect("resumes");
     assert_eq!(attempt, 2);
-    assert!(again.iter().all(|h| h.endpoint != hops[1].endpoint));
+    assert!(chain.iter().all(|h| h.endpoint != hops[1].endpoint));
     assert!(
         bench.handle(Event::Token(1, 1)).is_empty(),
         "frames of attempt 1 are dropped"
@@ -60,8 +60,8 @@
 
 #[test]
 fn non_repeatable_work_ends_unknown_once_sent() {
-    // The caller is told "unknown", never a second run: the connection broke after bytes had
-    // left, so the lock call may have been carried out.
+    // The connection broke after bytes had been sent, so that the lock call may have been carried
+    // out. The caller gets the outcome "unknown" and the call is never run again.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     let out = bench.handle(Event::Arrive(once(1)));
     let (_, hops) = find_start(&out, 1).expect("starts");
@@ -72,13 +72,13 @@
 
 #[test]
 fn non_repeatable_work_is_retried_if_no_byte_was_sent() {
-    // The caller sees nothing of it: the first endpoint refused the connection, so the request
-    // truly was not run and goes to another endpoint.
+    // The first endpoint refused the connection, so that the request was certainly not run. It is
+    // sent to another endpoint, and the caller notices nothing.
     let mut bench = Bench::new(fixture::fleet(1, 4, 1));
     let out = bench.handle(Event::Arrive(once(1)));
     let (_, hops) = find_start(&out, 1).expect("starts");
     let out = bench.fail(1, 1, hops[0].endpoint, Cause::Connect, false);
-    let (attempt, _) = find_start(&out, 1).expect("tries elsewhere");
+    let (attempt, _) = find_start(&out, 1).expect("is retried on another endpoint");
     assert_eq!(attempt, 2);
 }
 
--- a/crates/route/tests/runs.rs
+++ b/crates/route/tests/runs.rs
@@ -1,5 +1,5 @@
-//! Long randomised runs with every invariant checked: by the router itself, and by fakes that
-//! compare what a caller was told with what was run.
+//! Long randomised runs that check all invariants: the router's own checks, and simulated endpoints
+//! that compare what a caller was told with what was run.
 
 #[path = "support/case.rs"]
 mod case;
@@ -17,14 +17,14 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Seeds of the short fixed set; `examples/soak.rs` runs as many as wanted.
+/// Seeds of the fixed set; `examples/soak.rs` runs any number of seeds.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
 fn router(seed: u64) -> Router {
     Router::new(seed, Settings::default())
 }
 
-fn wrong(case: &Case) -> Vec<String> {
+fn violations(case: &Case) -> Vec<String> {
     let run = AssertUnwindSafe(|| case.run(router));
     catch_unwind(run).unwrap_or_else(|panic| {
         let text = panic
@@ -38,10 +38,10 @@
 fn random_cases_violate_no_invariant() {
     for seed in SEEDS {
         let case = Case::draw(seed);
-        let found = wrong(&case);
+        let found = violations(&case);
         if !found.is_empty() {
-            let small = case.shrink(|c| !wrong(c).is_empty());
-            panic!("{found:?}\nshrunk to:\n{small}{:?}", wrong(&small));
+            let small = case.shrink(|c| !violations(c).is_empty());
+            panic!("{found:?}\nshrunk to:\n{small}{:?}", violations(&small));
         }
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The runs would prove little if they did not bring about what the safeguards are for.
+/// Ensures that the random cases exercise every safeguard; without this they would prove little.
 #[test]
 fn random_cases_reach_every_safeguard() {
     let mut sums: BTreeMap<&str, u64> = BTreeMap::new();
@@ -93,13 +93,14 @@
         "searched",
     ];
     let missed: Vec<_> = reached.iter().filter(|name| sums[*name] == 0).collect();
-    assert!(missed.is_empty(), "never reached: {missed:?} in {sums:?}");
+    assert!(missed.is_empty(), "not reached: {missed:?} in {sums:?}");
 }
 
 #[test]
 fn hot_prefix_spreads_beyond_its_home_endpoints() {
-    // Parents of one school ask about the same menu: all prompts are alike. At 0.6 of the bound
-    // each must start soon, though the endpoints that the prefix names can't take them all.
+    // All prompts share one prefix, as when the parents of one school ask about the same menu. At
+    // 0.6 of the maximum throughput each request must start soon, although the home endpoints of
+    // the prefix can't take them all.
     let bundle = fixture::fleet(4, 24, 1);
     let per_second = route::plan::max_throughput(&bundle, 0) * 0.6 / 32.0;
     let mut world = world::World::new(bundle, 3, 1, router);
@@ -134,7 +135,7 @@
     );
 }
 
-/// Cases that once failed, each told in its file.
+/// Replays cases that failed before; each file states its failure.
 #[test]
 fn recorded_cases_stay_fixed() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/cases");
@@ -147,11 +148,16 @@
     for path in paths {
         let text = std::fs::read_to_string(&path).expect("a case file");
         let case: Case = text.parse().expect("a case");
-        assert_eq!(wrong(&case), Vec::<String>::new(), "{}", path.display());
+        assert_eq!(
+            violations(&case),
+            Vec::<String>::new(),
+            "{}",
+            path.display()
+        );
     }
 }
 
-/// Replays the case in the file that CASE names, and prints its trace.
+/// Replays the case in the file named by `CASE` and prints its trace.
 #[test]
 fn replay() {
     let Ok(path) = std::env::var("CASE") else {
--- a/crates/route/tests/strikes.rs
+++ b/crates/route/tests/strikes.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer wrongly, attempt after attempt.
+//! Endpoints that violate the protocol in every attempt.
 
 #[path = "support/fixture.rs"]
 mod fixture;
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Wrong answers after which any endpoint has been ejected.
+/// Number of requests by which a faulty endpoint must have been ejected.
 const MAX_REQUESTS: u128 = 60;
 
-// Callers see whole answers. One stage answers every step with frames that break the protocol. The
-// failure that ejects it ended the attempt that it is told of, so this attempt must not be
-// cancelled as if it still ran: it would be started anew twice.
+// One stage answers every step with frames that violate the protocol. The failure that ejects it
+// has already ended its attempt, so this attempt must not be cancelled as if it still ran.
+// Otherwise the request would be started twice.
 #[test]
 fn failure_that_ejects_its_endpoint_ends_its_attempt_once() {
     let mut router = Router::new(7, Settings::default());
@@ -28,7 +28,7 @@
         Event::View(Arc::new(fixture::view(&bundle, 0))),
         &mut out,
     );
-    // Whichever stage the router likes best: it is tried again and again.
+    // The first endpoint chosen for the second stage is faulty; the router selects it repeatedly.
     let mut faulty = None;
     for id in 1..=MAX_REQUESTS {
         now += Duration::from_millis(10);
@@ -56,7 +56,7 @@
     assert!(router.report().ejected > 0);
 }
 
-/// The attempt that was just started for `id`, and its chain.
+/// Returns the attempt that was just started for `id` and its chain.
 fn started(out: &[Action], id: u128) -> Option<(u32, Vec<Hop>)> {
     out.iter().find_map(|action| match action {
         Action::Start(i, attempt, hops) if *i == id => Some((*attempt, hops.clone())),
--- a/crates/route/tests/support/baseline.rs
+++ b/crates/route/tests/support/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines to compare the router's choice with: each picks an endpoint per range of layers.
+//! Baselines for comparison with the router: each selects an endpoint per range of layers.
 #![allow(dead_code)]
 
 use super::world::Handler;
@@ -16,14 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a baseline picks.
+/// Selection policy of a baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// The next one in turn.
+    /// Next endpoint in turn.
     RoundRobin,
-    /// The one with the least in flight: own work and what was last reported of others.
+    /// Endpoint with the fewest requests in flight: its own, and those of others by the latest
+    /// report.
     LeastLoaded,
-    /// The lesser of two random ones.
+    /// Less loaded of two random endpoints.
     TwoRandom,
 }
 
@@ -40,10 +41,10 @@
     hops: Vec<Hop>,
 }
 
-/// A router without a plan: first come, first served, retries at once and without a budget.
+/// Router without a plan: first come, first served, with immediate retries and no retry budget.
 pub struct Baseline {
     policy: Policy,
-    /// Most attempts of a request.
+    /// Maximum number of attempts of a request.
     max_attempts: u32,
     rng: ChaCha8Rng,
     view: Option<Arc<View>>,
@@ -54,7 +55,7 @@
     jobs: BTreeMap<Id, Job>,
 }
 
-/// Time an endpoint gets no new work after it answered that it is full.
+/// Time without new work after an endpoint answered that it is full.
 const BUSY_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Baseline {
--- a/crates/route/tests/support/bench.rs
+++ b/crates/route/tests/support/bench.rs
@@ -1,4 +1,4 @@
-//! A router at its interface, one event at a time.
+//! Test bench that passes single events to a router.
 #![allow(dead_code)]
 
 use bundle::id::EndpointId;
@@ -12,14 +12,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A router with a view, and the time.
+/// Router with its view and the current time.
 pub struct Bench {
     pub router: Router,
     pub now: Duration,
     pub view: View,
 }
 
-/// A deadline that no test comes near.
+/// Deadline that no test reaches.
 pub const FAR_DEADLINE: Duration = Duration::from_secs(60);
 
 impl Bench {
@@ -36,7 +36,7 @@
         bench
     }
 
-    /// Gives the router another view.
+    /// Passes another view to the router.
     pub fn publish_view(&mut self, view: View) {
         self.view = view.clone();
         self.handle(Event::View(Arc::new(view)));
@@ -82,7 +82,7 @@
     }
 }
 
-/// The start of a request among actions.
+/// Returns the attempt and the chain with which a request is started by these actions.
 pub fn find_start(out: &[Action], id: Id) -> Option<(u32, Vec<Hop>)> {
     out.iter().find_map(|a| match a {
         Action::Start(i, attempt, hops) if *i == id => Some((*attempt, hops.clone())),
--- a/crates/route/tests/support/case.rs
+++ b/crates/route/tests/support/case.rs
@@ -1,4 +1,5 @@
-//! Cases: a fleet, a load and a list of faults, as text; drawn from a seed, run, and shrunk.
+//! Test cases: a fleet, a load and a list of faults in text form. Cases are drawn from a seed, run,
+//! and shrunk.
 #![allow(dead_code)]
 
 use super::fixture;
@@ -11,40 +12,40 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A case.
+/// Test case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Case {
     /// Seed of the load and of the routers.
     pub seed: u64,
-    /// Two-stage replicas per zone.
+    /// Number of two-stage replicas per zone.
     pub replicas: usize,
     /// Slots per endpoint.
     pub slots: u32,
     pub nodes: usize,
-    /// Requests from this one on.
+    /// Index of the first request; earlier ones are drawn but not sent.
     pub first: u64,
     /// Number of requests.
     pub requests: u64,
-    /// Milliseconds between two requests.
+    /// Time between two requests, in milliseconds.
     pub interval_ms: u64,
-    /// One request in this many crashes what runs it; 0 for none.
+    /// One request in this many crashes the endpoints that run it; 0 for none.
     pub crasher_interval: u64,
-    /// Faults by time in milliseconds.
+    /// Faults with their times in milliseconds.
     pub faults: Vec<(u64, Fault)>,
 }
 
-/// Time after the last request by which all must have ended.
+/// Time after the last request by which all requests must have ended.
 const SETTLE: Duration = Duration::from_secs(40);
-/// Time after which the caller of a crashing request sends it again, and how often.
+/// Time after which the caller of a crashing request sends it again, and number of repetitions.
 const RESEND_INTERVAL: Duration = Duration::from_secs(4);
 const MAX_RESENDS: u32 = 4;
-/// One caller in this many goes away early.
+/// One caller in this many disconnects early.
 const DISCONNECT_INTERVAL: u64 = 13;
-/// Plain services in the fleet.
+/// Number of endpoints of plain services in the fleet.
 const PLAIN_SERVICES: usize = 3;
 
 impl Case {
-    /// Draws a case with faults of every sort, singly, together and twice.
+    /// Draws a case with all kinds of faults: single, simultaneous and repeated ones.
     pub fn draw(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let replicas = rng.random_range(1..=3);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The fleet.
+    /// Returns the fleet of the case.
     pub fn bundle(&self) -> Bundle {
         let mut bundle = fixture::fleet(self.replicas, self.slots, 3);
         for zone in 0..PLAIN_SERVICES {
@@ -83,7 +84,7 @@
         bundle
     }
 
-    /// Runs the case to its end; returns the world for a look at it.
+    /// Prepares the world of the case, with its requests and faults scheduled.
     pub fn world<B: Handler>(&self, handler: impl Fn(u64) -> B) -> World<B> {
         let mut world = World::new(self.bundle(), self.nodes, self.seed, handler);
         world.report_delay = Duration::from_millis(200);
@@ -111,7 +112,7 @@
         world
     }
 
-    /// The caller of a request that crashes endpoints sends it again and again.
+    /// Schedules the repetitions of a request that crashes endpoints.
     fn resend<B: Handler>(
         &self,
         world: &mut World<B>,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Everything wrong in a run of the case.
+    /// Runs the case and returns all violations.
     pub fn run<B: Handler>(&self, handler: impl Fn(u64) -> B) -> Vec<String> {
         let mut world = self.world(handler);
         world.run(self.end());
@@ -148,7 +149,7 @@
         wrong
     }
 
-    /// When all must have ended.
+    /// Returns the time by which all requests must have ended.
     pub fn end(&self) -> Duration {
         let last = self.faults.last().map_or(0, |f| f.0);
         let load = (self.first + self.requests) * self.interval_ms;
@@ -160,7 +161,8 @@
         let deadline = at + Duration::from_millis(rng.random_range(300..20_000));
         let base = fixture::request(Id::from(i), deadline);
         let service = rng.random_bool(0.15);
-        // One in ten has the same body as an earlier one: a resend.
+        // One request in ten has the same body as an earlier one, like a request that is sent
+        // again.
         let fingerprint = if rng.random_bool(0.1) { i / 2 } else { i };
         Request {
             team: rng.random_range(0..3),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// The smallest case found that still fails `fails`.
+    /// Returns the smallest case found for which `fails` still holds.
     pub fn shrink(&self, fails: impl Fn(&Case) -> bool) -> Case {
         let mut best = self.clone();
         loop {
@@ -223,7 +225,7 @@
     }
 }
 
-/// A fault with its end, or the same thing twice.
+/// Draws a fault with its end, two simultaneous faults, or the same fault twice.
 fn draw_fault(rng: &mut ChaCha8Rng, at: u64, hosts: usize) -> Vec<(u64, Fault)> {
     let host = rng.random_range(0..hosts);
     let zone = rng.random_range(0..3);
@@ -289,7 +291,7 @@
 impl FromStr for Case {
     type Err = String;
 
-    /// Reads the text form; lines that start with `#` are comments.
+    /// Parses the text form; lines that start with `#` are comments.
     fn from_str(text: &str) -> Result<Self, String> {
         let mut case = Case {
             seed: 0,
--- a/crates/route/tests/support/fixture.rs
+++ b/crates/route/tests/support/fixture.rs
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: Layer = 32;
 
-/// An empty fleet: zones `a`, `b`, `c`, kinds `fast` and `slow`, one model, one service.
+/// Returns an empty fleet: zones `a`, `b`, `c`, kinds `fast` and `slow`, one model, one service.
 pub fn bundle(teams: usize) -> Bundle {
     let zone = |name: &str| Zone {
         name: name.into(),
@@ -60,7 +60,7 @@
     bundle
 }
 
-/// A model.
+/// Returns a model.
 pub fn model(name: &str) -> Model {
     Model {
         name: name.into(),
@@ -71,7 +71,7 @@
     }
 }
 
-/// A team.
+/// Returns a team.
 pub fn team(name: &str, weight: u32) -> Team {
     Team {
         name: name.into(),
@@ -122,7 +122,7 @@
     row.services = vec![0];
 }
 
-/// `replicas` two-stage replicas of fast endpoints in each of three zones.
+/// Returns a fleet with `replicas` two-stage replicas of fast endpoints in each of three zones.
 pub fn fleet(replicas: usize, slots: u32, teams: usize) -> Bundle {
     let mut bundle = bundle(teams);
     for zone in 0..3 {
@@ -134,7 +134,7 @@
     bundle
 }
 
-/// A view of `bundle` from `zone`, with every endpoint open and wide limits.
+/// Returns a view of `bundle` from `zone`, with all endpoints available and generous limits.
 pub fn view(bundle: &Arc<Bundle>, zone: ZoneId) -> View {
     View {
         bundle: bundle.clone(),
@@ -156,7 +156,7 @@
     }
 }
 
-/// A request for 8 tokens of the first model at the middle priority.
+/// Returns a request for 8 tokens of the first model at the middle priority.
 pub fn request(id: Id, deadline: Now) -> Request {
     Request {
         id,
--- a/crates/route/tests/support/host.rs
+++ b/crates/route/tests/support/host.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint: serves hops first come, first served, and caches prompt prefixes.
+//! Simulated endpoint: serves hops first come, first served, and caches prompt prefixes.
 #![allow(dead_code)]
 
 use bundle::Bundle;
@@ -10,11 +10,11 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Prompt tokens that cost as much as one generated token.
+/// Number of prompt tokens that cost as much as one generated token.
 pub const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 16.0;
-/// Tokens in a block of a prompt.
+/// Number of tokens in a block of a prompt.
 pub const BLOCK: u32 = 64;
-/// Time that a plain service takes for a call.
+/// Duration of a call of a plain service.
 const CALL_TIME: Duration = Duration::from_millis(40);
 
 /// Work of one hop.
@@ -24,7 +24,7 @@
     pub prefix: &'a [u64],
 }
 
-/// An endpoint.
+/// Simulated endpoint.
 pub struct Host {
     pub zone: ZoneId,
     pub slots: usize,
@@ -34,10 +34,10 @@
     /// Whether it answers that it cannot compute.
     pub compute_error: bool,
     pub slowdown: f64,
-    /// Prefix blocks that fit in the cache.
+    /// Number of prefix blocks that fit in the cache.
     pub cache_capacity: usize,
     pub running: BTreeSet<(usize, Id, Attempt)>,
-    /// Prefix blocks found in the cache, and not found.
+    /// Numbers of prefix blocks found and not found in the cache.
     pub hits: u64,
     pub misses: u64,
     /// Time spent computing.
@@ -81,7 +81,7 @@
         self.cache.clear();
     }
 
-    /// When a hop that is ready at `ready` is done.
+    /// Returns the completion time of a hop that is ready at `ready`.
     pub fn serve(&mut self, ready: Now, cost: &Cost) -> Now {
         if self.speed == 0.0 {
             return ready + CALL_TIME.mul_f64(self.slowdown);
--- a/crates/route/tests/support/world.rs
+++ b/crates/route/tests/support/world.rs
@@ -1,8 +1,8 @@
-//! Fake endpoints at the router's interface: delays, faults and callers who check their answers.
+//! Simulation of endpoints and callers around routers, with delays and faults.
 //!
-//! Time is a heap of events. A hop of a token is served first come first served at the speed of
-//! its accelerator; activations between hops wait for the link. What a caller is told is checked
-//! against what the fakes ran, apart from the router's own checks.
+//! Time advances over a heap of scheduled tasks. A hop of a token is served first come, first
+//! served at the speed of its accelerator; activations between hops wait for the link. What a
+//! caller is told is compared with what the endpoints ran, independent of the router's own checks.
 #![allow(dead_code)]
 
 use super::host::{Cost, Host};
@@ -24,11 +24,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Task decides: the router, a baseline, or a broken variant.
+/// Handler of events: the router, a baseline or a defective variant.
 pub trait Handler {
-    /// As [`Router::handle`].
+    /// Handles one event like [`Router::handle`].
     fn handle(&mut self, now: Now, event: Event, out: &mut Vec<Action>);
-    /// Everything found wrong so far.
+    /// Returns all violations found so far.
     fn verify(&self) -> Vec<String> {
         Vec::new()
     }
@@ -44,55 +44,55 @@
     }
 }
 
-/// One node with one worker.
+/// Node with one worker.
 pub struct Node<B> {
     pub handler: B,
     pub view: View,
-    /// By endpoint of its bundle: the host.
+    /// Index in [`World::hosts`], by endpoint id of the node's bundle.
     pub hosts: Vec<usize>,
 }
 
-/// A fault, or its end.
+/// Start or end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The process dies; connections break.
+    /// The process dies and its connections break.
     Die(usize),
-    /// It starts again, with nothing in its cache.
+    /// The process starts again with an empty cache and no other fault.
     Restart(usize),
-    /// It answers nothing any more, and no connection breaks.
+    /// The endpoint answers nothing, but no connection breaks.
     Unresponsive(usize),
-    /// Open connections to it go silent for good; new ones work.
+    /// Open connections to the endpoint stay silent; new ones work.
     SilenceConnections(usize),
-    /// It answers that it cannot compute.
+    /// The endpoint answers that it cannot compute.
     ComputeError(usize),
-    /// It computes this many times slower.
+    /// The endpoint computes this many times slower.
     Slow(usize, f64),
-    /// It leaves: refuses new work; the list tells it a second later.
+    /// The endpoint leaves and refuses new work; the views reflect this one second later.
     Leave(usize),
-    /// All in a zone die.
+    /// All endpoints of a zone die.
     LoseZone(ZoneId),
-    /// All in a zone start again.
+    /// All endpoints of a zone start again.
     RestartZone(ZoneId),
-    /// A new bundle that lists the endpoints in another order.
+    /// A new bundle lists the endpoints in another order.
     Publish,
 }
 
-/// A request and what became of it.
+/// Request as seen by its caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub request: Request,
     pub node: usize,
     pub arrived: Now,
-    /// When its first attempt was sent.
+    /// Time at which the first attempt was sent.
     pub started: Option<Now>,
     pub first_token: Option<Now>,
     pub ended: Option<Now>,
     pub outcome: Option<Outcome>,
     pub refusal: Option<Refusal>,
     pub tokens: u32,
-    /// Attempts of which a byte left for an endpoint.
+    /// Number of attempts that an endpoint began to run.
     pub begun_attempts: u32,
-    /// Attempts sent, whether anything began or not.
+    /// Number of attempts sent, whether any endpoint began them or not.
     pub sent_attempts: u32,
     /// Longest time between two tokens.
     pub max_gap: Duration,
@@ -135,12 +135,12 @@
     Restored(usize),
     Suspect(u64),
     Pending(u64),
-    /// A verdict is awaited no longer.
+    /// The verdict is no longer pending.
     Lapsed(u64),
     Condemned(u64),
 }
 
-/// The fakes, the callers and the nodes.
+/// Simulated endpoints, callers and nodes.
 pub struct World<B> {
     pub now: Now,
     pub bundle: Arc<Bundle>,
@@ -148,18 +148,18 @@
     pub hosts: Vec<Host>,
     pub calls: BTreeMap<Id, Call>,
     pub rng: ChaCha8Rng,
-    /// Age of load reports when they come.
+    /// Age of load reports on arrival.
     pub report_delay: Duration,
-    /// Fingerprints that crash the endpoints that run them.
+    /// Fingerprints of requests that crash the endpoints that run them.
     pub crashers: Vec<u64>,
-    /// Time until a crashed endpoint is back.
+    /// Time until a crashed endpoint restarts.
     pub restart_delay: Duration,
-    /// Endpoints lost to crashers, and tokens made.
+    /// Number of endpoint crashes caused by such requests, and number of tokens generated.
     pub crashes: u64,
     pub tokens: u64,
-    /// Task a caller or an endpoint saw that must not be.
+    /// Violations seen by callers or endpoints.
     pub violations: Vec<String>,
-    /// Text of every event and action, if wanted.
+    /// Trace of all events and actions, if enabled.
     pub trace: Option<Vec<String>>,
     streams: BTreeMap<Key, Stream>,
     links: BTreeMap<(ZoneId, ZoneId), Now>,
@@ -171,7 +171,7 @@
 const ROUND_TRIP: Duration = Duration::from_micros(300);
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(1);
 const PUBLISH_DELAY: Duration = Duration::from_millis(300);
-/// Time that nodes hold back a request on which another node awaits a verdict.
+/// Time for which nodes hold back a request with a verdict pending at another node.
 const PENDING_TTL: Duration = Duration::from_secs(4);
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -225,28 +225,28 @@
         self.tasks.insert(self.seq, task);
     }
 
-    /// Lets a request arrive at a node after a time.
+    /// Schedules the arrival of a request at a node.
     pub fn arrive(&mut self, time: Duration, node: usize, request: Request) {
         self.schedule(time, Task::Arrive(node, Box::new(request)));
     }
 
-    /// Lets the caller of a request go away after a time.
+    /// Schedules the disconnect of a request's caller.
     pub fn depart(&mut self, time: Duration, id: Id) {
         self.schedule(time, Task::Disconnect(id));
     }
 
-    /// Lets a fault happen after a time.
+    /// Schedules a fault.
     pub fn fault(&mut self, time: Duration, fault: Fault) {
         self.schedule(time, Task::Fault(fault));
     }
 
-    /// Gives a node its view again after a change.
+    /// Passes a node its changed view.
     pub fn publish_view(&mut self, node: usize) {
         let view = Arc::new(self.nodes[node].view.clone());
         self.event(node, Event::View(view));
     }
 
-    /// Runs until `end`.
+    /// Runs the simulation until `end`.
     pub fn run(&mut self, end: Now) {
         while let Some(&Reverse((at, seq))) = self.heap.peek() {
             if at > end {
@@ -313,7 +313,7 @@
         self.event(node, Event::Arrive(request));
     }
 
-    /// The caller of `id` goes away.
+    /// Disconnects the caller of `id`.
     fn disconnect(&mut self, id: Id) {
         let Some(call) = self.calls.get_mut(&id).filter(|c| c.ended.is_none()) else {
             return;
@@ -323,8 +323,8 @@
         self.event(node, Event::Left(id));
     }
 
-    /// Events of streams that were cancelled meanwhile are still told to the router, but their
-    /// tokens do not reach the caller.
+    /// Delivers an event to a node. Events of streams that were cancelled meanwhile still reach the
+    /// router, but their tokens do not reach the caller.
     fn deliver(&mut self, node: usize, event: Event) {
         let key = match &event {
             Event::Token(id, attempt) | Event::Finished(id, attempt) => Some((node, *id, *attempt)),
@@ -350,7 +350,8 @@
         call.latest_token = now;
         call.first_token.get_or_insert(now);
         if call.tokens > call.request.max_tokens {
-            self.violations.push(format!("{id:x}: a token twice"));
+            self.violations
+                .push(format!("{id:x}: token delivered twice"));
         }
     }
 
@@ -433,7 +434,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return self
                 .violations
-                .push(format!("{id:x}: answered though it never came"));
+                .push(format!("{id:x}: answered although it never arrived"));
         };
         if call.ended.replace(now).is_some() {
             self.violations.push(format!("{id:x}: ended twice"));
@@ -441,14 +442,15 @@
         let call = self.calls.get_mut(&id).expect("known");
         call.outcome = Some(outcome);
         call.refusal = refusal;
-        let whole = call.tokens == call.request.max_tokens;
+        let complete = call.tokens == call.request.max_tokens;
         let service = matches!(call.request.target, Target::Service(_));
-        if outcome == Outcome::Complete && !whole && !service {
+        if outcome == Outcome::Complete && !complete && !service {
             self.violations
                 .push(format!("{id:x}: complete without its last token"));
         } else if outcome == Outcome::NotRun && call.begun_attempts > 0 {
-            self.violations
-                .push(format!("{id:x}: called not run, but an endpoint ran it"));
+            self.violations.push(format!(
+                "{id:x}: reported as not run, but an endpoint ran it"
+            ));
         }
     }
 
@@ -540,7 +542,7 @@
         });
     }
 
-    /// Activations wait for the link, then for the host.
+    /// Sends a stream to its current hop: activations wait for the link, then for the host.
     fn run_hop(&mut self, key: Key) {
         let stream = &self.streams[&key];
         let at = stream.hosts[stream.hop];
@@ -551,7 +553,7 @@
             .hop
             .checked_sub(1)
             .map(|h| self.hosts[stream.hosts[h]].zone);
-        // Only activations load a link; the token itself, sent to the first hop, does not.
+        // Only activations load a link. The first hop receives a token, which is negligible.
         let ready = match before {
             Some(before) => self.cross_link(before, zone),
             None => self.now + ROUND_TRIP / 2,
@@ -571,7 +573,7 @@
         self.schedule(done - self.now, Task::Step(key, hop));
     }
 
-    /// When activations sent now have crossed a link.
+    /// Returns the time at which activations sent now have crossed a link.
     fn cross_link(&mut self, from: ZoneId, to: ZoneId) -> Now {
         let pair = (from.min(to), from.max(to));
         let link = self.bundle.links.iter().find(|l| (l.a, l.b) == pair);
@@ -658,7 +660,7 @@
         self.schedule(REPORT_INTERVAL, Task::Report);
     }
 
-    /// A fault happens now.
+    /// Applies a fault now.
     pub fn inject(&mut self, fault: Fault) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:?} {fault:?}", self.now));
@@ -725,7 +727,7 @@
         }
     }
 
-    /// Rotates the endpoints, so that every id changes.
+    /// Publishes a bundle with rotated endpoints, so that every id changes.
     fn publish_bundle(&mut self) {
         for node in 0..self.nodes.len() {
             let view = &mut self.nodes[node].view;
@@ -747,18 +749,18 @@
         }
     }
 
-    /// Everything wrong: what callers and endpoints saw, and what the routers found.
+    /// Returns all violations: those seen by callers and endpoints, and those found by the routers.
     pub fn all_violations(&self) -> Vec<String> {
         let found = self.nodes.iter().flat_map(|n| n.handler.verify());
         self.violations.iter().cloned().chain(found).collect()
     }
 
-    /// Calls that have not ended.
+    /// Returns the number of calls that have not ended.
     pub fn open_calls(&self) -> usize {
         self.calls.values().filter(|c| c.ended.is_none()).count()
     }
 
-    /// Calls refused for a reason.
+    /// Returns the number of calls refused for a reason.
     pub fn refused(&self, reason: Reason) -> usize {
         self.calls
             .values()
@@ -766,7 +768,7 @@
             .count()
     }
 
-    /// A random time below `most`.
+    /// Returns a random time below `most`.
     pub fn random_time(&mut self, most: Duration) -> Duration {
         most.mul_f64(self.rng.random())
     }
