--- a/crates/lease/examples/holds.rs
+++ b/crates/lease/examples/holds.rs
@@ -5,7 +5,7 @@
 //! Eight nodes and a log without faults, in passed-in time; one append and read takes 4 ms.
 
 use bytes::Bytes;
-use lease::hold::{Action, Event, Group, Settings, Table, Want};
+use lease::group_lease::{Action, Candidacy, Event, Group, Settings, Table};
 use lease::{Now, Owner, Page, Record};
 use std::time::{Duration, Instant};
 
@@ -43,7 +43,7 @@
     let want = |n: u64| {
         let rank = |group| ((group + n) % NODES) as u32;
         (0..groups)
-            .map(|group| Want {
+            .map(|group| Candidacy {
                 group,
                 rank: rank(group),
             })
@@ -51,7 +51,9 @@
     };
     let mut world = World {
         tables: (0..NODES).map(table).collect(),
-        events: (0..NODES).map(|n| vec![Event::Want(want(n))]).collect(),
+        events: (0..NODES)
+            .map(|n| vec![Event::Candidacies(want(n))])
+            .collect(),
         records: Vec::new(),
         appends: 0,
         read: 0,
--- a/crates/lease/src/hold.rs
+++ b/crates/lease/src/group_lease.rs
@@ -11,13 +11,13 @@
 pub mod counters;
 pub mod event;
 pub mod record;
-pub mod seat;
 pub mod settings;
+pub mod state;
 pub mod table;
 
 pub use action::Action;
 pub use counters::Counters;
-pub use event::{Event, Want};
+pub use event::{Candidacy, Event};
 pub use settings::Settings;
 pub use table::Table;
 
--- a/crates/lease/src/hold/action.rs
+++ b/crates/lease/src/group_lease/action.rs
@@ -1,7 +1,7 @@
 //! What a lease table asks its node to do.
 
 use crate::Offset;
-use crate::hold::{Batch, Fence, Group};
+use crate::group_lease::{Batch, Fence, Group};
 use bytes::Bytes;
 
 /// An action.
--- a/crates/lease/src/hold/check.rs
+++ b/crates/lease/src/group_lease/check.rs
@@ -1,8 +1,8 @@
 //! Invariants of a lease table, checked apart from the code that keeps them.
 
 use crate::Now;
-use crate::hold::Group;
-use crate::hold::table::Table;
+use crate::group_lease::Group;
+use crate::group_lease::table::Table;
 use std::fmt;
 
 /// An invariant that does not hold, and where.
@@ -24,28 +24,28 @@
     /// All invariants that do not hold.
     pub fn check(&self, now: Now) -> Vec<Finding> {
         let mut findings = Vec::new();
-        for (group, seat) in &self.seats {
-            let mut found = |text| {
+        for (group, state) in &self.groups {
+            let mut report = |text| {
                 findings.push(Finding {
                     group: *group,
                     text,
                 })
             };
-            let Some(mine) = seat.mine else { continue };
-            if mine.expiry > now + self.settings.term {
-                found("the lease lasts longer than its term");
+            let Some(tenure) = state.tenure else { continue };
+            if tenure.expiry > now + self.settings.term {
+                report("the lease lasts longer than its term");
             }
-            if mine.expiry != mine.sent + self.settings.term {
-                found("the lease does not last from when its record was sent");
+            if tenure.expiry != tenure.sent + self.settings.term {
+                report("the lease does not last from when its record was sent");
             }
-            if mine.fence >= self.next {
-                found("the fencing number has not been read");
+            if tenure.fence >= self.next {
+                report("the fencing number has not been read");
             }
-            if seat.sure().is_some_and(|sure| mine.fence > sure) {
-                found("the fencing number is not that of a record that counts");
+            if state.last_valid().is_some_and(|valid| tenure.fence > valid) {
+                report("the fencing number is not that of a record that counts");
             }
-            if seat.rank.is_none() {
-                found("held and not wanted");
+            if state.rank.is_none() {
+                report("held and not wanted");
             }
         }
         findings
--- a/crates/lease/src/hold/counters.rs
+++ b/crates/lease/src/group_lease/counters.rs
@@ -18,7 +18,7 @@
     /// Appends or reads that failed.
     pub failed: u64,
     /// Records that could not be decoded.
-    pub bad: u64,
+    pub undecodable: u64,
     /// Times that records were dropped before this node had read them.
     pub gaps: u64,
     /// Invariants found broken; anything but 0 is a defect of the program.
@@ -36,7 +36,7 @@
         write!(
             f,
             " failed {} bad {} gaps {}",
-            self.failed, self.bad, self.gaps
+            self.failed, self.undecodable, self.gaps
         )?;
         write!(f, " broken {}", self.broken)
     }
--- a/crates/lease/src/hold/event.rs
+++ b/crates/lease/src/group_lease/event.rs
@@ -1,12 +1,12 @@
 //! What happens to a lease table.
 
 use crate::Page;
-use crate::hold::{Batch, Group};
+use crate::group_lease::{Batch, Group};
 use bundle::id::Number;
 
 /// A group that this node is ready to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct Candidacy {
     /// The group.
     pub group: Group,
     /// The node's rank for it among the live nodes; the lowest takes it first.
@@ -18,9 +18,9 @@
 pub enum Event {
     /// The groups wanted from now on. One that is held and no longer wanted gets no permit any more
     /// and is given back after the time of the longest order.
-    Want(Vec<Want>),
+    Candidacies(Vec<Candidacy>),
     /// The holder stopped the roll of this bundle; later holders learn it from the lease.
-    Stop(Group, Number),
+    RollStopped(Group, Number),
     /// A read gave a page.
     Page(Page),
     /// A read failed.
--- a/crates/lease/src/hold/record.rs
+++ b/crates/lease/src/group_lease/record.rs
@@ -1,6 +1,6 @@
 //! Records of the leases stream.
 
-use crate::hold::{Group, Number};
+use crate::group_lease::{Group, Number};
 use crate::{Offset, Owner};
 use bundle::id;
 use bytes::Bytes;
@@ -18,7 +18,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// The owner takes or renews the group.
-    Take {
+    #[serde(rename = "Take")]
+    Acquire {
         /// The group.
         group: Group,
         /// The item's number.
@@ -29,7 +30,8 @@
         stop: id::Number,
     },
     /// The owner lets go of the group; none of its orders is under way.
-    Give {
+    #[serde(rename = "Give")]
+    Release {
         /// The group.
         group: Group,
         /// Highest number that the owner has given out: later items take the group anew.
--- a/crates/lease/src/hold/table.rs
+++ b/crates/lease/src/group_lease/table.rs
@@ -3,9 +3,11 @@
 mod read;
 
 use crate::backoff::Backoff;
-use crate::hold::record::{Item, MAX_ITEMS, Record};
-use crate::hold::seat::{Seat, Sent};
-use crate::hold::{Action, Batch, Counters, Event, Fence, Group, Number, Settings, Want};
+use crate::group_lease::record::{Item, MAX_ITEMS, Record};
+use crate::group_lease::state::{Attempt, State};
+use crate::group_lease::{
+    Action, Batch, Candidacy, Counters, Event, Fence, Group, Number, Settings,
+};
 use crate::{Now, Offset, Owner};
 use bundle::id;
 use rand::SeedableRng;
@@ -18,17 +20,17 @@
 pub struct Table {
     pub(super) me: Owner,
     pub(super) settings: Settings,
-    pub(super) seats: BTreeMap<Group, Seat>,
+    pub(super) groups: BTreeMap<Group, State>,
     pub(super) next: Offset,
     pub(super) start: Option<Offset>,
     /// When a group of which nothing was read is free to take.
-    free: Now,
+    free_at: Now,
     caught_up: bool,
     reading: bool,
-    flight: Option<Batch>,
+    in_flight: Option<Batch>,
     /// Groups to give back, and when.
-    gives: Vec<(Now, Group)>,
-    pub(super) sent: VecDeque<Sent>,
+    pending_releases: Vec<(Now, Group)>,
+    pub(super) attempts: VecDeque<Attempt>,
     pub(super) number: Number,
     batch: Batch,
     read_backoff: Backoff,
@@ -43,15 +45,15 @@
         Self {
             me,
             settings,
-            seats: BTreeMap::new(),
+            groups: BTreeMap::new(),
             next: 0,
             start: None,
-            free: Now::ZERO,
+            free_at: Now::ZERO,
             caught_up: false,
             reading: false,
-            flight: None,
-            gives: Vec::new(),
-            sent: VecDeque::new(),
+            in_flight: None,
+            pending_releases: Vec::new(),
+            attempts: VecDeque::new(),
             number: 0,
             batch: 0,
             read_backoff: Backoff::default(),
@@ -63,13 +65,13 @@
 
     /// Takes in an event and adds what is to be done.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
-        self.lapse(now, actions);
+        self.expire_tenures(now, actions);
         match event {
-            Event::Want(wants) => self.want(now, &wants, actions),
-            Event::Stop(group, number) => self.stop(now, group, number),
-            Event::Page(page) => self.page(now, &page, actions),
+            Event::Candidacies(candidacies) => self.set_candidacies(now, &candidacies, actions),
+            Event::RollStopped(group, number) => self.stop_roll(now, group, number),
+            Event::Page(page) => self.apply_page(now, &page, actions),
             Event::ReadFailed => self.read_failed(now),
-            Event::Appended(batch) => drop(self.flight.take_if(|b| *b == batch)),
+            Event::Appended(batch) => drop(self.in_flight.take_if(|b| *b == batch)),
             Event::AppendFailed(batch) => self.append_failed(now, batch),
             Event::AppendUnsure(batch) => {
                 self.counters.unsure += 1;
@@ -88,18 +90,21 @@
     /// To be asked right before the bytes leave, with the clock read just then: a holder that was
     /// paused since an earlier answer would give orders beside its successor.
     pub fn permit(&self, now: Now, group: Group) -> Option<Fence> {
-        let mine = self.seats.get(&group)?.held(now + self.settings.margin)?;
-        Some(mine.fence)
+        let tenure = self
+            .groups
+            .get(&group)?
+            .tenure_at(now + self.settings.clock_margin)?;
+        Some(tenure.fence)
     }
 
     /// Number of the bundle whose roll was last stopped in this group; 0 for none.
-    pub fn stopped(&self, group: Group) -> id::Number {
-        self.seats.get(&group).map_or(0, |seat| seat.stop)
+    pub fn stopped_bundle(&self, group: Group) -> id::Number {
+        self.groups.get(&group).map_or(0, |state| state.stop)
     }
 
     /// Who holds the group, as far as this node knows.
     pub fn holder(&self, group: Group) -> Option<Owner> {
-        self.seats.get(&group)?.owner
+        self.groups.get(&group)?.owner
     }
 
     /// Counts since the start.
@@ -107,50 +112,56 @@
         &self.counters
     }
 
-    fn want(&mut self, now: Now, wants: &[Want], actions: &mut Vec<Action>) {
-        for (group, seat) in &mut self.seats {
-            seat.rank = None;
-            let wanted = wants.iter().any(|want| want.group == *group);
-            let Some(mine) = seat.mine.take_if(|_| !wanted) else {
+    fn set_candidacies(&mut self, now: Now, candidacies: &[Candidacy], actions: &mut Vec<Action>) {
+        for (group, state) in &mut self.groups {
+            state.rank = None;
+            let wanted = candidacies
+                .iter()
+                .any(|candidacy| candidacy.group == *group);
+            let Some(tenure) = state.tenure.take_if(|_| !wanted) else {
                 continue;
             };
             self.counters.lost += 1;
             actions.push(Action::Lost(*group));
-            if now < mine.expiry {
+            if now < tenure.expiry {
                 // Its last order may still be under way.
-                let due = now + self.settings.longest + self.settings.margin;
-                self.gives.push((due, *group));
+                let due = now + self.settings.max_order_time + self.settings.clock_margin;
+                self.pending_releases.push((due, *group));
             }
         }
-        for want in wants {
-            self.seat(want.group).rank = Some(want.rank);
+        for candidacy in candidacies {
+            self.group_mut(candidacy.group).rank = Some(candidacy.rank);
         }
     }
 
-    fn seat(&mut self, group: Group) -> &mut Seat {
-        let free = self.free;
-        let fresh = || {
-            let mut seat = Seat::default();
-            seat.begin(free);
-            seat
+    fn group_mut(&mut self, group: Group) -> &mut State {
+        let free_at = self.free_at;
+        let new_state = || {
+            let mut state = State::default();
+            state.reset(free_at);
+            state
         };
-        self.seats.entry(group).or_insert_with(fresh)
+        self.groups.entry(group).or_insert_with(new_state)
     }
 
-    fn stop(&mut self, now: Now, group: Group, number: id::Number) {
-        let Some(seat) = self.seats.get_mut(&group) else {
+    fn stop_roll(&mut self, now: Now, group: Group, number: id::Number) {
+        let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        if seat.held(now).is_some() && number > seat.stop {
-            seat.stop = number;
-            seat.urgent = true;
+        if state.tenure_at(now).is_some() && number > state.stop {
+            state.stop = number;
+            state.urgent = true;
         }
     }
 
     /// Leases that lapsed are lost at once, whatever the log does.
-    fn lapse(&mut self, now: Now, actions: &mut Vec<Action>) {
-        for (group, seat) in &mut self.seats {
-            if seat.mine.take_if(|mine| now >= mine.expiry).is_some() {
+    fn expire_tenures(&mut self, now: Now, actions: &mut Vec<Action>) {
+        for (group, state) in &mut self.groups {
+            if state
+                .tenure
+                .take_if(|tenure| now >= tenure.expiry)
+                .is_some()
+            {
                 self.counters.lost += 1;
                 actions.push(Action::Lost(*group));
             }
@@ -161,28 +172,34 @@
         self.counters.failed += 1;
         self.reading = false;
         let Settings {
-            retry, retry_most, ..
+            min_backoff,
+            max_backoff,
+            ..
         } = self.settings;
         self.read_backoff
-            .record_failure(now, retry, retry_most, &mut self.random);
+            .record_failure(now, min_backoff, max_backoff, &mut self.random);
     }
 
     fn append_failed(&mut self, now: Now, batch: Batch) {
         self.counters.failed += 1;
-        if self.flight.take_if(|b| *b == batch).is_none() {
+        if self.in_flight.take_if(|b| *b == batch).is_none() {
             return;
         }
-        self.seats.values_mut().for_each(|seat| seat.tried = None);
+        self.groups
+            .values_mut()
+            .for_each(|state| state.unconfirmed_since = None);
         let Settings {
-            retry, retry_most, ..
+            min_backoff,
+            max_backoff,
+            ..
         } = self.settings;
         self.append_backoff
-            .record_failure(now, retry, retry_most, &mut self.random);
+            .record_failure(now, min_backoff, max_backoff, &mut self.random);
     }
 
     fn flush(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if self.flight.is_none() && self.caught_up && self.append_backoff.is_ready(now) {
-            self.append(now, actions);
+        if self.in_flight.is_none() && self.caught_up && self.append_backoff.is_ready(now) {
+            self.append_due(now, actions);
         }
         if !self.reading && self.read_backoff.is_ready(now) {
             self.reading = true;
@@ -194,15 +211,18 @@
     }
 
     /// Groups whose last order has ended. One that is wanted again by then is not given back.
-    fn give(&mut self, now: Now) -> Vec<Item> {
-        let due: Vec<_> = self.gives.extract_if(.., |(due, _)| now >= *due).collect();
+    fn due_releases(&mut self, now: Now) -> Vec<Item> {
+        let due: Vec<_> = self
+            .pending_releases
+            .extract_if(.., |(due, _)| now >= *due)
+            .collect();
         let wanted = |group| {
-            self.seats
+            self.groups
                 .get(group)
-                .is_some_and(|seat| seat.rank.is_some())
+                .is_some_and(|state| state.rank.is_some())
         };
         let free = due.iter().filter(|(_, group)| !wanted(group));
-        free.map(|(_, group)| Item::Give {
+        free.map(|(_, group)| Item::Release {
             group: *group,
             number: self.number,
         })
@@ -211,33 +231,37 @@
 
     /// One record for all groups that are due. Each try has numbers and a time of its own: a late
     /// one that counts gives the term that is left of it, no more.
-    fn append(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let mut items = self.give(now);
-        for (group, seat) in &mut self.seats {
-            if items.len() >= MAX_ITEMS || !seat.due(now, &self.settings) {
+    fn append_due(&mut self, now: Now, actions: &mut Vec<Action>) {
+        let mut items = self.due_releases(now);
+        for (group, state) in &mut self.groups {
+            if items.len() >= MAX_ITEMS || !state.is_due(now, &self.settings) {
                 continue;
             }
             self.number += 1;
-            seat.urgent = false;
-            seat.tried = Some(now);
-            self.sent.push_back(Sent {
+            state.urgent = false;
+            state.unconfirmed_since = Some(now);
+            self.attempts.push_back(Attempt {
                 number: self.number,
                 at: now,
             });
             let (group, number, upto) = (*group, self.number, self.next);
-            items.push(Item::Take {
+            items.push(Item::Acquire {
                 group,
                 number,
                 upto,
-                stop: seat.stop,
+                stop: state.stop,
             });
         }
         if items.is_empty() {
             return;
         }
         let term = self.settings.term;
-        while self.sent.front().is_some_and(|sent| sent.at + term < now) {
-            self.sent.pop_front();
+        while self
+            .attempts
+            .front()
+            .is_some_and(|attempt| attempt.at + term < now)
+        {
+            self.attempts.pop_front();
         }
         let body = Record {
             owner: self.me,
@@ -248,26 +272,26 @@
             batch: self.batch,
             body,
         });
-        self.flight = Some(self.batch);
+        self.in_flight = Some(self.batch);
         self.batch += 1;
         self.counters.appends += 1;
         self.append_backoff
-            .record_success(now + self.settings.retry);
+            .record_success(now + self.settings.min_backoff);
     }
 }
 
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "leases of {}: {}", self.me, self.counters)?;
-        for (group, seat) in &self.seats {
+        for (group, state) in &self.groups {
             write!(f, "group {group:x}")?;
-            if let Some(owner) = seat.owner {
+            if let Some(owner) = state.owner {
                 write!(f, " holder {owner}")?;
             }
-            if let Some(mine) = seat.mine {
-                write!(f, " held fence {} until {:?}", mine.fence, mine.expiry)?;
+            if let Some(tenure) = state.tenure {
+                write!(f, " held fence {} until {:?}", tenure.fence, tenure.expiry)?;
             }
-            match seat.stop {
+            match state.stop {
                 0 => writeln!(f)?,
                 stop => writeln!(f, " stopped {stop}")?,
             }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! Claims of idempotency keys, leases with fencing numbers and the order of a roll, without I/O.
 //!
 //! - [`claim`]: a request that may not be repeated runs at most once over all nodes.
-//! - [`hold`]: one holder at a time gives orders to a group of endpoints.
+//! - [`group_lease`]: one holder at a time gives orders to a group of endpoints.
 //! - [`roll`]: which order to which endpoint comes next on the way to the bundle's desired state.
 //!
 //! Inputs are events with the time they came at; outputs are actions that the node carries out.
@@ -13,7 +13,7 @@
 
 pub mod backoff;
 pub mod claim;
-pub mod hold;
+pub mod group_lease;
 pub mod outcome;
 pub mod owner;
 pub mod page;
--- a/crates/lease/tests/decode.rs
+++ b/crates/lease/tests/decode.rs
@@ -4,7 +4,7 @@
 use lease::claim::key::{Error, Key, MAX_LEN};
 use lease::claim::record::{Batch, Item, MAX_BYTES};
 use lease::claim::{Ticket, ticket};
-use lease::hold::record;
+use lease::group_lease::record;
 use lease::{Outcome, Owner};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -164,13 +164,13 @@
         node: 300,
         incarnation: 9,
     };
-    let take = record::Item::Take {
+    let take = record::Item::Acquire {
         group: u64::MAX,
         number: 1,
         upto: 70_000,
         stop: 4,
     };
-    let give = record::Item::Give {
+    let give = record::Item::Release {
         group: 3,
         number: 2,
     };
--- a/crates/lease/tests/holds/cases.rs
+++ b/crates/lease/tests/holds/cases.rs
@@ -1,7 +1,7 @@
 //! Single failures, step by step.
 
 use bytes::Bytes;
-use lease::hold::{Action, Event, Group, Settings, Table, Want};
+use lease::group_lease::{Action, Candidacy, Event, Group, Settings, Table};
 use lease::{Now, Owner, Page, Record};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         };
         node.give(
             now,
-            Event::Want(vec![Want {
+            Event::Candidacies(vec![Candidacy {
                 group: GROUP,
                 rank: 0,
             }]),
@@ -169,7 +169,7 @@
     }
     assert_eq!(a.table.permit(secs(46.0), GROUP), Some(0));
     let mut b = Node::new(2, &log, secs(46.0));
-    a.give(secs(47.0), Event::Want(Vec::new()));
+    a.give(secs(47.0), Event::Candidacies(Vec::new()));
     assert_eq!(a.table.permit(secs(47.0), GROUP), None);
     b.step(secs(52.0), &mut log);
     assert_eq!(b.table.permit(secs(52.0), GROUP), None);
@@ -185,8 +185,8 @@
     let mut log = Log::default();
     let mut a = Node::new(1, &log, secs(0.0));
     a.step(secs(0.1), &mut log);
-    a.give(secs(1.0), Event::Stop(GROUP, 17));
+    a.give(secs(1.0), Event::RollStopped(GROUP, 17));
     a.step(secs(1.1), &mut log);
     let b = Node::new(2, &log, secs(2.0));
-    assert_eq!(b.table.stopped(GROUP), 17);
+    assert_eq!(b.table.stopped_bundle(GROUP), 17);
 }
--- a/crates/lease/tests/holds/world.rs
+++ b/crates/lease/tests/holds/world.rs
@@ -1,7 +1,7 @@
 //! Six lease tables and a log service with faults, in passed-in time.
 
 use bytes::Bytes;
-use lease::hold::{Action, Event, Fence, Group, Settings, Table, Want};
+use lease::group_lease::{Action, Candidacy, Event, Fence, Group, Settings, Table};
 use lease::{Now, Owner, Page, Record};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -153,15 +153,15 @@
             Break::ShortWait => {
                 let short = usual.term / 5;
                 // The holder's own term stays: only what successors wait is cut.
-                let (term, longest) = if n == 0 {
+                let (term, max_order_time) = if n == 0 {
                     (usual.term, short)
                 } else {
                     (short, short)
                 };
                 Settings {
                     term,
-                    longest,
-                    renew: term / 3,
+                    max_order_time,
+                    renew_interval: term / 3,
                     ..usual
                 }
             }
@@ -185,13 +185,13 @@
     }
 
     fn begin(&mut self, n: usize) {
-        let want = |(g, group): (usize, &Group)| Want {
+        let want = |(g, group): (usize, &Group)| Candidacy {
             group: *group,
             rank: ((n + 3 * g) % NODES) as u32,
         };
         self.give(
             n,
-            Event::Want(GROUPS.iter().enumerate().map(want).collect()),
+            Event::Candidacies(GROUPS.iter().enumerate().map(want).collect()),
         );
         let (at, life) = (self.now + self.millis(0, 50), self.nodes[n].life);
         self.plan(at, Happening::Tick(n, life));
@@ -215,7 +215,7 @@
                 self.begin(n);
             }
             Happening::Pause(n, time) => self.nodes[n].paused = self.now + time,
-            Happening::Leave(n) => self.give(n, Event::Want(Vec::new())),
+            Happening::Leave(n) => self.give(n, Event::Candidacies(Vec::new())),
             Happening::Trim => {
                 let drop = self.random.random_range(0..=self.records.len());
                 self.records.drain(..drop);
@@ -266,7 +266,7 @@
         let Some(last) = self.last.insert(group, order) else {
             return;
         };
-        let longest = Settings::default().longest;
+        let longest = Settings::default().max_order_time;
         let same = last.owner == order.owner;
         self.changes += u32::from(!same);
         if !same && order.at < last.at + longest {
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 use lease::claim::event::Request;
 use lease::claim::{self, Key};
-use lease::hold::{self, Group, Want};
+use lease::group_lease::{self, Candidacy, Group};
 use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use platform::{Limits, Log as _, http};
 use standin::fault::Mode;
@@ -217,13 +217,13 @@
     const GROUP: Group = 7;
     let log = Log::start(any()).await.unwrap();
     log.faults.lose(2);
-    let settings = hold::Settings {
-        retry: TICK,
-        ..hold::Settings::default()
+    let settings = group_lease::Settings {
+        min_backoff: TICK,
+        ..group_lease::Settings::default()
     };
     let client = http::Log::new(log.addr, Limits::default());
     let table = |n| {
-        hold::Table::new(
+        group_lease::Table::new(
             Owner {
                 node: n,
                 incarnation: 1,
@@ -233,16 +233,16 @@
         )
     };
     let mut tables = [table(1), table(2)];
-    let mut queues: [Vec<hold::Event>; 2] = Default::default();
+    let mut queues: [Vec<group_lease::Event>; 2] = Default::default();
     let begun = Instant::now();
     for queue in &mut queues {
-        queue.push(hold::Event::Want(vec![Want {
+        queue.push(group_lease::Event::Candidacies(vec![Candidacy {
             group: GROUP,
             rank: 0,
         }]));
     }
     let end = begun + PATIENCE;
-    let held = |tables: &[hold::Table], now| {
+    let held = |tables: &[group_lease::Table], now| {
         tables
             .iter()
             .filter(|table| table.permit(now, GROUP).is_some())
@@ -252,7 +252,7 @@
         for (table, queue) in tables.iter_mut().zip(&mut queues) {
             let mut actions = Vec::new();
             let events = std::mem::take(queue);
-            for event in events.into_iter().chain([hold::Event::Tick]) {
+            for event in events.into_iter().chain([group_lease::Event::Tick]) {
                 table.handle(begun.elapsed(), event, &mut actions);
             }
             for action in actions {
@@ -265,21 +265,21 @@
     assert!(log.faults.lost() > 0);
 }
 
-async fn carry_out(action: hold::Action, client: &http::Log) -> Option<hold::Event> {
+async fn carry_out(action: group_lease::Action, client: &http::Log) -> Option<group_lease::Event> {
     match action {
-        hold::Action::Append { batch, body } => {
-            Some(match client.append(hold::STREAM, body).await {
-                Ok(_) => hold::Event::Appended(batch),
-                Err(e) if e.unsure() => hold::Event::AppendUnsure(batch),
-                Err(_) => hold::Event::AppendFailed(batch),
+        group_lease::Action::Append { batch, body } => {
+            Some(match client.append(group_lease::STREAM, body).await {
+                Ok(_) => group_lease::Event::Appended(batch),
+                Err(e) if e.unsure() => group_lease::Event::AppendUnsure(batch),
+                Err(_) => group_lease::Event::AppendFailed(batch),
             })
         }
-        hold::Action::Read { from, .. } => Some(
-            match client.read(hold::STREAM, from, Duration::ZERO).await {
-                Ok(read) => hold::Event::Page(page(read)),
-                Err(_) => hold::Event::ReadFailed,
+        group_lease::Action::Read { from, .. } => Some(
+            match client.read(group_lease::STREAM, from, Duration::ZERO).await {
+                Ok(read) => group_lease::Event::Page(page(read)),
+                Err(_) => group_lease::Event::ReadFailed,
             },
         ),
-        hold::Action::Gained(..) | hold::Action::Lost(_) => None,
+        group_lease::Action::Gained(..) | group_lease::Action::Lost(_) => None,
     }
 }
--- a/crates/lease/tests/text.rs
+++ b/crates/lease/tests/text.rs
@@ -3,7 +3,7 @@
 use bundle::Bundle;
 use lease::claim::event::Request;
 use lease::claim::{self, Key, Refusal};
-use lease::hold::{self, Want};
+use lease::group_lease::{self, Candidacy};
 use lease::roll::{Health, Phase, Rate, Roll, View};
 use lease::{Owner, Page, Record};
 use std::time::Duration;
@@ -84,16 +84,16 @@
 
 #[test]
 fn leases_read_as_text() {
-    let mut table = hold::Table::new(owner(), 1, hold::Settings::default());
+    let mut table = group_lease::Table::new(owner(), 1, group_lease::Settings::default());
     let mut actions = Vec::new();
-    let want = vec![Want {
+    let want = vec![Candidacy {
         group: 0x5,
         rank: 0,
     }];
-    table.handle(SECOND, hold::Event::Want(want), &mut actions);
-    table.handle(SECOND, hold::Event::Page(empty()), &mut actions);
+    table.handle(SECOND, group_lease::Event::Candidacies(want), &mut actions);
+    table.handle(SECOND, group_lease::Event::Page(empty()), &mut actions);
     let body = actions.iter().find_map(|action| match action {
-        hold::Action::Append { body, .. } => Some(body.clone()),
+        group_lease::Action::Append { body, .. } => Some(body.clone()),
         _ => None,
     });
     let records = vec![Record {
@@ -105,7 +105,7 @@
         next: 1,
         records,
     };
-    table.handle(SECOND, hold::Event::Page(page), &mut actions);
+    table.handle(SECOND, group_lease::Event::Page(page), &mut actions);
     let wanted = "\
 leases of a1/beef: gained 1 lost 0 beaten 0 appends 1 unsure 0 failed 0 bad 0 gaps 0 broken 0
 group 5 holder a1/beef held fence 0 until 16s
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -33,7 +33,7 @@
     /// A read of or append to the streams of claims has ended.
     Claim(lease::claim::Event),
     /// A read of or append to the stream of leases has ended.
-    Lease(lease::hold::Event),
+    Lease(lease::group_lease::Event),
     /// An order to an endpoint has ended.
     OrderEnded(OrderResult),
     /// The rate of loads that the weight store allows.
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -12,7 +12,7 @@
 use engine::order::{Answer, What};
 use engine::pool::Pool;
 use lease::Owner;
-use lease::hold::{self, Event, Group, STREAM, Table, Want, group};
+use lease::group_lease::{self, Candidacy, Event, Group, STREAM, Table, group};
 use lease::roll::{Action, Health, Order, Rate, Report, Roll, View};
 use member::identity::Id;
 use member::peer::{Peer, State};
@@ -52,7 +52,7 @@
     client: Arc<Client>,
     pool: Pool,
     inputs: Inputs,
-    actions: Vec<hold::Action>,
+    actions: Vec<group_lease::Action>,
 }
 
 /// Result of an order to an endpoint.
@@ -71,7 +71,7 @@
     pub fn new(me: Owner, seed: u64, settings: &Settings, inputs: Inputs) -> Self {
         let platform = &settings.platform;
         Self {
-            table: Table::new(me, seed, hold::Settings::default()),
+            table: Table::new(me, seed, group_lease::Settings::default()),
             rolls: BTreeMap::new(),
             settings: settings.roll,
             groups: BTreeMap::new(),
@@ -115,13 +115,13 @@
             // among the nodes.
             nodes.sort_by_key(|node| node ^ group);
             let rank = nodes.iter().position(|node| *node == me)?;
-            Some(Want {
+            Some(Candidacy {
                 group,
                 rank: u32::try_from(rank).ok()?,
             })
         });
         let wants = wants.collect();
-        self.handle(now, Event::Want(wants));
+        self.handle(now, Event::Candidacies(wants));
     }
 
     /// Returns whether this node holds the lease of any group.
@@ -133,7 +133,7 @@
     /// Stops requesting leases, because this node is leaving. The leases that it holds permit no
     /// more orders and are released.
     pub fn release_leases(&mut self, now: Duration) {
-        self.handle(now, Event::Want(Vec::new()));
+        self.handle(now, Event::Candidacies(Vec::new()));
     }
 
     /// Advances the rolls of the groups whose leases this node holds.
@@ -151,7 +151,7 @@
                 reports: source.reports,
                 health: source.health,
                 rate,
-                stopped: self.table.stopped(group),
+                stopped: self.table.stopped_bundle(group),
             };
             let mut actions = Vec::new();
             let settings = self.settings;
@@ -196,15 +196,15 @@
         }
     }
 
-    fn execute(&mut self, action: hold::Action) {
+    fn execute(&mut self, action: group_lease::Action) {
         match action {
-            hold::Action::Append { batch, body } => self.append(batch, body),
-            hold::Action::Read { from, wait } => self.read(from, wait),
-            hold::Action::Gained(group, fence) => {
+            group_lease::Action::Append { batch, body } => self.append(batch, body),
+            group_lease::Action::Read { from, wait } => self.read(from, wait),
+            group_lease::Action::Gained(group, fence) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
                 log::info!("acquired the lease of group {name}, fencing number {fence}");
             }
-            hold::Action::Lost(group) => {
+            group_lease::Action::Lost(group) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
                 log::info!("lost the lease of group {name}");
                 self.rolls.remove(&group);
@@ -225,7 +225,7 @@
             Action::Phase(phase) => log::info!("roll in {region}: {phase}"),
             Action::Stop(number, failures) => {
                 log::error!("the roll of bundle {number} in {region} stopped: {failures:?}");
-                self.handle(now, Event::Stop(group, number));
+                self.handle(now, Event::RollStopped(group, number));
             }
         }
     }
@@ -253,7 +253,7 @@
         };
         let pool = self.pool.clone();
         let inputs = self.inputs.clone();
-        let order_timeout = hold::Settings::default().longest;
+        let order_timeout = group_lease::Settings::default().max_order_time;
         tokio::spawn(async move {
             let sent = timeout(order_timeout, engine::order::send(&pool, addr, order)).await;
             let result = OrderResult {
@@ -265,7 +265,7 @@
         });
     }
 
-    fn append(&self, batch: hold::Batch, body: Bytes) {
+    fn append(&self, batch: group_lease::Batch, body: Bytes) {
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -231,7 +231,7 @@
             self.begin_to_leave();
         }
         self.handle_group_event(Event::Tick);
-        self.handle_lease_event(lease::hold::Event::Tick);
+        self.handle_lease_event(lease::group_lease::Event::Tick);
         if self.last_step.elapsed() >= STEP_INTERVAL {
             self.last_step = Instant::now();
             self.step();
--- a/crates/node/src/control/state/endpoints.rs
+++ b/crates/node/src/control/state/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::control::rolls::Source;
 use engine::load::Report;
 use entry::core::ControlEvent;
-use lease::hold::Event;
+use lease::group_lease::Event;
 use std::sync::Arc;
 
 impl State {
--- a/crates/slopes/src/leases.rs
+++ b/crates/slopes/src/leases.rs
@@ -5,7 +5,7 @@
 use crate::{clock, fleet};
 use bundle::id::ZoneId;
 use bytes::Bytes;
-use lease::hold::{self, Group, Want};
+use lease::group_lease::{self, Candidacy, Group};
 use lease::roll::{Health, Held, Rate, Report, Roll, View};
 use lease::{Owner, Page, Record};
 use std::time::Duration;
@@ -98,8 +98,8 @@
 
 /// Eight tables and a log that takes and gives everything at once.
 struct World {
-    tables: Vec<hold::Table>,
-    events: Vec<Vec<hold::Event>>,
+    tables: Vec<group_lease::Table>,
+    events: Vec<Vec<group_lease::Event>>,
     records: Vec<Bytes>,
     appends: u64,
     read: u64,
@@ -111,12 +111,12 @@
             node,
             incarnation: 1,
         };
-        let table = |n| hold::Table::new(owner(n), n, hold::Settings::default());
-        let want = |n: u64, group| Want {
+        let table = |n| group_lease::Table::new(owner(n), n, group_lease::Settings::default());
+        let want = |n: u64, group| Candidacy {
             group,
             rank: ((group + n) % NODES) as u32,
         };
-        let wants = |n| hold::Event::Want((0..groups).map(|g| want(n, g)).collect());
+        let wants = |n| group_lease::Event::Candidacies((0..groups).map(|g| want(n, g)).collect());
         Self {
             tables: (0..NODES).map(table).collect(),
             events: (0..NODES).map(|n| vec![wants(n)]).collect(),
@@ -137,21 +137,21 @@
     fn step(&mut self, n: usize, now: Duration) {
         let mut actions = Vec::new();
         let events = std::mem::take(&mut self.events[n]);
-        for event in events.into_iter().chain([hold::Event::Tick]) {
+        for event in events.into_iter().chain([group_lease::Event::Tick]) {
             self.tables[n].handle(now, event, &mut actions);
         }
         for action in actions {
             match action {
-                hold::Action::Append { batch, body } => {
+                group_lease::Action::Append { batch, body } => {
                     self.records.push(body);
                     self.appends += 1;
-                    self.events[n].push(hold::Event::Appended(batch));
+                    self.events[n].push(group_lease::Event::Appended(batch));
                 }
-                hold::Action::Read { from, .. } => {
+                group_lease::Action::Read { from, .. } => {
                     let page = self.page(from);
-                    self.events[n].push(hold::Event::Page(page));
+                    self.events[n].push(group_lease::Event::Page(page));
                 }
-                hold::Action::Gained(..) | hold::Action::Lost(_) => {}
+                group_lease::Action::Gained(..) | group_lease::Action::Lost(_) => {}
             }
         }
     }
