--- a/crates/lease/examples/roll.rs
+++ b/crates/lease/examples/roll.rs
@@ -7,7 +7,7 @@
 use bundle::id::{Number, ZoneId};
 use bundle::model::Model;
 use bundle::zone::Zone;
-use lease::roll::{Action, Health, Held, Order, Rate, Report, Roll, Settings, View};
+use lease::roll::{Action, Health, Holding, Order, Rate, Report, Roll, Settings, View};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -57,7 +57,7 @@
     }
 }
 
-fn held(order: &Order, ready: bool) -> Option<Held> {
+fn held(order: &Order, ready: bool) -> Option<Holding> {
     let Order::Load {
         model,
         version,
@@ -69,7 +69,7 @@
     else {
         return None;
     };
-    Some(Held {
+    Some(Holding {
         model,
         version,
         adapters,
@@ -83,7 +83,7 @@
     let report = |endpoint: &Endpoint| {
         let order = Order::load(bundle, &endpoint.spans[0])?;
         Some(Report {
-            held: held(&order, true).into_iter().collect(),
+            holdings: held(&order, true).into_iter().collect(),
         })
     };
     bundle.endpoints.iter().map(report).collect()
@@ -117,14 +117,14 @@
         ..Settings::default()
     };
     let mut roll = Roll::new(settings);
-    let mut loads: Vec<(Duration, usize, Held)> = Vec::new();
+    let mut loads: Vec<(Duration, usize, Holding)> = Vec::new();
     let (mut settled, mut total, mut worst) = (Duration::ZERO, Duration::ZERO, Duration::ZERO);
     let (mut now, mut steps, mut orders) = (Duration::ZERO, 0, 0);
     let mut actions = Vec::new();
     for step in 0..3_500u32 {
         now += SECOND;
         for (_, id, done) in loads.extract_if(.., |(due, ..)| *due <= now) {
-            let held = &mut reports[id].get_or_insert_default().held;
+            let held = &mut reports[id].get_or_insert_default().holdings;
             held.retain(|h| h.version != done.version);
             held.push(done);
         }
@@ -156,16 +156,16 @@
             let report = reports[id as usize].get_or_insert_default();
             match (held(&order, false), held(&order, true)) {
                 (Some(loading), Some(done)) => {
-                    report.held.push(loading);
+                    report.holdings.push(loading);
                     loads.push((now + LOAD, id as usize, done));
                 }
-                _ => report.held.retain(|h| h.version == "v2"),
+                _ => report.holdings.retain(|h| h.version == "v2"),
             }
         }
         let done = reports
             .iter()
             .flatten()
-            .all(|r| r.held.len() == 1 && r.held[0].version == "v2");
+            .all(|r| r.holdings.len() == 1 && r.holdings[0].version == "v2");
         if done {
             break;
         }
--- a/crates/lease/src/roll.rs
+++ b/crates/lease/src/roll.rs
@@ -7,7 +7,7 @@
 
 pub mod action;
 pub mod check;
-pub mod cover;
+pub mod coverage;
 pub mod order;
 pub mod phase;
 pub mod plan;
@@ -16,10 +16,10 @@
 pub mod view;
 
 pub use action::Action;
-pub use cover::Cover;
+pub use coverage::Coverage;
 pub use order::Order;
 pub use phase::Phase;
 pub use plan::Roll;
-pub use report::{Held, Report};
+pub use report::{Holding, Report};
 pub use settings::Settings;
 pub use view::{Health, Rate, View};
--- a/crates/lease/src/roll/check.rs
+++ b/crates/lease/src/roll/check.rs
@@ -9,13 +9,13 @@
     pub fn check(&self, view: &View) -> Vec<String> {
         let mut findings = Vec::new();
         let changes = self.pending().values();
-        let changes = changes.filter(|p| p.order.fetches() && !p.repair && !p.adopted);
+        let changes = changes.filter(|p| p.order.fetches_weights() && !p.repair && !p.adopted);
         let zones: BTreeSet<_> = changes.map(|pending| pending.zone).collect();
         if zones.len() > 1 {
             findings.push(format!("loads in zones {zones:?} at once"));
         }
         for (name, pending) in self.pending() {
-            if pending.given < pending.since {
+            if pending.last_sent < pending.first_sent {
                 findings.push(format!("{name}: given before it was first given"));
             }
             if pending.number > view.bundle.number {
--- a/crates/lease/src/roll/cover.rs
+++ b/crates/lease/src/roll/coverage.rs
@@ -1,6 +1,6 @@
 //! Which layers of each model are held by endpoints that are ready.
 
-use crate::roll::report::Held;
+use crate::roll::report::Holding;
 use crate::roll::view::View;
 use bundle::id::EndpointId;
 use std::collections::BTreeMap;
@@ -10,17 +10,17 @@
 ///
 /// Versions are never added up: a token whose layers ran on two versions is wrong.
 #[derive(Clone, Debug, Default)]
-pub struct Cover<'a> {
+pub struct Coverage<'a> {
     models: BTreeMap<&'a str, BTreeMap<&'a str, Vec<u32>>>,
 }
 
-impl<'a> Cover<'a> {
+impl<'a> Coverage<'a> {
     /// Counts the group's endpoints that are up, but for those that `skip` names.
     pub fn new(view: &View<'a>, skip: impl Fn(EndpointId) -> bool) -> Self {
         let mut cover = Self::default();
         let endpoints = view.up().filter(|id| !skip(*id));
         for held in endpoints
-            .flat_map(|id| view.held(id))
+            .flat_map(|id| view.holdings(id))
             .filter(|held| held.ready)
         {
             let Some(model) = view.bundle.model(&held.model) else {
@@ -39,7 +39,7 @@
     }
 
     /// Takes out what an endpoint holds.
-    pub fn remove(&mut self, held: impl Iterator<Item = &'a Held>) {
+    pub fn remove(&mut self, held: impl Iterator<Item = &'a Holding>) {
         for held in held.filter(|held| held.ready) {
             let versions = self.models.get_mut(held.model.as_str());
             let Some(counts) = versions.and_then(|v| v.get_mut(held.version.as_str())) else {
@@ -53,13 +53,13 @@
     }
 
     /// Whether the model is whole in any version.
-    pub fn whole(&self, model: &str) -> bool {
+    pub fn is_complete(&self, model: &str) -> bool {
         let versions = self.models.get(model);
         versions.is_some_and(|versions| versions.values().any(|counts| all(counts)))
     }
 
     /// Whether the model is whole in this version.
-    pub fn whole_in(&self, model: &str, version: &str) -> bool {
+    pub fn is_complete_in(&self, model: &str, version: &str) -> bool {
         let counts = self
             .models
             .get(model)
@@ -68,7 +68,7 @@
     }
 
     /// Whether the model would be whole in any version without an endpoint that holds this.
-    pub fn whole_without(&self, model: &str, held: &[&Held]) -> bool {
+    pub fn is_complete_without(&self, model: &str, held: &[&Holding]) -> bool {
         let Some(versions) = self.models.get(model) else {
             return false;
         };
@@ -76,7 +76,7 @@
             let mine = held
                 .iter()
                 .filter(|h| h.model == model && h.version == *version);
-            let alone = |h: &&&Held| counts[range(h, counts.len())].contains(&1);
+            let alone = |h: &&&Holding| counts[range(h, counts.len())].contains(&1);
             all(counts) && !mine.into_iter().any(|h| alone(&h))
         })
     }
@@ -87,7 +87,7 @@
 }
 
 /// The layers held, within the model's.
-fn range(held: &Held, layers: usize) -> Range<usize> {
+fn range(held: &Holding, layers: usize) -> Range<usize> {
     let to = usize::from(held.to).min(layers);
     usize::from(held.from).min(to)..to
 }
--- a/crates/lease/src/roll/order.rs
+++ b/crates/lease/src/roll/order.rs
@@ -1,6 +1,6 @@
 //! Orders: each names a state to reach, so that doing it twice is doing it once.
 
-use crate::roll::report::{Held, Report};
+use crate::roll::report::{Holding, Report};
 use bundle::Bundle;
 use bundle::endpoint::Span;
 use bundle::id::Layer;
@@ -47,30 +47,30 @@
         })
     }
 
-    /// The order to drop what is held.
-    pub fn unload(held: &Held) -> Self {
+    /// The order to drop what is holding.
+    pub fn unload(holding: &Holding) -> Self {
         Self::Unload {
-            model: held.model.clone(),
-            version: held.version.clone(),
+            model: holding.model.clone(),
+            version: holding.version.clone(),
         }
     }
 
     /// Whether the state is reached.
-    pub fn done(&self, report: &Report) -> bool {
+    pub fn is_fulfilled(&self, report: &Report) -> bool {
         match self {
             Self::Load { .. } => report
-                .held
+                .holdings
                 .iter()
-                .any(|held| held.ready && self.names(held)),
+                .any(|holding| holding.ready && self.matches(holding)),
             Self::Unload { model, version } => !report
-                .held
+                .holdings
                 .iter()
                 .any(|h| h.model == *model && h.version == *version),
         }
     }
 
     /// Whether only adapters are missing, which an engine takes in while it runs.
-    pub fn gentle(&self, report: &Report) -> bool {
+    pub fn changes_only_adapters(&self, report: &Report) -> bool {
         let Self::Load {
             model,
             version,
@@ -81,14 +81,14 @@
         else {
             return false;
         };
-        report.held.iter().any(|held| {
-            let same = held.model == *model && held.version == *version;
-            held.ready && same && held.from == *from && held.to == *to
+        report.holdings.iter().any(|holding| {
+            let same = holding.model == *model && holding.version == *version;
+            holding.ready && same && holding.from == *from && holding.to == *to
         })
     }
 
     /// Whether this is what the order asks to hold, ready or not.
-    pub fn names(&self, held: &Held) -> bool {
+    pub fn matches(&self, holding: &Holding) -> bool {
         let Self::Load {
             model,
             version,
@@ -100,17 +100,17 @@
         else {
             return false;
         };
-        let weights = held.model == *model && held.version == *version;
-        let range = held.from == *from && held.to == *to;
+        let weights = holding.model == *model && holding.version == *version;
+        let range = holding.from == *from && holding.to == *to;
         weights
             && range
             && adapters
                 .iter()
-                .all(|adapter| held.adapters.contains(adapter))
+                .all(|adapter| holding.adapters.contains(adapter))
     }
 
     /// Whether weights are fetched for it.
-    pub fn fetches(&self) -> bool {
+    pub fn fetches_weights(&self) -> bool {
         matches!(self, Self::Load { .. })
     }
 }
--- a/crates/lease/src/roll/plan.rs
+++ b/crates/lease/src/roll/plan.rs
@@ -21,9 +21,9 @@
     /// Number of the bundle that it serves.
     pub number: Number,
     /// When it was first given.
-    pub since: Now,
+    pub first_sent: Now,
     /// When it was last given.
-    pub given: Now,
+    pub last_sent: Now,
     /// The endpoint's availability zone.
     pub zone: ZoneId,
     /// Whether it fills an endpoint that runs nothing of the model with a version that has proved
@@ -48,13 +48,13 @@
     /// By name of the endpoint.
     pub(super) pending: BTreeMap<String, Pending>,
     /// New replicas under watch, by name of the endpoint: when they became ready.
-    pub(super) fresh: BTreeMap<String, Now>,
+    pub(super) watched: BTreeMap<String, Now>,
     pub(super) covered: BTreeMap<String, Covered>,
     pub(super) number: Number,
     pub(super) failures: Vec<Failure>,
     pub(super) zone: Option<ZoneId>,
     /// Earliest time of the next fetch, as far as the rate goes.
-    pub(super) start: Option<Now>,
+    pub(super) next_fetch: Option<Now>,
     pub(super) phase: Phase,
     /// Orders given, and new replicas that failed, since the start.
     orders: u64,
@@ -69,12 +69,12 @@
         Self {
             settings,
             pending: BTreeMap::new(),
-            fresh: BTreeMap::new(),
+            watched: BTreeMap::new(),
             covered: BTreeMap::new(),
             number: 0,
             failures: Vec::new(),
             zone: None,
-            start: None,
+            next_fetch: None,
             phase: Phase::Settled,
             orders: 0,
             failed: 0,
@@ -89,19 +89,20 @@
             self.number = view.bundle.number;
             self.failures.clear();
         }
-        let memory = self.settings.memory;
-        self.failures.retain(|failure| now < failure.at + memory);
-        self.settle(now, view);
-        self.cover(now, view);
+        let failure_window = self.settings.failure_window;
+        self.failures
+            .retain(|failure| now < failure.at + failure_window);
+        self.settle_pending(now, view);
+        self.update_coverage(now, view);
         let phase = self.decide(now, view, actions);
         if phase != self.phase {
             self.phase = phase.clone();
             actions.push(Action::Phase(phase));
         }
-        let given = actions
+        let sent = actions
             .iter()
             .filter(|action| matches!(action, Action::Order(..)));
-        self.orders += given.count() as u64;
+        self.orders += sent.count() as u64;
         let findings = self.check(view);
         self.broken += findings.len() as u64;
         debug_assert!(findings.is_empty(), "{findings:?}");
@@ -112,8 +113,8 @@
         let Some(pending) = self.pending.remove(endpoint) else {
             return;
         };
-        if pending.number == self.number && pending.order.fetches() {
-            self.fail(now, endpoint, Cause::Refused);
+        if pending.number == self.number && pending.order.fetches_weights() {
+            self.record_failure(now, endpoint, Cause::Refused);
         }
     }
 
@@ -127,7 +128,7 @@
         &self.pending
     }
 
-    pub(super) fn fail(&mut self, at: Now, endpoint: &str, cause: Cause) {
+    pub(super) fn record_failure(&mut self, at: Now, endpoint: &str, cause: Cause) {
         self.failed += 1;
         self.failures.push(Failure {
             endpoint: endpoint.to_owned(),
@@ -141,13 +142,13 @@
         if view.stopped >= self.number && self.number > 0 {
             return stopped;
         }
-        if self.failures.len() >= self.settings.failures {
+        if self.failures.len() >= self.settings.max_failures {
             if self.phase != stopped {
                 actions.push(Action::Stop(self.number, self.failures.clone()));
             }
             return stopped;
         }
-        self.next(now, view, actions)
+        self.next_orders(now, view, actions)
     }
 }
 
@@ -160,7 +161,11 @@
             self.orders, self.failed, self.broken
         )?;
         for (name, pending) in &self.pending {
-            writeln!(f, "{name}: {} since {:?}", pending.order, pending.since)?;
+            writeln!(
+                f,
+                "{name}: {} since {:?}",
+                pending.order, pending.first_sent
+            )?;
         }
         for failure in &self.failures {
             writeln!(f, "{}: failed: {:?}", failure.endpoint, failure.cause)?;
--- a/crates/lease/src/roll/plan/settle.rs
+++ b/crates/lease/src/roll/plan/settle.rs
@@ -3,8 +3,8 @@
 use super::{Covered, Pending, Roll};
 use crate::Now;
 use crate::roll::action::Cause;
-use crate::roll::cover::Cover;
-use crate::roll::plan::next::begun;
+use crate::roll::coverage::Coverage;
+use crate::roll::plan::next::has_begun;
 use crate::roll::view::{Health, View};
 use std::collections::BTreeMap;
 
@@ -16,28 +16,30 @@
 }
 
 impl Roll {
-    pub(super) fn settle(&mut self, now: Now, view: &View) {
+    pub(super) fn settle_pending(&mut self, now: Now, view: &View) {
         let pending = std::mem::take(&mut self.pending);
         for (name, pending) in pending {
-            match self.end(now, view, &name, &pending) {
+            match self.order_end(now, view, &name, &pending) {
                 None => drop(self.pending.insert(name, pending)),
-                Some(End::Ready) if pending.order.fetches() => {
-                    self.fresh.insert(name, now);
+                Some(End::Ready) if pending.order.fetches_weights() => {
+                    self.watched.insert(name, now);
+                }
+                Some(End::Failed(cause)) if self.is_new_replica(&pending) => {
+                    self.record_failure(now, &name, cause)
                 }
-                Some(End::Failed(cause)) if self.counts(&pending) => self.fail(now, &name, cause),
                 Some(End::Ready | End::Gone | End::Failed(_)) => {}
             }
         }
-        self.watch(now, view);
+        self.check_watched(now, view);
     }
 
     /// Since when each model's desired version is covered: from then on nodes start no request on
     /// another one.
-    pub(super) fn cover(&mut self, now: Now, view: &View) {
+    pub(super) fn update_coverage(&mut self, now: Now, view: &View) {
         let mut covered = BTreeMap::new();
-        let cover = Cover::new(view, |_| false);
+        let cover = Coverage::new(view, |_| false);
         for model in &view.bundle.models {
-            if !cover.whole_in(&model.name, &model.version) {
+            if !cover.is_complete_in(&model.name, &model.version) {
                 continue;
             }
             let before = self
@@ -51,7 +53,7 @@
         self.covered = covered;
     }
 
-    fn end(&self, now: Now, view: &View, name: &str, pending: &Pending) -> Option<End> {
+    fn order_end(&self, now: Now, view: &View, name: &str, pending: &Pending) -> Option<End> {
         let Some(endpoint) = view.bundle.endpoint(name) else {
             return Some(End::Gone);
         };
@@ -62,32 +64,32 @@
         }
         if view
             .report(endpoint)
-            .is_some_and(|report| pending.order.done(report))
+            .is_some_and(|report| pending.order.is_fulfilled(report))
         {
             return Some(End::Ready);
         }
-        let late = now >= pending.since + self.settings.limit;
+        let late = now >= pending.first_sent + self.settings.load_timeout;
         // An older bundle's order counts for as long as its load may still be under way.
         let lost = pending.number != self.number
-            && now >= pending.given + self.settings.again
-            && !begun(view, endpoint, &pending.order);
+            && now >= pending.last_sent + self.settings.resend_interval
+            && !has_begun(view, endpoint, &pending.order);
         (late || lost).then_some(End::Failed(Cause::Late))
     }
 
     /// Only loads of the present bundle are its new replicas.
-    fn counts(&self, pending: &Pending) -> bool {
-        pending.number == self.number && pending.order.fetches()
+    fn is_new_replica(&self, pending: &Pending) -> bool {
+        pending.number == self.number && pending.order.fetches_weights()
     }
 
     /// New replicas that go down soon after they were ready have failed.
-    fn watch(&mut self, now: Now, view: &View) {
+    fn check_watched(&mut self, now: Now, view: &View) {
         let soak = self.settings.soak;
-        let fresh = std::mem::take(&mut self.fresh);
-        for (name, since) in fresh {
+        let watched = std::mem::take(&mut self.watched);
+        for (name, since) in watched {
             let health = view.bundle.endpoint(&name).map(|id| view.health(id));
             match health {
-                Some(Health::Down) => self.fail(now, &name, Cause::Unstable),
-                Some(Health::Up) if now < since + soak => drop(self.fresh.insert(name, since)),
+                Some(Health::Down) => self.record_failure(now, &name, Cause::Unstable),
+                Some(Health::Up) if now < since + soak => drop(self.watched.insert(name, since)),
                 _ => {}
             }
         }
--- a/crates/lease/src/roll/report.rs
+++ b/crates/lease/src/roll/report.rs
@@ -4,7 +4,7 @@
 
 /// A range of a model's layers that an endpoint holds or loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Holding {
     /// Name of the model.
     pub model: String,
     /// Version of its weights.
@@ -23,5 +23,5 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     /// What it holds.
-    pub held: Vec<Held>,
+    pub holdings: Vec<Holding>,
 }
--- a/crates/lease/src/roll/view.rs
+++ b/crates/lease/src/roll/view.rs
@@ -1,6 +1,6 @@
 //! What a roll sees.
 
-use crate::roll::report::{Held, Report};
+use crate::roll::report::{Holding, Report};
 use bundle::Bundle;
 use bundle::id::{EndpointId, Number, ZoneId};
 use std::time::Duration;
@@ -63,9 +63,9 @@
     }
 
     /// What the endpoint reports that it holds.
-    pub fn held(&self, endpoint: EndpointId) -> impl Iterator<Item = &'a Held> {
+    pub fn holdings(&self, endpoint: EndpointId) -> impl Iterator<Item = &'a Holding> {
         let report = self.report(endpoint);
-        report.into_iter().flat_map(|report| &report.held)
+        report.into_iter().flat_map(|report| &report.holdings)
     }
 
     /// Name of the endpoint.
--- a/crates/lease/tests/rolls/cases.rs
+++ b/crates/lease/tests/rolls/cases.rs
@@ -29,7 +29,13 @@
         fleet.run(SECOND * 900);
         assert_eq!(fleet.done(), 12, "{engine:?}");
         assert_eq!(fleet.findings, Vec::<String>::new());
-        assert!(fleet.reports.iter().flatten().all(|r| r.held.len() == 1));
+        assert!(
+            fleet
+                .reports
+                .iter()
+                .flatten()
+                .all(|r| r.holdings.len() == 1)
+        );
     }
 }
 
@@ -39,7 +45,10 @@
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
     fleet.bundle = bundle(2, 3, 2, "v2");
     fleet.run(SECOND * 900);
-    let loads = fleet.orders.iter().filter(|(.., order)| order.fetches());
+    let loads = fleet
+        .orders
+        .iter()
+        .filter(|(.., order)| order.fetches_weights());
     let loads: Vec<_> = loads
         .map(|(at, id, _)| (*at, fleet.bundle.endpoints[*id as usize].zone))
         .collect();
@@ -95,7 +104,7 @@
     for _ in 0..200 {
         fleet.run(SECOND);
         for id in 0..fleet.reports.len() {
-            let held = fleet.reports[id].iter().flat_map(|r| &r.held);
+            let held = fleet.reports[id].iter().flat_map(|r| &r.holdings);
             if held.into_iter().any(|h| h.ready && h.version == "v2") {
                 fleet.health[id] = Health::Down;
             }
@@ -146,7 +155,10 @@
     fleet.run(SECOND * 300);
     assert_eq!(fleet.done(), 8);
     let report = fleet.reports[3].clone().unwrap();
-    assert!(report.held.iter().all(|h| h.version == "v2"), "{report:?}");
+    assert!(
+        report.holdings.iter().all(|h| h.version == "v2"),
+        "{report:?}"
+    );
     assert_eq!(fleet.roll.phase(), &Phase::Settled);
 }
 
--- a/crates/lease/tests/rolls/fleet.rs
+++ b/crates/lease/tests/rolls/fleet.rs
@@ -6,7 +6,9 @@
 use bundle::model::Model;
 use bundle::zone::Zone;
 use lease::Now;
-use lease::roll::{Action, Cover, Health, Held, Order, Phase, Rate, Report, Roll, Settings, View};
+use lease::roll::{
+    Action, Coverage, Health, Holding, Order, Phase, Rate, Report, Roll, Settings, View,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -16,8 +18,8 @@
 
 pub fn settings() -> Settings {
     Settings {
-        limit: Duration::from_secs(60),
-        again: Duration::from_secs(10),
+        load_timeout: Duration::from_secs(60),
+        resend_interval: Duration::from_secs(10),
         soak: Duration::from_secs(15),
         drain: Duration::from_secs(30),
         ..Settings::default()
@@ -97,7 +99,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Load {
-    held: Option<Held>,
+    held: Option<Holding>,
     due: Now,
 }
 
@@ -159,7 +161,7 @@
             let span = fleet.bundle.endpoints[id].spans[0];
             let order = Order::load(&fleet.bundle, &span).unwrap();
             let report = Report {
-                held: vec![held(&order, true).unwrap()],
+                holdings: vec![held(&order, true).unwrap()],
             };
             fleet.reports[id] = Some(report);
         }
@@ -194,7 +196,7 @@
     pub fn done(&self) -> usize {
         let version = &self.bundle.models[0].version;
         let ready = |r: &&Option<Report>| {
-            let held = r.iter().flat_map(|report| &report.held);
+            let held = r.iter().flat_map(|report| &report.holdings);
             held.into_iter().any(|h| h.ready && h.version == *version)
         };
         self.reports.iter().filter(ready).count()
@@ -202,7 +204,7 @@
 
     /// Whether endpoints that are up hold all layers ready in one version.
     pub fn covered(&self) -> bool {
-        Cover::new(&self.view(), |_| false).whole("m")
+        Coverage::new(&self.view(), |_| false).is_complete("m")
     }
 
     fn view(&self) -> View<'_> {
@@ -230,21 +232,21 @@
                 return;
             };
             return report
-                .held
+                .holdings
                 .retain(|h| h.model != *model || h.version != *version);
         };
-        if report.held.iter().any(|h| order.names(h)) {
+        if report.holdings.iter().any(|h| order.matches(h)) {
             return;
         }
         let bad = self.bad.as_ref() == Some(version);
-        let gentle = order.gentle(report);
+        let gentle = order.changes_only_adapters(report);
         report
-            .held
+            .holdings
             .retain(|h| h.ready && (gentle || h.version != *version));
         if self.engine == Engine::InPlace && !gentle {
-            report.held.retain(|h| h.model != *model);
+            report.holdings.retain(|h| h.model != *model);
         }
-        report.held.extend(held(order, false));
+        report.holdings.extend(held(order, false));
         let time = if bad { LOAD * 1000 } else { LOAD };
         self.loads[id] = Load {
             held: held(order, true),
@@ -260,8 +262,8 @@
             let (Some(done), Some(report)) = (load.held.take(), report) else {
                 continue;
             };
-            report.held.retain(|h| h.version != done.version);
-            report.held.push(done);
+            report.holdings.retain(|h| h.version != done.version);
+            report.holdings.push(done);
         }
     }
 
@@ -274,7 +276,7 @@
             let held = reports
                 .iter_mut()
                 .flatten()
-                .flat_map(|report| &mut report.held);
+                .flat_map(|report| &mut report.holdings);
             held.for_each(|held| held.ready = true);
             view.reports = &reports;
         }
@@ -304,7 +306,7 @@
     }
 }
 
-fn held(order: &Order, ready: bool) -> Option<Held> {
+fn held(order: &Order, ready: bool) -> Option<Holding> {
     let Order::Load {
         model,
         version,
@@ -316,7 +318,7 @@
     else {
         return None;
     };
-    Some(Held {
+    Some(Holding {
         model,
         version,
         adapters,
--- a/crates/node/src/control/endpoints.rs
+++ b/crates/node/src/control/endpoints.rs
@@ -3,7 +3,7 @@
 use bundle::Bundle;
 use bundle::id::{EndpointId, ModelId};
 use engine::load::Report;
-use lease::roll::{self, Health, Held};
+use lease::roll::{self, Health, Holding};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -144,7 +144,7 @@
 
 /// Converts a report to the form that rolls use.
 fn to_roll_report(report: &Report) -> roll::Report {
-    let held = report.models.iter().map(|m| Held {
+    let holdings = report.models.iter().map(|m| Holding {
         model: m.model.clone(),
         version: m.version.clone(),
         adapters: m.adapters.clone(),
@@ -153,7 +153,7 @@
         ready: m.ready,
     });
     roll::Report {
-        held: held.collect(),
+        holdings: holdings.collect(),
     }
 }
 
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -298,12 +298,12 @@
     let mut section = Section::new(text, ROLL);
     let defaults = lease::roll::Settings::default();
     let roll = lease::roll::Settings {
-        limit: section.value_or("load_time", defaults.limit, time, findings),
+        load_timeout: section.value_or("load_time", defaults.load_timeout, time, findings),
         soak: section.value_or("watch", defaults.soak, time, findings),
         drain: section.value_or("longest_request", defaults.drain, time, findings),
-        failures: section.value_or(
+        max_failures: section.value_or(
             "failures",
-            defaults.failures,
+            defaults.max_failures,
             up_to(MAX_ROLL_FAILURES),
             findings,
         ),
--- a/crates/slopes/src/leases.rs
+++ b/crates/slopes/src/leases.rs
@@ -6,7 +6,7 @@
 use bundle::id::ZoneId;
 use bytes::Bytes;
 use lease::group_lease::{self, Candidacy, Group};
-use lease::roll::{Health, Held, Rate, Report, Roll, View};
+use lease::roll::{Health, Holding, Rate, Report, Roll, View};
 use lease::{Owner, Page, Record};
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
 }
 
 fn held(report: &engine::load::Report) -> Report {
-    let row = |m: &engine::load::Loaded| Held {
+    let row = |m: &engine::load::Loaded| Holding {
         model: m.model.clone(),
         version: m.version.clone(),
         adapters: m.adapters.clone(),
@@ -92,7 +92,7 @@
         ready: m.ready,
     };
     Report {
-        held: report.models.iter().map(row).collect(),
+        holdings: report.models.iter().map(row).collect(),
     }
 }
 
