--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -283,7 +283,7 @@
 
 /// Processor time and memory of each way.
 fn cost() {
-    let held = size_of::<lease::claim::fold::Entry>() + 2 * size_of::<u128>();
+    let held = size_of::<lease::claim::replay::Entry>() + 2 * size_of::<u128>();
     let own = size_of::<lease::claim::run::Run>() + size_of::<u128>();
     println!("bytes of one key, without the trees' own: {held} remembered, {own} more if run here");
     println!("processor time of one request, from ask to end, batches of 64");
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -10,14 +10,14 @@
 //! [`Table`] holds a node's state of both. See `docs/design/at-most-once.md`.
 
 pub mod action;
+pub mod append;
 pub mod check;
 pub mod counters;
 pub mod event;
-pub mod fold;
 pub mod home;
 pub mod key;
-pub mod lane;
 pub mod record;
+pub mod replay;
 pub mod run;
 pub mod settings;
 pub mod table;
--- a/crates/lease/src/claim/check.rs
+++ b/crates/lease/src/claim/check.rs
@@ -1,12 +1,12 @@
 //! Invariants of a claim table, checked apart from the code that keeps them.
 
 use crate::claim::Hash;
-use crate::claim::run::{Run, State, Way};
+use crate::claim::run::{Grant, Run, State};
 use crate::claim::table::Table;
 use std::fmt;
 
 /// Keys checked in one go while the program serves.
-const SLICE: usize = 1000;
+const MAX_KEYS_PER_CHECK: usize = 1000;
 
 /// An invariant that does not hold, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +45,11 @@
     /// Invariants that do not hold for the next keys in turn: few enough to be checked while the
     /// program serves.
     pub(super) fn check_next(&mut self) -> Vec<Finding> {
-        let keys = self.runs.keys.range(self.checked..).take(SLICE);
+        let keys = self
+            .runs
+            .keys
+            .range(self.check_cursor..)
+            .take(MAX_KEYS_PER_CHECK);
         let mut findings = Vec::new();
         let mut next = 0;
         for (count, (hash, run)) in keys.enumerate() {
@@ -54,27 +58,27 @@
                 hash: Some(*hash),
                 text,
             }));
-            next = if count + 1 == SLICE {
+            next = if count + 1 == MAX_KEYS_PER_CHECK {
                 hash.wrapping_add(1)
             } else {
                 0
             };
         }
-        self.checked = next;
+        self.check_cursor = next;
         findings
     }
 
     fn check_run(&self, hash: Hash, run: &Run) -> Vec<&'static str> {
         let mut texts = Vec::new();
         let number = run.state.number();
-        if number > self.number {
+        if number > self.last_claim {
             texts.push("a number that was never given out");
         }
-        if let Way::Log(shard, _) = run.way {
+        if let Grant::Log(shard, _) = run.grant {
             let entry = self
                 .shards
                 .get(&shard)
-                .and_then(|part| part.fold.entry(hash));
+                .and_then(|stream| stream.replay.entry(hash));
             let mine = entry.is_none_or(|e| e.owner == self.me && e.number == number);
             match run.state {
                 State::Claiming(..) if entry.is_some() => texts.push("claims an owned key"),
@@ -123,17 +127,17 @@
             .iter()
             .map(|kept| kept.bytes)
             .sum::<usize>()
-            != self.runs.bytes
+            != self.runs.answer_bytes
         {
             texts.push("bytes of kept answers do not add up");
         }
-        if self.runs.bytes > self.settings.max_answer_bytes {
+        if self.runs.answer_bytes > self.settings.max_answer_bytes {
             texts.push("more answers are kept than may be");
         }
         if self
             .shards
             .values()
-            .any(|part| part.fold.len() > self.settings.max_keys)
+            .any(|stream| stream.replay.len() > self.settings.max_keys)
         {
             texts.push("more keys are remembered than may be");
         }
--- a/crates/lease/src/claim/fold.rs
+++ b/crates/lease/src/claim/replay.rs
@@ -8,7 +8,7 @@
 
 /// Between the wall clock of whoever dated a key, whoever claimed it and whoever dated the stream
 /// lie at most this many errors of one clock.
-const CLOCKS: u32 = 3;
+const MAX_CLOCK_ERRORS: u32 = 3;
 
 /// A key that is owned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,30 +31,30 @@
     /// Records were dropped before this reader came to them.
     Gap,
     /// The key is owned now.
-    Taken(Hash, Entry),
+    Claimed(Hash, Entry),
     /// The key was released by this owner's claim of this number.
     Released(Hash, Owner, Number),
 }
 
 /// The fold of a stream: a pure function of the records from `start` on.
 ///
-/// For a key dated at or after [`Fold::floor`] it equals the fold from offset 0: no claim of such a
+/// For a key dated at or after [`Replay::floor`] it equals the fold from offset 0: no claim of such a
 /// key can be among the records below `start`.
 #[derive(Clone, Debug, Default)]
-pub struct Fold {
+pub struct Replay {
     next: Offset,
     start: Option<Offset>,
     /// Bound from the records that were gone before they could be read.
-    lost: WallTime,
+    unread_bound: WallTime,
     /// Bound from the keys that were dropped here.
-    dropped: WallTime,
+    evicted_bound: WallTime,
     caught_up: bool,
     read_at: WallTime,
     entries: BTreeMap<Hash, Entry>,
     order: VecDeque<Hash>,
 }
 
-impl Fold {
+impl Replay {
     /// Where to read on.
     pub fn next(&self) -> Offset {
         self.next
@@ -72,7 +72,7 @@
 
     /// Keys dated before this may have had claims that this node doesn't know.
     pub fn floor(&self) -> WallTime {
-        self.lost.max(self.dropped)
+        self.unread_bound.max(self.evicted_bound)
     }
 
     /// Who owns the key.
@@ -91,8 +91,8 @@
     }
 
     /// Notes an outcome that this node knows first-hand, before it is read back.
-    pub fn note(&mut self, hash: Hash, owner: Owner, number: Number, outcome: Outcome) {
-        if let Some(entry) = self.held(hash, owner, number) {
+    pub fn record_outcome(&mut self, hash: Hash, owner: Owner, number: Number, outcome: Outcome) {
+        if let Some(entry) = self.entry_mut(hash, owner, number) {
             entry.outcome = Some(outcome);
         }
     }
@@ -106,51 +106,51 @@
         counters: &mut Counters,
     ) -> Vec<Change> {
         let next = self.next;
-        let fresh = page.records.iter().filter(|r| r.offset >= next);
+        let unread = page.records.iter().filter(|r| r.offset >= next);
         let reached = next.max(page.first);
-        let follows = fresh
+        let contiguous = unread
             .clone()
             .next()
             .map_or(page.next == reached, |r| r.offset == reached);
-        if !follows {
+        if !contiguous {
             return Vec::new();
         }
         let mut changes = Vec::new();
-        if self.begin(wall, page.first, settings) {
+        if self.start_or_restart(wall, page.first, settings) {
             counters.gaps += 1;
             changes.push(Change::Gap);
         }
-        for record in fresh {
+        for record in unread {
             self.next = record.offset + 1;
             self.read_at = wall;
             counters.records += 1;
             match Batch::decode(&record.body) {
                 Ok(batch) if batch.upto <= record.offset => {
                     counters.skewed += u64::from(batch.at > wall + settings.max_clock_error * 2);
-                    self.date(&batch, settings);
+                    self.tighten_bound(&batch, settings);
                     let items = batch.items.iter();
-                    changes.extend(items.filter_map(|item| self.item(batch.owner, item)));
+                    changes.extend(items.filter_map(|item| self.apply_item(batch.owner, item)));
                 }
                 _ => counters.undecodable += 1,
             }
         }
         self.caught_up |= page.records.is_empty();
-        self.shrink(settings.max_keys);
+        self.enforce_capacity(settings.max_keys);
         changes
     }
 
     /// Drops keys that are past the window.
-    pub fn expire(&mut self, wall: WallTime, window: Duration) {
-        self.dropped = self.dropped.max(wall.saturating_sub(window));
+    pub fn expire(&mut self, wall: WallTime, key_lifetime: Duration) {
+        self.evicted_bound = self.evicted_bound.max(wall.saturating_sub(key_lifetime));
         while let Some(hash) = self.order.front() {
-            let good = self
+            let in_window = self
                 .entries
                 .get(hash)
-                .is_some_and(|e| e.date >= self.dropped);
-            if good {
+                .is_some_and(|e| e.date >= self.evicted_bound);
+            if in_window {
                 break;
             }
-            self.pop();
+            self.evict_oldest();
         }
     }
 
@@ -159,30 +159,32 @@
     ///
     /// What is gone was appended before now, so keys made later are safe. Statements in the
     /// records that follow lower that bound.
-    fn begin(&mut self, wall: WallTime, first: Offset, settings: &Settings) -> bool {
-        let begun = self.start.is_some();
-        if begun && first <= self.next {
+    fn start_or_restart(&mut self, wall: WallTime, first: Offset, settings: &Settings) -> bool {
+        let started = self.start.is_some();
+        if started && first <= self.next {
             return false;
         }
         self.caught_up = false;
         self.start = Some(first);
         self.next = first;
         self.read_at = wall;
-        self.lost = match first {
+        self.unread_bound = match first {
             0 => WallTime::ZERO,
-            _ => wall + settings.max_clock_error * CLOCKS,
+            _ => wall + settings.max_clock_error * MAX_CLOCK_ERRORS,
         };
-        begun
+        started
     }
 
     /// A record states that what is gone here was there by a certain time.
-    fn date(&mut self, batch: &Batch, settings: &Settings) {
+    fn tighten_bound(&mut self, batch: &Batch, settings: &Settings) {
         if self.start.is_some_and(|start| batch.upto >= start) {
-            self.lost = self.lost.min(batch.at + settings.max_clock_error * CLOCKS);
+            self.unread_bound = self
+                .unread_bound
+                .min(batch.at + settings.max_clock_error * MAX_CLOCK_ERRORS);
         }
     }
 
-    fn item(&mut self, owner: Owner, item: &Item) -> Option<Change> {
+    fn apply_item(&mut self, owner: Owner, item: &Item) -> Option<Change> {
         match *item {
             Item::Claim {
                 hash,
@@ -204,7 +206,7 @@
                 number,
                 outcome: Outcome::NotRun,
             } => {
-                self.held(hash, owner, number)?;
+                self.entry_mut(hash, owner, number)?;
                 self.entries.remove(&hash);
                 Some(Change::Released(hash, owner, number))
             }
@@ -213,7 +215,7 @@
                 number,
                 outcome,
             } => {
-                self.note(hash, owner, number, outcome);
+                self.record_outcome(hash, owner, number, outcome);
                 None
             }
         }
@@ -221,36 +223,38 @@
 
     /// The first claim of a free key owns it; any later one counts for nothing.
     fn claim(&mut self, hash: Hash, entry: Entry) -> Option<Change> {
-        if entry.date < self.dropped || self.entries.contains_key(&hash) {
+        if entry.date < self.evicted_bound || self.entries.contains_key(&hash) {
             return None;
         }
         self.entries.insert(hash, entry);
         self.order.push_back(hash);
-        Some(Change::Taken(hash, entry))
+        Some(Change::Claimed(hash, entry))
     }
 
-    fn held(&mut self, hash: Hash, owner: Owner, number: Number) -> Option<&mut Entry> {
+    fn entry_mut(&mut self, hash: Hash, owner: Owner, number: Number) -> Option<&mut Entry> {
         self.entries
             .get_mut(&hash)
             .filter(|e| e.owner == owner && e.number == number)
     }
 
-    fn shrink(&mut self, most: usize) {
-        while self.entries.len() > most {
-            self.pop();
+    fn enforce_capacity(&mut self, max_keys: usize) {
+        while self.entries.len() > max_keys {
+            self.evict_oldest();
         }
         // Keys claimed again after a release stand in the order more than once.
-        while self.order.len() > most.saturating_mul(2) {
-            self.pop();
+        while self.order.len() > max_keys.saturating_mul(2) {
+            self.evict_oldest();
         }
     }
 
-    fn pop(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some(hash) = self.order.pop_front() else {
             return;
         };
         if let Some(entry) = self.entries.remove(&hash) {
-            self.dropped = self.dropped.max(entry.date + Duration::from_millis(1));
+            self.evicted_bound = self
+                .evicted_bound
+                .max(entry.date + Duration::from_millis(1));
         }
     }
 }
--- a/crates/lease/src/claim/run.rs
+++ b/crates/lease/src/claim/run.rs
@@ -15,7 +15,7 @@
 
 /// What lets this node run a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Grant {
     /// A claim in this shard, for a key of this date.
     Log(Shard, WallTime),
     /// A ticket issued at this time.
@@ -41,14 +41,14 @@
     /// What the key stands for.
     pub fingerprint: Fingerprint,
     /// What lets this node run it.
-    pub way: Way,
+    pub grant: Grant,
     /// How far it is.
     pub state: State,
 }
 
 /// A kept answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct KeptAnswer {
     /// Its key.
     pub hash: Hash,
     /// Its size, in bytes.
@@ -61,9 +61,9 @@
     /// By key.
     pub keys: BTreeMap<Hash, Run>,
     /// Kept answers, oldest first.
-    pub answers: VecDeque<Kept>,
+    pub answers: VecDeque<KeptAnswer>,
     /// Bytes of kept answers.
-    pub bytes: usize,
+    pub answer_bytes: usize,
     /// Tickets in the order of their runs.
     pub tickets: VecDeque<Hash>,
     /// Requests that run, with their keys.
@@ -77,27 +77,27 @@
     }
 
     /// Keeps an answer.
-    pub fn keep(&mut self, hash: Hash, bytes: usize) {
-        self.answers.push_back(Kept { hash, bytes });
-        self.bytes += bytes;
+    pub fn keep_answer(&mut self, hash: Hash, bytes: usize) {
+        self.answers.push_back(KeptAnswer { hash, bytes });
+        self.answer_bytes += bytes;
     }
 
     /// Takes the oldest kept answer's key out.
-    pub fn oldest(&mut self) -> Option<Hash> {
+    pub fn pop_oldest_answer(&mut self) -> Option<Hash> {
         let kept = self.answers.pop_front()?;
-        self.bytes -= kept.bytes;
+        self.answer_bytes -= kept.bytes;
         Some(kept.hash)
     }
 
     /// Whether any key belongs to this shard.
-    pub fn uses(&self, shard: Shard) -> bool {
+    pub fn uses_shard(&self, shard: Shard) -> bool {
         self.keys
             .values()
-            .any(|run| matches!(run.way, Way::Log(s, _) if s == shard))
+            .any(|run| matches!(run.grant, Grant::Log(s, _) if s == shard))
     }
 
     /// Whether this claim is the one that its key waits for.
-    pub fn claims(&self, hash: Hash, number: Number) -> bool {
+    pub fn is_claiming(&self, hash: Hash, number: Number) -> bool {
         let state = self.keys.get(&hash).map(|run| &run.state);
         matches!(state, Some(State::Claiming(n, _)) if *n == number)
     }
--- a/crates/lease/src/claim/table.rs
+++ b/crates/lease/src/claim/table.rs
@@ -5,9 +5,9 @@
 mod settle;
 
 use crate::backoff::Backoff;
-use crate::claim::fold::Fold;
-use crate::claim::lane::Lane;
+use crate::claim::append::Queue;
 use crate::claim::record::Batch as Body;
+use crate::claim::replay::Replay;
 use crate::claim::run::Runs;
 use crate::claim::{
     Action, Batch, Counters, Event, Hash, Number, Request, Settings, Shard, Ticket,
@@ -20,41 +20,41 @@
 use std::time::Duration;
 
 /// Time between two passes over all keys and shards.
-const SWEEP: Duration = Duration::from_secs(5);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A node's state of claims and tickets.
 #[derive(Debug)]
 pub struct Table {
     pub(super) me: Owner,
     pub(super) settings: Settings,
-    pub(super) shards: BTreeMap<Shard, Part>,
+    pub(super) shards: BTreeMap<Shard, Stream>,
     pub(super) runs: Runs,
     /// By deadline: requests that wait for a claim, with their keys.
     pub(super) waiting: BTreeMap<(Now, RequestId), Hash>,
-    pub(super) number: Number,
-    pub(super) issued: u64,
+    pub(super) last_claim: Number,
+    pub(super) tickets_issued: u64,
     batch: Batch,
-    swept: Now,
+    last_sweep: Now,
     /// DatedKey up to which the invariants were last checked.
-    pub(super) checked: Hash,
+    pub(super) check_cursor: Hash,
     random: ChaCha8Rng,
     pub(super) counters: Counters,
 }
 
 /// One shard, as long as this node follows it.
 #[derive(Debug, Default)]
-pub(super) struct Part {
-    pub(super) fold: Fold,
-    pub(super) lane: Lane,
+pub(super) struct Stream {
+    pub(super) replay: Replay,
+    pub(super) appends: Queue,
     /// Requests that came before the stream was read to its end.
     pub(super) pending: Vec<Request>,
     /// Whether this node is the shard's home.
     pub(super) home: bool,
     reading: bool,
     backoff: Backoff,
-    pub(super) used: Now,
+    pub(super) last_used: Now,
     /// When a mark is due if no record comes before.
-    mark: Now,
+    heartbeat_due: Now,
 }
 
 impl Table {
@@ -66,11 +66,11 @@
             shards: BTreeMap::new(),
             runs: Runs::default(),
             waiting: BTreeMap::new(),
-            number: 0,
-            issued: 0,
+            last_claim: 0,
+            tickets_issued: 0,
             batch: 0,
-            swept: Now::ZERO,
-            checked: 0,
+            last_sweep: Now::ZERO,
+            check_cursor: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             counters: Counters::default(),
         }
@@ -79,10 +79,10 @@
     /// Takes in an event and adds what is to be done.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::HomeShards(shards) => self.follow(now, &shards),
+            Event::HomeShards(shards) => self.set_home_shards(now, &shards),
             Event::Received(request) => self.receive(now, request, actions),
             Event::Cancelled(request) => self.cancel(now, request, actions),
-            Event::Page(shard, page) => self.page(now, shard, &page, actions),
+            Event::Page(shard, page) => self.apply_page(now, shard, &page, actions),
             Event::ReadFailed(shard) => self.read_failed(now, shard),
             Event::Appended(batch) => self.appended(batch),
             Event::AppendFailed(batch) => self.append_failed(now, batch),
@@ -90,8 +90,8 @@
                 self.counters.unsure += 1;
                 self.append_failed(now, batch);
             }
-            Event::Ended(hash, outcome, bytes) => self.ended(now, hash, outcome, bytes, actions),
-            Event::Clock(wall) => self.clock(now, wall),
+            Event::Ended(hash, outcome, bytes) => self.end_run(now, hash, outcome, bytes, actions),
+            Event::Clock(wall) => self.set_clock(now, wall),
             Event::Tick => self.tick(now, actions),
         }
         self.flush(now, actions);
@@ -104,9 +104,9 @@
         let ticket = Ticket {
             owner: self.me,
             issued,
-            number: self.issued,
+            number: self.tickets_issued,
         };
-        self.issued += 1;
+        self.tickets_issued += 1;
         self.counters.tickets += 1;
         ticket
     }
@@ -118,12 +118,13 @@
 
     /// Keys remembered from the log, over all shards followed.
     pub fn keys(&self) -> usize {
-        self.shards.values().map(|part| part.fold.len()).sum()
+        self.shards.values().map(|stream| stream.replay.len()).sum()
     }
 
     /// Whether appends or reads of any shard fail at present.
-    pub fn log_out(&self) -> bool {
-        let failing = |part: &Part| part.lane.failures() > 1 || part.backoff.failures() > 1;
+    pub fn is_log_failing(&self) -> bool {
+        let failing =
+            |stream: &Stream| stream.appends.failures() > 1 || stream.backoff.failures() > 1;
         self.shards.values().any(failing)
     }
 
@@ -131,32 +132,32 @@
         self.settings.started_at + now
     }
 
-    /// The shard's part, followed from now on.
-    pub(super) fn part(&mut self, now: Now, shard: Shard) -> &mut Part {
-        let part = self.shards.entry(shard).or_default();
-        part.used = now;
-        part
+    /// The shard's stream, followed from now on.
+    pub(super) fn stream_mut(&mut self, now: Now, shard: Shard) -> &mut Stream {
+        let stream = self.shards.entry(shard).or_default();
+        stream.last_used = now;
+        stream
     }
 
-    fn follow(&mut self, now: Now, homes: &[Shard]) {
+    fn set_home_shards(&mut self, now: Now, homes: &[Shard]) {
         let shards = self.settings.shards;
         for shard in homes.iter().filter(|shard| **shard < shards) {
-            self.part(now, *shard);
+            self.stream_mut(now, *shard);
         }
-        for (shard, part) in &mut self.shards {
-            part.home = homes.contains(shard);
+        for (shard, stream) in &mut self.shards {
+            stream.home = homes.contains(shard);
         }
     }
 
-    fn clock(&mut self, now: Now, wall: WallTime) {
-        let off = wall.abs_diff(self.wall(now));
-        self.counters.stepped += u64::from(off > self.settings.max_clock_error);
+    fn set_clock(&mut self, now: Now, wall: WallTime) {
+        let error = wall.abs_diff(self.wall(now));
+        self.counters.stepped += u64::from(error > self.settings.max_clock_error);
         self.settings.started_at = wall.saturating_sub(now);
     }
 
     fn read_failed(&mut self, now: Now, shard: Shard) {
         self.counters.failed += 1;
-        let Some(part) = self.shards.get_mut(&shard) else {
+        let Some(stream) = self.shards.get_mut(&shard) else {
             return;
         };
         let Settings {
@@ -164,39 +165,45 @@
             max_backoff,
             ..
         } = self.settings;
-        part.reading = false;
-        part.backoff
+        stream.reading = false;
+        stream
+            .backoff
             .record_failure(now, min_backoff, max_backoff, &mut self.random);
     }
 
     fn appended(&mut self, batch: Batch) {
         self.shards
             .values_mut()
-            .for_each(|part| part.lane.done(batch));
+            .for_each(|stream| stream.appends.complete(batch));
     }
 
     fn append_failed(&mut self, now: Now, batch: Batch) {
         self.counters.failed += 1;
         let runs = &self.runs;
-        let part = self
+        let stream = self
             .shards
             .values_mut()
-            .find(|part| part.lane.flight() == Some(batch));
-        let Some(part) = part else { return };
-        let wanted = |item: &_| settle::wanted(runs, item);
-        part.lane
-            .failed(now, batch, &self.settings, &mut self.random, wanted);
+            .find(|stream| stream.appends.in_flight() == Some(batch));
+        let Some(stream) = stream else { return };
+        let should_resend = |item: &_| settle::should_resend(runs, item);
+        stream
+            .appends
+            .requeue(now, batch, &self.settings, &mut self.random, should_resend);
     }
 
     fn tick(&mut self, now: Now, actions: &mut Vec<Action>) {
-        self.refuse_late(now, actions);
+        self.refuse_overdue(now, actions);
         self.expire(now, actions);
         let wall = self.wall(now);
-        for part in self.shards.values_mut() {
-            part.fold.expire(wall, self.settings.key_lifetime);
-            if part.home && part.fold.next() > 0 && part.fold.caught_up() && now >= part.mark {
-                part.lane.mark();
-                part.mark = now + self.settings.heartbeat_interval;
+        for stream in self.shards.values_mut() {
+            stream.replay.expire(wall, self.settings.key_lifetime);
+            if stream.home
+                && stream.replay.next() > 0
+                && stream.replay.caught_up()
+                && now >= stream.heartbeat_due
+            {
+                stream.appends.request_heartbeat();
+                stream.heartbeat_due = now + self.settings.heartbeat_interval;
             }
         }
         self.drop_idle(now);
@@ -204,25 +211,28 @@
 
     /// Lets go of shards that are neither this node's own nor in use.
     fn drop_idle(&mut self, now: Now) {
-        if now < self.swept + SWEEP {
+        if now < self.last_sweep + SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         self.sweep(now);
         self.counters.broken += self.check_next().len() as u64;
         let idle = self.settings.idle_timeout;
         let runs = &self.runs;
-        self.shards.retain(|shard, part| {
-            let fresh = part.home || now < part.used + idle;
-            fresh || !part.lane.idle() || !part.pending.is_empty() || runs.uses(*shard)
+        self.shards.retain(|shard, stream| {
+            let in_use = stream.home || now < stream.last_used + idle;
+            in_use
+                || !stream.appends.is_idle()
+                || !stream.pending.is_empty()
+                || runs.uses_shard(*shard)
         });
     }
 
     /// Asks for the appends and reads that are due.
     fn flush(&mut self, now: Now, actions: &mut Vec<Action>) {
-        for (shard, part) in &mut self.shards {
-            if let Some(items) = part.lane.take(now, self.batch, &self.settings) {
-                let (upto, at) = (part.fold.next(), part.fold.read_at());
+        for (shard, stream) in &mut self.shards {
+            if let Some(items) = stream.appends.take_due(now, self.batch, &self.settings) {
+                let (upto, at) = (stream.replay.next(), stream.replay.read_at());
                 let body = Body {
                     owner: self.me,
                     upto,
@@ -238,9 +248,9 @@
                 self.batch += 1;
                 self.counters.appends += 1;
             }
-            if !part.reading && part.backoff.is_ready(now) {
-                part.reading = true;
-                let (from, wait) = (part.fold.next(), part.fold.caught_up());
+            if !stream.reading && stream.backoff.is_ready(now) {
+                stream.reading = true;
+                let (from, wait) = (stream.replay.next(), stream.replay.caught_up());
                 actions.push(Action::Read {
                     shard: *shard,
                     from,
@@ -251,16 +261,16 @@
     }
 
     /// A read came back.
-    pub(super) fn read(&mut self, now: Now, shard: Shard, news: bool) {
-        let Some(part) = self.shards.get_mut(&shard) else {
+    pub(super) fn complete_read(&mut self, now: Now, shard: Shard, has_records: bool) {
+        let Some(stream) = self.shards.get_mut(&shard) else {
             return;
         };
-        part.reading = false;
-        part.backoff.record_success(now);
-        if news {
+        stream.reading = false;
+        stream.backoff.record_success(now);
+        if has_records {
             // Spread over a quarter of the time, so that the first node's mark spares the others.
             let share = rand::RngExt::random_range(&mut self.random, 1.0..=1.25);
-            part.mark = now + self.settings.heartbeat_interval.mul_f64(share);
+            stream.heartbeat_due = now + self.settings.heartbeat_interval.mul_f64(share);
         }
     }
 }
@@ -268,26 +278,26 @@
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "claims of {}: {}", self.me, self.counters)?;
-        let (keys, bytes) = (self.runs.keys.len(), self.runs.bytes);
+        let (keys, bytes) = (self.runs.keys.len(), self.runs.answer_bytes);
         writeln!(
             f,
             "own keys {keys} waiting {} answers {bytes} bytes",
             self.waiting.len()
         )?;
-        for (shard, part) in &self.shards {
-            let home = if part.home { " home" } else { "" };
-            let (next, floor) = (part.fold.next(), part.fold.floor().as_secs());
+        for (shard, stream) in &self.shards {
+            let home = if stream.home { " home" } else { "" };
+            let (next, floor) = (stream.replay.next(), stream.replay.floor().as_secs());
             write!(
                 f,
                 "shard {shard}{home} next {next} keys {}",
-                part.fold.len()
+                stream.replay.len()
             )?;
-            write!(f, " floor {floor} queue {}", part.lane.waiting())?;
+            write!(f, " floor {floor} queue {}", stream.appends.queued())?;
             writeln!(
                 f,
                 " pending {} failures {}",
-                part.pending.len(),
-                part.lane.failures()
+                stream.pending.len(),
+                stream.appends.failures()
             )?;
         }
         Ok(())
--- a/crates/lease/src/claim/table/end.rs
+++ b/crates/lease/src/claim/table/end.rs
@@ -2,12 +2,12 @@
 
 use super::Table;
 use crate::claim::record::Item;
-use crate::claim::run::{State, Way};
+use crate::claim::run::{Grant, State};
 use crate::claim::{Action, Hash, Refusal};
 use crate::{Now, Outcome, RequestId};
 
 impl Table {
-    pub(super) fn ended(
+    pub(super) fn end_run(
         &mut self,
         now: Now,
         hash: Hash,
@@ -22,21 +22,21 @@
             return;
         };
         self.runs.running.remove(&request);
-        let way = run.way;
-        match (outcome, way) {
-            (Outcome::NotRun, Way::Ticket(_)) => {
+        let grant = run.grant;
+        match (outcome, grant) {
+            (Outcome::NotRun, Grant::Ticket(_)) => {
                 self.runs.keys.remove(&hash);
                 self.runs.tickets.retain(|h| *h != hash);
             }
-            (Outcome::NotRun, Way::Log(shard, _)) => {
+            (Outcome::NotRun, Grant::Log(shard, _)) => {
                 run.state = State::Releasing(number, Vec::new());
                 self.release(now, shard, hash, number);
             }
             (Outcome::Complete | Outcome::Unknown, _) => {
                 run.state = State::Ended(number, Some(request), outcome);
-                self.runs.keep(hash, bytes);
-                if let Way::Log(shard, _) = way {
-                    self.part(now, shard).lane.push(
+                self.runs.keep_answer(hash, bytes);
+                if let Grant::Log(shard, _) = grant {
+                    self.stream_mut(now, shard).appends.push(
                         now,
                         Item::End {
                             hash,
@@ -51,20 +51,21 @@
     }
 
     /// Refuses what has waited to its deadline.
-    pub(super) fn refuse_late(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn refuse_overdue(&mut self, now: Now, actions: &mut Vec<Action>) {
         while let Some(first) = self.waiting.first_entry() {
             let (deadline, request) = *first.key();
             if deadline > now {
                 break;
             }
             let hash = first.remove();
-            self.unwait(now, hash, request);
+            self.remove_waiter(now, hash, request);
             self.refuse(request, Refusal::Unsettled, actions);
         }
         let mut late = Vec::new();
-        for part in self.shards.values_mut() {
+        for stream in self.shards.values_mut() {
             late.extend(
-                part.pending
+                stream
+                    .pending
                     .extract_if(.., |request| now >= request.deadline),
             );
         }
@@ -74,7 +75,7 @@
     }
 
     /// One request fewer waits; a claim that nobody waits for is given up.
-    pub(super) fn unwait(&mut self, now: Now, hash: Hash, request: RequestId) {
+    pub(super) fn remove_waiter(&mut self, now: Now, hash: Hash, request: RequestId) {
         let Some(run) = self.runs.keys.get_mut(&hash) else {
             return;
         };
@@ -82,20 +83,22 @@
             return;
         };
         waiters.retain(|waiter| waiter.request != request);
-        if let (State::Claiming(number, waiters), Way::Log(shard, _)) = (&run.state, run.way)
+        if let (State::Claiming(number, waiters), Grant::Log(shard, _)) = (&run.state, run.grant)
             && waiters.is_empty()
         {
             let number = *number;
             self.runs.keys.remove(&hash);
-            self.part(now, shard).lane.forget(hash, number);
+            self.stream_mut(now, shard)
+                .appends
+                .remove_claim(hash, number);
         }
     }
 
     /// Drops what is past the window.
     pub(super) fn expire(&mut self, now: Now, actions: &mut Vec<Action>) {
         while let Some(kept) = self.runs.answers.front() {
-            let way = self.runs.keys.get(&kept.hash).map(|run| run.way);
-            if way.is_some_and(|way| !self.past(now, way)) {
+            let grant = self.runs.keys.get(&kept.hash).map(|run| run.grant);
+            if grant.is_some_and(|grant| !self.is_expired(now, grant)) {
                 break;
             }
             self.evict_one(actions);
@@ -103,7 +106,7 @@
         while let Some(hash) = self.runs.tickets.front() {
             let run = self.runs.keys.get(hash);
             let running = run.is_some_and(|run| matches!(run.state, State::Running(..)));
-            if running || run.is_some_and(|run| !self.past(now, run.way)) {
+            if running || run.is_some_and(|run| !self.is_expired(now, run.grant)) {
                 break;
             }
             if let Some(hash) = self.runs.tickets.pop_front() {
@@ -117,23 +120,25 @@
     pub(super) fn sweep(&mut self, now: Now) {
         let wall = self.wall(now);
         let window = self.settings.key_lifetime;
-        self.runs.keys.retain(|_, run| match (&run.state, run.way) {
-            (State::Releasing(_, waiters), Way::Log(_, date)) => {
-                !waiters.is_empty() || date.saturating_add(window) >= wall
-            }
-            _ => true,
-        });
+        self.runs
+            .keys
+            .retain(|_, run| match (&run.state, run.grant) {
+                (State::Releasing(_, waiters), Grant::Log(_, date)) => {
+                    !waiters.is_empty() || date.saturating_add(window) >= wall
+                }
+                _ => true,
+            });
     }
 
     fn evict(&mut self, actions: &mut Vec<Action>) {
-        while self.runs.bytes > self.settings.max_answer_bytes {
+        while self.runs.answer_bytes > self.settings.max_answer_bytes {
             self.evict_one(actions);
         }
     }
 
     /// Drops the oldest kept answer; what its key came to is still known.
     fn evict_one(&mut self, actions: &mut Vec<Action>) {
-        let Some(hash) = self.runs.oldest() else {
+        let Some(hash) = self.runs.pop_oldest_answer() else {
             return;
         };
         let Some(run) = self.runs.keys.get_mut(&hash) else {
@@ -144,19 +149,19 @@
         };
         let (number, outcome) = (*number, *outcome);
         actions.extend(request.take().map(Action::DropAnswer));
-        if let Way::Log(shard, _) = run.way {
+        if let Grant::Log(shard, _) = run.grant {
             self.runs.keys.remove(&hash);
-            if let Some(part) = self.shards.get_mut(&shard) {
-                part.fold.note(hash, self.me, number, outcome);
+            if let Some(stream) = self.shards.get_mut(&shard) {
+                stream.replay.record_outcome(hash, self.me, number, outcome);
             }
         }
     }
 
-    fn past(&self, now: Now, way: Way) -> bool {
+    fn is_expired(&self, now: Now, grant: Grant) -> bool {
         let window = self.settings.key_lifetime;
-        match way {
-            Way::Log(_, date) => date.saturating_add(window) < self.wall(now),
-            Way::Ticket(issued) => issued.saturating_add(window) <= now,
+        match grant {
+            Grant::Log(_, date) => date.saturating_add(window) < self.wall(now),
+            Grant::Ticket(issued) => issued.saturating_add(window) <= now,
         }
     }
 }
--- a/crates/lease/src/claim/table/request.rs
+++ b/crates/lease/src/claim/table/request.rs
@@ -1,9 +1,9 @@
 //! Requests that arrive at a claim table.
 
 use super::Table;
-use crate::claim::fold::Entry;
 use crate::claim::record::Item;
-use crate::claim::run::{Run, State, Waiter, Way};
+use crate::claim::replay::Entry;
+use crate::claim::run::{Grant, Run, State, Waiter};
 use crate::claim::{Action, DatedKey, Hash, Key, Refusal, Request, Shard, Ticket, shard};
 use crate::{Now, Outcome, RequestId};
 
@@ -45,23 +45,23 @@
     /// does not take place. Left unsaid, the key would run for ever and its resends wait for it.
     pub(super) fn cancel(&mut self, now: Now, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(hash) = self.runs.running.get(&id).copied() {
-            return self.ended(now, hash, Outcome::NotRun, 0, actions);
+            return self.end_run(now, hash, Outcome::NotRun, 0, actions);
         }
-        for part in self.shards.values_mut() {
-            part.pending.retain(|request| request.id != id);
+        for stream in self.shards.values_mut() {
+            stream.pending.retain(|request| request.id != id);
         }
         let found = self.waiting.keys().find(|(_, r)| *r == id).copied();
         if let Some(hash) = found.and_then(|at| self.waiting.remove(&at)) {
-            self.unwait(now, hash, id);
+            self.remove_waiter(now, hash, id);
         }
     }
 
     /// Asks again for what waited for the stream to be read.
     pub(super) fn retry_pending(&mut self, now: Now, shard: Shard, actions: &mut Vec<Action>) {
-        let Some(part) = self.shards.get_mut(&shard) else {
+        let Some(stream) = self.shards.get_mut(&shard) else {
             return;
         };
-        for request in std::mem::take(&mut part.pending) {
+        for request in std::mem::take(&mut stream.pending) {
             match request.key {
                 Key::Dated(_) if now >= request.deadline => {
                     self.refuse(request.id, Refusal::Unsettled, actions);
@@ -83,7 +83,7 @@
             return self.refuse(request.id, Refusal::Future, actions);
         }
         let shard = shard(key.hash, self.settings.shards);
-        let caught_up = self.part(now, shard).fold.caught_up();
+        let caught_up = self.stream_mut(now, shard).replay.caught_up();
         if self.runs.keys.contains_key(&key.hash) {
             return self.join(request, key.hash, actions);
         }
@@ -94,13 +94,13 @@
     }
 
     fn defer(&mut self, shard: Shard, request: Request, actions: &mut Vec<Action>) {
-        let Some(part) = self.shards.get_mut(&shard) else {
+        let Some(stream) = self.shards.get_mut(&shard) else {
             return;
         };
-        if part.pending.len() >= MAX_PENDING {
+        if stream.pending.len() >= MAX_PENDING {
             return self.refuse(request.id, Refusal::Unsettled, actions);
         }
-        part.pending.push(request);
+        stream.pending.push(request);
     }
 
     /// Claims a free key; for any other says whose it is.
@@ -112,11 +112,11 @@
         key: DatedKey,
         actions: &mut Vec<Action>,
     ) {
-        let Some(part) = self.shards.get(&shard) else {
+        let Some(stream) = self.shards.get(&shard) else {
             return;
         };
-        let (full, floor) = (part.lane.full(), part.fold.floor());
-        if let Some(entry) = part.fold.entry(key.hash).copied() {
+        let (full, floor) = (stream.appends.is_full(), stream.replay.floor());
+        if let Some(entry) = stream.replay.entry(key.hash).copied() {
             return self.answer_owned(request, entry, actions);
         }
         if key.date < floor {
@@ -174,15 +174,15 @@
         fingerprint: u64,
         waiters: Vec<Waiter>,
     ) {
-        self.number += 1;
+        self.last_claim += 1;
         self.counters.claims += 1;
         let DatedKey { hash, date } = key;
-        let state = State::Claiming(self.number, waiters);
+        let state = State::Claiming(self.last_claim, waiters);
         self.runs.keys.insert(
             hash,
             Run {
                 fingerprint,
-                way: Way::Log(shard, date),
+                grant: Grant::Log(shard, date),
                 state,
             },
         );
@@ -190,9 +190,9 @@
             hash,
             date,
             fingerprint,
-            number: self.number,
+            number: self.last_claim,
         };
-        self.part(now, shard).lane.push(now, item);
+        self.stream_mut(now, shard).appends.push(now, item);
     }
 
     /// Gives a request the answer of its key's run on this node, or lets it wait for the claim.
@@ -254,7 +254,7 @@
                 outcome: None,
             });
         }
-        if ticket.number >= self.issued || ticket.issued > now {
+        if ticket.number >= self.tickets_issued || ticket.issued > now {
             return self.refuse_as(id, Refusal::Unissued, Outcome::NotRun, actions);
         }
         if now >= ticket.issued.saturating_add(self.settings.key_lifetime) {
@@ -265,12 +265,12 @@
         }
         self.counters.runs += 1;
         let state = State::Running(0, id);
-        let way = Way::Ticket(ticket.issued);
+        let grant = Grant::Ticket(ticket.issued);
         self.runs.keys.insert(
             hash,
             Run {
                 fingerprint: request.fingerprint,
-                way,
+                grant,
                 state,
             },
         );
--- a/crates/lease/src/claim/table/settle.rs
+++ b/crates/lease/src/claim/table/settle.rs
@@ -1,41 +1,49 @@
 //! Claims read back: the only place where a dated key is run.
 
 use super::Table;
-use crate::claim::fold::{Change, Entry};
 use crate::claim::record::Item;
-use crate::claim::run::{Run, Runs, State, Waiter, Way};
+use crate::claim::replay::{Change, Entry};
+use crate::claim::run::{Grant, Run, Runs, State, Waiter};
 use crate::claim::{Action, DatedKey, Hash, Number, Refusal, Shard};
 use crate::{Now, Outcome, Owner, Page, WallTime};
 
 /// Whether an item of a failed append is still worth sending.
-pub(super) fn wanted(runs: &Runs, item: &Item) -> bool {
+pub(super) fn should_resend(runs: &Runs, item: &Item) -> bool {
     match *item {
-        Item::Claim { hash, number, .. } => runs.claims(hash, number),
+        Item::Claim { hash, number, .. } => runs.is_claiming(hash, number),
         Item::End { .. } => true,
     }
 }
 
 impl Table {
-    pub(super) fn page(&mut self, now: Now, shard: Shard, page: &Page, actions: &mut Vec<Action>) {
+    pub(super) fn apply_page(
+        &mut self,
+        now: Now,
+        shard: Shard,
+        page: &Page,
+        actions: &mut Vec<Action>,
+    ) {
         let wall = self.wall(now);
-        let Some(part) = self.shards.get_mut(&shard) else {
+        let Some(stream) = self.shards.get_mut(&shard) else {
             return;
         };
-        let changes = part
-            .fold
+        let changes = stream
+            .replay
             .apply(wall, page, &self.settings, &mut self.counters);
-        part.fold.expire(wall, self.settings.key_lifetime);
-        self.read(now, shard, !page.records.is_empty());
+        stream.replay.expire(wall, self.settings.key_lifetime);
+        self.complete_read(now, shard, !page.records.is_empty());
         for change in changes {
             match change {
-                Change::Gap => self.gap(now, shard, actions),
-                Change::Taken(hash, entry) => self.taken(now, shard, hash, entry, actions),
+                Change::Gap => self.handle_gap(now, shard, actions),
+                Change::Claimed(hash, entry) => {
+                    self.handle_claimed(now, shard, hash, entry, actions)
+                }
                 Change::Released(hash, owner, number) => {
-                    self.released(now, shard, hash, owner, number);
+                    self.handle_released(now, shard, hash, owner, number);
                 }
             }
         }
-        if self.part(now, shard).fold.caught_up() {
+        if self.stream_mut(now, shard).replay.caught_up() {
             self.retry_pending(now, shard, actions);
         }
     }
@@ -47,23 +55,23 @@
             number,
             outcome: Outcome::NotRun,
         };
-        self.part(now, shard).lane.push(now, item);
+        self.stream_mut(now, shard).appends.push(now, item);
     }
 
     /// Records were dropped before they were read: claims and releases that may have been among
     /// them can't be judged any more.
-    fn gap(&mut self, now: Now, shard: Shard, actions: &mut Vec<Action>) {
+    fn handle_gap(&mut self, now: Now, shard: Shard, actions: &mut Vec<Action>) {
         let floor = self.floor(shard);
-        let lost = |run: &Run| match (&run.state, run.way) {
-            (State::Claiming(..), Way::Log(s, date)) => s == shard && date < floor,
-            (State::Releasing(..), Way::Log(s, _)) => s == shard,
+        let is_affected = |run: &Run| match (&run.state, run.grant) {
+            (State::Claiming(..), Grant::Log(s, date)) => s == shard && date < floor,
+            (State::Releasing(..), Grant::Log(s, _)) => s == shard,
             _ => false,
         };
         let hashes: Vec<Hash> = self
             .runs
             .keys
             .iter()
-            .filter(|(_, run)| lost(run))
+            .filter(|(_, run)| is_affected(run))
             .map(|(hash, _)| *hash)
             .collect();
         for hash in hashes {
@@ -71,7 +79,9 @@
                 continue;
             };
             if let State::Claiming(number, _) = run.state {
-                self.part(now, shard).lane.forget(hash, number);
+                self.stream_mut(now, shard)
+                    .appends
+                    .remove_claim(hash, number);
             }
             for waiter in run.state.waiters() {
                 self.waiting.remove(&(waiter.deadline, waiter.request));
@@ -81,7 +91,7 @@
     }
 
     /// A key is owned now, by this node or another.
-    fn taken(
+    fn handle_claimed(
         &mut self,
         now: Now,
         shard: Shard,
@@ -91,20 +101,20 @@
     ) {
         // A number that was never given out is another process's that passes for this one. To
         // release its claim would free a key that it runs.
-        if entry.owner != self.me || entry.number > self.number {
-            return self.lost(hash, entry, actions);
+        if entry.owner != self.me || entry.number > self.last_claim {
+            return self.claim_lost(hash, entry, actions);
         }
-        if self.runs.claims(hash, entry.number) {
-            return self.won(now, shard, hash, entry, actions);
+        if self.runs.is_claiming(hash, entry.number) {
+            return self.claim_won(now, shard, hash, entry, actions);
         }
-        self.stray(now, shard, hash, entry);
+        self.release_late_claim(now, shard, hash, entry);
     }
 
     /// A claim that was given up arrived late. Unless it is released nobody could ever run the
     /// key. Requests that wait for a newer claim of this node wait for the release instead.
-    fn stray(&mut self, now: Now, shard: Shard, hash: Hash, entry: Entry) {
-        let busy = |run: &Run| matches!(run.state, State::Running(..) | State::Ended(..));
-        if self.runs.keys.get(&hash).is_some_and(busy) {
+    fn release_late_claim(&mut self, now: Now, shard: Shard, hash: Hash, entry: Entry) {
+        let has_run = |run: &Run| matches!(run.state, State::Running(..) | State::Ended(..));
+        if self.runs.keys.get(&hash).is_some_and(has_run) {
             return;
         }
         let run = self.runs.keys.remove(&hash);
@@ -114,19 +124,21 @@
             .map_or(entry.fingerprint, |run| run.fingerprint);
         let waiters = match run.map(|run| run.state) {
             Some(State::Claiming(newer, waiters)) => {
-                self.part(now, shard).lane.forget(hash, newer);
+                self.stream_mut(now, shard)
+                    .appends
+                    .remove_claim(hash, newer);
                 waiters
             }
             Some(State::Releasing(_, waiters)) => waiters,
             _ => Vec::new(),
         };
-        let way = Way::Log(shard, entry.date);
+        let grant = Grant::Log(shard, entry.date);
         let state = State::Releasing(entry.number, waiters);
         self.runs.keys.insert(
             hash,
             Run {
                 fingerprint,
-                way,
+                grant,
                 state,
             },
         );
@@ -134,7 +146,14 @@
     }
 
     /// The claim was read back as the first one.
-    fn won(&mut self, now: Now, shard: Shard, hash: Hash, entry: Entry, actions: &mut Vec<Action>) {
+    fn claim_won(
+        &mut self,
+        now: Now,
+        shard: Shard,
+        hash: Hash,
+        entry: Entry,
+        actions: &mut Vec<Action>,
+    ) {
         let expired = entry.date < self.floor(shard);
         let Some(State::Claiming(number, mut waiters)) = self.runs.state(hash).cloned() else {
             return;
@@ -155,11 +174,11 @@
             self.refuse(waiter.request, reason, actions);
         }
         let Some((first, rest)) = waiters.split_first() else {
-            self.set(hash, State::Releasing(number, Vec::new()));
+            self.set_state(hash, State::Releasing(number, Vec::new()));
             return self.release(now, shard, hash, number);
         };
         let running = first.request;
-        self.set(hash, State::Running(number, running));
+        self.set_state(hash, State::Running(number, running));
         self.runs.running.insert(running, hash);
         self.counters.runs += 1;
         actions.push(Action::Run {
@@ -173,7 +192,7 @@
     }
 
     /// Another node's claim came first.
-    fn lost(&mut self, hash: Hash, entry: Entry, actions: &mut Vec<Action>) {
+    fn claim_lost(&mut self, hash: Hash, entry: Entry, actions: &mut Vec<Action>) {
         let Some(State::Claiming(number, _)) = self.runs.state(hash) else {
             return;
         };
@@ -181,10 +200,10 @@
         let Some(run) = self.runs.keys.remove(&hash) else {
             return;
         };
-        if let Way::Log(shard, _) = run.way
-            && let Some(part) = self.shards.get_mut(&shard)
+        if let Grant::Log(shard, _) = run.grant
+            && let Some(stream) = self.shards.get_mut(&shard)
         {
-            part.lane.forget(hash, number);
+            stream.appends.remove_claim(hash, number);
         }
         self.counters.lost += 1;
         for waiter in run.state.waiters() {
@@ -200,14 +219,23 @@
     }
 
     /// A release was read back; requests that came meanwhile claim the key anew.
-    fn released(&mut self, now: Now, shard: Shard, hash: Hash, owner: Owner, number: Number) {
+    fn handle_released(
+        &mut self,
+        now: Now,
+        shard: Shard,
+        hash: Hash,
+        owner: Owner,
+        number: Number,
+    ) {
         let Some(run) = self.runs.keys.get(&hash) else {
             return;
         };
         let State::Releasing(releasing, waiters) = &run.state else {
             return;
         };
-        let Way::Log(_, date) = run.way else { return };
+        let Grant::Log(_, date) = run.grant else {
+            return;
+        };
         if owner != self.me || *releasing != number {
             return;
         }
@@ -218,7 +246,7 @@
         }
     }
 
-    fn set(&mut self, hash: Hash, state: State) {
+    fn set_state(&mut self, hash: Hash, state: State) {
         if let Some(old) = self.runs.state(hash) {
             *old = state;
         }
@@ -227,6 +255,6 @@
     fn floor(&self, shard: Shard) -> WallTime {
         self.shards
             .get(&shard)
-            .map_or(WallTime::MAX, |part| part.fold.floor())
+            .map_or(WallTime::MAX, |stream| stream.replay.floor())
     }
 }
