--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,9 +1,9 @@
-//! An answer in the making, as a handler sees it.
+//! The answer to a completion, as a handler reads it while the answer is generated.
 
-use crate::api::ask::{Ask, Kind};
 use crate::api::chat::Usage;
 use crate::api::error::Error;
-use crate::api::stop::Cutter;
+use crate::api::params::{Kind, Params};
+use crate::api::stop::Filter;
 use crate::core::{Command, End, Reply, Tx};
 use crate::metrics::Metrics;
 use engine::chain::Stop;
@@ -13,14 +13,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Tells the core that the caller is gone, when dropped.
+/// Notifies the core on drop that the caller has left.
 pub struct Guard {
     id: Id,
     tx: Tx,
 }
 
 impl Guard {
-    /// The guard of request `id`.
+    /// Creates the guard of request `id`.
     pub fn new(id: Id, tx: Tx) -> Self {
         Self { id, tx }
     }
@@ -28,63 +28,63 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        // After the answer's end the core knows the id no more, and this says nothing.
-        let _ = self.tx.send(Command::Left(self.id));
+        // The core ignores the command if the answer has ended, because the session is gone.
+        let _ = self.tx.send(Command::CallerLeft(self.id));
     }
 }
 
-/// A part of an answer, as the caller is to see it.
+/// A part of an answer, in the form that is sent to the caller.
 #[derive(Debug)]
 pub enum Part {
     /// More text; may be empty.
     Text(String),
-    /// The end, with text that was held back.
+    /// The end of the answer, with the text that the stop filter had held back.
     End(String, End),
-    /// It was not run.
+    /// The request was refused, or is answered with an error.
     Refused(Error),
 }
 
-/// An answer in the making.
+/// An answer whose parts arrive while it is generated.
 pub struct Answer {
-    ask: Ask,
+    params: Params,
     id: String,
     created: u64,
     replies: mpsc::UnboundedReceiver<Reply>,
     guard: Option<Guard>,
-    cutter: Cutter,
-    tokens: u32,
-    last: Instant,
+    filter: Filter,
+    token_count: u32,
+    last_token_at: Instant,
     metrics: Metrics,
 }
 
 impl Answer {
-    /// The answer to `ask`, whose parts come from `replies`.
+    /// Creates the answer to a request with `params`; the core sends its parts to `replies`.
     pub fn new(
-        ask: Ask,
+        params: Params,
         guard: Guard,
         replies: mpsc::UnboundedReceiver<Reply>,
         metrics: Metrics,
     ) -> Self {
-        let prefix = match ask.kind {
+        let prefix = match params.kind {
             Kind::Chat => "chatcmpl",
             Kind::Text => "cmpl",
         };
         Self {
             id: format!("{prefix}-{:032x}", guard.id),
             created: unix_time(),
-            cutter: Cutter::new(ask.stops.clone()),
-            ask,
+            filter: Filter::new(params.stops.clone()),
+            params,
             replies,
             guard: Some(guard),
-            tokens: 0,
-            last: Instant::now(),
+            token_count: 0,
+            last_token_at: Instant::now(),
             metrics,
         }
     }
 
-    /// Which API.
+    /// The API that was called.
     pub fn kind(&self) -> Kind {
-        self.ask.kind
+        self.params.kind
     }
 
     /// Id of the answer.
@@ -92,32 +92,32 @@
         &self.id
     }
 
-    /// Unix time of its making, in seconds.
+    /// Unix time of its creation, in seconds.
     pub fn created(&self) -> u64 {
         self.created
     }
 
     /// Model, as named by the caller.
     pub fn model(&self) -> &str {
-        &self.ask.model
+        &self.params.model
     }
 
     /// Whether the answer is streamed.
     pub fn wants_stream(&self) -> bool {
-        self.ask.stream
+        self.params.stream
     }
 
-    /// Whether a streamed answer ends with its usage.
+    /// Whether a streamed answer ends with a usage event.
     pub fn wants_usage(&self) -> bool {
-        self.ask.usage
+        self.params.include_usage
     }
 
-    /// Tokens used.
+    /// Number of tokens used.
     pub fn usage(&self, end: End) -> Usage {
-        Usage::new(end.prompt_tokens, self.tokens)
+        Usage::new(end.prompt_tokens, self.token_count)
     }
 
-    /// Why it ended, in the API's words.
+    /// The value of the API's `finish_reason` field.
     pub fn finish_reason(&self, end: End) -> &'static str {
         match end.stop {
             Stop::End => "stop",
@@ -125,8 +125,8 @@
         }
     }
 
-    /// The next reply as it comes; a core that is gone leaves the outcome unknown.
-    pub async fn reply(&mut self) -> Reply {
+    /// Waits for the next reply of the core. If the core has stopped, the outcome is unknown.
+    pub async fn next_reply(&mut self) -> Reply {
         self.replies.recv().await.unwrap_or(Reply::Done(End {
             outcome: Outcome::Unknown,
             stop: Stop::End,
@@ -134,37 +134,38 @@
         }))
     }
 
-    /// The next part.
-    pub async fn next(&mut self) -> Part {
-        let reply = self.reply().await;
+    /// Waits for the next part.
+    pub async fn next_part(&mut self) -> Part {
+        let reply = self.next_reply().await;
         self.part(reply)
     }
 
-    /// Turns a reply into a part.
+    /// Converts a reply into a part.
     pub fn part(&mut self, reply: Reply) -> Part {
         match reply {
-            Reply::Token(token) => self.token(&token.text),
-            Reply::Done(end) => Part::End(self.cutter.finish(), end),
+            Reply::Token(token) => self.push_token(&token.text),
+            Reply::Done(end) => Part::End(self.filter.finish(), end),
             Reply::Refused(refusal) => Part::Refused(refusal.into()),
             Reply::Error(error) => Part::Refused(*error),
-            // The head of a plain service's answer never comes for a completion.
+            // Only calls of plain HTTP services have a head.
             Reply::Head(_) => Part::Text(String::new()),
         }
     }
 
-    fn token(&mut self, text: &str) -> Part {
-        self.time();
-        self.tokens += 1;
-        let given = self.cutter.push(text);
-        if !self.cutter.done() {
-            return Part::Text(given);
+    fn push_token(&mut self, text: &str) -> Part {
+        self.record_latency();
+        self.token_count += 1;
+        let released = self.filter.push(text);
+        if !self.filter.done() {
+            return Part::Text(released);
         }
-        // The answer is whole for the caller; the rest of the work is cancelled. The engines' count
-        // of the prompt would come with the end that is not waited for.
+        // A stop sequence completes the answer. Dropping the guard cancels the remaining work. The
+        // engines' count of the prompt's tokens arrives only at the end of the run, which is not
+        // awaited, so the estimate is used.
         self.guard = None;
-        let prompt_tokens = self.ask.prompt_tokens();
+        let prompt_tokens = self.params.prompt_tokens();
         Part::End(
-            given,
+            released,
             End {
                 outcome: Outcome::Complete,
                 stop: Stop::End,
@@ -173,15 +174,15 @@
         )
     }
 
-    fn time(&mut self) {
+    fn record_latency(&mut self) {
         let now = Instant::now();
-        let gap = (now - self.last).as_secs_f64();
-        let times = match self.tokens {
+        let gap = (now - self.last_token_at).as_secs_f64();
+        let histogram = match self.token_count {
             0 => &self.metrics.first_token,
             _ => &self.metrics.inter_token,
         };
-        times.record(gap, &[]);
-        self.last = now;
+        histogram.record(gap, &[]);
+        self.last_token_at = now;
     }
 }
 
--- a/crates/entry/src/api/completion.rs
+++ b/crates/entry/src/api/completion.rs
@@ -1,7 +1,7 @@
 //! Bodies and answers of `POST /v1/completions`.
 
-use super::ask::{Ask, Kind, Raw, parse};
 use super::error::{Error, Result};
+use super::params::{Kind, Params, Raw, parse};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -19,8 +19,8 @@
     Many(Vec<String>),
 }
 
-/// Reads and checks a body.
-pub fn read(body: &[u8]) -> Result<Ask> {
+/// Parses and validates the body of a request.
+pub fn read(body: &[u8]) -> Result<Params> {
     let raw: RawCompletion = parse(body)?;
     let prompt = prompt(raw.prompt)?;
     raw.shared.check(Kind::Text, Bytes::from(prompt))
@@ -33,19 +33,22 @@
         Some(RawPrompt::Many(prompts)) => prompts,
     };
     if prompts.len() > 1 {
-        return Err(Error::value("prompt", "only one prompt is supported"));
+        return Err(Error::invalid_value(
+            "prompt",
+            "only one prompt is supported",
+        ));
     }
     let prompt = prompts.pop().filter(|p| !p.is_empty());
-    prompt.ok_or_else(|| Error::value("prompt", "there is no prompt"))
+    prompt.ok_or_else(|| Error::invalid_value("prompt", "there is no prompt"))
 }
 
-/// The choice.
+/// The choice of an answer or of an event.
 #[derive(Debug, Serialize)]
 pub struct Choice<'a> {
     /// Always 0.
     pub index: u32,
-    /// Text, or what an event adds to it.
+    /// Text of the answer, or the addition of an event to it.
     pub text: &'a str,
-    /// Why it ended.
+    /// Reason for the end of the generation; `None` in events before the end.
     pub finish_reason: Option<&'static str>,
 }
--- a/crates/entry/src/api/error.rs
+++ b/crates/entry/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the shape that chat-completion clients read, with the outcome added.
+//! Errors in the format of chat-completion clients, with the outcome of the request added.
 
 use http::StatusCode;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -9,30 +9,30 @@
 use std::time::Duration;
 use viz::{Body, IntoResponse, Response};
 
-/// Result of a handler's step.
+/// Result whose error is an answer to the caller.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An answer other than the one asked for.
+/// An error answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     /// HTTP status.
     pub status: StatusCode,
-    /// Stable word for programs.
+    /// Stable identifier of the error, for programs.
     pub code: &'static str,
-    /// Sentence for people.
+    /// Description of the error, for people.
     pub message: String,
-    /// The field or header at fault.
+    /// Name of the invalid field or header.
     pub param: Option<String>,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Base URL of the node that has the request's key; it alone can answer.
-    pub node: Option<String>,
-    /// Id of the request, once it has one.
-    pub request: Option<Id>,
-    /// The method that the path takes, for a request with another one.
-    pub allow: Option<&'static str>,
+    /// Base URL of the node that owns the request's idempotency key; only that node can answer.
+    pub owner_url: Option<String>,
+    /// Id of the request, if it is known.
+    pub request_id: Option<Id>,
+    /// The method that the path supports, if the request used another one.
+    pub allowed_method: Option<&'static str>,
 }
 
 #[derive(Serialize)]
@@ -50,7 +50,7 @@
 }
 
 impl Error {
-    /// An error for a request that was not run.
+    /// Creates the error of a request that was not run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -59,14 +59,14 @@
             param: None,
             outcome: Outcome::NotRun,
             retry_after: None,
-            node: None,
-            request: None,
-            allow: None,
+            owner_url: None,
+            request_id: None,
+            allowed_method: None,
         }
     }
 
-    /// A value that was understood but can't be served.
-    pub fn value(param: &str, message: impl Into<String>) -> Self {
+    /// Creates the error for a field or header whose value is invalid or unsupported.
+    pub fn invalid_value(param: &str, message: impl Into<String>) -> Self {
         let mut error = Self::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "invalid_value",
@@ -76,46 +76,46 @@
         error
     }
 
-    /// A request that may have run and won't be repeated.
-    pub fn unknown() -> Self {
+    /// Creates the error of a request that may have run and is not retried.
+    pub fn outcome_unknown() -> Self {
         let message = "the request may have run, in part or in whole, and was not repeated";
         let mut error = Self::new(StatusCode::BAD_GATEWAY, "outcome_unknown", message);
         error.outcome = Outcome::Unknown;
         error
     }
 
-    /// The error for a request that ended with `outcome` without a whole answer.
-    pub fn ended(outcome: Outcome) -> Self {
+    /// Creates the error of a request that ended with `outcome` and without a complete answer.
+    pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun => Self::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not_run",
                 "the request was not run",
             ),
-            Outcome::Complete | Outcome::Unknown => Self::unknown(),
+            Outcome::Complete | Outcome::Unknown => Self::outcome_unknown(),
         }
     }
 
-    /// The same error with a time to come back.
-    pub fn retry_after(mut self, after: Duration) -> Self {
+    /// Sets the delay after which the caller may retry.
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The same error, of the request with this id.
-    pub fn of(mut self, request: Id) -> Self {
-        self.request = Some(request);
+    /// Sets the id of the request.
+    pub fn with_request_id(mut self, id: Id) -> Self {
+        self.request_id = Some(id);
         self
     }
 
-    /// Its JSON text, as a body or as a stream's last event.
+    /// Returns the error as JSON, for a body or for the last event of a stream.
     pub fn json(&self) -> String {
         let detail = Detail {
             message: &self.message,
-            r#type: kind(self.status),
+            r#type: error_type(self.status),
             param: self.param.as_deref(),
             code: self.code,
-            outcome: self.outcome.word(),
+            outcome: self.outcome.as_str(),
         };
         let envelope = Envelope { error: detail };
         serde_json::to_string(&envelope).unwrap_or_default()
@@ -167,43 +167,44 @@
         let mut response = Response::new(Body::from(http_body_util::Full::from(self.json())));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
-        if let Some(id) = self.request {
-            super::header::put_request(headers, id);
+        if let Some(id) = self.request_id {
+            super::header::insert_request_id(headers, id);
         }
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(super::header::OUTCOME, outcome(self.outcome));
-        if let Some(method) = self.allow {
+        headers.insert(super::header::OUTCOME, outcome_value(self.outcome));
+        if let Some(method) = self.allowed_method {
             headers.insert(ALLOW, HeaderValue::from_static(method));
         }
-        // Clients of this API repeat a request on any 5xx by themselves; this header stops them.
-        // A request that may have run must not be doubled by its own client's library.
+        // Client libraries of this API retry on any 5xx status unless this header forbids it. A
+        // request that may have run must not be run twice by such a retry.
         if self.outcome == Outcome::Unknown {
             headers.insert(
                 super::header::SHOULD_RETRY,
                 HeaderValue::from_static("false"),
             );
         }
-        if let Some(node) = self.node.and_then(|n| HeaderValue::from_str(&n).ok()) {
-            headers.insert(super::header::NODE, node);
+        if let Some(url) = self.owner_url.and_then(|n| HeaderValue::from_str(&n).ok()) {
+            headers.insert(super::header::NODE, url);
         }
         if let Some(after) = self.retry_after {
-            headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(after)));
+            headers.insert(RETRY_AFTER, HeaderValue::from(rounded_up_seconds(after)));
         }
         response
     }
 }
 
-/// The outcome as a header's value.
-pub fn outcome(outcome: Outcome) -> HeaderValue {
-    HeaderValue::from_static(outcome.word())
+/// Returns the outcome as a header value.
+pub fn outcome_value(outcome: Outcome) -> HeaderValue {
+    HeaderValue::from_static(outcome.as_str())
 }
 
-/// `Retry-After` has whole seconds; rounded up, so that nobody comes back too early.
-fn whole_seconds(after: Duration) -> u64 {
+/// Returns the value of `Retry-After`, which has whole seconds. It is rounded up, so that callers
+/// do not retry too early, and at least 1.
+fn rounded_up_seconds(after: Duration) -> u64 {
     after.as_millis().div_ceil(1000).max(1) as u64
 }
 
-fn kind(status: StatusCode) -> &'static str {
+fn error_type(status: StatusCode) -> &'static str {
     match status.as_u16() {
         401 => "authentication_error",
         403 => "permission_error",
--- a/crates/entry/src/api/ask.rs
+++ b/crates/entry/src/api/params.rs
@@ -1,17 +1,17 @@
-//! What a chat or text completion asks for, checked.
+//! Validated parameters of a chat or text completion.
 
 use super::error::{Error, Result};
 use bytes::Bytes;
 use http::StatusCode;
 
-/// Bytes of a prompt that make a token, for the estimate.
+/// Assumed bytes of prompt per token, for the estimate of the prompt's tokens.
 const BYTES_PER_TOKEN: usize = 4;
-/// Most stop sequences in one request.
-const STOPS: usize = 4;
-/// Longest stop sequence, in bytes.
-const STOP_BYTES: usize = 256;
+/// Maximum number of stop sequences in a request.
+const MAX_STOP_SEQUENCES: usize = 4;
+/// Maximum length of a stop sequence, in bytes.
+const MAX_STOP_BYTES: usize = 256;
 
-/// Which of the two APIs is spoken.
+/// The API that a caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// `POST /v1/chat/completions`.
@@ -21,8 +21,8 @@
 }
 
 impl Kind {
-    /// The field that the prompt is made of.
-    pub fn field(self) -> &'static str {
+    /// Name of the body's field that contains the prompt.
+    pub fn prompt_field(self) -> &'static str {
         match self {
             Self::Chat => "messages",
             Self::Text => "prompt",
@@ -30,35 +30,36 @@
     }
 }
 
-/// A checked completion request, before the bundle is looked at.
+/// Parameters of a completion, validated without the bundle: the model may not exist.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
-    /// Which API.
+pub struct Params {
+    /// API that was called.
     pub kind: Kind,
     /// Model, as named by the caller: `model` or `model:adapter`.
     pub model: String,
-    /// Prompt text that the first stage tokenises.
+    /// Text of the prompt, which the first stage tokenises.
     pub prompt: Bytes,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Whether a streamed answer ends with its usage.
-    pub usage: bool,
-    /// Most tokens to generate, if named.
-    pub most: Option<u32>,
-    /// Seed of the sampling.
+    /// Whether a streamed answer ends with a usage event.
+    pub include_usage: bool,
+    /// Maximum number of tokens to generate, if set.
+    pub max_tokens: Option<u32>,
+    /// Sampling seed.
     pub seed: u64,
-    /// Sequences at which the answer ends; they are not part of it.
+    /// Stop sequences. The answer ends before the first one.
     pub stops: Vec<String>,
 }
 
-impl Ask {
-    /// An estimate of the prompt's tokens; the engines' own count comes with the answer's end.
+impl Params {
+    /// Estimates the number of tokens of the prompt. The engines report the exact number at the end
+    /// of the answer.
     pub fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
     }
 }
 
-/// Fields that both APIs share, as they come.
+/// Fields of the body that both APIs share, not yet validated.
 #[derive(Clone, Debug, Default, serde::Deserialize)]
 pub struct Raw {
     model: Option<String>,
@@ -91,58 +92,61 @@
 }
 
 impl Raw {
-    /// Checks the shared fields and joins them with the prompt.
-    pub fn check(self, kind: Kind, prompt: Bytes) -> Result<Ask> {
+    /// Validates the shared fields and combines them with the prompt.
+    pub fn check(self, kind: Kind, prompt: Bytes) -> Result<Params> {
         self.refuse_unsupported()?;
-        let most = self.most()?;
+        let max_tokens = self.validated_max_tokens()?;
         let stops = stops(self.stop)?;
         let model = self
             .model
             .filter(|m| !m.is_empty())
-            .ok_or_else(|| Error::value("model", "no model is named"))?;
-        Ok(Ask {
+            .ok_or_else(|| Error::invalid_value("model", "no model is named"))?;
+        Ok(Params {
             kind,
             model,
             prompt,
             stream: self.stream.unwrap_or(false),
-            usage: self
+            include_usage: self
                 .stream_options
                 .and_then(|o| o.include_usage)
                 .unwrap_or(false),
-            most,
+            max_tokens,
             seed: self.seed.unwrap_or(0) as u64,
             stops,
         })
     }
 
-    /// An option that the engines would not honour is refused: an answer that silently left it out
-    /// would not be the answer asked for.
+    /// Rejects options that the engines do not support. If they were ignored, the answer would
+    /// differ from the requested one without notice.
     fn refuse_unsupported(&self) -> Result<()> {
-        let given = [
+        let options = [
             ("n", self.n.is_some_and(|n| n != 1)),
             ("best_of", self.best_of.is_some_and(|n| n != 1)),
-            ("logprobs", asks(&self.logprobs)),
-            ("tools", asks(&self.tools)),
-            ("functions", asks(&self.functions)),
-            ("response_format", asks_format(&self.response_format)),
+            ("logprobs", is_requested(&self.logprobs)),
+            ("tools", is_requested(&self.tools)),
+            ("functions", is_requested(&self.functions)),
+            ("response_format", requests_format(&self.response_format)),
             ("echo", self.echo == Some(true)),
             ("suffix", self.suffix.is_some()),
         ];
-        match given.iter().find(|(_, given)| *given) {
+        match options.iter().find(|(_, given)| *given) {
             None => Ok(()),
-            Some((param, _)) => Err(Error::value(param, format!("{param} is not supported"))),
+            Some((param, _)) => Err(Error::invalid_value(
+                param,
+                format!("{param} is not supported"),
+            )),
         }
     }
 
-    fn most(&self) -> Result<Option<u32>> {
+    fn validated_max_tokens(&self) -> Result<Option<u32>> {
         let (param, value) = match (self.max_completion_tokens, self.max_tokens) {
-            (Some(most), _) => ("max_completion_tokens", most),
-            (None, Some(most)) => ("max_tokens", most),
+            (Some(max), _) => ("max_completion_tokens", max),
+            (None, Some(max)) => ("max_tokens", max),
             (None, None) => return Ok(None),
         };
         match u32::try_from(value) {
-            Ok(most) if most > 0 => Ok(Some(most)),
-            _ => Err(Error::value(
+            Ok(max) if max > 0 => Ok(Some(max)),
+            _ => Err(Error::invalid_value(
                 param,
                 format!("the number of tokens must be from 1 to {}", u32::MAX),
             )),
@@ -150,7 +154,7 @@
     }
 }
 
-fn asks(value: &Option<serde_json::Value>) -> bool {
+fn is_requested(value: &Option<serde_json::Value>) -> bool {
     use serde_json::Value;
     match value {
         None | Some(Value::Null | Value::Bool(false)) => false,
@@ -159,7 +163,7 @@
     }
 }
 
-fn asks_format(value: &Option<serde_json::Value>) -> bool {
+fn requests_format(value: &Option<serde_json::Value>) -> bool {
     value
         .as_ref()
         .is_some_and(|v| v.get("type").and_then(|t| t.as_str()) != Some("text"))
@@ -171,20 +175,24 @@
         Some(RawStop::One(stop)) => vec![stop],
         Some(RawStop::Many(stops)) => stops,
     };
-    if stops.len() > STOPS {
-        return Err(Error::value(
+    if stops.len() > MAX_STOP_SEQUENCES {
+        return Err(Error::invalid_value(
             "stop",
-            format!("more than {STOPS} stop sequences"),
+            format!("more than {MAX_STOP_SEQUENCES} stop sequences"),
         ));
     }
-    if stops.iter().any(|s| s.is_empty() || s.len() > STOP_BYTES) {
-        let message = format!("a stop sequence is empty or longer than {STOP_BYTES} bytes");
-        return Err(Error::value("stop", message));
+    if stops
+        .iter()
+        .any(|s| s.is_empty() || s.len() > MAX_STOP_BYTES)
+    {
+        let message = format!("a stop sequence is empty or longer than {MAX_STOP_BYTES} bytes");
+        return Err(Error::invalid_value("stop", message));
     }
     Ok(stops)
 }
 
-/// Parses `body`; broken JSON, wrong types and too deep nesting are told apart from bad values.
+/// Parses `body`. Wrong types are `invalid_type`, status 422; malformed JSON and JSON nested too
+/// deeply are `invalid_json`, status 400.
 pub fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| {
         let message = format!("the body can't be read: {error}");
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,67 +1,68 @@
-//! Claims of idempotency keys, as a worker and control speak of them.
+//! Claims of idempotency keys: the messages between a worker and the control thread.
 //!
-//! A request that may not be repeated and has a key runs only after control has claimed the key.
-//! Control keeps the answers of ended runs for a while, so that a resend is given them.
+//! A request that is not repeatable and has a key runs only after the control thread has claimed
+//! the key. The control thread caches the answers of ended runs for a limited time and replays
+//! them when a caller sends the request again.
 
 use crate::api::error::Error;
 use bytes::Bytes;
 use engine::chain::Token;
-use lease::claim::{Fingerprint, Form, Hash};
+use lease::claim::{Fingerprint, Hash, Key};
 use route::outcome::Outcome;
 use route::request::Id;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most bytes of a plain service's answer that are kept for resends.
-pub const MOST_KEPT: usize = 256 << 10;
+/// Maximum size of a service's answer, in bytes, that is cached for retries.
+pub const MAX_CACHED_BODY_BYTES: usize = 256 << 10;
 
-/// A key with what it stands for.
+/// An idempotency key and the request that it identifies.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
     /// The key.
-    pub form: Form,
+    pub form: Key,
     /// Hash of the team and the whole request.
     pub fingerprint: Fingerprint,
 }
 
-/// A worker's question.
+/// A worker's request to claim a key.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// The request.
+pub struct Request {
+    /// Id of the caller's request.
     pub id: Id,
-    /// Its key.
+    /// Key and fingerprint of the caller's request.
     pub claim: Claim,
-    /// Time left until the request's deadline.
-    pub left: Duration,
+    /// Time left until the deadline of the caller's request.
+    pub time_left: Duration,
 }
 
-/// A run that ended.
+/// The end of a run under a key.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// The request.
+    /// Id of the caller's request.
     pub id: Id,
-    /// Its key.
+    /// Hash of its key.
     pub hash: Hash,
-    /// How it ended.
+    /// Outcome of the run.
     pub outcome: Outcome,
-    /// Its answer, if it is whole and not too long.
-    pub kept: Option<Arc<Kept>>,
+    /// Its answer, if it is complete and short enough to be cached.
+    pub answer: Option<Arc<CachedAnswer>>,
 }
 
-/// The answer of a run, for resends.
+/// The answer of a run, cached for retries under the same key.
 #[derive(Clone, Debug)]
-pub enum Kept {
-    /// Of a completion.
-    Tokens(Vec<Token>, crate::core::End),
-    /// Of a plain service.
+pub enum CachedAnswer {
+    /// Tokens and end of a completion.
+    Completion(Vec<Token>, crate::core::End),
+    /// Head and body of a service's answer.
     Call(Box<http::response::Parts>, Bytes),
 }
 
-impl Kept {
-    /// Bytes that it takes, roughly.
+impl CachedAnswer {
+    /// Approximate size in memory, in bytes.
     pub fn size(&self) -> usize {
         match self {
-            Self::Tokens(tokens, _) => tokens
+            Self::Completion(tokens, _) => tokens
                 .iter()
                 .map(|t| size_of::<Token>() + t.text.len())
                 .sum(),
@@ -70,13 +71,13 @@
     }
 }
 
-/// Control's answer to a question.
+/// The control thread's decision on a claim.
 #[derive(Clone, Debug)]
 pub enum Verdict {
-    /// The key is this request's: run it.
+    /// The request has claimed the key and may run.
     Run,
-    /// Give it this answer of the key's run.
-    Replay(Arc<Kept>),
-    /// Give it this error.
+    /// The key has run; the request is answered with the cached answer.
+    Replay(Arc<CachedAnswer>),
+    /// The request is answered with this error.
     Error(Box<Error>),
 }
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,12 +1,14 @@
 //! The core of a request worker: the only owner of its router and of the table of sessions.
 //!
-//! Commands come in through one unbounded channel. It needs no bound of its own: an arrival takes a
-//! stream that the listener has already bounded, and an attempt sends a few events for each
-//! token that its endpoints make. The answer channel of a session is bounded by the request's own
-//! number of tokens; tokens have to be kept until the end anyway, to continue elsewhere.
+//! Commands arrive through one unbounded channel. It needs no bound of its own: each arrival
+//! occupies a stream, whose number the listener limits, and an attempt sends only a few events for
+//! each token that its endpoints generate. The reply channel of a session holds at most the
+//! request's number of tokens; tokens are retained until the end anyway, so that another attempt
+//! can continue after them.
 //!
-//! Endpoint ids belong to one bundle. A failure names the id that its attempt was started with, as
-//! the router expects. What outlives a bundle otherwise (probes, loads, notes) goes by name.
+//! Endpoint ids are valid for one bundle only. A failure carries the id that its attempt was
+//! started with, as the router expects. Other data that may outlive a bundle (probes, load reports,
+//! events for the control thread) identifies endpoints by name.
 
 mod claims;
 mod message;
@@ -17,7 +19,7 @@
 use crate::claim;
 use crate::metrics::Metrics;
 use crate::ring;
-use crate::snapshot::{Board, Snapshot};
+use crate::snapshot::{SharedSnapshot, Snapshot};
 use arc_swap::ArcSwap;
 use bundle::id::EndpointId;
 use engine::chain::{Stop, Token};
@@ -36,7 +38,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub use message::{Arrival, Command, Demand, End, Note, Notice, Reply};
+pub use message::{Arrival, Command, ControlEvent, Demand, End, Reply, WorkerEvent};
 use session::{Running, Session};
 
 /// Sends commands to a core.
@@ -44,90 +46,91 @@
 /// Receives the commands of a core.
 pub type Rx = mpsc::UnboundedReceiver<Command>;
 
-/// Longest time that a probe on a new connection may take.
-const PROBE_TIME: Duration = Duration::from_millis(500);
-/// How often counters and demand are given out.
-const TELL_PERIOD: Duration = Duration::from_millis(500);
+/// Timeout of a probe, which opens a new connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which the router's counters and the teams' demand are published.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The refusal when control can't take one more question.
-const OVERFULL: Refusal = Refusal {
+/// The refusal of a request whose claim does not fit into the ring to the control thread.
+const CONTROL_QUEUE_FULL: Refusal = Refusal {
     reason: Reason::Overload,
     retry_after: Some(Duration::from_secs(1)),
 };
-/// The end of a plain service's whole answer.
-const WHOLE_CALL: End = End {
+/// The end of a service's answer that is complete.
+const COMPLETE_CALL_END: End = End {
     outcome: Outcome::Complete,
     stop: Stop::End,
     prompt_tokens: 0,
 };
 
-/// The core.
+/// Owns the router and the sessions of one worker.
 pub struct Core {
     router: Router,
     sessions: HashMap<Id, Session>,
     snapshot: Option<Arc<Snapshot>>,
-    board: Board,
+    shared_snapshot: SharedSnapshot,
     pool: Pool,
     tx: Tx,
-    notes: ring::Sender<Note>,
+    worker_events: ring::Sender<WorkerEvent>,
     metrics: Metrics,
     start: Instant,
     reports: Reports,
-    told: Instant,
+    reported_at: Instant,
     actions: Vec<Action>,
-    /// Notes that must reach control and found the ring full.
-    outbox: VecDeque<Note>,
+    /// Events that must not be lost and that wait for space in the ring to the control thread.
+    outbox: VecDeque<WorkerEvent>,
 }
 
 /// The newest counters and gauges of a router, for the metrics page.
 pub type Reports = Arc<ArcSwap<route::report::Report>>;
 
-/// What a core is made of.
+/// Arguments of [`Core::new`].
 pub struct Parts {
-    /// The router.
+    /// The router of this worker.
     pub router: Router,
-    /// Where control publishes.
-    pub board: Board,
-    /// Connections of this worker.
+    /// The snapshot that the control thread publishes.
+    pub shared_snapshot: SharedSnapshot,
+    /// Connection pool of this worker.
     pub pool: Pool,
-    /// Where commands go.
+    /// Sends commands to this core; passed on to attempts and probes.
     pub tx: Tx,
-    /// Where notes to control go. When the ring is full the newest is dropped and counted: what
-    /// it told is told again by the next failure.
-    pub notes: ring::Sender<Note>,
-    /// Counters.
+    /// Sends events to the control thread. When the ring is full, the newest event is dropped and
+    /// counted, because the next failure reports the same fact again. Events that are not
+    /// repeated wait in the core's outbox instead.
+    pub worker_events: ring::Sender<WorkerEvent>,
+    /// Counters of the request path.
     pub metrics: Metrics,
-    /// Zero of the router's time.
+    /// Origin of the router's clock.
     pub start: Instant,
-    /// Where the router's counters are put.
+    /// Receives the router's counters.
     pub reports: Reports,
 }
 
 impl Core {
-    /// A core with no session.
+    /// Creates a core without sessions.
     pub fn new(parts: Parts) -> Self {
         Self {
             router: parts.router,
             sessions: HashMap::new(),
             snapshot: None,
-            board: parts.board,
+            shared_snapshot: parts.shared_snapshot,
             pool: parts.pool,
             tx: parts.tx,
-            notes: parts.notes,
+            worker_events: parts.worker_events,
             metrics: parts.metrics,
             start: parts.start,
             reports: parts.reports,
-            told: parts.start,
+            reported_at: parts.start,
             actions: Vec::new(),
             outbox: VecDeque::new(),
         }
     }
 
-    /// Serves commands and notices until `stop`.
+    /// Handles commands and control events until `stop` is cancelled.
     pub async fn run(
         mut self,
         mut rx: Rx,
-        mut notices: ring::Receiver<Notice>,
+        mut control_events: ring::Receiver<ControlEvent>,
         stop: CancellationToken,
     ) {
         let mut tick = tokio::time::interval(TICK);
@@ -137,8 +140,8 @@
                 biased;
                 () = stop.cancelled() => return,
                 _ = tick.tick() => self.tick(),
-                Some(notice) = notices.pop() => self.notice(notice),
-                Some(command) = rx.recv() => self.command(command),
+                Some(event) = control_events.pop() => self.handle_control_event(event),
+                Some(command) = rx.recv() => self.handle_command(command),
             }
         }
     }
@@ -148,33 +151,33 @@
     }
 
     fn tick(&mut self) {
-        self.post();
+        self.flush_outbox();
         self.refresh();
         self.handle(Event::Tick);
-        if self.told.elapsed() >= TELL_PERIOD {
-            self.told = Instant::now();
-            self.tell();
+        if self.reported_at.elapsed() >= REPORT_INTERVAL {
+            self.reported_at = Instant::now();
+            self.report();
         }
     }
 
-    /// Gives out the router's counters, and tells control what teams ask for.
-    fn tell(&mut self) {
+    /// Publishes the router's counters and sends the teams' demand to the control thread.
+    fn report(&mut self) {
         self.reports.store(Arc::new(self.router.report()));
         let Some(snapshot) = &self.snapshot else {
             return;
         };
         let accounts = self.router.accounts().iter();
         let demands = accounts.map(|a| Demand {
-            asked: a.taken + a.refused,
+            received: a.admitted + a.refused,
             in_flight: a.in_flight,
         });
-        let note = Note::Demand(snapshot.view.bundle.digest, demands.collect());
-        let _ = self.notes.push(note);
+        let event = WorkerEvent::Demand(snapshot.view.bundle.digest, demands.collect());
+        let _ = self.worker_events.push(event);
     }
 
-    /// Takes the newest snapshot, if there is a new one.
+    /// Loads the newest snapshot and passes it to the router if it has changed.
     fn refresh(&mut self) {
-        let newest = self.board.load();
+        let newest = self.shared_snapshot.load();
         let Some(newest) = newest.as_ref() else {
             return;
         };
@@ -186,31 +189,32 @@
         self.handle(Event::View(newest.view.clone()));
     }
 
-    fn notice(&mut self, notice: Notice) {
-        match notice {
-            Notice::Claim(id, verdict) => self.claimed(id, verdict),
-            Notice::Load(name, report) => {
-                if let Some(endpoint) = self.endpoint(&name) {
+    fn handle_control_event(&mut self, event: ControlEvent) {
+        match event {
+            ControlEvent::Claim(id, verdict) => self.handle_verdict(id, verdict),
+            ControlEvent::Load(name, report) => {
+                if let Some(endpoint) = self.endpoint_id(&name) {
                     self.handle(Event::Load(endpoint, report));
                 }
             }
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Arrive(arrival) => self.arrive(arrival),
-            Command::Chain(id, attempt, event) => self.chain(id, attempt, event),
-            Command::Call(id, attempt, event) => self.call(id, attempt, event),
-            Command::Left(id) => self.left(id),
+            Command::Chain(id, attempt, event) => self.handle_chain_event(id, attempt, event),
+            Command::Call(id, attempt, event) => self.handle_call_event(id, attempt, event),
+            Command::CallerLeft(id) => self.caller_left(id),
             Command::Probed(name, alive) => {
-                if let Some(endpoint) = self.endpoint(&name) {
+                if let Some(endpoint) = self.endpoint_id(&name) {
                     self.handle(Event::Probed(endpoint, alive));
                 }
             }
             Command::Ticket(reply) => {
-                // When the ring is full the caller's channel closes, and it is told to come back.
-                let _ = self.notes.push(Note::Ticket(reply));
+                // When the ring is full, the reply channel is dropped, and the handler answers that
+                // the caller should retry later.
+                let _ = self.worker_events.push(WorkerEvent::Ticket(reply));
             }
             Command::Dump(reply) => {
                 let _ = reply.send(self.dump());
@@ -219,19 +223,20 @@
     }
 
     fn arrive(&mut self, arrival: Arrival) {
-        // The handler read a snapshot that may be newer than the router's: ids must agree.
+        // The handler may have used a newer snapshot than the router has. Both must use the same
+        // bundle, because ids are valid for one bundle only.
         self.refresh();
         let session = Session {
             work: arrival.work,
             reply: arrival.reply,
-            had: Vec::new(),
+            generated: Vec::new(),
             end: End {
                 outcome: Outcome::Unknown,
                 stop: Stop::End,
                 prompt_tokens: 0,
             },
             repeatable: arrival.request.repeatable,
-            hash: None,
+            key_hash: None,
             unclaimed: None,
             head: None,
             body: None,
@@ -243,31 +248,36 @@
             self.sessions.insert(id, session);
             return self.handle(Event::Arrive(arrival.request));
         };
-        let ask = claim::Ask {
+        let request = claim::Request {
             id,
             claim,
-            left: arrival.request.deadline.saturating_sub(self.now()),
+            time_left: arrival.request.deadline.saturating_sub(self.now()),
         };
         self.sessions.insert(
             id,
             Session {
-                hash: Some(claim.form.hash()),
+                key_hash: Some(claim.form.hash()),
                 unclaimed: Some(arrival.request),
                 ..session
             },
         );
-        if self.notes.push(Note::Claim(ask)).is_err() {
+        if self
+            .worker_events
+            .push(WorkerEvent::Claim(request))
+            .is_err()
+        {
             self.sessions
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|s| s.hash = None);
-            self.refuse(id, OVERFULL);
+                .for_each(|s| s.key_hash = None);
+            self.refuse(id, CONTROL_QUEUE_FULL);
         }
     }
 
-    /// Work that may be repeated is cancelled down to the engines. Work that may not goes on once
-    /// it is under way: cut off halfway, its effect would be neither there nor safely absent.
-    fn left(&mut self, id: Id) {
+    /// Ends a request whose caller has left. A repeatable request is cancelled, down to the
+    /// engines. A request that is not repeatable continues once its attempt has started: if it were
+    /// interrupted, it would be unknown whether its effects took place.
+    fn caller_left(&mut self, id: Id) {
         let Some(session) = self.sessions.get(&id) else {
             return;
         };
@@ -278,7 +288,7 @@
             self.handle(Event::Left(id));
         }
         if let Some(session) = self.remove(id) {
-            self.ended(id, &session, Outcome::NotRun);
+            self.notify_run_ended(id, &session, Outcome::NotRun);
         }
     }
 
@@ -287,12 +297,12 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.apply(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Start(id, attempt, hops) => self.start_attempt(id, attempt, &hops),
             Action::Cancel(id, attempt) => self.cancel(id, attempt),
@@ -300,7 +310,7 @@
             Action::Finish(id, outcome) => self.finish(id, outcome),
             Action::Probe(endpoint) => self.probe(endpoint),
             Action::Disconnect(endpoint) => {
-                if let Some(stage) = self.stage(&sole_hop(endpoint)) {
+                if let Some(stage) = self.stage(&endpoint_hop(endpoint)) {
                     self.pool.forget(stage.addr);
                 }
             }
@@ -327,11 +337,11 @@
             cancel,
         };
         self.metrics.attempts.add(1, &[]);
-        if session.had.is_empty() {
-            renew(&mut session.work, self.snapshot.as_deref());
+        if session.generated.is_empty() {
+            update_version(&mut session.work, self.snapshot.as_deref());
         }
         match &session.work {
-            Work::Tokens(prompt) => spawn_tokens(cx, prompt, &session.had, stages),
+            Work::Completion(prompt) => spawn_completion(cx, prompt, &session.generated, stages),
             Work::Call(call) => spawn_call(cx, call, stages),
         }
     }
@@ -350,8 +360,8 @@
         let Some(session) = self.remove(id) else {
             return;
         };
-        self.metrics.refused(refusal.reason);
-        self.ended(id, &session, Outcome::NotRun);
+        self.metrics.record_refusal(refusal.reason);
+        self.notify_run_ended(id, &session, Outcome::NotRun);
         let _ = session.reply.send(Reply::Refused(refusal));
     }
 
@@ -359,16 +369,16 @@
         let Some(session) = self.remove(id) else {
             return;
         };
-        self.metrics.ended(outcome);
+        self.metrics.record_end(outcome);
         let end = End {
             outcome,
             ..session.end
         };
         let _ = session.reply.send(Reply::Done(end));
-        self.ended(id, &session, outcome);
+        self.notify_run_ended(id, &session, outcome);
     }
 
-    /// Takes a session out of the table and ends its attempt.
+    /// Removes a session from the table and cancels its attempt.
     fn remove(&mut self, id: Id) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
         if let Some(running) = &session.running {
@@ -378,27 +388,31 @@
     }
 
     fn probe(&mut self, endpoint: EndpointId) {
-        let Some(stage) = self.stage(&sole_hop(endpoint)) else {
+        let Some(stage) = self.stage(&endpoint_hop(endpoint)) else {
             return;
         };
         let pool = self.pool.clone();
         let tx = self.tx.clone();
         tokio::spawn(async move {
-            let alive = pool.probe(stage.addr, PROBE_TIME).await;
+            let alive = pool.probe(stage.addr, PROBE_TIMEOUT).await;
             let _ = tx.send(Command::Probed(stage.name, alive));
         });
     }
 
     fn observe(&mut self, observation: Observation) {
-        let note = match observation {
-            Observation::Ejected(e) => self.stage(&sole_hop(e)).map(|s| Note::Ejected(s.name)),
-            Observation::Restored(e) => self.stage(&sole_hop(e)).map(|s| Note::Restored(s.name)),
-            Observation::Suspect(fingerprint) => Some(Note::Suspect(fingerprint)),
-            Observation::Pending(fingerprint) => Some(Note::Pending(fingerprint)),
-            Observation::Condemned(fingerprint) => Some(Note::Condemned(fingerprint)),
+        let event = match observation {
+            Observation::Ejected(e) => self
+                .stage(&endpoint_hop(e))
+                .map(|s| WorkerEvent::Ejected(s.name)),
+            Observation::Restored(e) => self
+                .stage(&endpoint_hop(e))
+                .map(|s| WorkerEvent::Restored(s.name)),
+            Observation::Suspect(fingerprint) => Some(WorkerEvent::Suspect(fingerprint)),
+            Observation::Pending(fingerprint) => Some(WorkerEvent::Pending(fingerprint)),
+            Observation::Condemned(fingerprint) => Some(WorkerEvent::Condemned(fingerprint)),
         };
-        if let Some(note) = note {
-            let _ = self.notes.push(note);
+        if let Some(event) = event {
+            let _ = self.worker_events.push(event);
         }
     }
 
@@ -407,8 +421,8 @@
     }
 }
 
-/// A hop that only names its endpoint.
-fn sole_hop(endpoint: EndpointId) -> Hop {
+/// Returns a hop that carries only an endpoint, without layers.
+fn endpoint_hop(endpoint: EndpointId) -> Hop {
     Hop {
         endpoint,
         from: 0,
@@ -416,10 +430,10 @@
     }
 }
 
-/// A request without a token yet may run on the version that is served now; one that has tokens
-/// goes on with its own, since an answer of two versions would be wrong.
-fn renew(work: &mut Work, snapshot: Option<&Snapshot>) {
-    let (Work::Tokens(prompt), Some(snapshot)) = (work, snapshot) else {
+/// Sets the model version of a request that has no token yet to the version that is served now.
+/// A request with tokens keeps its version, because an answer must not mix two versions.
+fn update_version(work: &mut Work, snapshot: Option<&Snapshot>) {
+    let (Work::Completion(prompt), Some(snapshot)) = (work, snapshot) else {
         return;
     };
     let model = snapshot.view.bundle.model(&prompt.model);
@@ -429,12 +443,17 @@
     }
 }
 
-fn spawn_tokens(cx: Context, prompt: &Arc<Prompt>, had: &[Token], stages: Vec<Stage>) {
-    tokio::spawn(attempt::tokens(cx, prompt.clone(), had.to_vec(), stages));
+fn spawn_completion(cx: Context, prompt: &Arc<Prompt>, generated: &[Token], stages: Vec<Stage>) {
+    tokio::spawn(attempt::run_completion(
+        cx,
+        prompt.clone(),
+        generated.to_vec(),
+        stages,
+    ));
 }
 
 fn spawn_call(cx: Context, call: &Call, mut stages: Vec<Stage>) {
     if let Some(stage) = stages.pop() {
-        tokio::spawn(attempt::call(cx, call.clone(), stage));
+        tokio::spawn(attempt::run_call(cx, call.clone(), stage));
     }
 }
--- a/crates/entry/src/core/claims.rs
+++ b/crates/entry/src/core/claims.rs
@@ -1,33 +1,33 @@
-//! What claims decide: whether a request with an idempotency key runs here, waits, or gets the
-//! answer that was kept.
+//! Requests with an idempotency key: they wait for the control thread's verdict, then run, are
+//! answered from the cache or fail.
 
-use super::message::{Note, Reply};
+use super::message::{Reply, WorkerEvent};
 use super::session::Session;
-use super::{Core, WHOLE_CALL};
+use super::{COMPLETE_CALL_END, Core};
 use crate::attempt::Work;
-use crate::claim::{self, Kept, Verdict};
+use crate::claim::{self, CachedAnswer, Verdict};
 use route::event::Event;
 use route::outcome::Outcome;
 use route::request::Id;
 use std::sync::Arc;
 
 impl Core {
-    /// What becomes of a request that asked for its key.
-    pub(super) fn claimed(&mut self, id: Id, verdict: Verdict) {
+    /// Applies the verdict on a request that waits for its key.
+    pub(super) fn handle_verdict(&mut self, id: Id, verdict: Verdict) {
         match verdict {
             Verdict::Run => self.run_claimed(id),
-            Verdict::Replay(kept) => self.replay(id, &kept),
+            Verdict::Replay(answer) => self.replay(id, &answer),
             Verdict::Error(error) => {
                 if let Some(session) = self.sessions.remove(&id) {
-                    self.metrics.ended(error.outcome);
+                    self.metrics.record_end(error.outcome);
                     let _ = session.reply.send(Reply::Error(error));
                 }
             }
         }
     }
 
-    /// Runs a request whose key it now holds. If its caller has left, control has been told so
-    /// and releases the key.
+    /// Runs a request that has claimed its key. If the caller has left, there is no session any
+    /// more, and the control thread has been notified and releases the key.
     pub(super) fn run_claimed(&mut self, id: Id) {
         let session = self.sessions.get_mut(&id);
         if let Some(request) = session.and_then(|s| s.unclaimed.take()) {
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Gives a resend the answer of its key's run.
-    pub(super) fn replay(&mut self, id: Id, kept: &Kept) {
+    /// Answers a request with the cached answer of an earlier run under its key.
+    pub(super) fn replay(&mut self, id: Id, answer: &CachedAnswer) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
         };
@@ -45,47 +45,48 @@
         let reply = |reply| {
             let _ = session.reply.send(reply);
         };
-        match (kept, &session.work) {
-            (Kept::Tokens(tokens, end), _) => {
+        match (answer, &session.work) {
+            (CachedAnswer::Completion(tokens, end), _) => {
                 tokens.iter().for_each(|t| reply(Reply::Token(t.clone())));
                 reply(Reply::Done(*end));
             }
-            (Kept::Call(head, body), Work::Call(call)) => {
+            (CachedAnswer::Call(head, body), Work::Call(call)) => {
                 reply(Reply::Head(head.clone()));
                 let _ = call.chunks.try_send(body.clone());
-                reply(Reply::Done(WHOLE_CALL));
+                reply(Reply::Done(COMPLETE_CALL_END));
             }
-            (Kept::Call(..), Work::Tokens(_)) => {}
+            (CachedAnswer::Call(..), Work::Completion(_)) => {}
         }
     }
 
-    /// Tells control that a run under a key ended. Lost, the key would stay taken.
-    pub(super) fn ended(&mut self, id: Id, session: &Session, outcome: Outcome) {
-        let Some(hash) = session.hash else {
+    /// Notifies the control thread that a run under a key has ended. The event goes through the
+    /// outbox: if it were lost, the key would stay claimed.
+    pub(super) fn notify_run_ended(&mut self, id: Id, session: &Session, outcome: Outcome) {
+        let Some(hash) = session.key_hash else {
             return;
         };
         if session.unclaimed.is_some() {
-            self.outbox.push_back(Note::Unclaim(id));
+            self.outbox.push_back(WorkerEvent::ClaimAbandoned(id));
         } else {
-            let kept = (outcome == Outcome::Complete)
-                .then(|| session.kept())
+            let answer = (outcome == Outcome::Complete)
+                .then(|| session.cached_answer())
                 .flatten();
             let ended = claim::Ended {
                 id,
                 hash,
                 outcome,
-                kept: kept.map(Arc::new),
+                answer: answer.map(Arc::new),
             };
-            self.outbox.push_back(Note::Ended(ended));
+            self.outbox.push_back(WorkerEvent::Ended(ended));
         }
-        self.post();
+        self.flush_outbox();
     }
 
-    /// Sends notes that must reach control, in order.
-    pub(super) fn post(&mut self) {
-        while let Some(note) = self.outbox.pop_front() {
-            if let Err(note) = self.notes.push(note) {
-                self.outbox.push_front(note);
+    /// Sends the events of the outbox in order, until the ring is full.
+    pub(super) fn flush_outbox(&mut self) {
+        while let Some(event) = self.outbox.pop_front() {
+            if let Err(event) = self.worker_events.push(event) {
+                self.outbox.push_front(event);
                 return;
             }
         }
--- a/crates/entry/src/core/progress.rs
+++ b/crates/entry/src/core/progress.rs
@@ -1,4 +1,4 @@
-//! What attempts tell: progress, tokens, ends and failures.
+//! Events of attempts: progress, tokens, ends and failures.
 
 use super::Core;
 use super::message::Reply;
@@ -16,25 +16,26 @@
 use std::time::Duration;
 
 impl Core {
-    /// The session, if `attempt` is its current one. What an ended attempt still sends stops here.
-    pub(super) fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Session> {
+    /// Returns the session if `attempt` is its current attempt. Otherwise the event is stale: it
+    /// comes from an attempt that has ended, and is counted and ignored.
+    pub(super) fn current_session(&mut self, id: Id, attempt: Attempt) -> Option<&mut Session> {
         let session = self.sessions.get_mut(&id);
         let session = session.filter(|s| s.running.as_ref().is_some_and(|r| r.attempt == attempt));
         if session.is_none() {
-            self.metrics.stale.add(1, &[]);
+            self.metrics.stale_events.add(1, &[]);
         }
         session
     }
 
-    pub(super) fn chain(&mut self, id: Id, attempt: Attempt, event: chain::Event) {
-        let Some(session) = self.current(id, attempt) else {
+    pub(super) fn handle_chain_event(&mut self, id: Id, attempt: Attempt, event: chain::Event) {
+        let Some(session) = self.current_session(id, attempt) else {
             return;
         };
         match event {
             chain::Event::Sent => {}
             chain::Event::Progress { hop, .. } => self.handle(Event::Progress(id, attempt, hop)),
             chain::Event::Token(token) => {
-                session.had.push(token.clone());
+                session.generated.push(token.clone());
                 let _ = session.reply.send(Reply::Token(token));
                 self.metrics.tokens.add(1, &[]);
                 self.handle(Event::Token(id, attempt));
@@ -45,8 +46,8 @@
             } => {
                 session.end.stop = stop;
                 session.end.prompt_tokens = prompt_tokens;
-                // The driver still closes its streams: cancelled now, it would reset them, and the
-                // engines would take a whole answer for one that was given up.
+                // The chain driver is still closing its streams. If it were cancelled now, it would
+                // reset them, and the engines would take the complete answer for an abandoned one.
                 session.running = None;
                 self.handle(Event::Finished(id, attempt));
             }
@@ -56,21 +57,22 @@
                 sent,
                 retry_after,
             } => {
-                let place = usize::from(hop);
-                let failure = self.failure(id, place, cause::chain(cause), sent, retry_after);
+                let position = usize::from(hop);
+                let failure =
+                    self.failure(id, position, cause::from_chain(cause), sent, retry_after);
                 self.handle(Event::Failed(id, attempt, failure));
             }
         }
     }
 
-    pub(super) fn call(&mut self, id: Id, attempt: Attempt, event: CallEvent) {
-        let Some(session) = self.current(id, attempt) else {
+    pub(super) fn handle_call_event(&mut self, id: Id, attempt: Attempt, event: CallEvent) {
+        let Some(session) = self.current_session(id, attempt) else {
             return;
         };
         match event {
             CallEvent::Head(parts) => {
                 session.committed = true;
-                session.head = session.hash.map(|_| parts.clone());
+                session.head = session.key_hash.map(|_| parts.clone());
                 let _ = session.reply.send(Reply::Head(parts));
                 self.handle(Event::Progress(id, attempt, 0));
             }
@@ -80,10 +82,16 @@
             }
             CallEvent::Failed(failure) => {
                 let committed = session.committed;
-                let failure =
-                    self.failure(id, 0, cause::service(failure.cause), failure.sent, None);
+                let failure = self.failure(
+                    id,
+                    0,
+                    cause::from_service(failure.cause),
+                    failure.sent,
+                    None,
+                );
                 if committed {
-                    // Part of the answer is with the caller: a second run would be appended to it.
+                    // Part of the answer has reached the caller. A retry would append a second
+                    // answer to it.
                     self.finish(id, Outcome::Unknown);
                 }
                 self.handle(Event::Failed(id, attempt, failure));
@@ -114,20 +122,20 @@
         }
     }
 
-    /// Id of a named endpoint in the bundle that the router knows.
-    pub(super) fn endpoint(&self, name: &str) -> Option<EndpointId> {
+    /// Returns the id of the named endpoint in the bundle that the router uses.
+    pub(super) fn endpoint_id(&self, name: &str) -> Option<EndpointId> {
         let snapshot = self.snapshot.as_ref()?;
         snapshot.view.bundle.endpoint(name)
     }
 
-    /// Name and address of an endpoint.
+    /// Returns the stage of a hop, with the name and address of its endpoint.
     pub(super) fn stage(&self, hop: &Hop) -> Option<Stage> {
         let snapshot = self.snapshot.as_ref()?;
-        let row = snapshot.view.bundle.endpoints.get(hop.endpoint as usize)?;
+        let endpoint = snapshot.view.bundle.endpoints.get(hop.endpoint as usize)?;
         Some(Stage {
             endpoint: hop.endpoint,
-            name: row.name.as_str().into(),
-            addr: row.addr,
+            name: endpoint.name.as_str().into(),
+            addr: endpoint.addr,
             from: hop.from,
             to: hop.to,
         })
--- a/crates/entry/src/handler/forward.rs
+++ b/crates/entry/src/handler/forward.rs
@@ -1,8 +1,8 @@
-//! Hands a request to the node that has its key, in one hop.
+//! Forwards a request to the node that owns its idempotency key, in one hop.
 //!
-//! A caller may send a request again to any node, but only the node that ran it has its answer.
-//! The request is passed on once: a node that was handed it answers by itself, so that two nodes
-//! that disagree can't pass it back and forth.
+//! A caller may retry a request on any node, but only the node that ran it has the answer. A
+//! request is forwarded only once: the node that receives a forwarded request answers it itself,
+//! so that two nodes with different views can't forward it in a loop.
 
 use super::Shared;
 use crate::api::error::Result;
@@ -16,19 +16,19 @@
 use std::time::Duration;
 use viz::{Body, Request, Response};
 
-/// What a node that is handed the request needs of it.
+/// The parts of a request that are needed to forward it, except its body.
 pub struct Original {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
-    handed: bool,
+    forwarded: bool,
 }
 
 impl Original {
-    /// Keeps what is needed of `req`.
+    /// Copies the parts of `req`, without the headers that apply to its connection only.
     pub fn of(req: &Request) -> Self {
         let mut headers = req.headers().clone();
-        let handed = headers.insert(HOP, HeaderValue::from_static("1")).is_some();
+        let forwarded = headers.insert(HOP, HeaderValue::from_static("1")).is_some();
         headers.remove(CONNECTION);
         headers.remove(CONTENT_LENGTH);
         headers.remove(TRANSFER_ENCODING);
@@ -36,27 +36,27 @@
             method: req.method().clone(),
             uri: req.uri().clone(),
             headers,
-            handed,
+            forwarded,
         }
     }
 
-    /// The answer of the node that `error` names, or the error itself if there is none or it can't
-    /// be reached.
+    /// Forwards the request if `result` is an error that names the owner of its key, and returns
+    /// the owner's answer. Otherwise, or if the owner can't be reached, returns `result`.
     pub async fn or_forward(
         self,
         state: &Shared,
         result: Result<Response>,
         body: Bytes,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<Response> {
         let error = match result {
-            Err(error) if error.node.is_some() && !self.handed => error,
+            Err(error) if error.owner_url.is_some() && !self.forwarded => error,
             other => return other,
         };
-        let Some(addr) = error.node.as_deref().and_then(plain) else {
+        let Some(addr) = error.owner_url.as_deref().and_then(plain_http_addr) else {
             return Err(error);
         };
-        match self.forward(state, addr, body, left).await {
+        match self.forward(state, addr, body, time_left).await {
             Some(response) => Ok(response),
             None => Err(error),
         }
@@ -67,14 +67,14 @@
         state: &Shared,
         addr: SocketAddr,
         body: Bytes,
-        left: Duration,
+        time_left: Duration,
     ) -> Option<Response> {
         let mut request = http::Request::new(body);
         *request.method_mut() = self.method;
         *request.uri_mut() = self.uri;
         *request.headers_mut() = self.headers;
         let limit = Limit {
-            head: left,
+            head: time_left,
             fresh: false,
         };
         let sent = AtomicBool::new(false);
@@ -87,8 +87,8 @@
     }
 }
 
-/// The address of a node that speaks HTTP without TLS. One that speaks TLS is named to the caller
-/// instead: this node can't vouch for its certificate.
-fn plain(url: &str) -> Option<SocketAddr> {
+/// Returns the address of a node that serves HTTP without TLS. A request for a node that uses TLS
+/// is not forwarded, because this node can't verify its certificate; the caller gets its URL.
+fn plain_http_addr(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.parse().ok()
 }
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,57 +1,57 @@
-//! Bounds of a listener and of what callers send.
+//! Limits of a listener and of callers' requests.
 
 use std::time::Duration;
 
-/// Bounds of one listener.
+/// Limits of one listener.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections at once, per worker thread.
-    pub connections: usize,
-    /// Streams at once on one HTTP/2 connection.
-    pub streams: u32,
-    /// Bytes of a request's head.
-    pub head_bytes: usize,
-    /// Bytes of a request's body.
-    pub body_bytes: usize,
-    /// Time for the TLS handshake and a request's head.
-    pub head_time: Duration,
-    /// Time for a request's body.
-    pub body_time: Duration,
-    /// Time that a connection may stay without a request.
-    pub idle_time: Duration,
+    /// Maximum number of concurrent connections per worker thread.
+    pub max_connections: usize,
+    /// Maximum number of concurrent streams of an HTTP/2 connection.
+    pub max_streams: u32,
+    /// Maximum size of a request's head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum size of a request's body, in bytes.
+    pub max_body_bytes: usize,
+    /// Timeout of the TLS handshake, and of receiving a request's head.
+    pub head_timeout: Duration,
+    /// Timeout of receiving a request's body.
+    pub body_timeout: Duration,
+    /// Time without progress after which a connection is closed.
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connections: 4096,
-            streams: 256,
-            head_bytes: 32 << 10,
-            body_bytes: 1 << 20,
-            head_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(120),
+            max_connections: 4096,
+            max_streams: 256,
+            max_head_bytes: 32 << 10,
+            max_body_bytes: 1 << 20,
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(120),
         }
     }
 }
 
-/// Bounds of what a caller may ask for.
+/// Defaults and limits of callers' requests.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Time to answer when the caller names none.
-    pub usual_deadline: Duration,
-    /// Longest time to answer that a caller may name.
-    pub longest_deadline: Duration,
-    /// Tokens generated when the caller names no number.
-    pub usual_tokens: u32,
+pub struct RequestLimits {
+    /// Deadline of a request that sets none.
+    pub default_deadline: Duration,
+    /// Maximum deadline; longer ones are reduced to it.
+    pub max_deadline: Duration,
+    /// Maximum number of tokens to generate for a request that sets none.
+    pub default_max_tokens: u32,
 }
 
-impl Default for Ask {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
-            usual_deadline: Duration::from_secs(60),
-            longest_deadline: Duration::from_secs(600),
-            usual_tokens: 256,
+            default_deadline: Duration::from_secs(60),
+            max_deadline: Duration::from_secs(600),
+            default_max_tokens: 256,
         }
     }
 }
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,19 +1,20 @@
-//! A bounded HTTP listener: connections, time and memory are limited, and a drain cuts nothing.
+//! An HTTP listener with limits on connections, time and memory, and with a graceful drain.
 //!
-//! A drain tells HTTP/2 callers to go away (GOAWAY) and HTTP/1 callers that their next answer is
-//! the last one of the connection (`connection: close`). A connection without a request yet is
-//! left alone, and new ones are still served: a caller may keep an address answer for a while, and
-//! closing on it would be a failed request. Only at the close are the idle ones ended.
+//! A drain sends GOAWAY to HTTP/2 callers, and `connection: close` with the next answer to HTTP/1
+//! callers. A connection without a request yet stays open, and new connections are still served:
+//! callers cache lists of addresses for a while, and a closed connection would fail their request.
+//! Idle connections are closed only when the listener closes.
 //!
-//! A connection is idle when nothing goes on that the node has to do. One whose answer is there and
-//! is not read is idle too: its caller may never read it, and the connection, the request and the
-//! endpoint that serves it would be taken for good.
+//! A connection is idle when no work is pending on the node. That includes a connection whose
+//! answer is ready but not read: the caller may never read it, and would otherwise occupy the
+//! connection, the request and the endpoint that serves it without limit.
 
-mod watch;
+mod activity;
 
 use crate::limits::Limits;
 use crate::metrics::Metrics;
-use crate::tls::Store;
+use crate::tls::ReloadableConfig;
+use activity::{Activity, TrackedService};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
 use std::net::SocketAddr;
@@ -27,71 +28,72 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 use viz::{Responder, Tree};
-use watch::{Busy, Watched};
 
-/// Pause after a failed accept, so that a lack of file descriptors does not spin the thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often a connection is looked at for being idle.
-const IDLE_CHECK: Duration = Duration::from_millis(500);
-/// Frames that a caller may reset before the connection is closed, against reset floods.
-const RESETS: usize = 64;
-/// Bytes that wait for a caller who reads slowly, per stream.
-const SEND_BUFFER: usize = 64 << 10;
+/// Delay after a failed accept, so that the thread does not spin when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which a connection is checked for being idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of streams that a caller may reset before they are accepted; more of them close
+/// the connection. Limits HTTP/2 reset floods.
+const MAX_PENDING_RESETS: usize = 64;
+/// Maximum number of bytes that are buffered per stream for a caller that reads slowly.
+const MAX_SEND_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a listener is made of.
+/// A listener that is not running yet.
 pub struct Server {
-    /// Where it listens.
+    /// Listening socket.
     pub listener: TcpListener,
-    /// Routes.
+    /// Routes to the handlers.
     pub tree: Arc<Tree>,
-    /// Bounds.
+    /// Limits of the listener.
     pub limits: Limits,
-    /// Certificate, if it speaks TLS.
-    pub tls: Option<Arc<Store>>,
-    /// Counters.
+    /// TLS configuration, if the listener uses TLS.
+    pub tls: Option<Arc<ReloadableConfig>>,
+    /// Counters of the request path.
     pub metrics: Metrics,
 }
 
-/// When a listener ends.
+/// Tokens that shut a listener down in steps.
 #[derive(Clone, Debug, Default)]
-pub struct Stop {
-    /// Callers are told to go elsewhere; all that comes is still served.
+pub struct Shutdown {
+    /// Asks callers to move to another node; all requests are still served.
     pub drain: CancellationToken,
-    /// No connection is accepted any more; returns once all have ended.
+    /// Stops accepting connections; the listener ends when all connections have ended.
     pub close: CancellationToken,
-    /// Connections are broken off.
+    /// Aborts all connections.
     pub kill: CancellationToken,
 }
 
 impl Server {
-    /// Serves until `stop.close`, then until every connection has ended or `stop.kill`.
-    pub async fn run(self, stop: Stop) {
+    /// Serves until `shutdown.close` is cancelled and all connections have ended, or until
+    /// `shutdown.kill` is cancelled.
+    pub async fn run(self, shutdown: Shutdown) {
         let tracker = TaskTracker::new();
-        let room = Arc::new(Semaphore::new(self.limits.connections));
+        let permits = Arc::new(Semaphore::new(self.limits.max_connections));
         let shared = Arc::new(self);
         loop {
             let accepted = tokio::select! {
                 biased;
-                () = stop.close.cancelled() => break,
-                () = stop.kill.cancelled() => break,
+                () = shutdown.close.cancelled() => break,
+                () = shutdown.kill.cancelled() => break,
                 accepted = shared.listener.accept() => accepted,
             };
             let Ok((stream, addr)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Over the bound the connection is closed at once: the caller sees it and goes to
-            // another address, instead of waiting in a queue that it can't see.
-            let Ok(permit) = room.clone().try_acquire_owned() else {
-                shared.metrics.overfull.add(1, &[]);
+            // At the limit, a new connection is closed at once. The caller notices that and can
+            // use another address, instead of waiting in a queue that it can't see.
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
+                shared.metrics.refused_connections.add(1, &[]);
                 continue;
             };
             let shared = shared.clone();
-            let stop = stop.clone();
+            let shutdown = shutdown.clone();
             tracker.spawn(async move {
                 tokio::select! {
-                    () = stop.kill.cancelled() => {}
-                    () = shared.connection(stream, addr, &stop) => {}
+                    () = shutdown.kill.cancelled() => {}
+                    () = shared.connection(stream, addr, &shutdown) => {}
                 }
                 drop(permit);
             });
@@ -100,59 +102,60 @@
         tracker.wait().await;
     }
 
-    async fn connection(&self, stream: TcpStream, addr: SocketAddr, stop: &Stop) {
+    async fn connection(&self, stream: TcpStream, addr: SocketAddr, shutdown: &Shutdown) {
         let _ = stream.set_nodelay(true);
         let Some(tls) = &self.tls else {
-            return self.http(stream, addr, stop).await;
+            return self.http(stream, addr, shutdown).await;
         };
-        let acceptor = tokio_rustls::TlsAcceptor::from(tls.config());
-        let handshake = timeout(self.limits.head_time, acceptor.accept(stream));
+        let acceptor = tokio_rustls::TlsAcceptor::from(tls.current());
+        let handshake = timeout(self.limits.head_timeout, acceptor.accept(stream));
         if let Ok(Ok(stream)) = handshake.await {
-            self.http(stream, addr, stop).await;
+            self.http(stream, addr, shutdown).await;
         }
     }
 
-    async fn http<I>(&self, io: I, addr: SocketAddr, stop: &Stop)
+    async fn http<I>(&self, io: I, addr: SocketAddr, shutdown: &Shutdown)
     where
         I: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
-        let busy = Arc::new(Busy::default());
+        let activity = Arc::new(Activity::default());
         let inner = Responder::new(self.tree.clone(), Some(addr));
-        let service = Watched::new(inner, busy.clone(), stop.drain.clone());
+        let service = TrackedService::new(inner, activity.clone(), shutdown.drain.clone());
         let builder = self.builder();
         let mut conn = pin!(builder.serve_connection(TokioIo::new(io), service));
         let mut idle_since = Instant::now();
-        let mut told = false;
-        let mut closed = false;
-        let mut check = tokio::time::interval(IDLE_CHECK);
+        let mut goaway_sent = false;
+        let mut closing = false;
+        let mut check = tokio::time::interval(IDLE_CHECK_INTERVAL);
         loop {
             tokio::select! {
                 _ = conn.as_mut() => return,
-                () = stop.close.cancelled(), if !closed => {
-                    closed = true;
+                () = shutdown.close.cancelled(), if !closing => {
+                    closing = true;
                     conn.as_mut().graceful_shutdown();
                 }
                 _ = check.tick() => {}
             }
-            if stop.drain.is_cancelled() && busy.http2() && !told {
-                told = true;
+            if shutdown.drain.is_cancelled() && activity.http2() && !goaway_sent {
+                goaway_sent = true;
                 conn.as_mut().graceful_shutdown();
             }
-            if busy.moved() {
+            if activity.has_progressed() {
                 idle_since = Instant::now();
             }
-            if idle_since.elapsed() > self.idle_bound(&busy) {
+            if idle_since.elapsed() > self.idle_limit(&activity) {
                 return;
             }
         }
     }
 
-    /// A connection that has not brought its first request yet has the time of a head; without
-    /// this bound, callers that connect and say nothing would use up the connections.
-    fn idle_bound(&self, busy: &Busy) -> Duration {
-        match busy.begun() {
-            false => self.limits.head_time,
-            true => self.limits.idle_time,
+    /// Returns the idle timeout. Until the first request it is the timeout of a request's head,
+    /// because callers that connect without sending a request could otherwise occupy all
+    /// connections.
+    fn idle_limit(&self, activity: &Activity) -> Duration {
+        match activity.has_requests() {
+            false => self.limits.head_timeout,
+            true => self.limits.idle_timeout,
         }
     }
 
@@ -161,17 +164,17 @@
         builder
             .http1()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.limits.head_time)
-            .max_buf_size(self.limits.head_bytes.max(8 << 10));
+            .header_read_timeout(self.limits.head_timeout)
+            .max_buf_size(self.limits.max_head_bytes.max(8 << 10));
         builder
             .http2()
             .timer(TokioTimer::new())
-            .max_concurrent_streams(self.limits.streams)
-            .max_header_list_size(u32::try_from(self.limits.head_bytes).unwrap_or(u32::MAX))
-            .max_pending_accept_reset_streams(RESETS)
-            .max_send_buf_size(SEND_BUFFER)
-            .keep_alive_interval(self.limits.idle_time / 4)
-            .keep_alive_timeout(self.limits.head_time);
+            .max_concurrent_streams(self.limits.max_streams)
+            .max_header_list_size(u32::try_from(self.limits.max_head_bytes).unwrap_or(u32::MAX))
+            .max_pending_accept_reset_streams(MAX_PENDING_RESETS)
+            .max_send_buf_size(MAX_SEND_BUFFER_BYTES)
+            .keep_alive_interval(self.limits.idle_timeout / 4)
+            .keep_alive_timeout(self.limits.head_timeout);
         builder
     }
 }
--- a/crates/entry/src/worker.rs
+++ b/crates/entry/src/worker.rs
@@ -1,13 +1,13 @@
-//! A request worker: one thread with its own runtime, router, connections and listener.
+//! A request worker: one thread with its own runtime, router, connection pool and listener.
 
-use crate::core::{self, Core, Note, Notice, Reports, Rx, Tx};
+use crate::core::{self, ControlEvent, Core, Reports, Rx, Tx, WorkerEvent};
 use crate::handler::{self, Shared};
-use crate::limits::{Ask, Limits};
+use crate::limits::{Limits, RequestLimits};
 use crate::metrics::Metrics;
 use crate::ring;
-use crate::server::{Server, Stop};
-use crate::snapshot::Board;
-use crate::tls::Store;
+use crate::server::{Server, Shutdown};
+use crate::snapshot::SharedSnapshot;
+use crate::tls::ReloadableConfig;
 use engine::pool::Pool;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -21,48 +21,48 @@
 use tokio_util::sync::CancellationToken;
 use viz::Tree;
 
-/// What a worker is made of.
+/// A request worker that has not started yet.
 pub struct Worker {
-    /// Its number within the node.
+    /// Number of the worker within the node.
     pub number: usize,
-    /// The callers' listener; every worker has one of its own on the same address.
+    /// The listener for callers; all workers listen on the same address.
     pub listener: std::net::TcpListener,
-    /// Bounds of the listener.
+    /// Limits of the listener.
     pub limits: Limits,
-    /// Bounds of what a caller may ask for.
-    pub ask: Ask,
-    /// Seconds for which callers may keep an address answer.
+    /// Defaults and limits of callers' requests.
+    pub request_limits: RequestLimits,
+    /// Seconds for which callers may cache a list of addresses.
     pub address_ttl: u64,
     /// Settings of the router.
     pub route: Settings,
     /// Seed of the router.
     pub seed: u64,
-    /// Certificate of the callers' listener.
-    pub tls: Option<Arc<Store>>,
-    /// Where control publishes.
-    pub board: Board,
-    /// Counters.
+    /// TLS configuration of the listener, if it uses TLS.
+    pub tls: Option<Arc<ReloadableConfig>>,
+    /// The snapshot that the control thread publishes.
+    pub shared_snapshot: SharedSnapshot,
+    /// Counters of the request path.
     pub metrics: Metrics,
-    /// What control tells.
-    pub notices: ring::Receiver<Notice>,
-    /// What is told to control.
-    pub notes: ring::Sender<Note>,
-    /// Where the router's counters are put.
+    /// Receives events from the control thread.
+    pub control_events: ring::Receiver<ControlEvent>,
+    /// Sends events to the control thread.
+    pub worker_events: ring::Sender<WorkerEvent>,
+    /// Receives the router's counters.
     pub reports: Reports,
-    /// When it ends.
-    pub stop: Stop,
+    /// Tokens that shut the listener down.
+    pub shutdown: Shutdown,
 }
 
 /// A started worker.
 pub struct Handle {
-    /// Where commands go.
+    /// Sends commands to the worker's core.
     pub tx: Tx,
-    /// Its thread.
+    /// Thread of the worker.
     pub thread: JoinHandle<io::Result<()>>,
 }
 
 impl Worker {
-    /// Starts the thread.
+    /// Starts the worker's thread.
     pub fn start(self) -> io::Result<Handle> {
         let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
         let name = format!("worker-{}", self.number);
@@ -86,23 +86,23 @@
         let pool = Pool::default();
         let core = Core::new(core::Parts {
             router: Router::new(self.seed, self.route),
-            board: self.board.clone(),
+            shared_snapshot: self.shared_snapshot.clone(),
             pool: pool.clone(),
             tx: tx.clone(),
-            notes: self.notes,
+            worker_events: self.worker_events,
             metrics: self.metrics.clone(),
             start,
             reports: self.reports,
         });
-        // The core outlives the listener: requests in flight need it until the last has ended.
+        // The core outlives the listener, because requests in flight need it until they end.
         let end = CancellationToken::new();
-        let running = tokio::spawn(core.run(rx, self.notices, end.clone()));
+        let running = tokio::spawn(core.run(rx, self.control_events, end.clone()));
         let shared = Shared {
             tx,
-            board: self.board,
+            shared_snapshot: self.shared_snapshot,
             pool,
             limits: self.limits.clone(),
-            ask: self.ask,
+            request_limits: self.request_limits,
             address_ttl: self.address_ttl,
             metrics: self.metrics.clone(),
             start,
@@ -115,7 +115,7 @@
             tls: self.tls,
             metrics: self.metrics,
         };
-        server.run(self.stop).await;
+        server.run(self.shutdown).await;
         end.cancel();
         let _ = running.await;
         Ok(())
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -10,23 +10,23 @@
 //! [`Table`] holds a node's state of both. See `docs/design/at-most-once.md`.
 
 pub mod action;
+pub mod append;
 pub mod check;
 pub mod counters;
 pub mod event;
-pub mod fold;
 pub mod home;
 pub mod key;
-pub mod lane;
 pub mod record;
+pub mod replay;
 pub mod run;
 pub mod settings;
 pub mod table;
 pub mod ticket;
 
-pub use action::{Action, Why};
+pub use action::{Action, Refusal};
 pub use counters::Counters;
-pub use event::{Ask, Event};
-pub use key::{Form, Key};
+pub use event::{Event, Request};
+pub use key::{DatedKey, Key};
 pub use settings::Settings;
 pub use table::Table;
 pub use ticket::Ticket;
--- a/crates/lease/src/claim/key.rs
+++ b/crates/lease/src/claim/key.rs
@@ -1,6 +1,6 @@
 //! Keys as callers send them.
 
-use crate::Wall;
+use crate::WallTime;
 use crate::claim::Hash;
 use crate::claim::ticket::{self, Ticket};
 use sha2::{Digest, Sha256};
@@ -18,23 +18,23 @@
 
 /// A dated key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key {
+pub struct DatedKey {
     /// Hash of the team and the key's text.
     pub hash: Hash,
     /// When the key was made, by its maker's clock.
-    pub date: Wall,
+    pub date: WallTime,
 }
 
 /// A checked key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Key {
     /// The caller's own key.
-    Dated(Key),
+    Dated(DatedKey),
     /// A ticket, with the hash of team and text.
     Ticket(Ticket, Hash),
 }
 
-/// Why a key is refused.
+/// Refusal a key is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Empty, over [`MAX_LEN`], or with characters outside visible ASCII.
@@ -48,7 +48,7 @@
 /// Result of a check.
 pub type Result<T> = std::result::Result<T, Error>;
 
-impl Form {
+impl Key {
     /// Checks a key's text. Keys of different teams never meet, since the hash holds the team.
     ///
     /// A key must carry its date. The log drops old claims, and without a date nobody could tell
@@ -64,7 +64,7 @@
             return Ok(Self::Ticket(ticket, hash));
         }
         let date = seconds(text).or_else(|| uuid(text)).ok_or(Error::Undated)?;
-        Ok(Self::Dated(Key { hash, date }))
+        Ok(Self::Dated(DatedKey { hash, date }))
     }
 
     /// Hash of the team and the key's text.
@@ -102,7 +102,7 @@
         .fold(0, |hash, b| hash << 8 | Hash::from(*b))
 }
 
-fn seconds(text: &str) -> Option<Wall> {
+fn seconds(text: &str) -> Option<WallTime> {
     let (date, rest) = text.split_once('-')?;
     let digits = date.len() == DATE_DIGITS && date.bytes().all(|b| b.is_ascii_digit());
     if !digits || rest.is_empty() {
@@ -112,7 +112,7 @@
 }
 
 /// The date in a UUID of version 7: its first 48 bits, in milliseconds.
-fn uuid(text: &str) -> Option<Wall> {
+fn uuid(text: &str) -> Option<WallTime> {
     let shaped = text.len() == UUID_LEN
         && text
             .bytes()
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! Claims of idempotency keys, leases with fencing numbers and the order of a roll, without I/O.
 //!
 //! - [`claim`]: a request that may not be repeated runs at most once over all nodes.
-//! - [`hold`]: one holder at a time gives orders to a group of endpoints.
+//! - [`group_lease`]: one holder at a time gives orders to a group of endpoints.
 //! - [`roll`]: which order to which endpoint comes next on the way to the bundle's desired state.
 //!
 //! Inputs are events with the time they came at; outputs are actions that the node carries out.
@@ -11,12 +11,12 @@
 
 use std::time::Duration;
 
+pub mod backoff;
 pub mod claim;
-pub mod hold;
+pub mod group_lease;
 pub mod outcome;
 pub mod owner;
 pub mod page;
-pub mod retry;
 pub mod roll;
 
 pub use outcome::Outcome;
@@ -26,8 +26,8 @@
 /// Time since the process started, on the monotonic clock.
 pub type Now = Duration;
 /// Time since the Unix epoch, on the wall clock.
-pub type Wall = Duration;
+pub type WallTime = Duration;
 /// Place of a record in its stream.
 pub type Offset = u64;
 /// Id of a request, unique over all nodes.
-pub type Request = u128;
+pub type RequestId = u128;
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -1,10 +1,10 @@
 //! Claim and lease tables against the log service's stand-in, over loopback sockets: the way a node
 //! drives them.
 
-use lease::claim::event::Ask;
-use lease::claim::{self, Form};
-use lease::hold::{self, Group, Want};
-use lease::{Now, Outcome, Owner, Page, Record, Request};
+use lease::claim::event::Request;
+use lease::claim::{self, Key};
+use lease::group_lease::{self, Candidacy, Group};
+use lease::{Now, Outcome, Owner, Page, Record, RequestId};
 use platform::{Limits, Log as _, http};
 use standin::fault::Mode;
 use standin::log::Log;
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct Book {
     runs: BTreeMap<claim::Hash, u32>,
-    told: BTreeMap<Request, Told>,
+    told: BTreeMap<RequestId, Told>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,8 +70,8 @@
     let (events, queue) = unbounded_channel();
     let settings = claim::Settings {
         shards: 2,
-        start: wall(),
-        pace: Duration::from_millis(50),
+        started_at: wall(),
+        append_interval: Duration::from_millis(50),
         ..claim::Settings::default()
     };
     let table = claim::Table::new(
@@ -84,7 +84,7 @@
     );
     let client = Arc::new(http::Log::new(log, Limits::default()));
     let task = tokio::spawn(drive(table, client, events.clone(), queue, book));
-    events.send(claim::Event::Follow(vec![0, 1])).unwrap();
+    events.send(claim::Event::HomeShards(vec![0, 1])).unwrap();
     Node { events, task }
 }
 
@@ -149,12 +149,12 @@
                 .send(claim::Event::Ended(hash, Outcome::Complete, 10))
                 .ok();
         }
-        Action::Follow { request, .. } | Action::Answer { request, .. } => {
+        Action::Join { request, .. } | Action::Answer { request, .. } => {
             told(request, Told::Joined);
         }
-        Action::Point { request, .. } => told(request, Told::Pointed),
+        Action::Redirect { request, .. } => told(request, Told::Pointed),
         Action::Refuse { request, .. } => told(request, Told::Refused),
-        Action::Forget(_) => {}
+        Action::DropAnswer(_) => {}
     }
 }
 
@@ -162,16 +162,16 @@
 async fn send_all(nodes: &[Node], book: &Shared, round: u64) {
     for key in 0..KEYS {
         let text = format!("{}-{round}-{key}", wall().as_secs());
-        let form = Form::parse("desk", &text).unwrap();
+        let form = Key::parse("desk", &text).unwrap();
         for (n, node) in (0..).zip(nodes) {
-            let request = Request::from((round * KEYS + key) * NODES + n);
-            let ask = Ask {
-                request,
-                form,
+            let request = RequestId::from((round * KEYS + key) * NODES + n);
+            let ask = Request {
+                id: request,
+                key: form,
                 fingerprint: 1,
                 deadline: Now::MAX,
             };
-            node.events.send(claim::Event::Ask(ask)).unwrap();
+            node.events.send(claim::Event::Received(ask)).unwrap();
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -217,13 +217,13 @@
     const GROUP: Group = 7;
     let log = Log::start(any()).await.unwrap();
     log.faults.lose(2);
-    let settings = hold::Settings {
-        retry: TICK,
-        ..hold::Settings::default()
+    let settings = group_lease::Settings {
+        min_backoff: TICK,
+        ..group_lease::Settings::default()
     };
     let client = http::Log::new(log.addr, Limits::default());
     let table = |n| {
-        hold::Table::new(
+        group_lease::Table::new(
             Owner {
                 node: n,
                 incarnation: 1,
@@ -233,16 +233,16 @@
         )
     };
     let mut tables = [table(1), table(2)];
-    let mut queues: [Vec<hold::Event>; 2] = Default::default();
+    let mut queues: [Vec<group_lease::Event>; 2] = Default::default();
     let begun = Instant::now();
     for queue in &mut queues {
-        queue.push(hold::Event::Want(vec![Want {
+        queue.push(group_lease::Event::Candidacies(vec![Candidacy {
             group: GROUP,
             rank: 0,
         }]));
     }
     let end = begun + PATIENCE;
-    let held = |tables: &[hold::Table], now| {
+    let held = |tables: &[group_lease::Table], now| {
         tables
             .iter()
             .filter(|table| table.permit(now, GROUP).is_some())
@@ -252,7 +252,7 @@
         for (table, queue) in tables.iter_mut().zip(&mut queues) {
             let mut actions = Vec::new();
             let events = std::mem::take(queue);
-            for event in events.into_iter().chain([hold::Event::Tick]) {
+            for event in events.into_iter().chain([group_lease::Event::Tick]) {
                 table.handle(begun.elapsed(), event, &mut actions);
             }
             for action in actions {
@@ -265,21 +265,21 @@
     assert!(log.faults.lost() > 0);
 }
 
-async fn carry_out(action: hold::Action, client: &http::Log) -> Option<hold::Event> {
+async fn carry_out(action: group_lease::Action, client: &http::Log) -> Option<group_lease::Event> {
     match action {
-        hold::Action::Append { batch, body } => {
-            Some(match client.append(hold::STREAM, body).await {
-                Ok(_) => hold::Event::Appended(batch),
-                Err(e) if e.unsure() => hold::Event::AppendUnsure(batch),
-                Err(_) => hold::Event::AppendFailed(batch),
+        group_lease::Action::Append { batch, body } => {
+            Some(match client.append(group_lease::STREAM, body).await {
+                Ok(_) => group_lease::Event::Appended(batch),
+                Err(e) if e.unsure() => group_lease::Event::AppendUnsure(batch),
+                Err(_) => group_lease::Event::AppendFailed(batch),
             })
         }
-        hold::Action::Read { from, .. } => Some(
-            match client.read(hold::STREAM, from, Duration::ZERO).await {
-                Ok(read) => hold::Event::Page(page(read)),
-                Err(_) => hold::Event::ReadFailed,
+        group_lease::Action::Read { from, .. } => Some(
+            match client.read(group_lease::STREAM, from, Duration::ZERO).await {
+                Ok(read) => group_lease::Event::Page(page(read)),
+                Err(_) => group_lease::Event::ReadFailed,
             },
         ),
-        hold::Action::Gained(..) | hold::Action::Lost(_) => None,
+        group_lease::Action::Gained(..) | group_lease::Action::Lost(_) => None,
     }
 }
--- a/crates/lease/tests/text.rs
+++ b/crates/lease/tests/text.rs
@@ -1,9 +1,9 @@
 //! Text forms, as the dump shows them.
 
 use bundle::Bundle;
-use lease::claim::event::Ask;
-use lease::claim::{self, Form, Why};
-use lease::hold::{self, Want};
+use lease::claim::event::Request;
+use lease::claim::{self, Key, Refusal};
+use lease::group_lease::{self, Candidacy};
 use lease::roll::{Health, Phase, Rate, Roll, View};
 use lease::{Owner, Page, Record};
 use std::time::Duration;
@@ -26,21 +26,21 @@
 fn claims() -> claim::Table {
     let settings = claim::Settings {
         shards: 1,
-        start: START,
+        started_at: START,
         ..claim::Settings::default()
     };
     let mut table = claim::Table::new(owner(), 1, settings);
     let mut actions = Vec::new();
-    table.handle(SECOND, claim::Event::Follow(vec![0]), &mut actions);
+    table.handle(SECOND, claim::Event::HomeShards(vec![0]), &mut actions);
     table.handle(SECOND, claim::Event::Page(0, empty()), &mut actions);
-    let form = Form::parse("desk", "1764700000-a").unwrap();
-    let ask = Ask {
-        request: 1,
-        form,
+    let form = Key::parse("desk", "1764700000-a").unwrap();
+    let ask = Request {
+        id: 1,
+        key: form,
         fingerprint: 1,
         deadline: SECOND * 9,
     };
-    table.handle(SECOND, claim::Event::Ask(ask), &mut actions);
+    table.handle(SECOND, claim::Event::Received(ask), &mut actions);
     table
 }
 
@@ -71,29 +71,29 @@
         &mut actions,
     );
     assert_eq!(table.counters().stepped, 1);
-    let form = Form::parse("desk", "1764700050-b").unwrap();
-    let ask = Ask {
-        request: 2,
-        form,
+    let form = Key::parse("desk", "1764700050-b").unwrap();
+    let ask = Request {
+        id: 2,
+        key: form,
         fingerprint: 1,
         deadline: SECOND * 9,
     };
-    table.handle(SECOND * 2, claim::Event::Ask(ask), &mut actions);
+    table.handle(SECOND * 2, claim::Event::Received(ask), &mut actions);
     assert_eq!(table.counters().refused, 0);
 }
 
 #[test]
 fn leases_read_as_text() {
-    let mut table = hold::Table::new(owner(), 1, hold::Settings::default());
+    let mut table = group_lease::Table::new(owner(), 1, group_lease::Settings::default());
     let mut actions = Vec::new();
-    let want = vec![Want {
+    let want = vec![Candidacy {
         group: 0x5,
         rank: 0,
     }];
-    table.handle(SECOND, hold::Event::Want(want), &mut actions);
-    table.handle(SECOND, hold::Event::Page(empty()), &mut actions);
+    table.handle(SECOND, group_lease::Event::Candidacies(want), &mut actions);
+    table.handle(SECOND, group_lease::Event::Page(empty()), &mut actions);
     let body = actions.iter().find_map(|action| match action {
-        hold::Action::Append { body, .. } => Some(body.clone()),
+        group_lease::Action::Append { body, .. } => Some(body.clone()),
         _ => None,
     });
     let records = vec![Record {
@@ -105,7 +105,7 @@
         next: 1,
         records,
     };
-    table.handle(SECOND, hold::Event::Page(page), &mut actions);
+    table.handle(SECOND, group_lease::Event::Page(page), &mut actions);
     let wanted = "\
 leases of a1/beef: gained 1 lost 0 beaten 0 appends 1 unsure 0 failed 0 bad 0 gaps 0 broken 0
 group 5 holder a1/beef held fence 0 until 16s
@@ -146,15 +146,15 @@
 #[test]
 fn refusals_read_as_text_and_have_a_status() {
     assert_eq!(
-        Why::Log.to_string(),
+        Refusal::Unsettled.to_string(),
         "the log service did not settle the claim in time"
     );
     let statuses = [
-        Why::Log,
-        Why::Mismatch,
-        Why::Expired,
-        Why::Future,
-        Why::Unissued,
+        Refusal::Unsettled,
+        Refusal::Mismatch,
+        Refusal::Expired,
+        Refusal::Future,
+        Refusal::Unissued,
     ];
-    assert_eq!(statuses.map(Why::status), [503, 422, 409, 400, 400]);
+    assert_eq!(statuses.map(Refusal::status), [503, 422, 409, 400, 400]);
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,33 +1,34 @@
-//! Control: what one thread of a node knows of the fleet, and what it tells the workers.
+//! Control: a thread that maintains the node's view of the fleet and publishes it to the workers.
 //!
-//! [`state::State`] holds it: the fold of bundles, the group of nodes, the instance list, and what
-//! the workers observed. Tasks around it read the platform and the peers and send it
-//! [`input::Input`]s; it answers by publishing a snapshot. Only its own thread touches it.
+//! [`state::State`] holds the bundles, the group of nodes, the instance list and the observations
+//! of the workers. Other tasks of the thread read from the platform's services and from peers and
+//! send the results to the state as [`input::Input`]s. When its view changes, the state publishes a
+//! new snapshot to each worker. The state belongs to this thread and is never shared.
 
 pub mod claims;
 pub mod demand;
 pub mod endpoints;
 pub mod input;
-pub mod listed;
+pub mod instance_list;
 pub mod loads;
+pub mod log_stream;
 pub mod observed;
 pub mod publish;
 pub mod records;
 pub mod rolls;
 pub mod state;
-pub mod stream;
 pub mod tail;
 pub mod view;
 
-use crate::process::{Ends, runtime};
+use crate::process::{ShutdownSignals, runtime};
 use crate::settings::Settings;
-use entry::admin::Question;
-use entry::core::{Note, Notice};
+use entry::admin::ControlRequest;
+use entry::core::{ControlEvent, WorkerEvent};
 use entry::ring;
-use entry::snapshot::Board;
-use entry::tls::Store;
+use entry::snapshot::SharedSnapshot;
+use entry::tls::ReloadableConfig;
 use eyre::{Result, WrapErr};
-use input::{INPUTS, Input, Inputs};
+use input::{INPUT_CAPACITY, Input, Inputs};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use state::State;
 use std::net::SocketAddr;
@@ -38,63 +39,68 @@
 use tokio_util::sync::CancellationToken;
 use wire::peer::{Link, Setup};
 
-/// Messages of peers that may wait for control.
-const INBOUND: usize = 1024;
-/// Longest time between two ticks of the claims.
-const CLAIM_TICK: Duration = Duration::from_millis(20);
-/// How often certificates are looked at.
-const TLS_PERIOD: Duration = Duration::from_secs(5);
+/// Capacity of the queue of messages from peers.
+const INBOUND_CAPACITY: usize = 1024;
+/// Interval of the ticks of the claims.
+const CLAIM_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the certificate files are checked for changes.
+const CERTIFICATE_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The rings to and from one worker.
-pub struct Worker {
-    /// To it. A full ring drops the newest notice: a load report is followed by a newer one.
-    pub notices: ring::Sender<Notice>,
-    /// From it.
-    pub noted: ring::Receiver<Note>,
+pub struct WorkerRings {
+    /// Events to the worker. A load report that does not fit into a full ring is dropped, since a
+    /// newer one follows.
+    pub control_events: ring::Sender<ControlEvent>,
+    /// Events from the worker.
+    pub worker_events: ring::Receiver<WorkerEvent>,
 }
 
-/// What control is made of.
+/// Parts from which the control thread is started.
 pub struct Control {
     /// Settings of the node.
     pub settings: Settings,
-    /// The callers' listener.
+    /// Bound address of the callers' listener.
     pub callers: SocketAddr,
-    /// Number of this run.
+    /// Number that identifies this run of the node.
     pub incarnation: u64,
-    /// Seed of its generators.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Where it publishes, by worker.
-    pub boards: Vec<Board>,
-    /// Questions of the admin listener.
-    pub asked: mpsc::Receiver<Question>,
-    /// The workers.
-    pub workers: Vec<Worker>,
-    /// When it ends.
-    pub ends: Ends,
-    /// Certificates to read again when their files change.
-    pub tls: Vec<Arc<Store>>,
-    /// Gives out the node's metrics; held as long as control runs.
+    /// Snapshots to publish, by worker.
+    pub shared_snapshots: Vec<SharedSnapshot>,
+    /// Requests of the admin listener.
+    pub requests: mpsc::Receiver<ControlRequest>,
+    /// Rings to and from the workers.
+    pub workers: Vec<WorkerRings>,
+    /// Signals that stop the parts of the node.
+    pub shutdown: ShutdownSignals,
+    /// Certificates to reload when their files change.
+    pub tls: Vec<Arc<ReloadableConfig>>,
+    /// Provider of the node's metrics. It is kept alive until control ends, because the instruments
+    /// stop working when it is dropped.
     pub provider: SdkMeterProvider,
 }
 
 impl Control {
-    /// Starts the thread; returns once the peers' listener is bound, with its address.
+    /// Starts the thread. Returns the address of the peers' listener once it is bound, and the
+    /// thread.
     pub fn start(self) -> Result<(SocketAddr, JoinHandle<Result<()>>)> {
-        let (bound, wait) = std::sync::mpsc::channel();
+        let (bound_tx, bound_rx) = std::sync::mpsc::channel();
         let builder = std::thread::Builder::new().name("control".to_owned());
-        let thread = builder.spawn(move || runtime()?.block_on(self.run(bound)))?;
-        match wait.recv() {
+        let thread = builder.spawn(move || runtime()?.block_on(self.run(bound_tx)))?;
+        match bound_rx.recv() {
             Ok(addr) => Ok((addr, thread)),
             Err(_) => match thread.join() {
                 Ok(Err(error)) => Err(error),
-                _ => Err(eyre::eyre!("control ended at its start")),
+                _ => Err(eyre::eyre!(
+                    "the control thread ended before its listener was bound"
+                )),
             },
         }
     }
 
-    async fn run(self, bound: std::sync::mpsc::Sender<SocketAddr>) -> Result<()> {
-        let cancel = self.ends.control.clone();
-        let (inbound, peers) = mpsc::channel(INBOUND);
+    async fn run(self, bound_tx: std::sync::mpsc::Sender<SocketAddr>) -> Result<()> {
+        let cancel = self.shutdown.control.clone();
+        let (inbound, peers) = mpsc::channel(INBOUND_CAPACITY);
         let setup = Setup {
             listen: self.settings.peers.listen,
             advertise: self.settings.peers.advertise,
@@ -104,70 +110,91 @@
         let link = Link::start(setup, inbound, cancel.clone())
             .await
             .wrap_err_with(|| format!("peers' listener {}", self.settings.peers.listen))?;
-        let _ = bound.send(link.addr());
-        let (inputs, taken) = mpsc::channel(INPUTS);
-        let mut notices = Vec::new();
+        let _ = bound_tx.send(link.addr());
+        let (inputs, input_rx) = mpsc::channel(INPUT_CAPACITY);
+        let mut control_events = Vec::new();
         for (number, worker) in self.workers.into_iter().enumerate() {
-            notices.push(worker.notices);
-            tokio::spawn(notes(number, worker.noted, inputs.clone()));
+            control_events.push(worker.control_events);
+            tokio::spawn(forward_worker_events(
+                number,
+                worker.worker_events,
+                inputs.clone(),
+            ));
         }
         let platform = self.settings.platform.clone();
-        tokio::spawn(tail::rate(platform.clone(), inputs.clone()));
-        tokio::spawn(tail::bundles(platform.clone(), inputs.clone(), self.seed));
-        tokio::spawn(tail::instances(platform, inputs.clone(), self.seed));
-        tokio::spawn(from_peers(peers, inputs.clone()));
-        tokio::spawn(loads::poll(self.boards[0].clone(), inputs.clone()));
-        tokio::spawn(reload(self.tls));
+        tokio::spawn(tail::poll_rate(platform.clone(), inputs.clone()));
+        tokio::spawn(tail::read_bundles(
+            platform.clone(),
+            inputs.clone(),
+            self.seed,
+        ));
+        tokio::spawn(tail::poll_instances(platform, inputs.clone(), self.seed));
+        tokio::spawn(forward_peer_messages(peers, inputs.clone()));
+        tokio::spawn(loads::poll(
+            self.shared_snapshots[0].clone(),
+            inputs.clone(),
+        ));
+        tokio::spawn(reload_certificates(self.tls));
         let state = State::new(state::Parts {
             settings: self.settings,
             callers: self.callers,
             incarnation: self.incarnation,
             seed: self.seed,
-            boards: self.boards,
+            shared_snapshots: self.shared_snapshots,
             link,
             inputs,
-            notices,
-            leave: self.ends.leave,
+            control_events,
+            leave: self.shutdown.leave,
         });
-        serve(state, taken, self.asked, cancel).await;
+        serve(state, input_rx, self.requests, cancel).await;
         drop(self.provider);
         Ok(())
     }
 }
 
-/// The main loop.
+/// Runs the main loop of control until `cancel`.
 async fn serve(
     mut state: State,
     mut inputs: mpsc::Receiver<Input>,
-    mut asked: mpsc::Receiver<Question>,
+    mut requests: mpsc::Receiver<ControlRequest>,
     cancel: CancellationToken,
 ) {
     let mut tick = tokio::time::interval(member::event::TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut beat = tokio::time::interval(CLAIM_TICK);
-    beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut claim_tick = tokio::time::interval(CLAIM_TICK_INTERVAL);
+    claim_tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             biased;
             () = cancel.cancelled() => break,
             _ = tick.tick() => state.tick(),
-            _ = beat.tick() => state.claim(lease::claim::Event::Tick),
-            Some(input) = inputs.recv() => state.input(input),
-            Some(question) = asked.recv() => state.question(question),
+            _ = claim_tick.tick() => state.handle_claim_event(lease::claim::Event::Tick),
+            Some(input) = inputs.recv() => state.handle_input(input),
+            Some(request) = requests.recv() => state.handle_request(request),
         }
     }
     state.quit();
 }
 
-async fn notes(worker: usize, mut noted: ring::Receiver<Note>, inputs: Inputs) {
-    while let Some(note) = noted.pop().await {
-        if inputs.send(Input::Note(worker, note)).await.is_err() {
+/// Sends the events of one worker to control.
+async fn forward_worker_events(
+    worker: usize,
+    mut events: ring::Receiver<WorkerEvent>,
+    inputs: Inputs,
+) {
+    while let Some(event) = events.pop().await {
+        if inputs
+            .send(Input::WorkerEvent(worker, event))
+            .await
+            .is_err()
+        {
             return;
         }
     }
 }
 
-async fn from_peers(mut peers: mpsc::Receiver<wire::peer::Inbound>, inputs: Inputs) {
+/// Sends the messages of peers to control.
+async fn forward_peer_messages(mut peers: mpsc::Receiver<wire::peer::Inbound>, inputs: Inputs) {
     while let Some(inbound) = peers.recv().await {
         if inputs.send(Input::Peer(inbound)).await.is_err() {
             return;
@@ -175,15 +202,19 @@
     }
 }
 
-async fn reload(stores: Vec<Arc<Store>>) {
-    let mut period = tokio::time::interval(TLS_PERIOD);
+/// Reloads certificates whose files have changed. If a new certificate can't be loaded, the
+/// previous one stays in use.
+async fn reload_certificates(stores: Vec<Arc<ReloadableConfig>>) {
+    let mut interval = tokio::time::interval(CERTIFICATE_POLL_INTERVAL);
     loop {
-        period.tick().await;
+        interval.tick().await;
         for store in &stores {
             match store.reload() {
                 Ok(false) => {}
-                Ok(true) => log::info!("a certificate was read again"),
-                Err(error) => log::warn!("the old certificate stays in use: {error}"),
+                Ok(true) => log::info!("reloaded a certificate"),
+                Err(error) => log::warn!(
+                    "could not reload a certificate, the previous one stays in use: {error}"
+                ),
             }
         }
     }
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -1,14 +1,15 @@
-//! Claims of idempotency keys: the table, its reads and appends, and the answers kept for resends.
+//! Claims of idempotency keys: the table of claims, its reads of and appends to the log, and the
+//! answers cached for repeated requests.
 
 use super::input::{Input, Inputs};
-use super::stream::{self, Append};
+use super::log_stream::{self, Append};
 use crate::settings::Platform;
 use bytes::Bytes;
 use entry::api::error::Error;
-use entry::claim::{Ask, Ended, Kept, Verdict};
+use entry::claim::{CachedAnswer, Ended, Request, Verdict};
 use http::StatusCode;
 use lease::Owner;
-use lease::claim::{self, Action, Event, Settings, Table, Why, home};
+use lease::claim::{self, Action, Event, Refusal, Settings, Table, home};
 use platform::http::Log as Client;
 use route::outcome::Outcome;
 use route::request::Id;
@@ -16,18 +17,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When to come back while the log is out.
-const LATER: Duration = Duration::from_secs(2);
+/// Retry-after delay for callers while the log is unavailable.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Where an owner of keys serves callers.
+/// Lookup of the addresses of nodes that own keys.
 pub trait Owners {
-    /// Base URL of the owner, if that incarnation lives.
+    /// Returns the base URL of the owner, if that run of the node is still alive.
     fn url(&self, owner: Owner) -> Option<String>;
 }
 
-/// A verdict for a request of one worker.
-pub struct Told {
-    /// The worker.
+/// A verdict to be delivered to a worker.
+pub struct Reply {
+    /// Index of the worker that sent the request.
     pub worker: usize,
     /// The request.
     pub id: Id,
@@ -40,152 +41,170 @@
     table: Table,
     client: Arc<Client>,
     inputs: Inputs,
-    /// By request: the worker that asked.
-    asked: BTreeMap<Id, usize>,
-    /// By request that runs: those that wait for its answer.
+    /// Worker that sent each request that awaits its verdict.
+    requesters: BTreeMap<Id, usize>,
+    /// For each running request, the requests with the same key that wait for its answer.
     followers: BTreeMap<Id, Vec<Id>>,
-    /// By request that ended: its answer.
-    kept: BTreeMap<Id, Arc<Kept>>,
+    /// Cached answers of ended requests.
+    answers: BTreeMap<Id, Arc<CachedAnswer>>,
     actions: Vec<Action>,
-    told: Vec<Told>,
+    replies: Vec<Reply>,
 }
 
 impl Claims {
-    /// No claims yet. `start` is the wall clock at the zero of the times passed in.
+    /// Creates an empty table. `start` is the Unix time at the zero of the times that are passed to
+    /// the other methods.
     pub fn new(me: Owner, seed: u64, start: Duration, platform: &Platform, inputs: Inputs) -> Self {
         let settings = Settings {
-            start,
+            started_at: start,
             ..Settings::default()
         };
         Self {
             table: Table::new(me, seed, settings),
             client: Arc::new(Client::new(platform.log, platform.limits)),
             inputs,
-            asked: BTreeMap::new(),
+            requesters: BTreeMap::new(),
             followers: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            answers: BTreeMap::new(),
             actions: Vec::new(),
-            told: Vec::new(),
+            replies: Vec::new(),
         }
     }
 
-    /// Verdicts since the last call.
-    pub fn told(&mut self) -> Vec<Told> {
-        std::mem::take(&mut self.told)
+    /// Returns the verdicts since the last call.
+    pub fn take_replies(&mut self) -> Vec<Reply> {
+        std::mem::take(&mut self.replies)
     }
 
-    /// Takes an event of the table.
+    /// Handles an event of the table and executes the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, owners: &impl Owners) {
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action, owners);
+            self.execute(action, owners);
         }
         self.actions = actions;
     }
 
-    /// A worker asks for the key of a request.
-    pub fn ask(&mut self, now: Duration, worker: usize, ask: Ask, owners: &impl Owners) {
-        self.asked.insert(ask.id, worker);
-        let event = Event::Ask(claim::Ask {
-            request: ask.id,
-            form: ask.claim.form,
-            fingerprint: ask.claim.fingerprint,
-            deadline: now + ask.left,
+    /// Claims the key of a worker's request.
+    pub fn request(
+        &mut self,
+        now: Duration,
+        worker: usize,
+        request: Request,
+        owners: &impl Owners,
+    ) {
+        self.requesters.insert(request.id, worker);
+        let event = Event::Received(claim::Request {
+            id: request.id,
+            key: request.claim.form,
+            fingerprint: request.claim.fingerprint,
+            deadline: now + request.time_left,
         });
         self.handle(now, event, owners);
     }
 
-    /// The caller of a request that waits went away.
-    pub fn left(&mut self, now: Duration, id: Id, owners: &impl Owners) {
-        self.asked.remove(&id);
+    /// Withdraws a request whose caller disconnected while it was waiting.
+    pub fn cancel(&mut self, now: Duration, id: Id, owners: &impl Owners) {
+        self.requesters.remove(&id);
         for followers in self.followers.values_mut() {
             followers.retain(|f| *f != id);
         }
-        // It may have been given the key already without having begun: those that wait for its
-        // answer would wait for ever.
+        // The request may have been granted the key already without having started. The requests
+        // that wait for its answer would then wait forever.
         for follower in self.followers.remove(&id).unwrap_or_default() {
-            self.tell(follower, Verdict::Error(Box::new(gone(Outcome::NotRun))));
+            self.reply(
+                follower,
+                Verdict::Error(Box::new(answer_unavailable(Outcome::NotRun))),
+            );
         }
-        self.handle(now, Event::Left(id), owners);
+        self.handle(now, Event::Cancelled(id), owners);
     }
 
-    /// A run ended: its answer is kept, and given to those that wait for it.
-    pub fn ended(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
-        let size = ended.kept.as_ref().map_or(0, |k| k.size());
+    /// Records the end of a run: caches its answer and replies to the requests that wait for it.
+    pub fn finish(&mut self, now: Duration, ended: Ended, owners: &impl Owners) {
+        let size = ended.answer.as_ref().map_or(0, |a| a.size());
         let followers = self.followers.remove(&ended.id).unwrap_or_default();
         for follower in followers {
-            let verdict = match &ended.kept {
-                Some(kept) => Verdict::Replay(kept.clone()),
-                None => Verdict::Error(Box::new(gone(ended.outcome))),
+            let verdict = match &ended.answer {
+                Some(answer) => Verdict::Replay(answer.clone()),
+                None => Verdict::Error(Box::new(answer_unavailable(ended.outcome))),
             };
-            self.tell(follower, verdict);
+            self.reply(follower, verdict);
         }
-        if let Some(kept) = ended.kept {
-            self.kept.insert(ended.id, kept);
+        if let Some(answer) = ended.answer {
+            self.answers.insert(ended.id, answer);
         }
         let event = Event::Ended(ended.hash, to_lease(ended.outcome), size);
         self.handle(now, event, owners);
     }
 
-    /// A ticket that only this process runs.
-    pub fn ticket(&mut self, now: Duration) -> String {
+    /// Issues a ticket, an idempotency key that only this run of the node accepts.
+    pub fn issue_ticket(&mut self, now: Duration) -> String {
         self.table.issue(now).to_string()
     }
 
-    /// Follows the shards that this node is the home of among `nodes`.
-    pub fn follow(&mut self, now: Duration, me: Owner, nodes: &[u64], owners: &impl Owners) {
+    /// Follows the shards of keys whose home, among `nodes`, is this node.
+    pub fn follow_home_shards(
+        &mut self,
+        now: Duration,
+        me: Owner,
+        nodes: &[u64],
+        owners: &impl Owners,
+    ) {
         let shards = home::shards(me.node, nodes, Settings::default().shards);
-        self.handle(now, Event::Follow(shards), owners);
+        self.handle(now, Event::HomeShards(shards), owners);
     }
 
-    fn act(&mut self, action: Action, owners: &impl Owners) {
+    fn execute(&mut self, action: Action, owners: &impl Owners) {
         match action {
             Action::Append { batch, shard, body } => self.append(batch, shard, body),
             Action::Read { shard, from, wait } => self.read(shard, from, wait),
-            Action::Run { request, .. } => self.tell(request, Verdict::Run),
-            Action::Follow { request, of } => {
-                self.followers.entry(of).or_default().push(request);
+            Action::Run { request, .. } => self.reply(request, Verdict::Run),
+            Action::Join { request, running } => {
+                self.followers.entry(running).or_default().push(request);
             }
             Action::Answer {
                 request,
                 outcome,
-                of,
-            } => self.answer(request, outcome, of),
-            Action::Point {
+                source,
+            } => self.answer(request, outcome, source),
+            Action::Redirect {
                 request,
                 owner,
                 outcome,
             } => {
-                let error = pointed(owners.url(owner), outcome);
-                self.tell(request, Verdict::Error(Box::new(error)));
+                let error = owned_elsewhere(owners.url(owner), outcome);
+                self.reply(request, Verdict::Error(Box::new(error)));
             }
             Action::Refuse {
                 request,
-                why,
+                reason,
                 outcome,
             } => {
-                let error = refused(why, from_lease(outcome));
-                self.tell(request, Verdict::Error(Box::new(error)));
+                let error = refusal(reason, from_lease(outcome));
+                self.reply(request, Verdict::Error(Box::new(error)));
             }
-            Action::Forget(request) => {
-                self.kept.remove(&request);
+            Action::DropAnswer(request) => {
+                self.answers.remove(&request);
             }
         }
     }
 
+    /// Replies with the cached answer of the request `of`, or with an error if it is not available.
     fn answer(&mut self, request: Id, outcome: lease::Outcome, of: Option<Id>) {
-        let kept = of.and_then(|of| self.kept.get(&of));
-        let verdict = match kept {
-            Some(kept) => Verdict::Replay(kept.clone()),
-            None => Verdict::Error(Box::new(gone(from_lease(outcome)))),
+        let answer = of.and_then(|of| self.answers.get(&of));
+        let verdict = match answer {
+            Some(answer) => Verdict::Replay(answer.clone()),
+            None => Verdict::Error(Box::new(answer_unavailable(from_lease(outcome)))),
         };
-        self.tell(request, verdict);
+        self.reply(request, verdict);
     }
 
-    fn tell(&mut self, id: Id, verdict: Verdict) {
-        if let Some(worker) = self.asked.remove(&id) {
-            self.told.push(Told {
+    /// Queues a verdict for the worker that sent the request.
+    fn reply(&mut self, id: Id, verdict: Verdict) {
+        if let Some(worker) = self.requesters.remove(&id) {
+            self.replies.push(Reply {
                 worker,
                 id,
                 verdict,
@@ -197,7 +216,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::append(&client, &claim::stream(shard), body).await {
+            let event = match log_stream::append(&client, &claim::stream(shard), body).await {
                 Append::Done => Event::Appended(batch),
                 Append::Unsure => Event::AppendUnsure(batch),
                 Append::Failed => Event::AppendFailed(batch),
@@ -210,7 +229,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let page = stream::read(&client, &claim::stream(shard), from, wait).await;
+            let page = log_stream::read(&client, &claim::stream(shard), from, wait).await;
             let event = match page {
                 Some(page) => Event::Page(shard, page),
                 None => Event::ReadFailed(shard),
@@ -224,16 +243,16 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(
             f,
-            "asked {}, answers kept {}",
-            self.asked.len(),
-            self.kept.len()
+            "pending requests {}, cached answers {}",
+            self.requesters.len(),
+            self.answers.len()
         )?;
         write!(f, "{}", self.table)
     }
 }
 
-/// The error for a resend whose run ended and whose answer is not to be had.
-fn gone(outcome: Outcome) -> Error {
+/// Returns the error for a repeated request whose run has ended and whose answer is not available.
+fn answer_unavailable(outcome: Outcome) -> Error {
     match outcome {
         Outcome::Complete => {
             let message = "the request ran to its end; its answer is kept no longer";
@@ -241,48 +260,50 @@
             error.outcome = Outcome::Complete;
             error
         }
-        Outcome::NotRun => Error::ended(Outcome::NotRun).retry_after(LATER),
-        Outcome::Unknown => Error::unknown(),
+        Outcome::NotRun => Error::from_outcome(Outcome::NotRun).with_retry_after(RETRY_AFTER),
+        Outcome::Unknown => Error::outcome_unknown(),
     }
 }
 
-/// The error for a key of another node; with that node's URL if it lives.
-fn pointed(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
+/// Returns the error for a key that another node owns. It has the URL of that node if the node is
+/// alive.
+fn owned_elsewhere(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
     let outcome = outcome.map_or(Outcome::Unknown, from_lease);
     let mut error = match url {
         Some(_) => {
             let message = "the request's key belongs to another node";
             Error::new(StatusCode::CONFLICT, "key_on_another_node", message)
         }
-        None => gone(outcome),
+        None => answer_unavailable(outcome),
     };
     error.outcome = outcome;
-    error.node = url;
+    error.owner_url = url;
     error
 }
 
-fn refused(why: Why, outcome: Outcome) -> Error {
-    let status = StatusCode::from_u16(why.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    let (code, message) = match why {
-        Why::Log => (
+/// Returns the error for a request whose key is refused.
+fn refusal(reason: Refusal, outcome: Outcome) -> Error {
+    let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+    let (code, message) = match reason {
+        Refusal::Unsettled => (
             "claim_unsettled",
             "the log could not settle the request's key in time",
         ),
-        Why::Mismatch => ("key_reused", "the key stands for another request"),
-        Why::Expired => (
+        Refusal::Mismatch => ("key_reused", "the key stands for another request"),
+        Refusal::Expired => (
             "key_expired",
             "the key is too old to tell whether it has run",
         ),
-        Why::Future => (
+        Refusal::Future => (
             "key_in_future",
             "the key's date is ahead of this node's clock",
         ),
-        Why::Unissued => ("ticket_unknown", "this node has not issued the ticket"),
+        Refusal::Unissued => ("ticket_unknown", "this node has not issued the ticket"),
     };
     let mut error = Error::new(status, code, message);
     error.outcome = outcome;
-    if why == Why::Log {
-        error.retry_after = Some(LATER);
+    if reason == Refusal::Unsettled {
+        error.retry_after = Some(RETRY_AFTER);
     }
     error
 }
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -1,9 +1,10 @@
-//! Leases of endpoint groups, and the rolls of the groups that this node holds.
+//! Leases of endpoint groups, and the rolls of the groups whose leases this node holds.
 //!
-//! A group is a region. The nodes of the region want its lease; where there are none, all nodes do.
+//! A group is the endpoints of a region. The nodes of the region compete for its lease; if the
+//! region has no nodes, all nodes do.
 
 use super::input::{Input, Inputs};
-use super::stream::{self, Append};
+use super::log_stream::{self, Append};
 use crate::settings::Settings;
 use bundle::Bundle;
 use bundle::id::{EndpointId, ZoneId};
@@ -11,7 +12,7 @@
 use engine::order::{Answer, What};
 use engine::pool::Pool;
 use lease::Owner;
-use lease::hold::{self, Event, Group, STREAM, Table, Want, group};
+use lease::group_lease::{self, Candidacy, Event, Group, STREAM, Table, group};
 use lease::roll::{Action, Health, Order, Rate, Report, Roll, View};
 use member::identity::Id;
 use member::peer::{Peer, State};
@@ -23,19 +24,20 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What the weight store is taken to allow until it was asked.
-const CAREFUL: Rate = Rate {
+/// Rate of loads that is assumed until the weight store has reported its limit. It is low to
+/// protect the store.
+const INITIAL_RATE: Rate = Rate {
     per_minute: 6,
     at_once: 1,
 };
 
-/// What a step of the rolls looks at.
+/// Input of a step of the rolls.
 pub struct Source<'a> {
     /// The bundle in force.
     pub bundle: &'a Bundle,
-    /// By endpoint: what it reports.
+    /// Reports of the endpoints, in the order of the bundle.
     pub reports: &'a [Option<Report>],
-    /// By endpoint: whether it is there.
+    /// Health of the endpoints, in the order of the bundle.
     pub health: &'a [Health],
 }
 
@@ -44,36 +46,36 @@
     table: Table,
     rolls: BTreeMap<Group, Roll>,
     settings: lease::roll::Settings,
-    /// Names of the groups of the bundle.
+    /// Names of the bundle's groups, which are the names of their regions.
     groups: BTreeMap<Group, String>,
     rate: Rate,
     client: Arc<Client>,
     pool: Pool,
     inputs: Inputs,
-    actions: Vec<hold::Action>,
+    actions: Vec<group_lease::Action>,
 }
 
-/// An order's end.
+/// Result of an order to an endpoint.
 #[derive(Debug)]
-pub struct Ordered {
-    /// The group.
+pub struct OrderResult {
+    /// Group of the endpoint.
     pub group: Group,
     /// Name of the endpoint.
     pub endpoint: String,
-    /// What it answered; none if no answer came.
+    /// Answer of the endpoint; `None` if there was none in time.
     pub answer: Option<Answer>,
 }
 
 impl Rolls {
-    /// No lease yet.
+    /// Creates the state of a node that holds no lease.
     pub fn new(me: Owner, seed: u64, settings: &Settings, inputs: Inputs) -> Self {
         let platform = &settings.platform;
         Self {
-            table: Table::new(me, seed, hold::Settings::default()),
+            table: Table::new(me, seed, group_lease::Settings::default()),
             rolls: BTreeMap::new(),
             settings: settings.roll,
             groups: BTreeMap::new(),
-            rate: CAREFUL,
+            rate: INITIAL_RATE,
             client: Arc::new(Client::new(platform.log, platform.limits)),
             pool: Pool::default(),
             inputs,
@@ -81,25 +83,26 @@
         }
     }
 
-    /// What the weight store allows all groups together.
-    pub fn allow(&mut self, rate: Rate) {
+    /// Sets the rate of loads that the weight store allows for all groups together.
+    pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
     }
 
-    /// Takes an event of the leases' stream, or time that passed.
+    /// Handles an event of the lease stream or a tick, and executes the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.table.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    /// Wants the groups that are this node's to hold among the nodes of the roster.
-    pub fn want(&mut self, now: Duration, me: Id, bundle: &Bundle, roster: &Roster) {
-        let takes = |p: &&Peer| p.state == State::Up && !p.leaving;
-        let up: Vec<&Peer> = roster.iter().filter(takes).collect();
+    /// Competes for the leases of the groups that this node is a candidate for. The rank among the
+    /// candidates decides which of them takes a free lease first.
+    pub fn request_leases(&mut self, now: Duration, me: Id, bundle: &Bundle, roster: &Roster) {
+        let accepts_work = |p: &&Peer| p.state == State::Up && !p.leaving;
+        let up: Vec<&Peer> = roster.iter().filter(accepts_work).collect();
         let regions = bundle.zones.iter().map(|z| z.region.as_str());
         self.groups = regions.map(|r| (group(r), r.to_owned())).collect();
         let wants = self.groups.iter().filter_map(|(&group, region)| {
@@ -108,33 +111,35 @@
             if nodes.is_empty() {
                 nodes = up.iter().map(|p| p.id).collect();
             }
-            // A hash of node and group spreads the groups of one region over its nodes.
+            // The order depends on both node and group, which distributes the leases of the groups
+            // among the nodes.
             nodes.sort_by_key(|node| node ^ group);
             let rank = nodes.iter().position(|node| *node == me)?;
-            Some(Want {
+            Some(Candidacy {
                 group,
                 rank: u32::try_from(rank).ok()?,
             })
         });
         let wants = wants.collect();
-        self.handle(now, Event::Want(wants));
+        self.handle(now, Event::Candidacies(wants));
     }
 
-    /// Whether this node gives the orders in any group.
-    pub fn holds(&self, now: Duration) -> bool {
+    /// Returns whether this node holds the lease of any group.
+    pub fn holds_any(&self, now: Duration) -> bool {
         let mut groups = self.groups.keys();
         groups.any(|group| self.table.permit(now, *group).is_some())
     }
 
-    /// Wants no group any more: this node leaves.
-    pub fn give_back(&mut self, now: Duration) {
-        self.handle(now, Event::Want(Vec::new()));
+    /// Stops requesting leases, because this node is leaving. The leases that it holds permit no
+    /// more orders and are released.
+    pub fn release_leases(&mut self, now: Duration) {
+        self.handle(now, Event::Candidacies(Vec::new()));
     }
 
-    /// Takes one step of each roll whose lease this node holds.
+    /// Advances the rolls of the groups whose leases this node holds.
     pub fn step(&mut self, now: Duration, source: &Source) {
         let groups: Vec<(Group, String)> = self.groups.clone().into_iter().collect();
-        let rate = self.part(groups.len());
+        let rate = self.group_rate(groups.len());
         for (group, region) in groups {
             if self.table.permit(now, group).is_none() {
                 continue;
@@ -146,7 +151,7 @@
                 reports: source.reports,
                 health: source.health,
                 rate,
-                stopped: self.table.stopped(group),
+                stopped: self.table.stopped_bundle(group),
             };
             let mut actions = Vec::new();
             let settings = self.settings;
@@ -156,30 +161,34 @@
                 .or_insert_with(|| Roll::new(settings));
             roll.step(now, &view, &mut actions);
             for action in actions {
-                self.roll(now, group, &region, source.bundle, action);
+                self.execute_roll_action(now, group, &region, source.bundle, action);
             }
         }
     }
 
-    /// An order ended.
-    pub fn ordered(&mut self, now: Duration, ordered: &Ordered) {
-        match ordered.answer {
+    /// Records the result of an order.
+    pub fn record_result(&mut self, now: Duration, result: &OrderResult) {
+        match result.answer {
             Some(Answer::Refused) => {
-                log::warn!("endpoint {} refused its order", ordered.endpoint);
-                if let Some(roll) = self.rolls.get_mut(&ordered.group) {
-                    roll.refused(now, &ordered.endpoint);
+                log::warn!("endpoint {} refused its order", result.endpoint);
+                if let Some(roll) = self.rolls.get_mut(&result.group) {
+                    roll.refused(now, &result.endpoint);
                 }
             }
             Some(Answer::OldFence) => {
-                log::warn!("endpoint {} knows a newer holder", ordered.endpoint);
+                log::warn!(
+                    "endpoint {} rejected an order because it has executed one of a newer lease holder",
+                    result.endpoint
+                );
             }
-            // An order whose answer did not come is given again if its effect does not show.
+            // An order without an answer is sent again if the reports do not show its effect.
             Some(Answer::Done) | None => {}
         }
     }
 
-    /// A group's part of what the weight store allows.
-    fn part(&self, groups: usize) -> Rate {
+    /// Returns the rate of loads that one group may use: an even share of the weight store's rate,
+    /// but at least 1.
+    fn group_rate(&self, groups: usize) -> Rate {
         let groups = u32::try_from(groups).unwrap_or(u32::MAX).max(1);
         Rate {
             per_minute: (self.rate.per_minute / groups).max(1),
@@ -187,35 +196,42 @@
         }
     }
 
-    fn act(&mut self, action: hold::Action) {
+    fn execute(&mut self, action: group_lease::Action) {
         match action {
-            hold::Action::Append { batch, body } => self.append(batch, body),
-            hold::Action::Read { from, wait } => self.read(from, wait),
-            hold::Action::Gained(group, fence) => {
+            group_lease::Action::Append { batch, body } => self.append(batch, body),
+            group_lease::Action::Read { from, wait } => self.read(from, wait),
+            group_lease::Action::Gained(group, fence) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
-                log::info!("this node gives the orders in {name}, fencing number {fence}");
+                log::info!("acquired the lease of group {name}, fencing number {fence}");
             }
-            hold::Action::Lost(group) => {
+            group_lease::Action::Lost(group) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
-                log::info!("this node gives no orders in {name} any more");
+                log::info!("lost the lease of group {name}");
                 self.rolls.remove(&group);
             }
         }
     }
 
-    fn roll(&mut self, now: Duration, group: Group, region: &str, bundle: &Bundle, action: Action) {
+    fn execute_roll_action(
+        &mut self,
+        now: Duration,
+        group: Group,
+        region: &str,
+        bundle: &Bundle,
+        action: Action,
+    ) {
         match action {
-            Action::Order(endpoint, order) => self.order(now, group, bundle, endpoint, &order),
+            Action::Order(endpoint, order) => self.send_order(now, group, bundle, endpoint, &order),
             Action::Phase(phase) => log::info!("roll in {region}: {phase}"),
             Action::Stop(number, failures) => {
                 log::error!("the roll of bundle {number} in {region} stopped: {failures:?}");
-                self.handle(now, Event::Stop(group, number));
+                self.handle(now, Event::RollStopped(group, number));
             }
         }
     }
 
-    /// Sends an order, if the lease still holds at this very moment.
-    fn order(
+    /// Sends an order to an endpoint if this node still holds the lease of the group.
+    fn send_order(
         &self,
         now: Duration,
         group: Group,
@@ -229,31 +245,31 @@
         let Some(row) = bundle.endpoints.get(endpoint as usize) else {
             return;
         };
-        log::info!("order to {}: {order}", row.name);
+        log::info!("sending an order to endpoint {}: {order}", row.name);
         let (name, addr) = (row.name.clone(), row.addr);
         let order = engine::order::Order {
             fence,
-            what: what(order),
+            what: to_engine_order(order),
         };
         let pool = self.pool.clone();
         let inputs = self.inputs.clone();
-        let longest = hold::Settings::default().longest;
+        let order_timeout = group_lease::Settings::default().max_order_time;
         tokio::spawn(async move {
-            let sent = timeout(longest, engine::order::send(&pool, addr, order)).await;
-            let ordered = Ordered {
+            let sent = timeout(order_timeout, engine::order::send(&pool, addr, order)).await;
+            let result = OrderResult {
                 group,
                 endpoint: name,
                 answer: sent.ok().and_then(|answer| answer.ok()),
             };
-            let _ = inputs.send(Input::Ordered(ordered)).await;
+            let _ = inputs.send(Input::OrderEnded(result)).await;
         });
     }
 
-    fn append(&self, batch: hold::Batch, body: Bytes) {
+    fn append(&self, batch: group_lease::Batch, body: Bytes) {
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::append(&client, STREAM, body).await {
+            let event = match log_stream::append(&client, STREAM, body).await {
                 Append::Done => Event::Appended(batch),
                 Append::Unsure => Event::AppendUnsure(batch),
                 Append::Failed => Event::AppendFailed(batch),
@@ -266,7 +282,7 @@
         let client = self.client.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let event = match stream::read(&client, STREAM, from, wait).await {
+            let event = match log_stream::read(&client, STREAM, from, wait).await {
                 Some(page) => Event::Page(page),
                 None => Event::ReadFailed,
             };
@@ -275,7 +291,7 @@
     }
 }
 
-/// Availability zones of a region, in the order of the roll.
+/// Returns the availability zones of a region, in the order in which they are rolled.
 fn zones(bundle: &Bundle, region: &str) -> Vec<ZoneId> {
     let zones = (0..).zip(&bundle.zones);
     zones
@@ -284,7 +300,8 @@
         .collect()
 }
 
-fn what(order: &Order) -> What {
+/// Converts an order to the form that is sent to the engine.
+fn to_engine_order(order: &Order) -> What {
     match order {
         Order::Load {
             model,
--- a/crates/node/src/control/state/answer.rs
+++ b/crates/node/src/control/state/admin.rs
@@ -1,4 +1,4 @@
-//! Answers to the admin listener.
+//! Answers to requests of the admin listener.
 
 use super::State;
 use crate::control::publish;
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 impl State {
-    /// The state of this node.
+    /// Returns the status of this node.
     pub(super) fn status(&self) -> Status {
         let head = self.fold.head();
         let node = &self.settings.node;
@@ -22,12 +22,12 @@
             number: head.map_or(0, |b| b.number),
             digest: head.map(|b| b.digest.to_string()).unwrap_or_default(),
             signer: head.map(|b| b.signer.clone()).unwrap_or_default(),
-            log_age_ms: self.read.map(|at| at.elapsed().as_millis() as u64),
+            log_age_ms: self.log_read_at.map(|at| at.elapsed().as_millis() as u64),
             log_error: self.log_error.clone(),
         }
     }
 
-    /// The versions that were in force.
+    /// Returns the versions that have been in force.
     pub(super) fn history(&self) -> Vec<Version> {
         let entries = self.fold.history();
         entries
@@ -40,27 +40,29 @@
             .collect()
     }
 
-    /// Asks every node of the group what is in force there; answers when all have answered or
-    /// the time for asks is over.
-    pub(super) fn fleet(&self, reply: oneshot::Sender<Vec<Node>>) {
+    /// Requests the status of every node of the group. Replies when all nodes have answered or
+    /// their requests have timed out. Nodes without an answer have version 0.
+    pub(super) fn collect_fleet(&self, reply: oneshot::Sender<Vec<Node>>) {
         let me = self.group.me();
         let own = self.status();
         let peers = self.group.roster().iter().filter(|p| p.id != me);
-        let asks: Vec<_> = peers
+        let targets: Vec<_> = peers
             .map(|p| (p.identity.clone(), p.state, self.link.clone()))
             .collect();
         tokio::spawn(async move {
-            let asked = asks.into_iter().map(|(identity, state, link)| async move {
-                let status = link.status(identity.addr).await.unwrap_or_default();
-                Node {
-                    node: identity.name,
-                    zone: identity.zone,
-                    state: format!("{state:?}").to_lowercase(),
-                    number: status.number,
-                    digest: bundle::digest::Digest(status.digest).to_string(),
-                }
-            });
-            let mut nodes = join_all(asked).await;
+            let requests = targets
+                .into_iter()
+                .map(|(identity, state, link)| async move {
+                    let status = link.status(identity.addr).await.unwrap_or_default();
+                    Node {
+                        node: identity.name,
+                        zone: identity.zone,
+                        state: format!("{state:?}").to_lowercase(),
+                        number: status.number,
+                        digest: bundle::digest::Digest(status.digest).to_string(),
+                    }
+                });
+            let mut nodes = join_all(requests).await;
             nodes.push(Node {
                 node: own.node,
                 zone: own.zone,
@@ -73,18 +75,18 @@
         });
     }
 
-    /// Publishes a version; the answer comes when its race has ended.
-    pub(super) fn submit(&self, body: Bytes, reply: oneshot::Sender<Answer>) {
-        let log = self.log();
+    /// Publishes a bundle version. Replies when it is known whether the version came into force.
+    pub(super) fn publish_version(&self, body: Bytes, reply: oneshot::Sender<Answer>) {
+        let log = self.log_client();
         let fold = self.fold.clone();
         let seed = self.seed;
         tokio::spawn(async move {
-            let answer = publish::publish(log, fold, body, seed).await;
+            let answer = publish::publish_version(log, fold, body, seed).await;
             let _ = reply.send(answer);
         });
     }
 
-    /// The state of each part, in text.
+    /// Returns a text dump of each part of the state.
     pub(super) fn dump(&self) -> Vec<Part> {
         let part = |part: &str, text: String| Part {
             part: part.to_owned(),
@@ -99,7 +101,7 @@
             part("endpoints", format!("{}", self.endpoints)),
             part("leases and rolls", format!("{}", self.rolls)),
             part("claims", format!("{}", self.claims)),
-            part("instance list", format!("{}", self.listed)),
+            part("instance list", format!("{}", self.instance_list)),
         ]
     }
 }
--- a/crates/node/src/control/tail.rs
+++ b/crates/node/src/control/tail.rs
@@ -1,4 +1,4 @@
-//! Reads the stream of bundles as it grows, and the instance list as it changes.
+//! Tasks that follow the bundle stream, the instance list and the rate of the weight store.
 
 use super::input::{Input, Inputs};
 use crate::settings::Platform;
@@ -7,38 +7,40 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Stream of bundles.
-pub const BUNDLES: &str = "bundles";
-/// How long a read waits for a record.
-const WAIT: Duration = Duration::from_secs(2);
-/// First wait after a failure.
-const LEAST_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest wait after failures: the log is in use again within this after an outage.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
-/// How often the weight store is asked.
-const RATE_PERIOD: Duration = Duration::from_secs(10);
-/// How often the instance list is read.
-const LIST_PERIOD: Duration = Duration::from_secs(1);
+/// Name of the log's stream of bundles.
+pub const BUNDLE_STREAM: &str = "bundles";
+/// Maximum time that a read waits for a new record.
+const READ_WAIT: Duration = Duration::from_secs(2);
+/// Backoff after the first failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum backoff after repeated failures, which bounds the delay until the service is used again
+/// after an outage.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Interval at which the rate is read from the weight store.
+const RATE_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which the instance list is read.
+const LIST_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads bundles until control is gone.
-pub async fn bundles(settings: Platform, inputs: Inputs, seed: u64) {
+/// Reads the bundle stream until control ends. After each page, control replies with the offset to
+/// read next.
+pub async fn read_bundles(settings: Platform, inputs: Inputs, seed: u64) {
     let log = platform::http::Log::new(settings.log, settings.limits);
-    let mut backoff = Backoff::new(LEAST_BACKOFF, MOST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     let mut from: Offset = 0;
     loop {
-        match log.read(BUNDLES, from, WAIT).await {
+        match log.read(BUNDLE_STREAM, from, READ_WAIT).await {
             Ok(page) => {
                 backoff.succeeded();
-                let (tx, rx) = oneshot::channel();
-                if inputs.send(Input::Page(page, tx)).await.is_err() {
+                let (next_tx, next_rx) = oneshot::channel();
+                if inputs.send(Input::Page(page, next_tx)).await.is_err() {
                     return;
                 }
-                let Ok(next) = rx.await else { return };
+                let Ok(next) = next_rx.await else { return };
                 from = next;
             }
             Err(error) => {
                 let wait = backoff.failed(error.retry_after());
-                if inputs.send(Input::LogOut(error)).await.is_err() {
+                if inputs.send(Input::LogReadFailed(error)).await.is_err() {
                     return;
                 }
                 tokio::time::sleep(wait).await;
@@ -47,8 +49,9 @@
     }
 }
 
-/// Asks the weight store what it allows, until control is gone.
-pub async fn rate(settings: Platform, inputs: Inputs) {
+/// Reads the rate of loads that the weight store allows, until control ends. Returns at once if
+/// there is no weight store.
+pub async fn poll_rate(settings: Platform, inputs: Inputs) {
     let Some(addr) = settings.weights else {
         return;
     };
@@ -59,22 +62,22 @@
         {
             return;
         }
-        tokio::time::sleep(RATE_PERIOD).await;
+        tokio::time::sleep(RATE_POLL_INTERVAL).await;
     }
 }
 
-/// Reads the instance list until control is gone.
-pub async fn instances(settings: Platform, inputs: Inputs, seed: u64) {
+/// Reads the instance list until control ends.
+pub async fn poll_instances(settings: Platform, inputs: Inputs, seed: u64) {
     let list = platform::http::List::new(settings.list, settings.limits);
-    let mut backoff = Backoff::new(LEAST_BACKOFF, MOST_BACKOFF, seed);
+    let mut backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF, seed);
     loop {
         let wait = match list.instances().await {
             Ok(instances) => {
                 backoff.succeeded();
-                if inputs.send(Input::Listed(instances)).await.is_err() {
+                if inputs.send(Input::Instances(instances)).await.is_err() {
                     return;
                 }
-                LIST_PERIOD
+                LIST_POLL_INTERVAL
             }
             Err(error) => backoff.failed(error.retry_after()),
         };
--- a/crates/node/src/control/view.rs
+++ b/crates/node/src/control/view.rs
@@ -1,8 +1,8 @@
-//! Builds what the workers and handlers read.
+//! Builds the snapshots that the workers and their handlers read.
 
 use super::demand::Table;
 use super::endpoints;
-use super::listed::Listed;
+use super::instance_list::InstanceList;
 use super::observed;
 use crate::settings::Settings;
 use bundle::Bundle;
@@ -17,87 +17,95 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Retries per second of the whole fleet, as a part of the requests that teams may start.
-const RETRY_PART: f64 = 0.1;
-/// Retries per second that a worker may always spend.
-const LEAST_RETRIES: f64 = 0.5;
+/// Retries per second, as a fraction of the requests per second that teams may start. It bounds the
+/// retries of the whole fleet, since each worker applies it to its own shares.
+const RETRY_FRACTION: f64 = 0.1;
+/// Minimum number of retries per second that a worker may always make.
+const MIN_RETRY_RATE: f64 = 0.5;
 
-/// What a view is built from.
+/// Input from which snapshots are built.
 pub struct Source<'a> {
     /// Settings of the node.
     pub settings: &'a Settings,
-    /// The callers' listener as others reach it.
+    /// Address at which callers reach this node.
     pub callers: SocketAddr,
     /// The bundle in force.
     pub bundle: &'a Arc<Bundle>,
-    /// The instance list.
-    pub listed: &'a Listed,
-    /// The nodes.
+    /// States of the endpoints' instances in the instance list.
+    pub instance_list: &'a InstanceList,
+    /// Group of all nodes.
     pub group: &'a Group,
-    /// The node's shares of the teams' limits.
+    /// This node's shares of the teams' limits.
     pub shares: &'a [Share],
-    /// What endpoints report.
+    /// Reports of the endpoints.
     pub endpoints: &'a endpoints::Table,
     /// Demand by worker.
     pub demand: &'a Table,
-    /// Whether the node leaves.
+    /// Whether this node is leaving.
     pub leaving: bool,
 }
 
 impl Source<'_> {
-    /// The snapshots of all workers, in order. Most of a snapshot is the same for all; looking it
-    /// up takes long in a large fleet, so it is done once.
+    /// Builds the snapshots of all workers, in their order. Most of a snapshot is the same for all
+    /// workers. That part is built only once, because it is slow in a large fleet.
     pub fn snapshots(&self, workers: usize) -> Vec<Snapshot> {
-        let versions = self.endpoints.versions(self.bundle);
-        let view = self.view(&versions);
+        let versions = self.endpoints.serving_versions(self.bundle);
+        let view = self.shared_view(&versions);
         let addresses = self.addresses();
         (0..workers)
             .map(|worker| Snapshot {
-                view: Arc::new(self.own_part(view.clone(), worker)),
+                view: Arc::new(self.worker_view(view.clone(), worker)),
                 versions: versions.clone(),
                 addresses: addresses.clone(),
             })
             .collect()
     }
 
-    /// The view with one worker's shares.
-    fn own_part(&self, view: View, worker: usize) -> View {
-        let shares = self.demand.worker(worker, self.shares, self.group.me());
-        let retries = shares.iter().map(|s| s.rate).sum::<f64>() * RETRY_PART;
+    /// Adds one worker's shares and retry rate to the shared view.
+    fn worker_view(&self, view: View, worker: usize) -> View {
+        let shares = self
+            .demand
+            .worker_shares(worker, self.shares, self.group.me());
+        let retries = shares.iter().map(|s| s.rate).sum::<f64>() * RETRY_FRACTION;
         View {
             shares,
-            retries: retries.max(LEAST_RETRIES),
+            retry_rate: retries.max(MIN_RETRY_RATE),
             ..view
         }
     }
 
-    /// The part of the view that is the same for all workers.
-    fn view(&self, versions: &[String]) -> View {
-        let observed = observed::read(self.group, self.bundle);
+    /// Builds the part of the view that is the same for all workers.
+    fn shared_view(&self, versions: &[String]) -> View {
+        let observed = observed::collect(self.group, self.bundle);
         View {
             bundle: self.bundle.clone(),
             zone: self.bundle.zone(&self.settings.node.zone).unwrap_or(0),
-            open: self.open(versions),
+            available: self.available(versions),
             ejected: observed.ejected,
             suspects: observed.suspects,
             pending: observed.pending,
             condemned: observed.condemned,
             shares: Vec::new(),
-            retries: 0.0,
-            // A node that leaves serves all that still comes; the listener ends it.
+            retry_rate: 0.0,
+            // A leaving node still serves all requests that reach it. The listener stops accepting
+            // them when the drain time is over.
             leaving: false,
         }
     }
 
-    fn open(&self, versions: &[String]) -> Vec<bool> {
+    /// Returns whether each endpoint of the bundle may get new requests.
+    fn available(&self, versions: &[String]) -> Vec<bool> {
         let rows = (0..).zip(&self.bundle.endpoints);
-        rows.map(|(id, e)| self.listed.takes_work(&e.instance) && self.ready(id, e, versions))
-            .collect()
+        rows.map(|(id, e)| {
+            self.instance_list.accepts_work(&e.instance) && self.is_ready(id, e, versions)
+        })
+        .collect()
     }
 
-    /// Whether an endpoint holds what new requests are sent to. In the middle of a roll those on
-    /// another version get no new work: a chain must not mix versions.
-    fn ready(&self, id: EndpointId, endpoint: &Endpoint, versions: &[String]) -> bool {
+    /// Returns whether an endpoint serves all its spans in the versions that new requests use.
+    /// During a roll, endpoints with another version get no new work, since a chain must not mix
+    /// versions.
+    fn is_ready(&self, id: EndpointId, endpoint: &Endpoint, versions: &[String]) -> bool {
         let mut spans = endpoint.spans.iter();
         spans.all(|s| {
             let version = &versions[usize::from(s.model)];
@@ -105,31 +113,34 @@
         })
     }
 
-    /// Nodes that take new callers: this one unless it leaves, and peers that are up.
+    /// Returns the nodes to offer to callers: peers that accept callers, and this node unless it is
+    /// leaving.
     fn addresses(&self) -> Vec<Address> {
         let me = self.group.me();
         let peers = self.group.roster().iter();
-        let up = peers.filter(|p| p.id != me && takes_callers(p));
-        let mut addresses: Vec<_> = up.filter_map(|p| self.peer(p)).collect();
+        let up = peers.filter(|p| p.id != me && accepts_callers(p));
+        let mut addresses: Vec<_> = up.filter_map(|p| self.peer_address(p)).collect();
         if !self.leaving {
-            addresses.push(self.own(observed::free(self.group, me)));
+            addresses.push(self.own_address(observed::free_fraction(self.group, me)));
         }
         addresses
     }
 
-    fn peer(&self, peer: &Peer) -> Option<Address> {
-        let (addr, tls) = observed::callers(self.group, peer.id)?;
+    /// Returns the address of a peer, if it has published one.
+    fn peer_address(&self, peer: &Peer) -> Option<Address> {
+        let (addr, tls) = observed::callers_address(self.group, peer.id)?;
         Some(Address {
             node: peer.identity.name.clone(),
             addr,
             tls,
             zone: peer.identity.zone.clone(),
             region: peer.identity.region.clone(),
-            free: observed::free(self.group, peer.id),
+            free: observed::free_fraction(self.group, peer.id),
         })
     }
 
-    fn own(&self, free: f64) -> Address {
+    /// Returns the address of this node. `free` is the free fraction of its capacity.
+    fn own_address(&self, free: f64) -> Address {
         let node = &self.settings.node;
         Address {
             node: node.name.clone(),
@@ -142,9 +153,9 @@
     }
 }
 
-/// A suspected peer is not named: a caller that was sent to a dead node has to ask again, while
-/// one that is sent past a living node loses nothing.
-fn takes_callers(peer: &Peer) -> bool {
+/// Returns whether a peer is offered to callers. A suspected peer is not: a caller that gets the
+/// address of a dead node has to request another, while omitting a live node costs callers nothing.
+fn accepts_callers(peer: &Peer) -> bool {
     let listed = peer.listed != Some(member::peer::ListedState::Leaving);
     peer.state == State::Up && !peer.leaving && listed
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! The `wigeonshelf` binary.
+//! The `wigeonshelf` binary: parses the command line, loads the settings and runs a node until a
+//! signal ends it.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use eyre::Result;
@@ -9,29 +10,29 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code for settings that can't be used: nothing was started.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for missing or invalid settings. Nothing was started.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
-const CONFIG: &str = "config";
-const CHECK: &str = "check";
+const CONFIG_ARG: &str = "config";
+const CHECK_COMMAND: &str = "check";
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
     match matches.subcommand() {
-        Some((CHECK, matches)) => check(matches),
+        Some((CHECK_COMMAND, matches)) => check(matches),
         _ => run(&matches),
     }
 }
 
 fn command() -> Command {
-    let config = Arg::new(CONFIG)
+    let config = Arg::new(CONFIG_ARG)
         .long("config")
         .short('c')
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
-        .help("Settings, in INI");
-    let check = Command::new(CHECK)
-        .about("Checks settings and tells every finding; starts nothing")
+        .help("Settings file in INI format");
+    let check = Command::new(CHECK_COMMAND)
+        .about("Checks the settings and prints every finding, without starting a node")
         .arg(config.clone().required(true));
     Command::new("wigeonshelf")
         .version(clap::crate_version!())
@@ -42,20 +43,22 @@
         .subcommand(check)
 }
 
-/// The settings, or every finding on standard error.
+/// Loads the settings. On failure, prints every finding to standard error and returns the exit
+/// code.
 fn load(matches: &ArgMatches) -> std::result::Result<Settings, ExitCode> {
-    let Some(file) = matches.get_one::<PathBuf>(CONFIG) else {
+    let Some(file) = matches.get_one::<PathBuf>(CONFIG_ARG) else {
         eprintln!("--config is missing");
-        return Err(ExitCode::from(BAD_SETTINGS));
+        return Err(ExitCode::from(EXIT_INVALID_SETTINGS));
     };
-    told(settings::load(file))
+    report_findings(settings::load(file))
 }
 
-/// Checked settings, or their findings on standard error.
-fn told<T>(checked: settings::Result<T>) -> std::result::Result<T, ExitCode> {
+/// Unwraps checked settings. On failure, prints their findings to standard error and returns the
+/// exit code.
+fn report_findings<T>(checked: settings::Result<T>) -> std::result::Result<T, ExitCode> {
     checked.map_err(|findings| {
         findings.iter().for_each(|finding| eprintln!("{finding}"));
-        ExitCode::from(BAD_SETTINGS)
+        ExitCode::from(EXIT_INVALID_SETTINGS)
     })
 }
 
@@ -63,7 +66,7 @@
     if let Some(file) = hosted_file(matches) {
         return match load_hosted(&file) {
             Ok(settings) => {
-                println!("the settings of node {} are right", settings.name);
+                println!("the settings of node {} are valid", settings.name);
                 ExitCode::SUCCESS
             }
             Err(code) => code,
@@ -71,21 +74,21 @@
     }
     match load(matches) {
         Ok(settings) => {
-            println!("the settings of node {} are right", settings.node.name);
+            println!("the settings of node {} are valid", settings.node.name);
             ExitCode::SUCCESS
         }
         Err(code) => code,
     }
 }
 
-/// The settings file, if it is one of a node on a platform's store.
+/// Returns the settings file if it belongs to a node on a platform's store.
 fn hosted_file(matches: &ArgMatches) -> Option<PathBuf> {
-    let file = matches.get_one::<PathBuf>(CONFIG)?;
+    let file = matches.get_one::<PathBuf>(CONFIG_ARG)?;
     hosted::settings::is_hosted(file).then(|| file.clone())
 }
 
 fn load_hosted(file: &Path) -> std::result::Result<hosted::settings::Settings, ExitCode> {
-    told(hosted::settings::load(file))
+    report_findings(hosted::settings::load(file))
 }
 
 fn run_hosted(file: &Path) -> ExitCode {
@@ -130,26 +133,26 @@
         process.peers,
         process.admin
     );
-    process::runtime()?.block_on(until_signal(&process))?;
+    process::runtime()?.block_on(drain_on_signal(&process))?;
     process.join()
 }
 
-/// Leaves on the first signal and breaks off on the second.
-async fn until_signal(process: &Process) -> Result<()> {
+/// Waits for a signal, then drains the node. A second signal aborts the requests in flight.
+async fn drain_on_signal(process: &Process) -> Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    log::info!("leaving: a second signal breaks off what is in flight");
-    let ends = process.ends();
+    log::info!("draining; a second signal aborts the requests in flight");
+    let shutdown = process.shutdown();
     let leaving = process.leave();
     tokio::select! {
-        () = leaving => log::info!("nothing is in flight any more, or the finish time is over"),
-        _ = term.recv() => log::warn!("broken off by a second signal"),
-        _ = int.recv() => log::warn!("broken off by a second signal"),
+        () = leaving => log::info!("drain ended: no request is in flight, or the finish time has elapsed"),
+        _ = term.recv() => log::warn!("received a second signal; aborting the requests in flight"),
+        _ = int.recv() => log::warn!("received a second signal; aborting the requests in flight"),
     }
-    ends.serving.kill.cancel();
+    shutdown.serving.kill.cancel();
     Ok(())
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,9 +1,10 @@
-//! Starts, drains and ends the threads of a node.
+//! Starts, drains and stops the threads of a node.
 //!
-//! Leaving has three steps. The node first leaves the address answers and tells connected callers
-//! to go elsewhere, while it serves all that still comes: callers keep an answer for a while. After
-//! the drain time it accepts no more connections and finishes every request in flight. Only when the finish time
-//! is over, or on a second signal, is anything broken off.
+//! A graceful shutdown has three phases. First, nodes no longer offer this node's address to
+//! callers, and it asks connected callers to reconnect elsewhere. It still accepts new connections
+//! and requests, because callers cache addresses for a while. After the drain time it accepts no
+//! more connections and finishes the requests in flight. Requests are aborted only when the finish
+//! timeout elapses or a second signal arrives.
 
 use crate::control::{self, Control};
 use crate::gauges;
@@ -12,9 +13,9 @@
 use entry::core::{Reports, Tx};
 use entry::listener;
 use entry::metrics::Metrics;
-use entry::server::{Server, Stop};
-use entry::snapshot::Board;
-use entry::tls::Store;
+use entry::server::{Server, Shutdown};
+use entry::snapshot::SharedSnapshot;
+use entry::tls::ReloadableConfig;
 use entry::worker::{Handle, Worker};
 use eyre::{Result, WrapErr};
 use opentelemetry::metrics::MeterProvider;
@@ -28,109 +29,112 @@
 use tokio_util::sync::CancellationToken;
 use viz::Tree;
 
-/// How often the end of the workers is looked for while a node leaves.
-const IDLE_CHECK: Duration = Duration::from_millis(20);
-/// Values that a ring between control and a worker holds.
-const RING: usize = 4096;
+/// Interval at which a draining node checks whether its workers have finished.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity, in events, of each ring between control and a worker.
+const RING_CAPACITY: usize = 4096;
 
-/// When the parts of a node end.
+/// Signals that stop the parts of a node.
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
-    /// The listeners and the workers.
-    pub serving: Stop,
-    /// The node begins to leave.
+pub struct ShutdownSignals {
+    /// Stops the callers' listeners and the workers.
+    pub serving: Shutdown,
+    /// Cancelled when the node begins to leave.
     pub leave: CancellationToken,
-    /// Control and admin end, after the workers have.
+    /// Cancelled when control and the admin listener stop, which is after the workers have ended.
     pub control: CancellationToken,
 }
 
 /// A running node.
 pub struct Process {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its callers' listener.
+    /// Address of the callers' listener.
     pub callers: SocketAddr,
-    /// Its listener for other nodes.
+    /// Address of the listener for other nodes.
     pub peers: SocketAddr,
-    /// Its admin listener.
+    /// Address of the admin listener.
     pub admin: SocketAddr,
-    ends: Ends,
+    shutdown: ShutdownSignals,
     workers: Vec<JoinHandle<std::io::Result<()>>>,
-    others: Vec<JoinHandle<Result<()>>>,
-    drain: Duration,
-    finish: Duration,
+    other_threads: Vec<JoinHandle<Result<()>>>,
+    drain_time: Duration,
+    finish_timeout: Duration,
 }
 
 impl Process {
-    /// Starts a node. Every listener is bound when this returns.
+    /// Starts a node. All its listeners are bound when this returns.
     pub fn start(settings: Settings) -> Result<Self> {
-        let ends = Ends::default();
+        let shutdown = ShutdownSignals::default();
         let registry = Registry::new();
-        let provider = provider(&registry)?;
+        let provider = meter_provider(&registry)?;
         let meter = provider.meter("wigeonshelf");
         let metrics = Metrics::new(&meter);
-        let (questions, asked) = mpsc::channel(admin::QUESTIONS);
+        let (request_tx, requests) = mpsc::channel(admin::MAX_PENDING_REQUESTS);
         let admin_listener = listener::open(settings.admin.listen)
             .wrap_err_with(|| format!("admin listener {}", settings.admin.listen))?;
         let (reserved, callers) = listener::reserve(settings.callers.listen)
             .wrap_err_with(|| format!("callers' listener {}", settings.callers.listen))?;
         let incarnation = incarnation();
-        let seeds = Seeds::of(&settings.node.name, incarnation);
+        let seeds = Seeds::new(&settings.node.name, incarnation);
         let tls = open_tls(&settings.callers)?;
         let admin_tls = open_tls(&settings.admin)?;
         let mut workers = Vec::new();
         let mut rings = Vec::new();
-        let mut boards = Vec::new();
+        let mut shared_snapshots = Vec::new();
         let mut reports = Vec::new();
         for number in 0..settings.node.workers {
-            let (notes, noted) = entry::ring::ring(RING);
-            let (notices, noticed) = entry::ring::ring(RING);
-            rings.push(control::Worker { notices, noted });
-            let board = Board::default();
-            boards.push(board.clone());
+            let (worker_event_tx, worker_events) = entry::ring::ring(RING_CAPACITY);
+            let (control_events, control_event_rx) = entry::ring::ring(RING_CAPACITY);
+            rings.push(control::WorkerRings {
+                control_events,
+                worker_events,
+            });
+            let shared_snapshot = SharedSnapshot::default();
+            shared_snapshots.push(shared_snapshot.clone());
             let report = Reports::default();
             reports.push(report.clone());
             let worker = Worker {
                 number,
                 listener: listener::open(callers)?,
                 limits: settings.callers.limits.clone(),
-                ask: settings.ask.clone(),
+                request_limits: settings.request_limits.clone(),
                 address_ttl: settings.node.address_ttl.as_secs(),
                 route: settings.route.clone(),
                 seed: seeds.worker(number),
                 tls: tls.clone(),
-                board,
+                shared_snapshot,
                 metrics: metrics.clone(),
-                notices: noticed,
-                notes,
+                control_events: control_event_rx,
+                worker_events: worker_event_tx,
                 reports: report,
-                stop: ends.serving.clone(),
+                shutdown: shutdown.serving.clone(),
             };
             workers.push(worker.start()?);
         }
         drop(reserved);
         gauges::register(&meter, reports);
         let admin_addr = admin_listener.local_addr()?;
-        let senders = workers.iter().map(|w| w.tx.clone()).collect();
+        let worker_senders = workers.iter().map(|w| w.tx.clone()).collect();
         let admin_parts = AdminParts {
             listener: admin_listener,
             settings: settings.admin.clone(),
-            control: questions,
-            workers: senders,
+            control: request_tx,
+            workers: worker_senders,
             registry,
             metrics: metrics.clone(),
             tls: admin_tls.clone(),
         };
-        let admin_thread = start_admin(admin_parts, &ends)?;
+        let admin_thread = start_admin(admin_parts, &shutdown)?;
         let control = Control {
             settings: settings.clone(),
             callers,
             incarnation,
             seed: seeds.control(),
-            boards,
-            asked,
+            shared_snapshots,
+            requests,
             workers: rings,
-            ends: ends.clone(),
+            shutdown: shutdown.clone(),
             tls: tls.into_iter().chain(admin_tls).collect(),
             provider,
         };
@@ -140,65 +144,66 @@
             callers,
             peers,
             admin: admin_addr,
-            ends,
+            shutdown,
             workers: workers.into_iter().map(|w: Handle| w.thread).collect(),
-            others: vec![admin_thread, control_thread],
-            drain: settings.node.drain,
-            finish: settings.node.finish,
+            other_threads: vec![admin_thread, control_thread],
+            drain_time: settings.node.drain_time,
+            finish_timeout: settings.node.finish_timeout,
         })
     }
 
-    /// When its parts end.
-    pub fn ends(&self) -> Ends {
-        self.ends.clone()
+    /// Returns the signals that stop the parts of the node.
+    pub fn shutdown(&self) -> ShutdownSignals {
+        self.shutdown.clone()
     }
 
-    /// Leaves: see the module's comment. Ends when nothing is in flight any more, or when the
-    /// finish time is over.
+    /// Drains the node as described in the module documentation. Completes when the workers have
+    /// finished or the finish timeout has elapsed.
     pub async fn leave(&self) {
-        self.ends.leave.cancel();
-        self.ends.serving.drain.cancel();
-        tokio::time::sleep(self.drain).await;
-        self.ends.serving.close.cancel();
-        let finish = tokio::time::Instant::now() + self.finish;
-        while !self.idle() && tokio::time::Instant::now() < finish {
-            tokio::time::sleep(IDLE_CHECK).await;
+        self.shutdown.leave.cancel();
+        self.shutdown.serving.drain.cancel();
+        tokio::time::sleep(self.drain_time).await;
+        self.shutdown.serving.close.cancel();
+        let deadline = tokio::time::Instant::now() + self.finish_timeout;
+        while !self.workers_finished() && tokio::time::Instant::now() < deadline {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether every worker has ended.
-    fn idle(&self) -> bool {
+    /// Returns whether the threads of all workers have ended.
+    fn workers_finished(&self) -> bool {
         self.workers.iter().all(JoinHandle::is_finished)
     }
 
-    /// Breaks everything off, as a crash would.
+    /// Aborts all requests and stops the node at once, as a crash would.
     pub fn kill(&self) {
-        self.ends.serving.kill.cancel();
-        self.ends.control.cancel();
+        self.shutdown.serving.kill.cancel();
+        self.shutdown.control.cancel();
     }
 
-    /// Waits until the workers have ended, then ends the rest.
+    /// Waits until the workers have ended, then stops control and the admin listener.
     pub fn join(self) -> Result<()> {
         for thread in self.workers {
-            joined(thread)??;
+            join_thread(thread)??;
         }
-        self.ends.control.cancel();
-        for thread in self.others {
-            joined(thread)??;
+        self.shutdown.control.cancel();
+        for thread in self.other_threads {
+            join_thread(thread)??;
         }
         Ok(())
     }
 }
 
-fn joined<T>(thread: JoinHandle<T>) -> Result<T> {
+/// Waits for a thread and turns its panic into an error with its name.
+fn join_thread<T>(thread: JoinHandle<T>) -> Result<T> {
     let name = thread.thread().name().unwrap_or("?").to_owned();
     thread
         .join()
         .map_err(|_| eyre::eyre!("thread {name} panicked"))
 }
 
-/// Gives out instruments whose values `registry` gathers.
-pub(crate) fn provider(registry: &Registry) -> Result<SdkMeterProvider> {
+/// Creates a provider of instruments whose values are collected in `registry`.
+pub(crate) fn meter_provider(registry: &Registry) -> Result<SdkMeterProvider> {
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
         .without_target_info()
@@ -206,29 +211,30 @@
     Ok(SdkMeterProvider::builder().with_reader(exporter).build())
 }
 
-fn open_tls(listener: &Listener) -> Result<Option<Arc<Store>>> {
+fn open_tls(listener: &Listener) -> Result<Option<Arc<ReloadableConfig>>> {
     let Some(files) = &listener.tls else {
         return Ok(None);
     };
-    Ok(Some(Arc::new(Store::open(files.clone())?)))
+    Ok(Some(Arc::new(ReloadableConfig::open(files.clone())?)))
 }
 
 struct AdminParts {
     listener: std::net::TcpListener,
     settings: Listener,
-    control: mpsc::Sender<admin::Question>,
+    control: mpsc::Sender<admin::ControlRequest>,
     workers: Vec<Tx>,
     registry: Registry,
     metrics: Metrics,
-    tls: Option<Arc<Store>>,
+    tls: Option<Arc<ReloadableConfig>>,
 }
 
-/// The admin listener serves until control ends: an operator can look at a node that leaves.
-fn start_admin(parts: AdminParts, ends: &Ends) -> Result<JoinHandle<Result<()>>> {
-    let stop = Stop {
-        drain: ends.control.clone(),
-        close: ends.control.clone(),
-        kill: ends.serving.kill.clone(),
+/// Starts the thread of the admin listener. It serves until control stops, so that operators can
+/// inspect a node that is leaving.
+fn start_admin(parts: AdminParts, shutdown: &ShutdownSignals) -> Result<JoinHandle<Result<()>>> {
+    let stop = Shutdown {
+        drain: shutdown.control.clone(),
+        close: shutdown.control.clone(),
+        kill: shutdown.serving.kill.clone(),
     };
     let thread = std::thread::Builder::new().name("admin".to_owned());
     Ok(thread.spawn(move || {
@@ -237,7 +243,7 @@
     })?)
 }
 
-async fn serve_admin(parts: AdminParts, stop: Stop) -> Result<()> {
+async fn serve_admin(parts: AdminParts, stop: Shutdown) -> Result<()> {
     let shared = admin::Shared {
         control: parts.control,
         workers: parts.workers,
@@ -255,23 +261,24 @@
     Ok(())
 }
 
-/// A runtime for one thread.
+/// Creates a single-threaded runtime with timers and I/O enabled.
 pub fn runtime() -> Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     Ok(builder.enable_all().build()?)
 }
 
-/// When this process started, in milliseconds of Unix time: a restart has a higher one.
+/// Returns the current Unix time in milliseconds, which identifies this run of the process. A
+/// restarted process has a higher number.
 pub(crate) fn incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Seeds of the generators, different for each node, start and thread.
+/// Seeds of the random number generators. They differ between nodes, runs and threads.
 struct Seeds(u64);
 
 impl Seeds {
-    fn of(name: &str, incarnation: u64) -> Self {
+    fn new(name: &str, incarnation: u64) -> Self {
         use std::hash::{Hash, Hasher};
         let mut hash = std::hash::DefaultHasher::new();
         name.hash(&mut hash);
--- a/crates/node/tests/binary.rs
+++ b/crates/node/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The binary: its command line, its findings, its signals.
+//! The binary: command line, findings in settings, and signals.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,9 +6,9 @@
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest time for something that must come.
+/// Maximum time to wait for an expected state.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// How often it is looked for.
+/// Interval at which the state is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn wigeonshelf(args: &[&str]) -> Output {
@@ -18,7 +18,7 @@
         .args(args)
         .current_dir(folder)
         .output()
-        .expect("it runs")
+        .expect("the binary runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -66,8 +66,8 @@
     assert!(text(&output.stdout).contains("entry-1") && output.stderr.is_empty());
 }
 
-// An operator sees every finding in one run, with its place, and nothing was started: with the
-// same faults `check` and a start say the same.
+// An operator sees every finding with its place in a single run, before anything is started:
+// `check` and a start report the same findings.
 #[test]
 fn every_finding_is_reported_and_nothing_is_started() {
     let case = include_str!("cases/faults.ini");
@@ -86,7 +86,7 @@
     }
 }
 
-/// A node that runs on its own; the platform's services are not there.
+/// A running node without the services of the platform.
 struct Node {
     child: Child,
     admin: SocketAddr,
@@ -108,31 +108,31 @@
     )
 }
 
-/// Writes settings into a file of the test's own.
+/// Writes settings into a file named after the test.
 fn write(name: &str, settings: &str) -> PathBuf {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.ini"));
-    std::fs::write(&file, settings).expect("written");
+    std::fs::write(&file, settings).expect("the settings file is written");
     file
 }
 
-/// The address that follows `word` in a line.
+/// Returns the address that follows `word` in a line.
 fn addr_after(line: &str, word: &str) -> SocketAddr {
-    let rest = line.split(word).nth(1).expect("the word");
+    let rest = line.split(word).nth(1).expect("the line contains the word");
     let addr = rest.trim().split(',').next().expect("an address");
     addr.parse().expect("an address")
 }
 
 impl Node {
-    /// Starts a node on ports of the kernel's choice, which it logs.
+    /// Starts a node on ports that the kernel assigns and the node logs.
     fn start(name: &str, drain: &str) -> Self {
         let file = write(name, &settings(name, drain, 0));
         let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
         command.arg("--config").arg(&file).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("the process starts");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let line = lines.find(|l| l.as_ref().is_ok_and(|l| l.contains("serves callers on ")));
-        let line = line.expect("it says where it serves").expect("a line");
-        // What else it logs is read away, so that it never waits for a reader.
+        let line = line.expect("the node logs its listeners").expect("a line");
+        // The rest of the log is read and discarded, so that the node never blocks on a full pipe.
         std::thread::spawn(move || lines.count());
         let node = Self {
             child,
@@ -140,14 +140,14 @@
             callers: addr_after(&line, "callers on "),
             file,
         };
-        wait_until("healthz answers", || {
+        wait_until("/healthz responds", || {
             node.get(node.admin, "/healthz")
                 .starts_with("HTTP/1.1 200 ")
         });
         node
     }
 
-    /// The answer to a GET, or nothing.
+    /// Returns the response to a GET request; it is empty if there is none.
     fn get(&self, addr: SocketAddr, path: &str) -> String {
         let mut answer = Vec::new();
         if let Ok(mut stream) = TcpStream::connect(addr) {
@@ -171,7 +171,7 @@
         self.child.try_wait().expect("a status")
     }
 
-    /// Waits for its end; the exit code.
+    /// Waits until the process ends and returns its exit code.
     fn wait_for_exit(&mut self) -> Option<i32> {
         wait_until("the node ends", || self.exit_status().is_some());
         self.exit_status().and_then(|s| s.code())
@@ -180,7 +180,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Does nothing to a process that has been waited for.
+        // Has no effect on a process whose exit status has already been collected.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.file);
@@ -190,12 +190,12 @@
 fn wait_until(what: &str, mut test: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !test() {
-        assert!(Instant::now() < end, "it did not come: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-// A node without its platform answers on both listeners, and says that it is not ready.
+// A node without its platform responds on both listeners, and reports that it is not ready.
 #[test]
 fn started_node_answers() {
     let mut node = Node::start("answers", "0s");
@@ -213,7 +213,8 @@
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
-// A caller with an old address answer is still served while the node drains; then it ends with 0.
+// Callers that use a cached address are still served while the node drains; then it exits with code
+// 0.
 #[test]
 fn signal_drains_and_ends() {
     for signal in ["TERM", "INT"] {
@@ -223,7 +224,7 @@
             node.get(node.admin, "/admin/v1/status")
                 .contains("\"leaving\":true")
         };
-        wait_until("the node says that it leaves", || leaving(&node));
+        wait_until("the node reports that it leaves", || leaving(&node));
         assert!(
             node.get(node.callers, "/v1/addresses")
                 .starts_with("HTTP/1.1 503 ")
@@ -232,7 +233,7 @@
     }
 }
 
-// The operator has no time for the drain, which would take an hour: a second signal ends it.
+// A second signal ends the process at once, for an operator who can't wait for a drain of an hour.
 #[test]
 fn second_signal_ends_at_once() {
     let mut node = Node::start("at-once", "1h");
@@ -241,21 +242,21 @@
         node.get(node.admin, "/admin/v1/status")
             .contains("\"leaving\":true")
     };
-    wait_until("the node says that it leaves", || leaving(&node));
+    wait_until("the node reports that it leaves", || leaving(&node));
     assert!(node.exit_status().is_none());
     node.signal("TERM");
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
-// A second process with the same port ends with code 1 and tells the listener. If the kernel let both
-// listen, each would get half of the callers' connections, and nobody would be told.
+// A second process on the same port exits with code 1 and names the listener. If the kernel let
+// both listen, each would silently get half of the callers' connections.
 #[test]
 fn port_in_use_is_reported() {
     let node = Node::start("first", "0s");
     let file = write("second", &settings("second", "0s", node.callers.port()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonshelf"));
     command.arg("--config").arg(&file).stderr(Stdio::piped());
-    let mut second = command.spawn().expect("it starts");
+    let mut second = command.spawn().expect("the process starts");
     let end = Instant::now() + TIMEOUT / 3;
     while second.try_wait().expect("a status").is_none() {
         if Instant::now() > end {
@@ -263,7 +264,7 @@
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    let output = second.wait_with_output().expect("it ended");
+    let output = second.wait_with_output().expect("the process ended");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let message = text(&output.stderr);
     assert!(
