--- a/crates/node/tests/support/spread.rs
+++ b/crates/node/tests/support/spread.rs
@@ -1,4 +1,4 @@
-//! Nodes that take copies from each other over slow links, with time passed in.
+//! Discrete-event simulation of nodes that copy tables from each other over slow links.
 
 #[path = "spread/faults.rs"]
 mod faults;
@@ -23,51 +23,58 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes a second of a small node's link, either way.
+/// Bandwidth of a small node's link in each direction, in bytes per second.
 const LINK_BYTES_PER_SECOND: f64 = 2.5e6;
-/// Time on the way, and to decide.
+/// Latency of a link, including the processing of a frame.
 const LINK_DELAY: Duration = ms(2);
-/// How long a connection may leave a frame unconfirmed before it is sent over a new one.
+/// Time after which an unacknowledged frame is resent over a new connection.
 const FRAME_TIMEOUT: Duration = ms(500);
-/// How often a frame is sent at most.
+/// Maximum number of times that a frame is sent.
 const MAX_SENDS: u32 = 2;
-/// How long an ask may take.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = ms(2000);
-/// How long it takes until an ask to a node without power has failed.
+/// Time after which a request to a node without power fails.
 const CONNECT_TIMEOUT: Duration = ms(1000);
-/// Bytes of an ask with its headers.
+/// Size of a request with its headers; also the overhead of a response.
 const REQUEST_BYTES: usize = 80;
-/// How often control looks whether anything is due.
+/// Interval of control's periodic work.
 const STEP_INTERVAL: Duration = ms(100);
-/// How often a reader reads the endpoints' table.
+/// Interval at which a reader reads the endpoints' table.
 const READ_INTERVAL: Duration = ms(850);
-/// How long it takes until a reader has a new catalog.
+/// Time until a reader has read a new catalog from the store.
 const CATALOG_DELAY: Duration = ms(60);
-/// How often an engine is asked for its load.
+/// Interval at which an engine is polled for its load.
 const POLL_INTERVAL: Duration = ms(1500);
-/// Bytes of an endpoint's row, and of a catalog.
+/// Size of an endpoint's row.
 const ROW_BYTES: usize = 200;
+/// Size of a catalog.
 const CATALOG_BYTES: usize = 20_000;
-/// Until when rows come and change while a fleet is loaded.
+/// Time at which a starting fleet has loaded its layers; rows are written and change until then.
 pub const LOAD_END: Duration = ms(5000);
 
-/// Milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// Events of the simulation. Events at the same time are handled in the order of their creation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// The control of a node does its periodic work.
     Step(usize),
+    /// A reader reads the endpoints' table.
     Read(usize),
+    /// A reader reads a new catalog.
     CatalogRead(usize),
+    /// An endpoint writes its row.
     Row(usize),
-    /// Nodes find their parts anew.
+    /// All running nodes recompute their assignments.
     Reassign,
-    /// A node starts anew.
+    /// A node restarts.
     Start(usize),
-    /// A node that has started has read whole tables.
+    /// A node that has restarted has read both tables completely.
     FullRead(usize),
+    /// A request arrives at `to`.
     Request {
         to: usize,
         by: usize,
@@ -75,21 +82,21 @@
         request: u8,
         from: u64,
     },
+    /// A response arrives at `to`.
     Response {
         to: usize,
         call: u64,
         bytes: Vec<u8>,
     },
+    /// A frame is resent that was not acknowledged in time.
     Resend {
         by: usize,
         to: usize,
         sends: u32,
         message: Box<Event>,
     },
-    Expire {
-        by: usize,
-        call: u64,
-    },
+    /// A request times out if it has not been answered yet.
+    Expire { by: usize, call: u64 },
 }
 
 struct Node {
@@ -98,26 +105,30 @@
     operator: Table,
     endpoints: Table,
     loads: Loads,
+    /// Requests in flight, by the number of their call.
     calls: HashMap<u64, (Request, SocketAddr)>,
-    /// When the link is free to send, and to receive.
+    /// When the link is free to send.
     uplink_free_at: Duration,
+    /// When the link is free to receive.
     downlink_free_at: Duration,
+    /// Bytes sent so far.
     sent: u64,
     engines: Vec<usize>,
     last_poll: Duration,
-    /// Whether it no longer gets the operator's table from the store, and does not know.
+    /// Whether the node no longer gets changes of the operator's table from the store, without
+    /// noticing it.
     stale_operator: bool,
-    /// Whether it runs.
+    /// Whether the node runs.
     running: bool,
-    /// When it started.
+    /// When the node started.
     started: Duration,
-    /// Whether it has read whole tables since it started.
+    /// Whether the node has read both tables completely since it started.
     has_full_tables: bool,
 }
 
 impl Node {
-    /// Forgets what it knows, as a process that starts anew.
-    fn forget(&mut self) {
+    /// Clears the state of the node, as a restart does.
+    fn reset(&mut self) {
         self.pulls = Pulls::default();
         (self.operator, self.endpoints) = (Table::default(), Table::default());
         self.loads = Loads::default();
@@ -125,27 +136,29 @@
     }
 }
 
-/// All nodes, the store, and what is on its way.
+/// All nodes, the store, and the pending events.
 pub struct Fleet {
     now: Duration,
     start: Instant,
     peers: Vec<Peer>,
     nodes: Vec<Node>,
-    /// Endpoints of all zones.
+    /// Number of endpoints in all zones.
     engines: usize,
     operator: Table,
     endpoints: Table,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    count: u64,
+    last_id: u64,
     timed_out: u64,
+    /// When the newest catalog was published.
     published: Duration,
+    /// When the newest catalog reached each node.
     catalog_reached: BTreeMap<usize, Duration>,
     leaving: Vec<LeavingEndpoint>,
     random: ChaCha8Rng,
 }
 
 impl Fleet {
-    /// Nodes that know each other and nothing else, before endpoints whose rows come in the first
+    /// Creates nodes that know only each other, and endpoints whose rows are written in the first
     /// seconds and change as layers are loaded.
     pub fn new(nodes: usize, endpoints: usize, seed: u64) -> Self {
         let peers: Vec<Peer> = (0..nodes)
@@ -180,7 +193,7 @@
             operator: Table::default(),
             endpoints: Table::default(),
             events: BinaryHeap::new(),
-            count: 0,
+            last_id: 0,
             timed_out: 0,
             published: Duration::ZERO,
             catalog_reached: BTreeMap::new(),
@@ -188,16 +201,16 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for number in 0..nodes {
-            let at = fleet.draw(STEP_INTERVAL);
+            let at = fleet.random_delay(STEP_INTERVAL);
             fleet.schedule(at, Event::Step(number));
             if fleet.nodes[number].assignment.reads {
-                let at = fleet.draw(READ_INTERVAL);
+                let at = fleet.random_delay(READ_INTERVAL);
                 fleet.schedule(at, Event::Read(number));
             }
         }
         for number in 0..endpoints {
             for until in [ms(1200), LOAD_END] {
-                let at = fleet.draw(until);
+                let at = fleet.random_delay(until);
                 fleet.schedule(at, Event::Row(number));
             }
         }
@@ -217,7 +230,8 @@
         }
     }
 
-    /// How long the newest catalog took to be in force on all nodes.
+    /// Returns the time until the newest catalog was in force on all nodes; [`Duration::MAX`] if it
+    /// is not yet.
     pub fn catalog_latency(&self) -> Duration {
         if self.catalog_reached.len() < self.nodes.len() {
             return Duration::MAX;
@@ -231,25 +245,25 @@
         last - self.published
     }
 
-    /// Nodes that lack rows of the endpoints' table.
+    /// Returns the number of nodes that lack rows of the endpoints' table.
     pub fn nodes_missing_rows(&self) -> usize {
         let rows = self.endpoints.iter().count();
         let lacks = |n: &&Node| n.endpoints.iter().count() < rows;
         self.nodes.iter().filter(lacks).count()
     }
 
-    /// What was sent so far.
+    /// Describes the traffic so far, for failure messages.
     pub fn traffic(&self) -> String {
         let seconds = self.now.as_secs_f64();
         let rate = |n: &Node| n.sent as f64 / seconds / 1e6;
         let busiest = self.nodes.iter().map(rate).fold(0.0, f64::max);
         format!(
-            "busiest node {busiest:.2} MB/s, {} asks without an answer",
+            "busiest node {busiest:.2} MB/s, {} requests timed out",
             self.timed_out
         )
     }
 
-    /// Plays on until a time.
+    /// Simulates until a time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse((at, _, _))) = self.events.peek()
             && *at <= until
@@ -366,8 +380,8 @@
     fn request(&mut self, by: usize, request: Request, peer: SocketAddr, from: Option<u64>) {
         let to = self.peers.iter().position(|p| p.identity.addr == peer);
         let to = to.expect("a peer");
-        self.count += 1;
-        let call = self.count;
+        self.last_id += 1;
+        let call = self.last_id;
         let node = &mut self.nodes[by];
         node.calls.insert(call, (request, peer));
         let from = from.unwrap_or_else(|| match request {
@@ -396,7 +410,7 @@
         self.send(by, to, message, 0);
     }
 
-    /// What a node gives, as `State::offer` does.
+    /// Returns the response of a node to a request, as `State::serve_copy` does.
     fn serve(&mut self, by: usize, request: u8, from: u64) -> Vec<u8> {
         let now = self.start + self.now;
         let node = &self.nodes[by];
@@ -404,7 +418,7 @@
             Kind::Operator => &node.operator,
             Kind::Endpoints => &node.endpoints,
         };
-        let chunk = match Request::try_from(request).expect("an ask") {
+        let chunk = match Request::try_from(request).expect("a request number") {
             Request::Changes(kind) => table(kind).changes(from, CHUNK_BYTES),
             Request::Keys(kind) => table(kind).keys(from, CHUNK_BYTES),
             Request::Loads(scope) => return node.loads.encode(now, scope, from).expect("encodes"),
@@ -466,7 +480,7 @@
         }
     }
 
-    /// Sends over the links of both ends, one frame after another.
+    /// Transfers a frame over the links of both ends, which carry one frame at a time.
     fn send(&mut self, by: usize, to: usize, message: Event, sends: u32) {
         let bytes = match &message {
             Event::Response { bytes, .. } => bytes.len() + REQUEST_BYTES,
@@ -497,12 +511,12 @@
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.count += 1;
+        self.last_id += 1;
         self.events
-            .push(Reverse((self.now + after, self.count, event)));
+            .push(Reverse((self.now + after, self.last_id, event)));
     }
 
-    fn draw(&mut self, limit: Duration) -> Duration {
+    fn random_delay(&mut self, limit: Duration) -> Duration {
         limit.mul_f64(self.random.random_range(0.0..1.0))
     }
 }
--- a/crates/node/tests/support/spread/layout.rs
+++ b/crates/node/tests/support/spread/layout.rs
@@ -1,4 +1,4 @@
-//! Which nodes and endpoints there are, what each node does for the others, and the records of the store.
+//! Nodes and endpoints of the simulated fleet, their assignments, and the records of the store.
 
 use catalog::endpoint::Run;
 use catalog::source::{Page, Record, Table};
@@ -24,19 +24,20 @@
     }
 }
 
-/// The part of a node among those that are open, before endpoints spread over the zones.
+/// Computes the assignment of a node among those that accept new work. Endpoints are spread evenly
+/// over the zones.
 pub(super) fn assignment<'a>(
     now: Duration,
     peer: &Peer,
-    open: impl Iterator<Item = &'a Peer>,
+    accepting: impl Iterator<Item = &'a Peer>,
     endpoints: usize,
 ) -> Assignment {
     let third = endpoints / 3;
     let engines = EngineCounts::from([("a", third), ("b", third), ("c", endpoints - 2 * third)]);
-    Assignment::of(now, peer.id, &peer.identity.zone, open, &engines)
+    Assignment::of(now, peer.id, &peer.identity.zone, accepting, &engines)
 }
 
-/// The endpoints that a node asks for their load.
+/// Returns the endpoints that a node polls for their load.
 pub(super) fn polled_engines(assignment: &Assignment, endpoints: usize) -> Vec<usize> {
     let zone = |n: usize| ["a", "b", "c"][n % 3];
     let own = (0..endpoints).filter(|&n| assignment.polls(zone(n), &run(n)));
--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -1,5 +1,5 @@
-//! Costs of one router's decisions: per choice at 40, 260 and 4,700 replicas, per admission at 10
-//! and 470 teams, per tick and per view. Wall-clock times of this machine.
+//! Measures the cost of a router's decisions in wall-clock time: per selection with 40, 260 and
+//! 4,700 replicas, per admission with 10 and 470 teams, per tick and per view.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 const ROUNDS: u32 = 20_000;
-const LATE: Duration = Duration::from_secs(36_000);
+const FAR_DEADLINE: Duration = Duration::from_secs(36_000);
 
-/// `replicas` of two stages over `models` models and `zones` zones.
+/// Returns a fleet of `replicas` two-stage replicas, spread over `models` models and `zones` zones.
 fn fleet(replicas: usize, models: usize, zones: usize, slots: u32, teams: usize) -> Bundle {
     let mut bundle = fixture::bundle(teams);
     let zone = |z: usize| Zone {
@@ -49,7 +49,7 @@
     (router, started.elapsed())
 }
 
-/// Arrival that starts at once, and its end.
+/// Measures an arrival that starts immediately, and its end.
 fn choice(replicas: usize, models: usize, zones: usize, prefixes: usize) {
     let (mut router, view) = router(fleet(replicas, models, zones, 64, 10));
     let mut now = Duration::from_secs(2);
@@ -61,7 +61,7 @@
             .map(|b| u64::from(i) % 60 * 100 + b)
             .collect();
         let target = Target::Model((i as usize % models) as u16, None);
-        let base = fixture::request(i.into(), LATE);
+        let base = fixture::request(i.into(), FAR_DEADLINE);
         let request = Request {
             prefix,
             target,
@@ -98,14 +98,15 @@
     started.elapsed() / 200
 }
 
-/// Arrival into full queues; and an end that starts the next by fair shares.
+/// Measures an arrival while the queues are full, and an end that starts the next request by fair
+/// shares.
 fn admission(teams: usize, waiting: u32) {
     let (mut router, _) = router(fleet(40, 1, 3, 2, teams));
     let mut now = Duration::from_secs(2);
     let mut out = Vec::new();
     let mut id = 0_u32;
     let mut arrive = |router: &mut Router, now, out: &mut Vec<Action>| {
-        let base = fixture::request(id.into(), LATE);
+        let base = fixture::request(id.into(), FAR_DEADLINE);
         id += 1;
         let request = Request {
             team: (id as usize % teams) as u16,
@@ -138,12 +139,16 @@
     );
 }
 
-/// Progress and token of one hop each.
+/// Measures the progress of two hops and the token that they generate.
 fn token() {
     let (mut router, _) = router(fleet(40, 1, 3, 16, 10));
     let mut out = Vec::new();
     let mut now = Duration::from_secs(2);
-    router.handle(now, Event::Arrive(fixture::request(1, LATE)), &mut out);
+    router.handle(
+        now,
+        Event::Arrive(fixture::request(1, FAR_DEADLINE)),
+        &mut out,
+    );
     let started = Instant::now();
     for _ in 0..ROUNDS {
         now += Duration::from_millis(10);
--- a/crates/route/examples/team_limits.rs
+++ b/crates/route/examples/team_limits.rs
@@ -1,5 +1,5 @@
-//! Overshoot of a team's limits with 8 and 370 workers that each hold an equal share, and with
-//! half of them parted, so that each half divides the whole limit among itself.
+//! Measures how far a team's limits are exceeded with 8 and 370 workers that hold equal shares, and
+//! while the workers are split into two partitions that each divide the whole limit.
 
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
@@ -15,8 +15,8 @@
 /// Offered requests per second.
 const OFFERED: u64 = 600;
 const SECONDS: u64 = 30;
-/// Time that a request is in flight.
-const TIME: Duration = Duration::from_secs(2);
+/// Time for which a request is in flight.
+const REQUEST_TIME: Duration = Duration::from_secs(2);
 
 fn run(workers: usize, parts: f64, busy: usize) {
     let bundle = fixture::bundle(1);
@@ -26,7 +26,7 @@
     };
     let mut tables = vec![Table::default(); workers];
     tables.iter_mut().for_each(|t| {
-        t.follow(Duration::ZERO, &bundle, &[share]);
+        t.apply_bundle(Duration::ZERO, &bundle, &[share]);
     });
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut ends = std::collections::VecDeque::new();
@@ -35,11 +35,11 @@
         let now = Duration::from_secs_f64(i as f64 / OFFERED as f64);
         while ends.front().is_some_and(|&(at, _)| at <= now) {
             let (_, worker): (Duration, usize) = ends.pop_front().expect("just seen");
-            tables[worker].end(0);
+            tables[worker].release(0);
         }
         let worker = rng.random_range(0..busy);
-        if tables[worker].take(now, 0, false, 1.0).is_ok() {
-            ends.push_back((now + TIME, worker));
+        if tables[worker].admit(now, 0, false, 1.0).is_ok() {
+            ends.push_back((now + REQUEST_TIME, worker));
             first += u64::from(now < Duration::from_secs(1));
             late += u64::from(now >= Duration::from_secs(10));
         }
--- a/crates/route/src/choose/search.rs
+++ b/crates/route/src/choose/search.rs
@@ -1,9 +1,9 @@
-//! Search over all stages for the cheapest chain that takes work.
+//! Exhaustive search for the cheapest chain that accepts work.
 
 use super::{Choice, Load};
 use bundle::id::ZoneId;
 
-/// Cheapest way found to a layer boundary in a zone.
+/// Cheapest path found to a layer boundary in a zone.
 #[derive(Clone, Copy)]
 struct Best {
     cost: f64,
@@ -12,42 +12,45 @@
 }
 
 impl<L: Load> Choice<'_, L> {
-    /// The cheapest chain over all stages, boundary by boundary; `None` if no chain takes work.
+    /// Returns the cheapest chain over all stages by dynamic programming over the layer boundaries;
+    /// `None` if no chain accepts work.
     pub fn search(&self) -> Option<Vec<usize>> {
         let graph = self.graph;
-        let mut bests: Vec<Option<Best>> = vec![None; graph.ports()];
-        for &cut in graph.cuts() {
-            for stage in graph.from(cut) {
+        let mut bests: Vec<Option<Best>> = vec![None; graph.port_count()];
+        for &boundary in graph.layer_boundaries() {
+            for stage in graph.stages_from(boundary) {
                 self.relax(&mut bests, stage);
             }
         }
         let last = graph.stages.iter().filter(|s| s.to == graph.layers);
-        let ends = last.filter_map(|s| bests[graph.port(s)].map(|b| (b.cost, graph.port(s))));
+        let ends =
+            last.filter_map(|s| bests[graph.port_after(s)].map(|b| (b.cost, graph.port_after(s))));
         let (_, end) = ends.min_by(|a, b| a.0.total_cmp(&b.0))?;
         Some(self.trace(&bests, end))
     }
 
     fn relax(&self, bests: &mut [Option<Best>], stage: usize) {
         let row = &self.graph.stages[stage];
-        let ways = self.ways(bests, row.from);
-        let costs = ways.filter_map(|(base, zone)| Some((base + self.cost(zone, stage)?, zone)));
+        let arrivals = self.arrivals(bests, row.from);
+        let costs =
+            arrivals.filter_map(|(base, zone)| Some((base + self.cost(zone, stage)?, zone)));
         let Some((cost, zone)) = costs.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return;
         };
-        let port = &mut bests[self.graph.port(row)];
+        let port = &mut bests[self.graph.port_after(row)];
         if port.is_none_or(|b| cost < b.cost) {
             *port = Some(Best { cost, stage, zone });
         }
     }
 
-    /// Costs and zones from which a stage that starts at `layer` can be reached.
-    fn ways<'b>(
+    /// Returns the costs and zones from which a stage that starts at `layer` can be reached.
+    fn arrivals<'b>(
         &'b self,
         bests: &'b [Option<Best>],
         layer: u16,
     ) -> impl Iterator<Item = (f64, ZoneId)> + 'b {
         let start = (layer == 0).then_some((0.0, self.zone));
-        let ports = self.graph.at(layer).filter(move |_| layer > 0);
+        let ports = self.graph.ports_at(layer).filter(move |_| layer > 0);
         start
             .into_iter()
             .chain(ports.filter_map(|(p, z)| bests[p].map(|b| (b.cost, z))))
@@ -62,7 +65,7 @@
             if from == 0 {
                 break;
             }
-            let before = self.graph.at(from).find(|&(_, z)| z == best.zone);
+            let before = self.graph.ports_at(from).find(|&(_, z)| z == best.zone);
             port = before.map_or(0, |(p, _)| p);
         }
         chain.reverse();
--- a/crates/route/src/crash.rs
+++ b/crates/route/src/crash.rs
@@ -1,246 +1,264 @@
-//! Requests that crash endpoints, found by what was in flight at each death.
+//! Detection of requests that crash endpoints, by what was in flight at each death.
 //!
-//! What was in flight when an endpoint died becomes suspect and then runs alone: no neighbours
-//! to lose or to blame. A suspect that completes is cleared; one that dies alone is condemned
-//! and refused everywhere. When several endpoints die together (a lost rack or zone), requests
-//! seen in only one of these deaths are not blamed, so that such a loss neither slows recovery
-//! by isolation nor condemns the innocent; for this a verdict waits out a short window.
+//! All requests in flight on an endpoint that dies become suspect and then run alone, so that no
+//! other requests are lost or suspected with them. A suspect that completes is cleared; one whose
+//! endpoint dies again is condemned and refused by all nodes. When several endpoints die together
+//! (loss of a rack or a zone), requests seen in only one of these deaths are not suspected.
+//! Otherwise isolation would slow the recovery, and harmless requests would be condemned. For this
+//! reason a verdict is delayed by a short window.
 
 use crate::Now;
 use bundle::id::EndpointId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Deaths within this time may have one cause.
-pub const WINDOW: Duration = Duration::from_millis(1500);
-/// Deaths within the window from which they count as one loss.
-pub const MASS: usize = 3;
-/// Deaths in company, at different times, that condemn as one alone does.
-const SHARED: u32 = 3;
-/// Broken connections with a living endpoint that count as one death: it may have restarted.
-const BREAKS: u32 = 2;
+/// Maximum time between deaths that may have a common cause.
+pub const CORRELATION_WINDOW: Duration = Duration::from_millis(1500);
+/// Number of endpoints that must die within the window for their deaths to count as one mass
+/// failure.
+pub const MASS_FAILURE_ENDPOINTS: usize = 3;
+/// Number of deaths beside other requests, at different times, after which a request is condemned
+/// as if it had run alone.
+const SHARED_DEATHS_TO_CONDEMN: u32 = 3;
+/// Number of connections broken by an endpoint that is alive which count as one death, since the
+/// endpoint may have restarted.
+const BREAKS_PER_DEATH: u32 = 2;
 
-/// What speaks against a fingerprint.
+/// Evidence against a fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Mark {
+struct Evidence {
     deaths: u32,
-    breaks: u32,
+    connection_losses: u32,
     latest: Now,
 }
 
-/// What was in flight at an endpoint that may have died.
+/// Requests in flight on an endpoint that may have died.
 #[derive(Clone, Debug, PartialEq)]
-struct Scene {
+struct Incident {
     at: Now,
     endpoint: EndpointId,
-    prints: Vec<u64>,
+    fingerprints: Vec<u64>,
 }
 
-/// The table.
+/// Suspects, pending verdicts and condemned fingerprints.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    marks: BTreeMap<u64, Mark>,
-    told: BTreeSet<u64>,
+    evidence: BTreeMap<u64, Evidence>,
+    remote_suspects: BTreeSet<u64>,
     cleared: BTreeSet<u64>,
     condemned: BTreeSet<u64>,
-    open: BTreeMap<EndpointId, Scene>,
-    deaths: VecDeque<Scene>,
+    incidents: BTreeMap<EndpointId, Incident>,
+    deaths: VecDeque<Incident>,
     verdicts: Vec<(Now, u64)>,
-    /// Verdicts under way at other nodes.
-    awaited: BTreeSet<u64>,
-    /// Verdicts under way here that the other nodes have not been told of.
-    charged: Vec<u64>,
-    most: usize,
+    /// Fingerprints with a pending verdict at another node.
+    remote_pending: BTreeSet<u64>,
+    /// Fingerprints with a pending verdict here that is not yet published to the other nodes.
+    unpublished_pending: Vec<u64>,
+    capacity: usize,
 }
 
 impl Table {
-    /// A table that remembers at most `most` fingerprints of each sort.
-    pub fn new(most: usize) -> Self {
+    /// Creates a table that keeps at most `most` fingerprints of each kind.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            most,
+            capacity,
             ..Self::default()
         }
     }
 
-    /// Takes in what other nodes know.
-    pub fn follow(&mut self, suspects: &[u64], pending: &[u64], condemned: &[u64]) {
-        self.told = suspects.iter().copied().collect();
-        self.awaited = pending.iter().copied().collect();
+    /// Replaces the suspects and pending verdicts reported by other nodes and adds their condemned
+    /// fingerprints.
+    pub fn update_remote(&mut self, suspects: &[u64], pending: &[u64], condemned: &[u64]) {
+        self.remote_suspects = suspects.iter().copied().collect();
+        self.remote_pending = pending.iter().copied().collect();
         self.condemned.extend(condemned);
     }
 
-    /// Renames endpoints after a new bundle.
-    pub fn rename(&mut self, moved: &[Option<EndpointId>]) {
-        let open = std::mem::take(&mut self.open).into_values();
-        let kept = open.filter_map(|s| {
+    /// Translates endpoint ids to those of a new bundle.
+    pub fn remap_endpoints(&mut self, moved: &[Option<EndpointId>]) {
+        let incidents = std::mem::take(&mut self.incidents).into_values();
+        let kept = incidents.filter_map(|s| {
             let endpoint = moved.get(s.endpoint as usize).copied()??;
-            Some((endpoint, Scene { endpoint, ..s }))
+            Some((endpoint, Incident { endpoint, ..s }))
         });
-        self.open = kept.collect();
+        self.incidents = kept.collect();
     }
 
-    /// Whether requests like this one are refused.
-    pub fn condemned(&self, print: u64) -> bool {
-        self.condemned.contains(&print)
+    /// Returns whether requests with this fingerprint are refused.
+    pub fn is_condemned(&self, fingerprint: u64) -> bool {
+        self.condemned.contains(&fingerprint)
     }
 
-    /// Whether a verdict on this one is under way, here or at another node. Run meanwhile, a
-    /// resend would cost one more endpoint to learn what the verdict will tell.
-    pub fn pending(&self, print: u64) -> bool {
-        self.verdicts.iter().any(|&(_, p)| p == print) || self.awaited.contains(&print)
+    /// Returns whether a verdict on this fingerprint is pending, here or at another node. Running a
+    /// resent request before the verdict would risk one more endpoint without adding information.
+    pub fn is_pending(&self, fingerprint: u64) -> bool {
+        self.verdicts.iter().any(|&(_, p)| p == fingerprint)
+            || self.remote_pending.contains(&fingerprint)
     }
 
-    /// Verdicts under way that the other nodes are to be told of.
-    pub fn take_charged(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.charged)
+    /// Takes the pending verdicts that are to be published to the other nodes.
+    pub fn take_pending(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.unpublished_pending)
     }
 
-    /// Whether this one must run alone.
-    pub fn suspect(&self, print: u64) -> bool {
-        let own = self.marks.get(&print).is_some_and(|m| m.deaths > 0);
-        own || (self.told.contains(&print) && !self.cleared.contains(&print))
+    /// Returns whether requests with this fingerprint must run alone.
+    pub fn is_suspect(&self, fingerprint: u64) -> bool {
+        let own = self
+            .evidence
+            .get(&fingerprint)
+            .is_some_and(|m| m.deaths > 0);
+        own || (self.remote_suspects.contains(&fingerprint) && !self.cleared.contains(&fingerprint))
     }
 
-    /// An endpoint shows signs of death with `prints` in flight.
-    pub fn scene(&mut self, at: Now, endpoint: EndpointId, prints: Vec<u64>) {
-        self.open.entry(endpoint).or_insert(Scene {
+    /// Records that an endpoint may have died with `fingerprints` in flight.
+    pub fn open_incident(&mut self, at: Now, endpoint: EndpointId, fingerprints: Vec<u64>) {
+        self.incidents.entry(endpoint).or_insert(Incident {
             at,
             endpoint,
-            prints,
+            fingerprints,
         });
     }
 
-    /// The endpoint lives: only connections broke, or it restarted at once. Returns the new
-    /// suspects.
-    pub fn alive(&mut self, now: Now, endpoint: EndpointId, broke: bool) -> Vec<u64> {
-        let Some(scene) = self.open.remove(&endpoint) else {
+    /// Closes the incident of an endpoint that is alive: only connections broke, or it restarted
+    /// quickly. Returns the new suspects.
+    pub fn record_alive(
+        &mut self,
+        now: Now,
+        endpoint: EndpointId,
+        connection_lost: bool,
+    ) -> Vec<u64> {
+        let Some(incident) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
-        if !broke {
+        if !connection_lost {
             return Vec::new();
         }
-        let mut prints = Vec::new();
-        for print in scene.prints {
-            let mark = self.marks.entry(print).or_default();
-            mark.breaks += 1;
-            mark.latest = now;
-            if mark.breaks >= BREAKS {
-                mark.breaks = 0;
-                prints.push(print);
+        let mut fingerprints = Vec::new();
+        for fingerprint in incident.fingerprints {
+            let evidence = self.evidence.entry(fingerprint).or_default();
+            evidence.connection_losses += 1;
+            evidence.latest = now;
+            if evidence.connection_losses >= BREAKS_PER_DEATH {
+                evidence.connection_losses = 0;
+                fingerprints.push(fingerprint);
             }
         }
-        self.bound();
-        self.died(Scene {
+        self.evict();
+        self.record_death(Incident {
             at: now,
             endpoint,
-            prints,
+            fingerprints,
         })
     }
 
-    /// The endpoint is dead. Returns the new suspects.
-    pub fn dead(&mut self, now: Now, endpoint: EndpointId) -> Vec<u64> {
-        let Some(mut scene) = self.open.remove(&endpoint) else {
+    /// Closes the incident of a dead endpoint. Returns the new suspects.
+    pub fn record_dead(&mut self, now: Now, endpoint: EndpointId) -> Vec<u64> {
+        let Some(mut incident) = self.incidents.remove(&endpoint) else {
             return Vec::new();
         };
-        scene.at = now;
-        self.died(scene)
+        incident.at = now;
+        self.record_death(incident)
     }
 
-    fn died(&mut self, scene: Scene) -> Vec<u64> {
-        if scene.prints.is_empty() {
+    fn record_death(&mut self, incident: Incident) -> Vec<u64> {
+        if incident.fingerprints.is_empty() {
             return Vec::new();
         }
-        let alone = scene.prints.len() == 1;
-        let mut fresh = Vec::new();
-        for &print in &scene.prints {
-            let before = self.suspect(print);
-            let mark = self.marks.entry(print).or_default();
-            mark.deaths += 1;
-            mark.latest = scene.at;
-            if (before && alone) || mark.deaths >= SHARED {
-                self.verdicts.push((scene.at + WINDOW, print));
-                self.charged.push(print);
+        let alone = incident.fingerprints.len() == 1;
+        let mut new_suspects = Vec::new();
+        for &fingerprint in &incident.fingerprints {
+            let known = self.is_suspect(fingerprint);
+            let evidence = self.evidence.entry(fingerprint).or_default();
+            evidence.deaths += 1;
+            evidence.latest = incident.at;
+            if (known && alone) || evidence.deaths >= SHARED_DEATHS_TO_CONDEMN {
+                self.verdicts
+                    .push((incident.at + CORRELATION_WINDOW, fingerprint));
+                self.unpublished_pending.push(fingerprint);
             }
-            if !before {
-                self.cleared.remove(&print);
-                fresh.push(print);
+            if !known {
+                self.cleared.remove(&fingerprint);
+                new_suspects.push(fingerprint);
             }
         }
-        self.deaths.push_back(scene);
-        self.pardon();
-        self.bound();
-        fresh.retain(|&p| self.suspect(p));
-        fresh
+        self.deaths.push_back(incident);
+        self.discount_mass_failure();
+        self.evict();
+        new_suspects.retain(|&p| self.is_suspect(p));
+        new_suspects
     }
 
-    /// When many endpoints died together, drops what speaks against requests seen in one of
-    /// these deaths only.
-    fn pardon(&mut self) {
+    /// After a mass failure, discounts the deaths of requests that were seen in only one of them.
+    fn discount_mass_failure(&mut self) {
         let latest = self.deaths.back().map_or(Now::ZERO, |s| s.at);
-        while self.deaths.front().is_some_and(|s| s.at + WINDOW < latest) {
+        while self
+            .deaths
+            .front()
+            .is_some_and(|s| s.at + CORRELATION_WINDOW < latest)
+        {
             self.deaths.pop_front();
         }
         let endpoints: BTreeSet<_> = self.deaths.iter().map(|s| s.endpoint).collect();
-        if endpoints.len() < MASS {
+        if endpoints.len() < MASS_FAILURE_ENDPOINTS {
             return;
         }
         let mut seen: BTreeMap<u64, u32> = BTreeMap::new();
-        for &print in self.deaths.iter().flat_map(|s| &s.prints) {
-            *seen.entry(print).or_default() += 1;
+        for &fingerprint in self.deaths.iter().flat_map(|s| &s.fingerprints) {
+            *seen.entry(fingerprint).or_default() += 1;
         }
-        for (print, _) in seen.into_iter().filter(|&(_, n)| n == 1) {
-            self.pardon_one(print);
+        for (fingerprint, _) in seen.into_iter().filter(|&(_, n)| n == 1) {
+            self.discount(fingerprint);
         }
     }
 
-    fn pardon_one(&mut self, print: u64) {
-        if let Some(mark) = self.marks.get_mut(&print) {
-            mark.deaths = mark.deaths.saturating_sub(1);
+    fn discount(&mut self, fingerprint: u64) {
+        if let Some(evidence) = self.evidence.get_mut(&fingerprint) {
+            evidence.deaths = evidence.deaths.saturating_sub(1);
         }
         self.deaths
             .iter_mut()
-            .for_each(|s| s.prints.retain(|&p| p != print));
-        self.verdicts.retain(|&(_, p)| p != print);
+            .for_each(|s| s.fingerprints.retain(|&p| p != fingerprint));
+        self.verdicts.retain(|&(_, p)| p != fingerprint);
     }
 
-    /// Verdicts that are due: the fingerprints condemned now.
-    pub fn settle(&mut self, now: Now) -> Vec<u64> {
+    /// Concludes the verdicts that are due; returns the newly condemned fingerprints.
+    pub fn conclude(&mut self, now: Now) -> Vec<u64> {
         let due = self.verdicts.extract_if(.., |&mut (at, _)| at <= now);
-        let mut prints: Vec<_> = due.map(|(_, print)| print).collect();
-        prints.retain(|&print| self.condemned.insert(print));
-        self.bound();
-        prints
+        let mut fingerprints: Vec<_> = due.map(|(_, fingerprint)| fingerprint).collect();
+        fingerprints.retain(|&fingerprint| self.condemned.insert(fingerprint));
+        self.evict();
+        fingerprints
     }
 
-    /// A request completed: it does not crash endpoints.
-    pub fn clear(&mut self, print: u64) {
-        let marked = self.marks.remove(&print).is_some();
-        if marked || self.told.contains(&print) {
-            self.cleared.insert(print);
+    /// Clears a fingerprint: a request with it completed without crashing an endpoint.
+    pub fn clear(&mut self, fingerprint: u64) {
+        let had_evidence = self.evidence.remove(&fingerprint).is_some();
+        if had_evidence || self.remote_suspects.contains(&fingerprint) {
+            self.cleared.insert(fingerprint);
         }
-        self.verdicts.retain(|&(_, p)| p != print);
+        self.verdicts.retain(|&(_, p)| p != fingerprint);
     }
 
-    fn bound(&mut self) {
-        while self.marks.len() > self.most {
+    fn evict(&mut self) {
+        while self.evidence.len() > self.capacity {
             let oldest = self
-                .marks
+                .evidence
                 .iter()
                 .min_by_key(|(_, m)| m.latest)
                 .map(|(&p, _)| p);
-            oldest.map(|p| self.marks.remove(&p));
+            oldest.map(|p| self.evidence.remove(&p));
         }
-        while self.cleared.len() > self.most {
+        while self.cleared.len() > self.capacity {
             self.cleared.pop_first();
         }
-        while self.condemned.len() > self.most {
+        while self.condemned.len() > self.capacity {
             self.condemned.pop_first();
         }
     }
 
-    /// Suspects by own evidence, and condemned fingerprints.
+    /// Returns the number of suspects by this router's own evidence and of condemned fingerprints.
     pub fn counts(&self) -> (usize, usize) {
-        let suspects = self.marks.values().filter(|m| m.deaths > 0).count();
+        let suspects = self.evidence.values().filter(|m| m.deaths > 0).count();
         (suspects, self.condemned.len())
     }
 }
