--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -90,8 +90,8 @@
         } else {
             self.link_cost(zone, row.zone)?
         };
-        let away = self.links.latency(self.zone, row.zone).as_secs_f64() * LATENCY_WEIGHT;
-        Some(cost + link + away)
+        let latency = self.links.latency(self.zone, row.zone).as_secs_f64() * LATENCY_WEIGHT;
+        Some(cost + link + latency)
     }
 
     fn link_cost(&self, from: ZoneId, to: ZoneId) -> Option<f64> {
--- a/crates/route/src/crash.rs
+++ b/crates/route/src/crash.rs
@@ -1,8 +1,8 @@
 //! Detection of requests that crash endpoints, by what was in flight at each death.
 //!
 //! All requests in flight on an endpoint that dies become suspect and then run alone, so that no
-//! other requests are lost or suspected with them. A suspect that completes is cleared; one whose
-//! endpoint dies again is condemned and refused by all nodes. When several endpoints die together
+//! other requests are lost or suspected with them. A suspect that completes is cleared; a suspect
+//! whose endpoint dies while it runs alone is condemned and refused by all nodes. When several endpoints die together
 //! (loss of a rack or a zone), requests seen in only one of these deaths are not suspected.
 //! Otherwise isolation would slow the recovery, and harmless requests would be condemned. For this
 //! reason a verdict is delayed by a short window.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -33,9 +33,9 @@
 mod dump;
 mod isolate;
 mod launch;
-mod pick;
 mod progress;
 mod recover;
+mod select;
 mod tick;
 mod update;
 mod verdict;
@@ -46,7 +46,7 @@
 /// State and decisions of one request worker.
 pub struct Router {
     seed: u64,
-    limits: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     view: Option<Arc<View>>,
     fleet: Fleet,
@@ -88,7 +88,7 @@
 
 impl Router {
     /// Creates a router without a view; `seed` determines its random draws.
-    pub fn new(seed: u64, limits: Settings) -> Self {
+    pub fn new(seed: u64, settings: Settings) -> Self {
         Self {
             seed,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -97,11 +97,11 @@
             plan: Plan::default(),
             epoch: 0,
             recoverable: update::Recoverable::default(),
-            locality: Locality::new(limits.max_prefixes),
+            locality: Locality::new(settings.max_prefixes),
             queue: Queue::default(),
             shares: share::Table::default(),
-            budget: Budget::new(limits.retry_burst),
-            crash: crash::Table::new(limits.max_fingerprints),
+            budget: Budget::new(settings.retry_burst),
+            crash: crash::Table::new(settings.max_fingerprints),
             jobs: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             parked: BTreeSet::new(),
@@ -119,7 +119,7 @@
             findings: Vec::new(),
             report: Report::default(),
             actions: Vec::new(),
-            limits,
+            settings,
         }
     }
 
@@ -290,7 +290,7 @@
             self.jobs
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|f| f.sent = true);
+                .for_each(|j| j.sent = true);
         }
     }
 
--- a/crates/route/src/router/admit.rs
+++ b/crates/route/src/router/admit.rs
@@ -1,7 +1,7 @@
 //! Admission: checks the queue and the deadline, then the limits of the team.
 
 use super::Router;
-use super::pick::salt_prefix;
+use super::select::salt_prefix;
 use crate::Now;
 use crate::job::{Job, Phase};
 use crate::queue::{self, Entry, Rank};
@@ -75,7 +75,7 @@
         }
         let admitted = self
             .shares
-            .admit(now, request.team, urgent, self.limits.team_burst);
+            .admit(now, request.team, urgent, self.settings.team_burst);
         admitted.or_else(|wait| refuse(Reason::Limit, Some(wait)))
     }
 
@@ -116,9 +116,9 @@
         let meter = self.meters.get(&line).copied().unwrap_or_default();
         let wait = meter.expected_wait(ahead);
         let full = if urgent {
-            self.queue.urgent_count >= self.limits.max_urgent
+            self.queue.urgent_count >= self.settings.max_urgent
         } else {
-            self.queue.fair_count >= self.limits.max_queued
+            self.queue.fair_count >= self.settings.max_queued
         };
         let expected_end = now
             .saturating_add(wait)
@@ -169,9 +169,9 @@
         let entry = self.queue_entry(job);
         self.queue.push(&entry);
         let job = self.jobs.get_mut(&id);
-        job.into_iter().for_each(|f| {
-            f.phase = Phase::Waiting;
-            f.queue_entry = Some(entry);
+        job.into_iter().for_each(|j| {
+            j.phase = Phase::Waiting;
+            j.queue_entry = Some(entry);
         });
         self.dispatch_needed = true;
     }
@@ -201,7 +201,7 @@
         let entries: Vec<_> = self
             .jobs
             .values()
-            .filter_map(|f| Some((f.queue_entry?, self.queue_entry(f))))
+            .filter_map(|j| Some((j.queue_entry?, self.queue_entry(j))))
             .filter(|(old, new)| old != new)
             .collect();
         for (old, new) in entries {
@@ -210,7 +210,7 @@
             self.jobs
                 .get_mut(&new.id)
                 .into_iter()
-                .for_each(|f| f.queue_entry = Some(new));
+                .for_each(|j| j.queue_entry = Some(new));
             self.release_reservation(new.id);
             self.dispatch_needed = true;
         }
--- a/crates/route/src/router/capacity.rs
+++ b/crates/route/src/router/capacity.rs
@@ -32,7 +32,7 @@
     /// Capacities of links, by pair of zones.
     pub links: &'a crate::plan::Links,
     /// Settings of the router.
-    pub limits: &'a Settings,
+    pub settings: &'a Settings,
     /// Current time.
     pub now: Now,
     /// Kind of work.
@@ -60,10 +60,12 @@
         if !row.accepts_work(self.now) || self.avoid.contains(&endpoint) {
             return None;
         }
-        let others = row.estimated_remote_load(self.now, self.limits.report_half_life);
+        let others = row.estimated_remote_load(self.now, self.settings.report_half_life);
         let total = f64::from(row.in_flight) + others;
         let free = match self.mode {
-            Mode::Isolated(id) => row.in_flight == 0 && row.reserved_for.is_none_or(|w| w == id),
+            Mode::Isolated(id) => {
+                row.in_flight == 0 && row.reserved_for.is_none_or(|suspect| suspect == id)
+            }
             Mode::Drain => row.reserved_for.is_none(),
             _ if row.reserved_for.is_some() => false,
             Mode::Urgent => row.in_flight < row.limit(),
@@ -91,7 +93,7 @@
     fn link(&self, pair: usize) -> Option<f64> {
         let streams = f64::from(self.fleet.crossings.get(pair).copied().unwrap_or(0));
         let max_streams =
-            self.links.rate_at(pair) * self.limits.target_token_gap.as_secs_f64() * LINK_HEADROOM;
+            self.links.rate_at(pair) * self.settings.target_token_gap.as_secs_f64() * LINK_HEADROOM;
         let free = !matches!(self.mode, Mode::Fair | Mode::Spare) || streams < max_streams.max(1.0);
         free.then_some(streams)
     }
--- a/crates/route/src/router/check.rs
+++ b/crates/route/src/router/check.rs
@@ -45,8 +45,8 @@
             }
             let alone = here
                 .iter()
-                .find(|f| f.run.as_ref().is_some_and(|r| r.isolated));
-            if alone.is_some_and(|a| here.iter().any(|f| f.id() != a.id())) {
+                .find(|j| j.run.as_ref().is_some_and(|r| r.isolated));
+            if alone.is_some_and(|a| here.iter().any(|j| j.id() != a.id())) {
                 report(Fault::Shared(id));
             }
             if row.health.is_ejected() && row.in_flight > 0 {
@@ -66,7 +66,7 @@
         let queued = self
             .jobs
             .values()
-            .filter(|f| f.queue_entry.is_some())
+            .filter(|j| j.queue_entry.is_some())
             .count();
         let pairs = [
             (self.queue.urgent_count, urgent),
@@ -81,12 +81,12 @@
             let waiting = self
                 .jobs
                 .values()
-                .filter(|f| f.queue_entry.is_some() && f.attempt == 0);
-            waiting.filter(|f| f.urgent == urgent).count()
+                .filter(|j| j.queue_entry.is_some() && j.attempt == 0);
+            waiting.filter(|j| j.urgent == urgent).count()
         };
         let bounds = [
-            (unstarted(true), self.limits.max_urgent),
-            (unstarted(false), self.limits.max_queued),
+            (unstarted(true), self.settings.max_urgent),
+            (unstarted(false), self.settings.max_queued),
         ];
         for (count, bound) in bounds.into_iter().filter(|(count, bound)| count > bound) {
             report(Fault::Bound(count as u64, bound as u64));
@@ -117,7 +117,7 @@
     fn check_teams(&self, found: &mut Vec<Finding>) {
         for (id, row) in self.shares.accounts.iter().enumerate() {
             let id = id as TeamId;
-            let count = self.jobs.values().filter(|f| f.request.team == id).count() as u64;
+            let count = self.jobs.values().filter(|j| j.request.team == id).count() as u64;
             let mut report = |fault| {
                 found.push(Finding {
                     place: Place::Team(id),
@@ -127,7 +127,7 @@
             if count != u64::from(row.in_flight) {
                 report(Fault::Count(u64::from(row.in_flight), count));
             }
-            if !row.is_within_bounds(self.limits.team_burst) {
+            if !row.is_within_bounds(self.settings.team_burst) {
                 report(Fault::Bound(row.admitted, 0));
             }
         }
@@ -150,7 +150,7 @@
         if self.queue.urgent_count == 0 {
             return;
         }
-        let waits = |f: &&Job| f.queue_entry.is_some_and(|e| e.rank == Rank::Urgent);
+        let waits = |j: &&Job| j.queue_entry.is_some_and(|e| e.rank == Rank::Urgent);
         let mut wanted = BTreeSet::new();
         for job in self.jobs.values().filter(waits) {
             self.collect_endpoints(queue::line(job.request.target), &mut wanted);
@@ -163,7 +163,7 @@
             let fair = self
                 .jobs
                 .get(id)
-                .is_some_and(|f| !f.urgent && f.run.as_ref().is_some_and(|r| !r.isolated));
+                .is_some_and(|j| !j.urgent && j.run.as_ref().is_some_and(|r| !r.isolated));
             fair && hops.iter().any(|h| wanted.contains(&h.endpoint))
         });
         let places: Vec<_> = late
@@ -185,7 +185,7 @@
         let waiting = self
             .jobs
             .values()
-            .filter(|f| f.urgent && f.queue_entry.is_some());
+            .filter(|j| j.urgent && j.queue_entry.is_some());
         let fits = |job: &&Job| {
             let Target::Model(model, _) = job.request.target else {
                 return false;
@@ -194,7 +194,7 @@
             let capacity = Capacity {
                 fleet: &self.fleet,
                 links: &self.plan.links,
-                limits: &self.limits,
+                settings: &self.settings,
                 now,
                 mode: Mode::Urgent,
                 avoid: &[],
@@ -216,7 +216,7 @@
         };
         let places = waiting
             .filter(fits)
-            .map(|f| Place::Request(f.id(), f.attempt));
+            .map(|j| Place::Request(j.id(), j.attempt));
         places
             .map(|place| Finding {
                 place,
--- a/crates/route/src/router/dispatch.rs
+++ b/crates/route/src/router/dispatch.rs
@@ -64,15 +64,15 @@
     /// Ends requests that wait for a target which no endpoint serves, not even one that may return
     /// from an ejection.
     fn refuse_unserved(&mut self, now: Now, lines: &[Target]) {
-        let lost: Vec<_> = lines
+        let unserved: Vec<_> = lines
             .iter()
             .filter(|&&t| !self.is_served(t))
             .copied()
             .collect();
-        for line in lost {
-            let waiting = self.jobs.values().filter(|f| f.queue_entry.is_some());
-            let here = waiting.filter(|f| queue::line(f.request.target) == line);
-            let ids: Vec<Id> = here.map(|f| f.id()).collect();
+        for line in unserved {
+            let waiting = self.jobs.values().filter(|j| j.queue_entry.is_some());
+            let here = waiting.filter(|j| queue::line(j.request.target) == line);
+            let ids: Vec<Id> = here.map(|j| j.id()).collect();
             ids.into_iter()
                 .for_each(|id| self.terminate(now, id, Reason::NoEndpoint, Some(RETRY_AFTER)));
         }
@@ -124,13 +124,13 @@
         let window = self
             .queue
             .line(line)
-            .map(|l| l.window(self.limits.cache_window));
+            .map(|l| l.window(self.settings.cache_window));
         let window = window.unwrap_or_default();
         let meter = self.meters.get(&line).copied().unwrap_or_default();
         let late = |id: &&Id| {
             self.jobs
                 .get(*id)
-                .is_some_and(|f| misses_deadline(now, f, &meter))
+                .is_some_and(|j| misses_deadline(now, j, &meter))
         };
         if let Some(&id) = window.iter().find(late) {
             self.terminate(now, id, Reason::Overload, Some(RETRY_AFTER));
@@ -198,8 +198,8 @@
         let runs = self
             .jobs
             .values()
-            .filter(|f| f.is_preemptible())
-            .filter_map(|f| f.run.as_ref());
+            .filter(|j| j.is_preemptible())
+            .filter_map(|j| j.run.as_ref());
         for endpoint in runs.flat_map(|r| r.endpoints.iter().flatten()) {
             *preemptible.entry(*endpoint).or_default() += 1;
         }
@@ -212,13 +212,13 @@
             .get(hop.endpoint)
             .is_some_and(|r| r.in_flight >= r.limit())
         {
-            let on = self
+            let running = self
                 .jobs
                 .values()
-                .filter(|f| f.is_preemptible() && f.runs_on(hop.endpoint));
+                .filter(|j| j.is_preemptible() && j.runs_on(hop.endpoint));
             let candidate =
-                on.max_by_key(|f| (f.request.priority, std::cmp::Reverse(f.tokens), f.seq));
-            let Some(victim) = candidate.map(|f| f.id()) else {
+                running.max_by_key(|j| (j.request.priority, std::cmp::Reverse(j.tokens), j.seq));
+            let Some(victim) = candidate.map(|j| j.id()) else {
                 return;
             };
             self.pause(now, victim);
@@ -232,7 +232,7 @@
         self.jobs
             .get_mut(&id)
             .into_iter()
-            .for_each(|f| f.paused = true);
+            .for_each(|j| j.paused = true);
         self.enqueue(now, id);
     }
 }
--- a/crates/route/src/router/isolate.rs
+++ b/crates/route/src/router/isolate.rs
@@ -71,17 +71,17 @@
         let Some(reservation) = self.reservations.get(&line) else {
             return;
         };
-        if now < reservation.since + self.limits.isolation_timeout {
+        if now < reservation.since + self.settings.isolation_timeout {
             return;
         }
         let endpoints = reservation.endpoints.clone();
-        let affected = |f: &&crate::job::Job| endpoints.iter().any(|&e| f.runs_on(e));
+        let affected = |j: &&crate::job::Job| endpoints.iter().any(|&e| j.runs_on(e));
         let movable = self
             .jobs
             .values()
-            .filter(|f| f.request.repeatable)
+            .filter(|j| j.request.repeatable)
             .filter(affected);
-        let ids: Vec<Id> = movable.map(|f| f.id()).collect();
+        let ids: Vec<Id> = movable.map(|j| j.id()).collect();
         for id in ids {
             self.pause(now, id);
             self.report.moved += 1;
@@ -103,7 +103,7 @@
             r.reserved_for = None;
             released = true;
         });
-        self.reservations.retain(|_, w| w.suspect != suspect);
+        self.reservations.retain(|_, r| r.suspect != suspect);
         self.has_reservations = self.fleet.rows.iter().any(|r| r.reserved_for.is_some());
         self.dispatch_needed |= released;
     }
@@ -118,7 +118,7 @@
         if self
             .jobs
             .get(&suspect)
-            .is_some_and(|f| f.urgent && f.request.deadline > now)
+            .is_some_and(|j| j.urgent && j.request.deadline > now)
         {
             return false;
         }
--- a/crates/route/src/router/launch.rs
+++ b/crates/route/src/router/launch.rs
@@ -15,7 +15,7 @@
 /// Number of prompt tokens that cost as much as one generated token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 8.0;
 /// Minimum target time of a hop, as a multiple of the hardware's time for a single token.
-const MIN_HOP_TIMES: f64 = 3.0;
+const MIN_TARGET_MULTIPLE: f64 = 3.0;
 
 impl Router {
     /// Starts a request if a chain accepts it; returns whether it did.
@@ -81,8 +81,11 @@
         }
         if job.attempt == 0 {
             let running = self.running_count();
-            self.budget
-                .earn(self.limits.retry_ratio, self.limits.retry_burst, running);
+            self.budget.earn(
+                self.settings.retry_ratio,
+                self.settings.retry_burst,
+                running,
+            );
         }
     }
 
@@ -106,20 +109,23 @@
     /// target token gap, but no less than a few times the hardware's time for one token.
     fn target_time(&self, job: &Job, hop: &Hop) -> Duration {
         let Some(view) = &self.view else {
-            return self.limits.target_token_gap;
+            return self.settings.target_token_gap;
         };
         let Target::Model(model, _) = job.request.target else {
-            return self.limits.target_token_gap;
+            return self.settings.target_token_gap;
         };
         let bundle = &view.bundle;
         let layers = f64::from(hop.to - hop.from);
-        let all = f64::from(bundle.models[model as usize].layers);
-        let share = self.limits.target_token_gap.mul_f64(layers / all.max(1.0));
+        let all_layers = f64::from(bundle.models[model as usize].layers);
+        let share = self
+            .settings
+            .target_token_gap
+            .mul_f64(layers / all_layers.max(1.0));
         let row = &bundle.endpoints[hop.endpoint as usize];
         let Some(kind) = row.kind else { return share };
-        let single = layers / bundle.kinds[kind as usize].layers_per_second;
-        let away = self.plan.links.latency(view.zone, row.zone) * 2;
-        share.max(Duration::from_secs_f64(single * MIN_HOP_TIMES)) + away
+        let token_time = layers / bundle.kinds[kind as usize].layers_per_second;
+        let latency = self.plan.links.latency(view.zone, row.zone) * 2;
+        share.max(Duration::from_secs_f64(token_time * MIN_TARGET_MULTIPLE)) + latency
     }
 
     fn zone(&self, endpoint: EndpointId) -> ZoneId {
@@ -143,7 +149,7 @@
                     fault: Fault::Closed(endpoint),
                 });
             }
-            if row.reserved_for.is_some_and(|w| w != id) {
+            if row.reserved_for.is_some_and(|suspect| suspect != id) {
                 self.findings.push(Finding {
                     place,
                     fault: Fault::Shared(endpoint),
--- a/crates/route/src/router/progress.rs
+++ b/crates/route/src/router/progress.rs
@@ -13,8 +13,8 @@
     fn current(&mut self, id: Id, attempt: Attempt) -> Option<&mut Run> {
         let job = self.jobs.get_mut(&id);
         let run = job
-            .filter(|f| f.attempt == attempt)
-            .and_then(|f| f.run.as_mut());
+            .filter(|j| j.attempt == attempt)
+            .and_then(|j| j.run.as_mut());
         if run.is_none() {
             self.report.stale += 1;
         }
@@ -85,7 +85,7 @@
             let Some(row) = self.fleet.get_mut(endpoint) else {
                 continue;
             };
-            if row.health.record_success(self.limits.trial_attempts) {
+            if row.health.record_success(self.settings.trial_attempts) {
                 self.report.restored += 1;
                 self.observe(Observation::Restored(endpoint));
             }
--- a/crates/route/src/router/recover.rs
+++ b/crates/route/src/router/recover.rs
@@ -21,8 +21,8 @@
 
 impl Router {
     pub(super) fn failed(&mut self, now: Now, id: Id, attempt: Attempt, failure: &Failure) {
-        let job = self.jobs.get_mut(&id).filter(|f| f.attempt == attempt);
-        let Some(job) = job.filter(|f| f.run.is_some()) else {
+        let job = self.jobs.get_mut(&id).filter(|j| j.attempt == attempt);
+        let Some(job) = job.filter(|j| j.run.is_some()) else {
             self.report.stale += 1;
             return;
         };
@@ -57,7 +57,7 @@
         let jitter: f64 = self.rng.random_range(0.5..1.5);
         let busy_backoff = failure
             .retry_after
-            .unwrap_or(self.limits.busy_backoff)
+            .unwrap_or(self.settings.busy_backoff)
             .mul_f64(jitter);
         let Some(row) = self.fleet.get_mut(endpoint) else {
             return false;
@@ -105,7 +105,7 @@
             return self.finish(now, id, Outcome::Unknown);
         }
         job.failed_attempts += 1;
-        if job.failed_attempts >= self.limits.max_attempts {
+        if job.failed_attempts >= self.settings.max_attempts {
             return self.terminate(now, id, Reason::NoEndpoint, Some(RETRY_AFTER));
         }
         if job.request.deadline <= now || job.not_resumable {
--- a/crates/route/src/router/pick.rs
+++ b/crates/route/src/router/select.rs
@@ -66,9 +66,11 @@
     /// Returns whether a request should keep waiting for an endpoint that has its prefix in the
     /// cache.
     pub(super) fn waits_for_cache(&self, now: Now, id: Id, meter: &Meter) -> bool {
-        self.jobs.get(&id).is_some_and(|f| {
-            let time = f.request.deadline >= now + meter.service_time(f.request.max_tokens) * 2;
-            time && f.cache_wait_since.is_some() && cache_wait(now, f) < self.limits.cache_wait
+        self.jobs.get(&id).is_some_and(|j| {
+            let has_time = j.request.deadline >= now + meter.service_time(j.request.max_tokens) * 2;
+            has_time
+                && j.cache_wait_since.is_some()
+                && cache_wait(now, j) < self.settings.cache_wait
         })
     }
 
@@ -78,7 +80,7 @@
     pub(super) fn may_spread(&self, now: Now, id: Id) -> bool {
         self.jobs
             .get(&id)
-            .is_some_and(|f| cache_wait(now, f) >= MIN_SPREAD_WAIT)
+            .is_some_and(|j| cache_wait(now, j) >= MIN_SPREAD_WAIT)
     }
 
     /// Computes where a request's prefix is likely to be cached, once for each plan.
@@ -102,15 +104,15 @@
             .map(|g| self.locality.find(&prefix, g))
             .unwrap_or_default();
         let epoch = self.epoch;
-        self.jobs.get_mut(&id).into_iter().for_each(|f| {
-            f.preference = Some((epoch, found.clone()));
+        self.jobs.get_mut(&id).into_iter().for_each(|j| {
+            j.preference = Some((epoch, found.clone()));
         });
     }
 
     /// Returns the preferred graph of a model: the subset if there is one.
     fn graph(&self, model: ModelId) -> Option<&Graph> {
-        let near = self.plan.subset.get(model as usize)?.as_ref();
-        near.or(self.plan.full.get(model as usize))
+        let subset = self.plan.subset.get(model as usize)?.as_ref();
+        subset.or(self.plan.full.get(model as usize))
     }
 
     fn capacity<'a>(
@@ -121,11 +123,11 @@
         reserved: &'a BTreeSet<EndpointId>,
         preemptible: &'a BTreeMap<EndpointId, u32>,
     ) -> Capacity<'a> {
-        let (fleet, links, limits) = (&self.fleet, &self.plan.links, &self.limits);
+        let (fleet, links, settings) = (&self.fleet, &self.plan.links, &self.settings);
         Capacity {
             fleet,
             links,
-            limits,
+            settings,
             now,
             mode,
             avoid,
@@ -186,7 +188,7 @@
         capacity: &Capacity,
         rng: &mut ChaCha8Rng,
     ) -> Option<(Vec<Hop>, bool)> {
-        let draws = self.limits.hop_draws;
+        let draws = self.settings.hop_draws;
         match job.request.target {
             Target::Service(service) => {
                 let endpoints = self.plan.services.get(service as usize)?;
@@ -194,9 +196,9 @@
                 choose_endpoint(capacity, endpoints, zone, draws, rng).map(|hops| (hops, false))
             }
             Target::Model(model, _) => {
-                let near = self.graph(model)?;
-                if let Some(chain) = self.choice(near, capacity, job, draws)?.draw(rng) {
-                    return Some((hops(near, &chain), false));
+                let preferred = self.graph(model)?;
+                if let Some(chain) = self.choice(preferred, capacity, job, draws)?.draw(rng) {
+                    return Some((hops(preferred, &chain), false));
                 }
                 let full = self.plan.full.get(model as usize)?;
                 let chain = self.choice(full, capacity, job, draws)?.search()?;
--- a/crates/route/src/router/tick.rs
+++ b/crates/route/src/router/tick.rs
@@ -37,7 +37,7 @@
         let rate = self.view.as_ref().map_or(0.0, |v| v.retry_rate);
         let running = self.running_count();
         self.budget
-            .refill(now, rate, self.limits.retry_burst, running);
+            .refill(now, rate, self.settings.retry_burst, running);
         self.conclude_verdicts(now);
         self.expire_deadlines(now);
         self.check_probes(now);
@@ -69,9 +69,9 @@
             let here = self
                 .jobs
                 .values()
-                .filter(|f| f.request.repeatable && f.runs_on(endpoint));
-            let alone = |f: &&Job| f.run.as_ref().is_some_and(|r| r.isolated);
-            let Some(id) = here.filter(|f| !alone(f)).map(|f| f.id()).next() else {
+                .filter(|j| j.request.repeatable && j.runs_on(endpoint));
+            let alone = |j: &&Job| j.run.as_ref().is_some_and(|r| r.isolated);
+            let Some(id) = here.filter(|j| !alone(j)).map(|j| j.id()).next() else {
                 continue;
             };
             if !self.budget.take() {
@@ -81,7 +81,7 @@
             self.jobs
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|f| f.avoid.push(endpoint));
+                .for_each(|j| j.avoid.push(endpoint));
             self.pause(now, id);
         }
     }
@@ -100,7 +100,7 @@
                 *since = (*since + gap).min(now);
             }
         }
-        let runs = self.jobs.values_mut().filter_map(|f| f.run.as_mut());
+        let runs = self.jobs.values_mut().filter_map(|j| j.run.as_mut());
         runs.for_each(|run| run.last_progress = (run.last_progress + gap).min(now));
     }
 
@@ -114,7 +114,7 @@
             let waits = self
                 .jobs
                 .get(&id)
-                .is_some_and(|f| f.phase != Phase::Running);
+                .is_some_and(|j| j.phase != Phase::Running);
             if waits {
                 self.terminate(now, id, Reason::Deadline, None);
             }
@@ -130,7 +130,7 @@
                 self.actions.push(Action::Probe(id));
                 continue;
             }
-            let timed_out = |since: Now| since + self.limits.probe_timeout <= now;
+            let timed_out = |since: Now| since + self.settings.probe_timeout <= now;
             if matches!(row.health.state, State::Probing(since) if timed_out(since)) {
                 self.probed(now, id, false);
             }
@@ -139,12 +139,12 @@
 
     /// Finds attempts without progress and has their endpoints probed.
     fn check_silence(&mut self, now: Now) {
-        let running = self.jobs.values().filter(|f| f.run.is_some());
-        let silent = running.filter(|f| self.is_silent(now, f));
+        let running = self.jobs.values().filter(|j| j.run.is_some());
+        let silent = running.filter(|j| self.is_silent(now, j));
         let ids: Vec<(Id, Option<EndpointId>)> =
-            silent.map(|f| (f.id(), f.current_endpoint())).collect();
+            silent.map(|j| (j.id(), j.current_endpoint())).collect();
         for (id, endpoint) in ids {
-            let run = self.jobs.get_mut(&id).and_then(|f| f.run.as_mut());
+            let run = self.jobs.get_mut(&id).and_then(|j| j.run.as_mut());
             let Some(run) = run else { continue };
             run.silent = true;
             match endpoint {
@@ -163,7 +163,7 @@
         let base_timeout = match row {
             Some(row) if run.tokens > 0 => row
                 .limiter
-                .silence_timeout(self.limits.min_silence, self.limits.first_token_timeout),
+                .silence_timeout(self.settings.min_silence, self.settings.first_token_timeout),
             _ => self.first_token_timeout(job),
         };
         let timeout = if job.request.repeatable {
@@ -177,7 +177,7 @@
     fn first_token_timeout(&self, job: &Job) -> Duration {
         let line = queue::line(job.request.target);
         let mean = self.meters.get(&line).map_or(0.0, |m| m.first_token);
-        self.limits
+        self.settings
             .first_token_timeout
             .max(Duration::from_secs_f64(mean * FIRST_TOKEN_MULTIPLE))
     }
--- a/crates/route/src/router/update.rs
+++ b/crates/route/src/router/update.rs
@@ -65,7 +65,7 @@
         let rows = &self.fleet.rows;
         let row = |e: EndpointId| rows.get(e as usize);
         let usable = |e| row(e).is_some_and(|r| r.available && !r.health.is_ejected());
-        self.plan = Plan::new(&view, usable, self.seed, self.limits.subset_threshold);
+        self.plan = Plan::new(&view, usable, self.seed, self.settings.subset_threshold);
         self.epoch += 1;
         self.recoverable = Recoverable::default();
         if self.plan.has_unserved() {
@@ -83,7 +83,7 @@
     /// Recounts the hops that cross each pair of zones, since the pairs may have changed.
     fn recount_crossings(&mut self) {
         self.fleet.crossings = vec![0; self.plan.links.pair_count()];
-        for run in self.jobs.values().filter_map(|f| f.run.as_ref()) {
+        for run in self.jobs.values().filter_map(|j| j.run.as_ref()) {
             for &(a, b) in &run.zone_pairs {
                 self.fleet.add_crossing(self.plan.links.pair_index(a, b));
             }
--- a/crates/route/src/router/verdict.rs
+++ b/crates/route/src/router/verdict.rs
@@ -28,8 +28,8 @@
 
     /// Returns the fingerprints of requests that the endpoint has begun to run.
     fn fingerprints_on(&self, endpoint: EndpointId) -> Vec<u64> {
-        let has_begun = |f: &&Job| {
-            f.run.as_ref().is_some_and(|run| {
+        let has_begun = |j: &&Job| {
+            j.run.as_ref().is_some_and(|run| {
                 let at = run.endpoints.iter().position(|&r| r == Some(endpoint));
                 at.is_some_and(|at| run.tokens > 0 || run.next_hop >= at)
             })
@@ -38,7 +38,7 @@
             .jobs
             .values()
             .filter(has_begun)
-            .map(|f| f.request.fingerprint)
+            .map(|j| j.request.fingerprint)
             .collect();
         fingerprints.sort_unstable();
         fingerprints.dedup();
@@ -97,7 +97,7 @@
     /// Extends the wait for calls of a plain service, which show no progress: while the endpoint is
     /// alive, they are awaited until their deadline.
     fn keep_waiting(&mut self, now: Now, endpoint: EndpointId) {
-        for job in self.jobs.values_mut().filter(|f| f.runs_on(endpoint)) {
+        for job in self.jobs.values_mut().filter(|j| j.runs_on(endpoint)) {
             let service = matches!(job.request.target, Target::Service(_));
             let Some(run) = job.run.as_mut().filter(|r| r.silent) else {
                 continue;
@@ -110,13 +110,13 @@
     }
 
     fn silent_requests(&self, endpoint: EndpointId) -> Vec<Id> {
-        let quiet = |f: &&Job| f.run.as_ref().is_some_and(|r| r.silent);
-        let due = self
+        let silent = |j: &&Job| j.run.as_ref().is_some_and(|r| r.silent);
+        let current = self
             .jobs
             .values()
-            .filter(quiet)
-            .filter(|f| f.current_endpoint() == Some(endpoint));
-        due.map(|f| f.id()).collect()
+            .filter(silent)
+            .filter(|j| j.current_endpoint() == Some(endpoint));
+        current.map(|j| j.id()).collect()
     }
 
     /// Handles the death of an endpoint: what was in flight there becomes suspect.
@@ -149,8 +149,8 @@
         let first = row.health.ejections == 0;
         row.health.eject(
             now,
-            self.limits.min_ejection,
-            self.limits.max_ejection,
+            self.settings.min_ejection,
+            self.settings.max_ejection,
             jitter,
         );
         self.report.ejected += 1;
@@ -158,8 +158,8 @@
             self.observe(Observation::Ejected(endpoint));
         }
         self.plan_stale = true;
-        let on = self.jobs.values().filter(|f| f.runs_on(endpoint));
-        let ids: Vec<Id> = on.map(|f| f.id()).collect();
+        let running = self.jobs.values().filter(|j| j.runs_on(endpoint));
+        let ids: Vec<Id> = running.map(|j| j.id()).collect();
         ids.into_iter()
             .for_each(|id| self.fail_over(now, id, Some(endpoint), Cause::Reset));
         self.unpark(now);
@@ -180,16 +180,16 @@
 
     /// Ends requests whose fingerprint is condemned.
     pub(super) fn stop_condemned(&mut self, now: Now) {
-        let condemned = |f: &&Job| self.crash.is_condemned(f.request.fingerprint);
+        let condemned = |j: &&Job| self.crash.is_condemned(j.request.fingerprint);
         let ids: Vec<Id> = self
             .jobs
             .values()
             .filter(condemned)
-            .map(|f| f.id())
+            .map(|j| j.id())
             .collect();
         for id in ids {
             self.cancel(now, id);
-            let sent = self.jobs.get(&id).is_some_and(|f| f.sent);
+            let sent = self.jobs.get(&id).is_some_and(|j| j.sent);
             if sent {
                 self.finish(now, id, Outcome::Unknown);
             } else {
