--- a/crates/node/src/hosted/control/state.rs
+++ b/crates/node/src/hosted/control/state.rs
@@ -415,7 +415,7 @@
                 releasing: Arc::new(self.group.releasing(self.start.elapsed())),
                 nodes: nodes.len().max(1),
                 selecting_nodes,
-                budget_nodes: self.budget_sharers(),
+                budget_nodes: self.budget_nodes(),
             },
             nodes,
             leaving: self.leaving,
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the number of nodes that share the retry budget: all known nodes that have not left.
-    pub(super) fn budget_sharers(&self) -> usize {
+    pub(super) fn budget_nodes(&self) -> usize {
         let peers = self.group.roster().iter();
         peers
             .filter(|p| p.state != member::peer::State::Left)
