--- a/crates/node/src/hosted/control/tables.rs
+++ b/crates/node/src/hosted/control/tables.rs
@@ -116,15 +116,15 @@
         }
     }
 
-    /// Puts the operator's newest catalog in force, unless its version is not above the current
-    /// one.
+    /// Puts the operator's newest catalog in force if its version is above the current one. Returns
+    /// whether it did.
     fn adopt_catalog(&mut self, platform: &Platform, source: &'static str) -> bool {
         let Some(value) = self.operator.get(adapter::CATALOG_KEY) else {
             return false;
         };
         let before = self.catalog.as_ref().map_or(0, |c| c.version);
         let (version, outcome, adopted) = match platform.decode_catalog(value) {
-            // A catalog is never replaced by an older one, whatever the source of that.
+            // A catalog is never replaced by an older one, whatever its source.
             Ok(catalog) if catalog.version <= before => {
                 (catalog.version, "older".to_owned(), false)
             }
