--- a/crates/route/src/plan/graph.rs
+++ b/crates/route/src/plan/graph.rs
@@ -122,11 +122,11 @@
     }
 
     fn find_boundaries(&self) -> Vec<Layer> {
-        let mut cuts: Vec<_> = self.stages.iter().flat_map(|s| [s.from, s.to]).collect();
-        cuts.extend([0, self.layers]);
-        cuts.sort_unstable();
-        cuts.dedup();
-        cuts
+        let mut boundaries: Vec<_> = self.stages.iter().flat_map(|s| [s.from, s.to]).collect();
+        boundaries.extend([0, self.layers]);
+        boundaries.sort_unstable();
+        boundaries.dedup();
+        boundaries
     }
 }
 
--- a/crates/route/tests/parts.rs
+++ b/crates/route/tests/parts.rs
@@ -195,19 +195,19 @@
 
 #[test]
 fn limit_follows_the_hop_time() {
-    let mut pace = Limiter::new(16);
+    let mut limiter = Limiter::new(16);
     let mut now = ms(0);
     for _ in 0..200 {
         now += ms(50);
-        let running = pace.limit as u32;
-        pace.record_hop(now, ms(u64::from(running) * 10), ms(60), running);
+        let running = limiter.limit as u32;
+        limiter.record_hop(now, ms(u64::from(running) * 10), ms(60), running);
     }
-    assert!((4.0..=8.0).contains(&pace.limit), "{pace:?}");
+    assert!((4.0..=8.0).contains(&limiter.limit), "{limiter:?}");
     for _ in 0..200 {
         now += ms(50);
-        pace.record_hop(now, ms(10), ms(60), pace.limit as u32);
+        limiter.record_hop(now, ms(10), ms(60), limiter.limit as u32);
     }
-    assert_eq!(pace.limit, 16.0);
+    assert_eq!(limiter.limit, 16.0);
 }
 
 /// Returns the time of a hop on an endpoint that computes `batch` steps at once, each in `step`,
@@ -217,8 +217,8 @@
 }
 
 /// Runs hops back to back and returns the limit at the end of each second.
-fn paced(
-    pace: &mut Limiter,
+fn run_hops(
+    limiter: &mut Limiter,
     allowed: Duration,
     seconds: u64,
     hop: impl Fn(u32) -> Duration,
@@ -227,12 +227,12 @@
     let mut limits = Vec::new();
     for second in 1..=seconds {
         while now < Duration::from_secs(second) {
-            let running = (pace.limit as u32).max(1);
+            let running = (limiter.limit as u32).max(1);
             let took = hop(running);
             now += took / running;
-            pace.record_hop(now, took, allowed, running);
+            limiter.record_hop(now, took, allowed, running);
         }
-        limits.push(pace.limit);
+        limits.push(limiter.limit);
     }
     limits
 }
@@ -242,8 +242,10 @@
 // at the batch that it computes at once and must not fall to one.
 #[test]
 fn limit_does_not_fall_below_the_batch_size() {
-    let mut pace = Limiter::new(40);
-    let limits = paced(&mut pace, ms(15), 30, |running| batched(running, 8, ms(20)));
+    let mut limiter = Limiter::new(40);
+    let limits = run_hops(&mut limiter, ms(15), 30, |running| {
+        batched(running, 8, ms(20))
+    });
     let settled = &limits[5..];
     assert!(
         settled.iter().all(|l| (7.0..=16.0).contains(l)),
@@ -255,8 +257,8 @@
 // time would leave a batch of 64 almost empty without being faster.
 #[test]
 fn slow_accelerator_keeps_its_batch() {
-    let mut pace = Limiter::new(40);
-    let limits = paced(&mut pace, ms(22), 30, |running| {
+    let mut limiter = Limiter::new(40);
+    let limits = run_hops(&mut limiter, ms(22), 30, |running| {
         batched(running, 64, ms(120))
     });
     assert!(limits[15..].iter().all(|l| *l >= 30.0), "{limits:?}");
@@ -267,8 +269,10 @@
 // make it fall to one.
 #[test]
 fn limit_does_not_undershoot() {
-    let mut pace = Limiter::new(40);
-    let limits = paced(&mut pace, ms(22), 30, |running| batched(running, 8, ms(17)));
+    let mut limiter = Limiter::new(40);
+    let limits = run_hops(&mut limiter, ms(22), 30, |running| {
+        batched(running, 8, ms(17))
+    });
     assert!(limits.iter().all(|l| *l >= 7.0), "{limits:?}");
     assert!(limits[10..].iter().all(|l| *l <= 16.0), "{limits:?}");
 }
@@ -291,10 +295,10 @@
 
 #[test]
 fn silence_timeout_is_bounded() {
-    let mut pace = Limiter::new(16);
-    (0..1000).for_each(|i| pace.record_hop(ms(i * 300), ms(200), ms(22), 1));
-    (0..20).for_each(|_| pace.extend_silence());
-    assert_eq!(pace.silence_timeout(ms(600), ms(5000)), ms(5000));
+    let mut limiter = Limiter::new(16);
+    (0..1000).for_each(|i| limiter.record_hop(ms(i * 300), ms(200), ms(22), 1));
+    (0..20).for_each(|_| limiter.extend_silence());
+    assert_eq!(limiter.silence_timeout(ms(600), ms(5000)), ms(5000));
 }
 
 #[test]
--- a/crates/route/tests/runs.rs
+++ b/crates/route/tests/runs.rs
@@ -1,5 +1,5 @@
 //! Long randomised runs that check all invariants: the router's own checks, and simulated endpoints
-//! that compare what a caller was told with what was run.
+//! that compare the outcomes reported to callers with what was run.
 
 #[path = "support/case.rs"]
 mod case;
--- a/crates/route/tests/support/world.rs
+++ b/crates/route/tests/support/world.rs
@@ -1,7 +1,7 @@
 //! Simulation of endpoints and callers around routers, with delays and faults.
 //!
 //! Time advances over a heap of scheduled tasks. A hop of a token is served first come, first
-//! served at the speed of its accelerator; activations between hops wait for the link. What a
+//! served at the speed of its accelerator; activations between hops wait for the link. The outcome
 //! caller is told is compared with what the endpoints ran, independent of the router's own checks.
 #![allow(dead_code)]
 
