--- a/crates/lease/src/backoff.rs
+++ b/crates/lease/src/backoff.rs
@@ -1,14 +1,14 @@
-//! When to try again after a failure: exponential, bounded, jittered.
+//! Bounded exponential backoff with jitter.
 
 use crate::Now;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Doublings after which the wait stays at its bound.
+/// Number of doublings after which the delay no longer grows.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Time of the next try of one call.
+/// Earliest time of the next attempt of one call.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -16,17 +16,18 @@
 }
 
 impl Backoff {
-    /// Whether a try may start.
+    /// Returns whether the next attempt may start.
     pub fn is_ready(&self, now: Now) -> bool {
         now >= self.due
     }
 
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// A try failed: the next one waits between half of the present step and the whole of it.
+    /// Records a failed attempt and delays the next one by a random time between half of the current
+    /// backoff step and all of it. The step grows from `min` to at most `max`.
     pub fn record_failure(
         &mut self,
         now: Now,
@@ -40,7 +41,7 @@
         self.due = now + step.mul_f64(random.random_range(0.5..=1.0));
     }
 
-    /// A try succeeded; the next one starts no sooner than `due`.
+    /// Records a successful attempt. The next one starts no earlier than `due`.
     pub fn record_success(&mut self, due: Now) {
         *self = Self { failures: 0, due };
     }
--- a/crates/lease/src/claim.rs
+++ b/crates/lease/src/claim.rs
@@ -1,13 +1,13 @@
-//! At most once: a request that may not be repeated runs on at most one node, at most once.
+//! At-most-once execution: a non-idempotent request runs at most once across all nodes.
 //!
-//! Two ways, told apart by the form of the request's key:
+//! The format of the request's key selects one of two mechanisms:
 //!
-//! - A *dated key* of the caller's own is claimed in a stream of the log, by shard. The claim with
-//!   the lowest offset owns the key, and a node runs a request only after it has read back that
-//!   its own claim is that one. An owner that did not run it releases the key.
-//! - A *ticket* was issued by a node and is run only by that incarnation of it, without the log.
+//! - A *dated key* is chosen by the caller and claimed in the log stream of the key's shard. The
+//!   claim with the lowest offset owns the key. A node runs a request only after it has read back
+//!   that its own claim is the first. An owner that did not run the request releases the key.
+//! - A *ticket* is issued by a node. Only the incarnation that issued it runs it, without the log.
 //!
-//! [`Table`] holds a node's state of both. See `docs/design/at-most-once.md`.
+//! [`Table`] holds a node's state for both. See `docs/design/at-most-once.md`.
 
 pub mod action;
 pub mod append;
@@ -31,23 +31,23 @@
 pub use table::Table;
 pub use ticket::Ticket;
 
-/// Hash of a key and its team.
+/// Hash of a team and the text of a key.
 pub type Hash = u128;
-/// Number of a claim among its owner's claims; never used twice.
+/// Sequence number of a claim among its owner's claims, never reused.
 pub type Number = u64;
-/// A shard of the keys; each has a stream of its own.
+/// Shard of the key space. Each shard has its own stream.
 pub type Shard = u16;
-/// Number of an append among the table's appends.
+/// Sequence number of an append of a table.
 pub type Batch = u64;
-/// Hash of a request's team and body.
+/// Hash of the team and body of a request.
 pub type Fingerprint = u64;
 
-/// Name of a shard's stream.
+/// Returns the name of a shard's stream.
 pub fn stream(shard: Shard) -> String {
     format!("claims-{shard:02}")
 }
 
-/// The shard of a key.
+/// Returns the shard of a key.
 pub fn shard(hash: Hash, shards: Shard) -> Shard {
     let shards = u128::from(shards.max(1));
     Shard::try_from(hash % shards).unwrap_or_default()
--- a/crates/lease/src/claim/action.rs
+++ b/crates/lease/src/claim/action.rs
@@ -1,27 +1,27 @@
-//! What a claim table asks its node to do.
+//! Actions that a claim table returns for the node to execute.
 
 use crate::claim::{Batch, Hash, Shard};
 use crate::{Offset, Outcome, Owner, RequestId};
 use bytes::Bytes;
 use std::fmt;
 
-/// Refusal a request is refused.
+/// Reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The log did not settle the claim by the deadline.
+    /// The log service did not settle the claim by the deadline, or too many claims are queued.
     Unsettled,
-    /// The key stands for another body.
+    /// The key was used with another request body.
     Mismatch,
-    /// The key is so old that a claim of it could have been dropped.
+    /// The key is so old that the stream may have dropped an earlier claim of it.
     Expired,
     /// The key's date is ahead of this node's clock.
     Future,
-    /// This node has not issued the ticket.
+    /// This node did not issue the ticket.
     Unissued,
 }
 
 impl Refusal {
-    /// HTTP status for the caller.
+    /// HTTP status of the response to the caller.
     pub fn status(self) -> u16 {
         match self {
             Self::Unsettled => 503,
@@ -36,79 +36,79 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Unsettled => "the log service did not settle the claim in time",
-            Self::Mismatch => "the key stands for another request body",
+            Self::Mismatch => "the key was used with another request body",
             Self::Expired => "the key is too old to tell whether it has run",
             Self::Future => "the key is dated in the future",
-            Self::Unissued => "the ticket was not issued",
+            Self::Unissued => "this node did not issue the ticket",
         })
     }
 }
 
-/// An action.
+/// An action of a claim table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Append to a shard's stream.
+    /// Append a record to a shard's stream.
     Append {
-        /// Number to answer with.
+        /// Number to pass back in the event that reports the result.
         batch: Batch,
         /// The shard.
         shard: Shard,
-        /// The record.
+        /// Encoded record.
         body: Bytes,
     },
     /// Read a shard's stream.
     Read {
         /// The shard.
         shard: Shard,
-        /// Where to start.
+        /// Offset of the first record to read.
         from: Offset,
-        /// Whether to wait for the next record when there is none.
+        /// Whether to wait for the next record if there is none yet.
         wait: bool,
     },
-    /// Run the request under its key; the node answers with [`crate::claim::Event::Ended`].
+    /// Run the request. The node reports the end with [`crate::claim::Event::Ended`].
     Run {
         /// The request.
         request: RequestId,
-        /// Its key.
+        /// Hash of its key.
         hash: Hash,
     },
-    /// Give the request the answer of another one that runs on this node.
+    /// Send the request the answer of another request with the same key that runs on this node.
     Join {
         /// The request.
         request: RequestId,
-        /// The one that runs.
+        /// The request that runs.
         running: RequestId,
     },
-    /// Give the request the answer of a run that ended on this node.
+    /// Send the request the answer of a run that ended on this node.
     Answer {
         /// The request.
         request: RequestId,
-        /// How the run ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// The request whose answer is kept; `None` when it is kept no longer.
+        /// Request whose answer is kept, or `None` if the answer was dropped.
         source: Option<RequestId>,
     },
-    /// The key is another node's. Hand the request to that node once, or name it to the caller.
-    /// When that incarnation is dead, the outcome is the noted one, or unknown.
+    /// Another node owns the key. Forward the request to that node at most once, or name the node
+    /// to the caller. If that incarnation is dead, the outcome is the recorded one, or else unknown.
     Redirect {
         /// The request.
         request: RequestId,
-        /// Who owns the key.
+        /// Owner of the key.
         owner: Owner,
-        /// How the owner noted that it ended.
+        /// Outcome that the owner recorded, if any.
         outcome: Option<Outcome>,
     },
     /// Refuse the request.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Refusal.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// What the caller may be told of the key, with this body. A refusal by this node does not
-        /// mean that no other node ran an earlier send: it is [`Outcome::NotRun`] only where that
-        /// can't be.
+        /// Outcome to report to the caller for this key with this body. It is
+        /// [`Outcome::NotRun`] only if no other node can have run an earlier send of the request,
+        /// which a refusal by this node does not imply.
         outcome: Outcome,
     },
-    /// Drop the kept answer of this request.
+    /// Drop the stored answer of this request.
     DropAnswer(RequestId),
 }
--- a/crates/lease/src/claim/append.rs
+++ b/crates/lease/src/claim/append.rs
@@ -1,4 +1,4 @@
-//! Appends of one shard: one at a time, in batches.
+//! Queue of items to append to a shard's stream, in batches and one append at a time.
 
 use crate::Now;
 use crate::backoff::Backoff;
@@ -7,17 +7,17 @@
 use crate::outcome::Outcome;
 use rand_chacha::ChaCha8Rng;
 
-/// Most items that wait in a lane.
+/// Number of queued items from which on no more claims are accepted.
 pub const MAX_QUEUED_ITEMS: usize = 16 * MAX_ITEMS;
 
-/// Items on their way to the log.
+/// Queue of the items that one shard has to append.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     items: Vec<Item>,
     in_flight: Option<InFlight>,
     backoff: Backoff,
     heartbeat: bool,
-    /// When the oldest waiting item came.
+    /// Time at which the oldest queued item was added.
     oldest_at: Now,
 }
 
@@ -28,32 +28,32 @@
 }
 
 impl Queue {
-    /// Whether nothing waits and nothing is in flight.
+    /// Returns whether nothing is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.items.is_empty() && self.in_flight.is_none() && !self.heartbeat
     }
 
-    /// Whether no more claims are taken.
+    /// Returns whether the queue accepts no more claims.
     pub fn is_full(&self) -> bool {
         self.items.len() >= MAX_QUEUED_ITEMS
     }
 
-    /// Number of items that wait.
+    /// Number of queued items.
     pub fn queued(&self) -> usize {
         self.items.len()
     }
 
-    /// The append in flight.
+    /// Number of the append in flight, if any.
     pub fn in_flight(&self) -> Option<Batch> {
         self.in_flight.as_ref().map(|f| f.batch)
     }
 
-    /// Failures of appends in a row.
+    /// Number of consecutive failed appends.
     pub fn failures(&self) -> u32 {
         self.backoff.failures()
     }
 
-    /// Adds an item.
+    /// Adds an item to the queue.
     pub fn push(&mut self, now: Now, item: Item) {
         if self.items.is_empty() {
             self.oldest_at = now;
@@ -61,18 +61,18 @@
         self.items.push(item);
     }
 
-    /// Asks for a record without items.
+    /// Requests the append of a record even if no items are queued.
     pub fn request_heartbeat(&mut self) {
         self.heartbeat = true;
     }
 
-    /// Drops a claim that has not been sent; one that may have been sent is released when it is
-    /// read back.
+    /// Removes a claim that has not been sent. A claim that may have been sent is released when it
+    /// is read back.
     pub fn remove_claim(&mut self, hash: Hash, number: Number) {
         self.items.retain(|item| !is_claim(item, hash, number));
     }
 
-    /// Takes the items of the next append, if one is due.
+    /// Returns the items of the next append, numbered `batch`, if one is due.
     pub fn take_due(&mut self, now: Now, batch: Batch, settings: &Settings) -> Option<Vec<Item>> {
         if !self.is_due(now, settings) {
             return None;
@@ -88,13 +88,14 @@
         Some(items)
     }
 
-    /// The append took effect.
+    /// Handles an append that took effect.
     pub fn complete(&mut self, batch: Batch) {
         self.in_flight.take_if(|f| f.batch == batch);
     }
 
-    /// The append failed, or may have: all its items are sent again. Records are told apart by
-    /// their numbers, so that one that arrives twice counts once.
+    /// Handles an append that failed or has an unknown outcome: its items are queued again, except
+    /// those that `should_resend` rejects. Items are identified by their numbers, so one that is
+    /// appended twice has no further effect.
     pub fn requeue(
         &mut self,
         now: Now,
@@ -127,7 +128,8 @@
     }
 }
 
-/// A caller waits for a claim, and for the release of a key it may send again elsewhere.
+/// Returns whether the item must not linger. Callers wait for claims, and for releases of keys that
+/// they may send again to another node.
 fn is_urgent(item: &Item) -> bool {
     match item {
         Item::Claim { .. } => true,
--- a/crates/lease/src/claim/check.rs
+++ b/crates/lease/src/claim/check.rs
@@ -1,19 +1,19 @@
-//! Invariants of a claim table, checked apart from the code that keeps them.
+//! Checks of a claim table's invariants, independent of the code that maintains them.
 
 use crate::claim::Hash;
 use crate::claim::run::{Grant, Run, State};
 use crate::claim::table::Table;
 use std::fmt;
 
-/// Keys checked in one go while the program serves.
+/// Maximum number of keys checked in one call of [`Table::check_next`].
 const MAX_KEYS_PER_CHECK: usize = 1000;
 
-/// An invariant that does not hold, and where.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The key, if it is about one.
+    /// Hash of the key concerned, if the invariant is about one key.
     pub hash: Option<Hash>,
-    /// What does not hold.
+    /// Description of the violation.
     pub text: &'static str,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Table {
-    /// All invariants that do not hold.
+    /// Returns all violated invariants.
     pub fn check(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (hash, run) in &self.runs.keys {
@@ -42,8 +42,8 @@
         findings
     }
 
-    /// Invariants that do not hold for the next keys in turn: few enough to be checked while the
-    /// program serves.
+    /// Returns violated invariants of the next keys in rotation. The number of keys is bounded, so
+    /// that the check may run while the node serves requests.
     pub(super) fn check_next(&mut self) -> Vec<Finding> {
         let keys = self
             .runs
@@ -72,7 +72,7 @@
         let mut texts = Vec::new();
         let number = run.state.number();
         if number > self.last_claim {
-            texts.push("a number that was never given out");
+            texts.push("the claim number was never assigned");
         }
         if let Grant::Log(shard, _) = run.grant {
             let entry = self
@@ -81,22 +81,24 @@
                 .and_then(|stream| stream.replay.entry(hash));
             let mine = entry.is_none_or(|e| e.owner == self.me && e.number == number);
             match run.state {
-                State::Claiming(..) if entry.is_some() => texts.push("claims an owned key"),
+                State::Claiming(..) if entry.is_some() => {
+                    texts.push("a claim is pending for a key that is owned")
+                }
                 State::Running(..) | State::Ended(..) if !mine => {
-                    texts.push("runs under a claim that is not the first");
+                    texts.push("the key runs under a claim that is not the first one");
                 }
                 _ => {}
             }
             if !self.shards.contains_key(&shard) {
-                texts.push("its shard is not followed");
+                texts.push("the shard of the key is not followed");
             }
         }
         if matches!(&run.state, State::Claiming(_, waiters) if waiters.is_empty()) {
-            texts.push("claims for nobody");
+            texts.push("a claim is pending without a waiting request");
         }
         for waiter in run.state.waiters() {
             if self.waiting.get(&(waiter.deadline, waiter.request)) != Some(&hash) {
-                texts.push("a request waits without a deadline");
+                texts.push("a waiting request has no entry by deadline");
             }
         }
         texts
@@ -111,7 +113,7 @@
             .map(|r| r.state.waiters().len())
             .sum();
         if waiters != self.waiting.len() {
-            texts.push("deadlines without a request that waits");
+            texts.push("the numbers of deadlines and waiting requests differ");
         }
         let runs = self
             .runs
@@ -119,7 +121,7 @@
             .values()
             .filter(|r| matches!(r.state, State::Running(..)));
         if runs.count() != self.runs.running.len() {
-            texts.push("running requests do not match running keys");
+            texts.push("the numbers of running requests and running keys differ");
         }
         if self
             .runs
@@ -129,17 +131,17 @@
             .sum::<usize>()
             != self.runs.answer_bytes
         {
-            texts.push("bytes of kept answers do not add up");
+            texts.push("the total size of kept answers is wrong");
         }
         if self.runs.answer_bytes > self.settings.max_answer_bytes {
-            texts.push("more answers are kept than may be");
+            texts.push("kept answers exceed their size limit");
         }
         if self
             .shards
             .values()
             .any(|stream| stream.replay.len() > self.settings.max_keys)
         {
-            texts.push("more keys are remembered than may be");
+            texts.push("a shard holds more keys than its limit");
         }
         texts
     }
--- a/crates/lease/src/claim/counters.rs
+++ b/crates/lease/src/claim/counters.rs
@@ -1,49 +1,49 @@
-//! Counts of a claim table, since its start.
+//! Counters of a claim table.
 
 use std::fmt;
 
-/// Counters.
+/// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that asked.
+    /// Requests received.
     pub requests: u64,
-    /// Claims written.
+    /// Claims queued for the log.
     pub claims: u64,
-    /// Claims of this node that another one beat.
+    /// Claims of this node that lost to an earlier claim of another node.
     pub lost: u64,
-    /// Requests run.
+    /// Requests started on this node.
     pub runs: u64,
-    /// Requests that got a run's answer on this node.
+    /// Requests that joined the claim, run or answer of another request on this node.
     pub joined: u64,
-    /// Requests pointed to another node.
+    /// Requests redirected to another node.
     pub redirected: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Of these: the log was out.
+    /// Refused requests whose claim the log service did not settle in time.
     pub refused_log: u64,
-    /// Of these: the key had expired.
+    /// Refused requests whose key had expired.
     pub refused_expired: u64,
-    /// Keys released unrun.
+    /// Keys released without having run.
     pub released: u64,
     /// Tickets issued.
     pub tickets: u64,
-    /// Appends asked for.
+    /// Appends requested.
     pub appends: u64,
-    /// Appends that may have had an effect.
+    /// Appends of unknown outcome.
     pub unsure: u64,
-    /// Appends or reads that failed.
+    /// Failed reads, and appends that failed or had an unknown outcome.
     pub failed: u64,
     /// Records read.
     pub records: u64,
     /// Records that could not be decoded.
     pub undecodable: u64,
-    /// Records dated ahead of this node's clock by more than clocks may err.
+    /// Records dated further ahead of this node's clock than the allowed clock errors explain.
     pub skewed: u64,
-    /// Times that this node's wall clock was found off by more than clocks may err.
+    /// Times that this node's wall clock had shifted by more than the allowed clock error.
     pub stepped: u64,
-    /// Times that records were dropped before this node had read them.
+    /// Times that the stream dropped records before this node read them.
     pub gaps: u64,
-    /// Invariants found broken; anything but 0 is a defect of the program.
+    /// Violated invariants. Any value other than 0 is a bug.
     pub broken: u64,
 }
 
--- a/crates/lease/src/claim/event.rs
+++ b/crates/lease/src/claim/event.rs
@@ -1,33 +1,33 @@
-//! What happens to a claim table.
+//! Events that a claim table handles.
 
 use crate::claim::{Batch, Fingerprint, Hash, Key, Shard};
 use crate::{Now, Outcome, Page, RequestId, WallTime};
 
-/// A request that may not be repeated arrived.
+/// A non-idempotent request with a key.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its key.
+    /// Key of the request.
     pub key: Key,
-    /// Hash of its team and body.
+    /// Hash of the request's team and body.
     pub fingerprint: Fingerprint,
-    /// When the claim has to be settled; after it the request is refused.
+    /// Time by which the claim must be settled. The request is refused afterwards.
     pub deadline: Now,
 }
 
-/// An event.
+/// An event that a claim table handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The shards that this node is the home of and follows for good.
+    /// The shards that this node is the home of. It follows them whether they are in use or not.
     HomeShards(Vec<Shard>),
-    /// A request arrived.
+    /// A request was received.
     Received(Request),
-    /// The request will never be run: its caller went away before the node began to run it. After
-    /// [`crate::claim::Action::Run`] this says the same as an end with [`Outcome::NotRun`], for a
-    /// caller that leaves while that action is on its way.
+    /// The caller disconnected before the node started to run the request. If
+    /// [`crate::claim::Action::Run`] was already returned for the request, the event has the same
+    /// effect as [`Event::Ended`] with [`Outcome::NotRun`].
     Cancelled(RequestId),
-    /// A read gave a page.
+    /// A read returned a page.
     Page(Shard, Page),
     /// A read failed.
     ReadFailed(Shard),
@@ -35,13 +35,13 @@
     Appended(Batch),
     /// An append had no effect.
     AppendFailed(Batch),
-    /// An append may have had an effect.
+    /// An append has an unknown outcome: it may have taken effect.
     AppendUnsure(Batch),
-    /// A run ended; with the size of its answer, in bytes.
+    /// A run ended. Contains the hash of its key, the outcome, and the size of the answer in bytes.
     Ended(Hash, Outcome, usize),
-    /// The wall clock, read now. To be given about once a minute: over days the monotonic clock
-    /// and the wall clock part.
+    /// Current time of the wall clock. Must be reported about once a minute, since the wall clock
+    /// and the monotonic clock drift apart over days.
     Clock(WallTime),
-    /// Time passed; comes at least every 20 ms.
+    /// Time has passed. Must be reported at least every 20 ms.
     Tick,
 }
--- a/crates/lease/src/claim/home.rs
+++ b/crates/lease/src/claim/home.rs
@@ -1,14 +1,15 @@
-//! The home of a shard: the node that best serves it, for speed only.
+//! Assignment of shards to home nodes. It affects performance only, not correctness.
 
 use crate::claim::Shard;
 use crate::owner::NodeId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The home of `shard` among the live nodes: the highest hash of node and shard. A node that comes
-/// or goes moves only the shards that it gains or leaves.
+/// Returns the home of `shard` among the live nodes, by rendezvous hashing: the node with the
+/// highest hash of node and shard. A node that joins or leaves moves only its own shards.
 ///
-/// Requests that meet at one node share its appends and its answers. Nodes that disagree on the
-/// home cost appends, and never a second run: the log decides that.
+/// Requests with the same key that arrive at the same node share its appends and answers. If nodes
+/// disagree on the home, this costs appends but never leads to a second run, which the log rules
+/// out.
 pub fn home(shard: Shard, nodes: &[NodeId]) -> Option<NodeId> {
     nodes
         .iter()
@@ -16,7 +17,7 @@
         .max_by_key(|node| (weight(shard, *node), *node))
 }
 
-/// The shards that `me` is the home of.
+/// Returns the shards that `me` is the home of.
 pub fn shards(me: NodeId, nodes: &[NodeId], shards: Shard) -> Vec<Shard> {
     (0..shards)
         .filter(|shard| home(*shard, nodes) == Some(me))
--- a/crates/lease/src/claim/key.rs
+++ b/crates/lease/src/claim/key.rs
@@ -1,4 +1,4 @@
-//! Keys as callers send them.
+//! Parser of the idempotency keys that callers send.
 
 use crate::WallTime;
 use crate::claim::Hash;
@@ -7,52 +7,53 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Longest key, in bytes.
+/// Maximum length of a key in bytes.
 pub const MAX_LEN: usize = 255;
-/// Digits of a date in seconds since the Unix epoch.
+/// Number of digits of a date in seconds since the Unix epoch.
 const DATE_DIGITS: usize = 10;
-/// Where a UUID has its hyphens.
+/// Positions of the hyphens in the text of a UUID.
 const HYPHENS: [usize; 4] = [8, 13, 18, 23];
-/// Length of a UUID's text.
+/// Length of the text of a UUID.
 const UUID_LEN: usize = 36;
 
-/// A dated key.
+/// A key chosen by the caller, with its date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatedKey {
-    /// Hash of the team and the key's text.
+    /// Hash of the team and the text of the key.
     pub hash: Hash,
-    /// When the key was made, by its maker's clock.
+    /// Time at which the key was created, by the clock of its creator.
     pub date: WallTime,
 }
 
-/// A checked key.
+/// A parsed key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// The caller's own key.
+    /// A key chosen by the caller.
     Dated(DatedKey),
-    /// A ticket, with the hash of team and text.
+    /// A ticket, with the hash of the team and the text of the key.
     Ticket(Ticket, Hash),
 }
 
-/// Refusal a key is refused.
+/// Reason why a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Empty, over [`MAX_LEN`], or with characters outside visible ASCII.
     Text,
-    /// Starts like a ticket and is none.
+    /// Has the prefix of a ticket but is not a valid ticket.
     Ticket,
-    /// Neither a UUID of version 7 nor a date in seconds, a hyphen and any text.
+    /// Neither a UUID of version 7 nor a date in seconds followed by a hyphen and text.
     Undated,
 }
 
-/// Result of a check.
+/// Result of parsing a key.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Key {
-    /// Checks a key's text. Keys of different teams never meet, since the hash holds the team.
+    /// Parses the text of a key. The hash includes the team, so keys of different teams never
+    /// collide.
     ///
-    /// A key must carry its date. The log drops old claims, and without a date nobody could tell
-    /// a new key from one whose claim is gone: it would run a second time.
+    /// A key must contain its date. The log drops old claims, and without a date a key whose claim
+    /// was dropped could not be told apart from a new one and would run a second time.
     pub fn parse(team: &str, text: &str) -> Result<Self> {
         let visible = text.bytes().all(|b| b.is_ascii_graphic());
         if text.is_empty() || text.len() > MAX_LEN || !visible {
@@ -67,7 +68,7 @@
         Ok(Self::Dated(DatedKey { hash, date }))
     }
 
-    /// Hash of the team and the key's text.
+    /// Returns the hash of the team and the text of the key.
     pub fn hash(&self) -> Hash {
         match self {
             Self::Dated(key) => key.hash,
@@ -88,8 +89,8 @@
 
 impl std::error::Error for Error {}
 
-/// Truncated SHA-256: callers choose keys, so a hash that they can collide would let one request
-/// pass for another.
+/// Returns a truncated SHA-256. Callers choose the keys, so the hash must be collision-resistant:
+/// otherwise one request could be taken for another.
 fn hash(team: &str, text: &str) -> Hash {
     let mut digest = Sha256::new();
     digest.update((team.len() as u64).to_le_bytes());
@@ -102,6 +103,7 @@
         .fold(0, |hash, b| hash << 8 | Hash::from(*b))
 }
 
+/// Parses the date of a key of the form `SECONDS-TEXT`.
 fn seconds(text: &str) -> Option<WallTime> {
     let (date, rest) = text.split_once('-')?;
     let digits = date.len() == DATE_DIGITS && date.bytes().all(|b| b.is_ascii_digit());
@@ -111,7 +113,7 @@
     date.parse().ok().map(Duration::from_secs)
 }
 
-/// The date in a UUID of version 7: its first 48 bits, in milliseconds.
+/// Parses the date of a UUID of version 7: its first 48 bits, in milliseconds since the Unix epoch.
 fn uuid(text: &str) -> Option<WallTime> {
     let shaped = text.len() == UUID_LEN
         && text
--- a/crates/lease/src/claim/record.rs
+++ b/crates/lease/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! Records of a claims stream.
+//! Records of the streams of claims.
 
 use crate::claim::{Fingerprint, Hash, Number};
 use crate::{Offset, Outcome, Owner, WallTime};
@@ -7,72 +7,72 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Largest record, in bytes.
+/// Maximum size of a record in bytes.
 pub const MAX_BYTES: usize = 64 << 10;
-/// Most items of a batch.
+/// Maximum number of items in a record.
 pub const MAX_ITEMS: usize = 512;
 /// Version of the encoding, the first byte of each record.
 const VERSION: u8 = 1;
 
-/// One thing said about one key.
+/// A statement about one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// The batch's owner wants to run the key.
+    /// The owner of the batch claims the key.
     Claim {
-        /// The key.
+        /// Hash of the key.
         hash: Hash,
-        /// When the key was made.
+        /// Time at which the key was created.
         date: WallTime,
-        /// What it stands for.
+        /// Hash of the request's team and body.
         fingerprint: Fingerprint,
-        /// The claim's number.
+        /// Sequence number of the claim.
         number: Number,
     },
-    /// How the run under a claim ended; [`Outcome::NotRun`] releases the key.
+    /// The run under a claim ended. [`Outcome::NotRun`] releases the key.
     End {
-        /// The key.
+        /// Hash of the key.
         hash: Hash,
-        /// The claim's number.
+        /// Sequence number of the claim.
         number: Number,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
     },
 }
 
-/// A record: items of one owner, and a statement that dates the stream.
+/// Content of a record: items of one owner, and a date for the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// Who appended it.
+    /// Owner that appended the record.
     pub owner: Owner,
-    /// At `at` the stream already held all offsets below `upto`. It stays true however late the
-    /// record arrives, so a reader may rely on it to bound when older records were appended.
+    /// At time `at` the stream contained all offsets below `upto`. This remains true however late
+    /// the record is appended, so readers may use it to bound the age of earlier records.
     pub upto: Offset,
-    /// When the owner knew that, by its wall clock.
+    /// Time at which the owner had read the offsets below `upto`, by its wall clock.
     pub at: WallTime,
-    /// Items.
+    /// Items of the record.
     pub items: Vec<Item>,
 }
 
-/// A record that can't be decoded.
+/// Error of decoding a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Larger than [`MAX_BYTES`] or with more than [`MAX_ITEMS`] items.
     Large,
-    /// Another version of the encoding.
+    /// Unsupported version of the encoding.
     Version,
-    /// Not what the encoding gives; the text says where.
+    /// Malformed record, with details.
     Code(String),
 }
 
-/// Result of decoding.
+/// Result of decoding a record.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Large => f.write_str("record too large"),
-            Self::Version => f.write_str("record of another version"),
-            Self::Code(text) => write!(f, "undecodable record: {text}"),
+            Self::Version => f.write_str("unsupported record version"),
+            Self::Code(text) => write!(f, "malformed record: {text}"),
         }
     }
 }
@@ -125,7 +125,7 @@
         let (wire, used): (WireBatch, usize) = bincode::serde::decode_from_slice(body, config)
             .map_err(|e| Error::Code(e.to_string()))?;
         if used != body.len() {
-            return Err(Error::Code(format!("{} bytes too many", body.len() - used)));
+            return Err(Error::Code(format!("{} trailing bytes", body.len() - used)));
         }
         Self::try_from(wire)
     }
--- a/crates/lease/src/claim/replay.rs
+++ b/crates/lease/src/claim/replay.rs
@@ -1,4 +1,4 @@
-//! What one shard's stream says, as far as this node has read it.
+//! State of one shard, replayed from the records of its stream.
 
 use crate::claim::record::{Batch, Item};
 use crate::claim::{Counters, Fingerprint, Hash, Number, Settings};
@@ -6,47 +6,48 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Between the wall clock of whoever dated a key, whoever claimed it and whoever dated the stream
-/// lie at most this many errors of one clock.
+/// Maximum difference between two of the clocks involved, in units of the maximum error of one
+/// clock. Three clocks are involved: that of the creator of a key, of the claim's owner, and of the
+/// owner of a record that dates the stream.
 const MAX_CLOCK_ERRORS: u32 = 3;
 
-/// A key that is owned.
+/// A key that has an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When the key was made.
+    /// Time at which the key was created.
     pub date: WallTime,
-    /// What it stands for.
+    /// Hash of the team and body of the key's request.
     pub fingerprint: Fingerprint,
-    /// Who owns it.
+    /// Owner of the key.
     pub owner: Owner,
-    /// Number of the owner's claim.
+    /// Sequence number of the owner's claim.
     pub number: Number,
-    /// How the owner noted that it ended.
+    /// Outcome of the run, if the owner recorded it.
     pub outcome: Option<Outcome>,
 }
 
-/// Something that a page changed.
+/// A change made by a page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Records were dropped before this reader came to them.
+    /// The stream dropped records before this node read them.
     Gap,
-    /// The key is owned now.
+    /// The key has a new owner.
     Claimed(Hash, Entry),
-    /// The key was released by this owner's claim of this number.
+    /// The owner released the key, which it held by the claim with this number.
     Released(Hash, Owner, Number),
 }
 
-/// The fold of a stream: a pure function of the records from `start` on.
+/// State of a shard. It depends only on the records at offsets from `start` on.
 ///
-/// For a key dated at or after [`Replay::floor`] it equals the fold from offset 0: no claim of such a
-/// key can be among the records below `start`.
+/// For a key dated at or after [`Replay::floor`] it equals the state replayed from offset 0, since
+/// no claim of such a key can be among the records below `start`.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
     next: Offset,
     start: Option<Offset>,
-    /// Bound from the records that were gone before they could be read.
+    /// Keys dated before this may have claims among the records below `start`.
     unread_bound: WallTime,
-    /// Bound from the keys that were dropped here.
+    /// Keys dated before this may have been evicted from `entries`.
     evicted_bound: WallTime,
     caught_up: bool,
     read_at: WallTime,
@@ -55,49 +56,51 @@
 }
 
 impl Replay {
-    /// Where to read on.
+    /// Offset of the next record to read.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Whether a read has reached the end of the stream since the last gap.
+    /// Returns whether a read has reached the end of the stream since the last gap.
     pub fn caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// When the last record was read.
+    /// Time at which the last record was read.
     pub fn read_at(&self) -> WallTime {
         self.read_at
     }
 
-    /// Keys dated before this may have had claims that this node doesn't know.
+    /// Date before which keys may have claims that this node doesn't know.
     pub fn floor(&self) -> WallTime {
         self.unread_bound.max(self.evicted_bound)
     }
 
-    /// Who owns the key.
+    /// Returns the key's entry, if the key has an owner.
     pub fn entry(&self, hash: Hash) -> Option<&Entry> {
         self.entries.get(&hash)
     }
 
-    /// Number of keys remembered.
+    /// Number of keys with an entry.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key has an entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Notes an outcome that this node knows first-hand, before it is read back.
+    /// Records the outcome of a claim, if the key is still owned by this claim. Also used for runs
+    /// of this node whose outcome has not been read back yet.
     pub fn record_outcome(&mut self, hash: Hash, owner: Owner, number: Number, outcome: Outcome) {
         if let Some(entry) = self.entry_mut(hash, owner, number) {
             entry.outcome = Some(outcome);
         }
     }
 
-    /// Takes in a page and gives what it changed. A page that does not follow on is left out.
+    /// Applies a page and returns the changes. Ignores a page that does not continue at the next
+    /// offset.
     pub fn apply(
         &mut self,
         wall: WallTime,
@@ -139,7 +142,7 @@
         changes
     }
 
-    /// Drops keys that are past the window.
+    /// Evicts keys that are older than `key_lifetime`.
     pub fn expire(&mut self, wall: WallTime, key_lifetime: Duration) {
         self.evicted_bound = self.evicted_bound.max(wall.saturating_sub(key_lifetime));
         while let Some(hash) = self.order.front() {
@@ -154,11 +157,11 @@
         }
     }
 
-    /// Starts at the first record held, or starts over when retention was faster than this reader;
-    /// gives whether it was.
+    /// Starts at the first retained record, or restarts there if the stream dropped records before
+    /// this node read them. Returns whether it restarted.
     ///
-    /// What is gone was appended before now, so keys made later are safe. Statements in the
-    /// records that follow lower that bound.
+    /// The dropped records were appended before `wall`, so they contain no claims of keys created
+    /// later. The dates in the following records lower this bound.
     fn start_or_restart(&mut self, wall: WallTime, first: Offset, settings: &Settings) -> bool {
         let started = self.start.is_some();
         if started && first <= self.next {
@@ -175,7 +178,8 @@
         started
     }
 
-    /// A record states that what is gone here was there by a certain time.
+    /// Lowers the bound on dropped records if `batch` states that they were in the stream by an
+    /// earlier time.
     fn tighten_bound(&mut self, batch: &Batch, settings: &Settings) {
         if self.start.is_some_and(|start| batch.upto >= start) {
             self.unread_bound = self
@@ -221,7 +225,8 @@
         }
     }
 
-    /// The first claim of a free key owns it; any later one counts for nothing.
+    /// Makes the claim the owner of the key if the key is free. Ignores claims of owned keys and of
+    /// keys that are older than the evicted ones.
     fn claim(&mut self, hash: Hash, entry: Entry) -> Option<Change> {
         if entry.date < self.evicted_bound || self.entries.contains_key(&hash) {
             return None;
@@ -241,7 +246,7 @@
         while self.entries.len() > max_keys {
             self.evict_oldest();
         }
-        // Keys claimed again after a release stand in the order more than once.
+        // `order` contains a key several times if it was claimed again after a release.
         while self.order.len() > max_keys.saturating_mul(2) {
             self.evict_oldest();
         }
--- a/crates/lease/src/claim/run.rs
+++ b/crates/lease/src/claim/run.rs
@@ -1,102 +1,103 @@
-//! Keys that this node wants to run, runs or has run.
+//! Keys whose requests this node claims, runs or has run.
 
 use crate::claim::{Fingerprint, Hash, Number, Shard};
 use crate::{Now, Outcome, RequestId, WallTime};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request that waits for its key's claim.
+/// A request that waits for the claim of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Waiter {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// When it is refused.
+    /// Time at which the request is refused.
     pub deadline: Now,
 }
 
-/// What lets this node run a key.
+/// Right of this node to run a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
-    /// A claim in this shard, for a key of this date.
+    /// A claim in this shard of a key with this date.
     Log(Shard, WallTime),
-    /// A ticket issued at this time.
+    /// A ticket that was issued at this time.
     Ticket(Now),
 }
 
-/// How far a key is.
+/// State of a key. The number is that of the claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Its claim has not been read back.
+    /// The claim has not been read back. The requests wait for it.
     Claiming(Number, Vec<Waiter>),
-    /// Its claim was given up, or ended unrun; the release has not been read back.
+    /// The claim was abandoned or its request was not run, and the release has not been read back.
+    /// The requests wait to claim the key again.
     Releasing(Number, Vec<Waiter>),
-    /// This request runs.
+    /// The request runs.
     Running(Number, RequestId),
-    /// It ended; the request's answer is kept if there is one.
+    /// The run ended. The request is the one whose answer is kept, if it still is.
     Ended(Number, Option<RequestId>, Outcome),
 }
 
-/// A key.
+/// A key that this node claims, runs or has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// What the key stands for.
+    /// Hash of the team and body of the key's request.
     pub fingerprint: Fingerprint,
-    /// What lets this node run it.
+    /// Right of this node to run the key.
     pub grant: Grant,
-    /// How far it is.
+    /// State of the key.
     pub state: State,
 }
 
-/// A kept answer.
+/// An answer kept for resends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeptAnswer {
-    /// Its key.
+    /// Hash of the key.
     pub hash: Hash,
-    /// Its size, in bytes.
+    /// Size of the answer in bytes.
     pub bytes: usize,
 }
 
-/// All keys of this node.
+/// All keys that this node claims, runs or has run.
 #[derive(Clone, Debug, Default)]
 pub struct Runs {
-    /// By key.
+    /// Keys by hash.
     pub keys: BTreeMap<Hash, Run>,
     /// Kept answers, oldest first.
     pub answers: VecDeque<KeptAnswer>,
-    /// Bytes of kept answers.
+    /// Total size of kept answers in bytes.
     pub answer_bytes: usize,
-    /// Tickets in the order of their runs.
+    /// Hashes of tickets in the order of their runs.
     pub tickets: VecDeque<Hash>,
-    /// Requests that run, with their keys.
+    /// Running requests with the hashes of their keys.
     pub running: BTreeMap<RequestId, Hash>,
 }
 
 impl Runs {
-    /// The key's state.
+    /// Returns the state of the key.
     pub fn state(&mut self, hash: Hash) -> Option<&mut State> {
         self.keys.get_mut(&hash).map(|run| &mut run.state)
     }
 
-    /// Keeps an answer.
+    /// Adds an answer of `bytes` bytes to the kept ones.
     pub fn keep_answer(&mut self, hash: Hash, bytes: usize) {
         self.answers.push_back(KeptAnswer { hash, bytes });
         self.answer_bytes += bytes;
     }
 
-    /// Takes the oldest kept answer's key out.
+    /// Removes the oldest kept answer and returns the hash of its key.
     pub fn pop_oldest_answer(&mut self) -> Option<Hash> {
         let kept = self.answers.pop_front()?;
         self.answer_bytes -= kept.bytes;
         Some(kept.hash)
     }
 
-    /// Whether any key belongs to this shard.
+    /// Returns whether any key belongs to this shard.
     pub fn uses_shard(&self, shard: Shard) -> bool {
         self.keys
             .values()
             .any(|run| matches!(run.grant, Grant::Log(s, _) if s == shard))
     }
 
-    /// Whether this claim is the one that its key waits for.
+    /// Returns whether the key is in [`State::Claiming`] with this claim.
     pub fn is_claiming(&self, hash: Hash, number: Number) -> bool {
         let state = self.keys.get(&hash).map(|run| &run.state);
         matches!(state, Some(State::Claiming(n, _)) if *n == number)
@@ -104,7 +105,7 @@
 }
 
 impl State {
-    /// The number of the claim.
+    /// Sequence number of the claim.
     pub fn number(&self) -> Number {
         match self {
             Self::Claiming(n, _) | Self::Releasing(n, _) => *n,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Requests that wait.
+    /// Requests that wait for the key.
     pub fn waiters(&self) -> &[Waiter] {
         match self {
             Self::Claiming(_, waiters) | Self::Releasing(_, waiters) => waiters,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Requests that wait, to change.
+    /// Requests that wait for the key, or `None` in a state without waiting requests.
     pub fn waiters_mut(&mut self) -> Option<&mut Vec<Waiter>> {
         match self {
             Self::Claiming(_, waiters) | Self::Releasing(_, waiters) => Some(waiters),
--- a/crates/lease/src/claim/settings.rs
+++ b/crates/lease/src/claim/settings.rs
@@ -4,32 +4,33 @@
 use crate::claim::Shard;
 use std::time::Duration;
 
-/// Settings.
+/// Settings of a claim table.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Number of shards, the same on all nodes for good.
+    /// Number of shards. Must be the same on all nodes and must never change.
     pub shards: Shard,
-    /// WallTime clock at the process's start.
+    /// Wall-clock time of the start of the process.
     pub started_at: WallTime,
-    /// Largest error of any node's or caller's wall clock.
+    /// Maximum error of the wall clock of any node or caller.
     pub max_clock_error: Duration,
-    /// How long a key is good after its date.
+    /// Time from a key's date during which the key is valid.
     pub key_lifetime: Duration,
-    /// Most keys remembered per shard; beyond it the oldest go and the floor rises.
+    /// Maximum number of keys kept per shard. Beyond it the oldest keys are evicted, which raises the
+    /// date before which keys are refused as expired.
     pub max_keys: usize,
-    /// Bytes of ended runs' answers that are kept for resends.
+    /// Maximum total size in bytes of the answers kept for resends.
     pub max_answer_bytes: usize,
-    /// Least time between two appends to one shard.
+    /// Minimum time between two appends to a shard.
     pub append_interval: Duration,
-    /// How long an outcome waits for a claim to travel with.
+    /// How long an outcome may wait to be appended together with a claim.
     pub linger: Duration,
-    /// Least wait after a failed call.
+    /// Minimum backoff after a failed call.
     pub min_backoff: Duration,
-    /// Longest wait after a failed call.
+    /// Maximum backoff after a failed call.
     pub max_backoff: Duration,
-    /// A shard in which nothing was appended for this long gets a mark.
+    /// Time without records in a shard's stream after which its home appends a heartbeat record.
     pub heartbeat_interval: Duration,
-    /// A shard that is not the node's own is dropped after this long without use.
+    /// Time without use after which a node stops following a shard that it is not the home of.
     pub idle_timeout: Duration,
 }
 
--- a/crates/lease/src/claim/table.rs
+++ b/crates/lease/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! A node's claim table.
+//! Claim table of a node.
 
 mod end;
 mod request;
@@ -19,46 +19,46 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Time between two passes over all keys and shards.
+/// Minimum time between two passes over all keys and shards.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A node's state of claims and tickets.
+/// Claims and tickets of a node.
 #[derive(Debug)]
 pub struct Table {
     pub(super) me: Owner,
     pub(super) settings: Settings,
     pub(super) shards: BTreeMap<Shard, Stream>,
     pub(super) runs: Runs,
-    /// By deadline: requests that wait for a claim, with their keys.
+    /// Requests that wait for a claim, by deadline, with the hashes of their keys.
     pub(super) waiting: BTreeMap<(Now, RequestId), Hash>,
     pub(super) last_claim: Number,
     pub(super) tickets_issued: u64,
     batch: Batch,
     last_sweep: Now,
-    /// DatedKey up to which the invariants were last checked.
+    /// First key whose invariants the next partial check covers.
     pub(super) check_cursor: Hash,
     random: ChaCha8Rng,
     pub(super) counters: Counters,
 }
 
-/// One shard, as long as this node follows it.
+/// Stream of a shard that this node follows.
 #[derive(Debug, Default)]
 pub(super) struct Stream {
     pub(super) replay: Replay,
     pub(super) appends: Queue,
-    /// Requests that came before the stream was read to its end.
+    /// Requests received before the stream was read to its end.
     pub(super) pending: Vec<Request>,
-    /// Whether this node is the shard's home.
+    /// Whether this node is the home of the shard.
     pub(super) home: bool,
     reading: bool,
     backoff: Backoff,
     pub(super) last_used: Now,
-    /// When a mark is due if no record comes before.
+    /// Time at which a heartbeat record is due if no record is read before.
     heartbeat_due: Now,
 }
 
 impl Table {
-    /// An empty table. `me` must never have been the owner of anything before.
+    /// Returns an empty table. `me` must never have been used before as the owner of any claim.
     pub fn new(me: Owner, seed: u64, settings: Settings) -> Self {
         Self {
             me,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes in an event and adds what is to be done.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::HomeShards(shards) => self.set_home_shards(now, &shards),
@@ -98,7 +98,7 @@
         debug_assert!(self.check().is_empty(), "{:?}", self.check());
     }
 
-    /// Issues a ticket that only this table will run.
+    /// Issues a ticket that only this table accepts.
     pub fn issue(&mut self, now: Now) -> Ticket {
         let issued = Duration::from_millis(u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
         let ticket = Ticket {
@@ -111,17 +111,17 @@
         ticket
     }
 
-    /// Counts since the start.
+    /// Counts since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Keys remembered from the log, over all shards followed.
+    /// Number of keys with an owner in all followed shards.
     pub fn keys(&self) -> usize {
         self.shards.values().map(|stream| stream.replay.len()).sum()
     }
 
-    /// Whether appends or reads of any shard fail at present.
+    /// Returns whether appends or reads of any shard have failed more than once in a row.
     pub fn is_log_failing(&self) -> bool {
         let failing =
             |stream: &Stream| stream.appends.failures() > 1 || stream.backoff.failures() > 1;
@@ -132,7 +132,7 @@
         self.settings.started_at + now
     }
 
-    /// The shard's stream, followed from now on.
+    /// Returns the shard's stream and starts to follow it if necessary.
     pub(super) fn stream_mut(&mut self, now: Now, shard: Shard) -> &mut Stream {
         let stream = self.shards.entry(shard).or_default();
         stream.last_used = now;
@@ -209,7 +209,8 @@
         self.drop_idle(now);
     }
 
-    /// Lets go of shards that are neither this node's own nor in use.
+    /// Stops following shards that are unused and that this node is not the home of. Also drops old
+    /// releases and checks invariants of some keys.
     fn drop_idle(&mut self, now: Now) {
         if now < self.last_sweep + SWEEP_INTERVAL {
             return;
@@ -228,7 +229,7 @@
         });
     }
 
-    /// Asks for the appends and reads that are due.
+    /// Requests the appends and reads that are due.
     fn flush(&mut self, now: Now, actions: &mut Vec<Action>) {
         for (shard, stream) in &mut self.shards {
             if let Some(items) = stream.appends.take_due(now, self.batch, &self.settings) {
@@ -260,7 +261,7 @@
         }
     }
 
-    /// A read came back.
+    /// Handles a successful read.
     pub(super) fn complete_read(&mut self, now: Now, shard: Shard, has_records: bool) {
         let Some(stream) = self.shards.get_mut(&shard) else {
             return;
@@ -268,7 +269,8 @@
         stream.reading = false;
         stream.backoff.record_success(now);
         if has_records {
-            // Spread over a quarter of the time, so that the first node's mark spares the others.
+            // Jitter of up to a quarter of the interval: the heartbeat of the first node postpones
+            // those of the others.
             let share = rand::RngExt::random_range(&mut self.random, 1.0..=1.25);
             stream.heartbeat_due = now + self.settings.heartbeat_interval.mul_f64(share);
         }
--- a/crates/lease/src/claim/table/end.rs
+++ b/crates/lease/src/claim/table/end.rs
@@ -1,4 +1,4 @@
-//! Ends of runs and of waits, and what is dropped with time.
+//! Ends of runs, deadlines of waiting requests, and expiry.
 
 use super::Table;
 use crate::claim::record::Item;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Refuses what has waited to its deadline.
+    /// Refuses requests that have waited until their deadlines.
     pub(super) fn refuse_overdue(&mut self, now: Now, actions: &mut Vec<Action>) {
         while let Some(first) = self.waiting.first_entry() {
             let (deadline, request) = *first.key();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// One request fewer waits; a claim that nobody waits for is given up.
+    /// Removes a waiting request. Abandons the claim if no other request waits for it.
     pub(super) fn remove_waiter(&mut self, now: Now, hash: Hash, request: RequestId) {
         let Some(run) = self.runs.keys.get_mut(&hash) else {
             return;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Drops what is past the window.
+    /// Drops answers and tickets that are older than the lifetime of keys.
     pub(super) fn expire(&mut self, now: Now, actions: &mut Vec<Action>) {
         while let Some(kept) = self.runs.answers.front() {
             let grant = self.runs.keys.get(&kept.hash).map(|run| run.grant);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Drops releases that were never read back, past the window. Resends are refused as expired
-    /// by then.
+    /// Drops releases that were never read back and whose keys have expired. Resends of such keys are
+    /// refused as expired.
     pub(super) fn sweep(&mut self, now: Now) {
         let wall = self.wall(now);
         let window = self.settings.key_lifetime;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Drops the oldest kept answer; what its key came to is still known.
+    /// Drops the oldest kept answer. The outcome of its key remains known.
     fn evict_one(&mut self, actions: &mut Vec<Action>) {
         let Some(hash) = self.runs.pop_oldest_answer() else {
             return;
--- a/crates/lease/src/claim/table/request.rs
+++ b/crates/lease/src/claim/table/request.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive at a claim table.
+//! Requests received by a claim table.
 
 use super::Table;
 use crate::claim::record::Item;
@@ -7,7 +7,7 @@
 use crate::claim::{Action, DatedKey, Hash, Key, Refusal, Request, Shard, Ticket, shard};
 use crate::{Now, Outcome, RequestId};
 
-/// Most requests that wait for a shard's stream to be read.
+/// Maximum number of requests per shard that wait until its stream has been read to its end.
 const MAX_PENDING: usize = 4096;
 
 impl Table {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Refuses a request of which another node may have run an earlier send.
+    /// Refuses a request. The outcome is unknown, since another node may have run an earlier send.
     pub(super) fn refuse(&mut self, id: RequestId, reason: Refusal, actions: &mut Vec<Action>) {
         self.refuse_as(id, reason, Outcome::Unknown, actions);
     }
@@ -41,8 +41,9 @@
         });
     }
 
-    /// The caller is gone: nobody waits for the claim on its behalf, and a run that was asked for
-    /// does not take place. Left unsaid, the key would run for ever and its resends wait for it.
+    /// Handles a caller that disconnected before its request started to run. Ends the run if
+    /// [`Action::Run`] was already returned: otherwise the key would stay in the running state, and
+    /// its resends would wait forever.
     pub(super) fn cancel(&mut self, now: Now, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(hash) = self.runs.running.get(&id).copied() {
             return self.end_run(now, hash, Outcome::NotRun, 0, actions);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Asks again for what waited for the stream to be read.
+    /// Handles the requests that waited until the stream was read to its end.
     pub(super) fn retry_pending(&mut self, now: Now, shard: Shard, actions: &mut Vec<Action>) {
         let Some(stream) = self.shards.get_mut(&shard) else {
             return;
@@ -103,7 +104,7 @@
         stream.pending.push(request);
     }
 
-    /// Claims a free key; for any other says whose it is.
+    /// Claims the key if it is free. Otherwise answers the request according to the owner.
     fn claim(
         &mut self,
         now: Now,
@@ -134,9 +135,11 @@
         self.write_claim(now, shard, key, request.fingerprint, vec![waiter]);
     }
 
-    /// Says whose the key is. Unless its run has ended, whether it stands for another body is for
-    /// its owner to say: this node may not have read yet that the key was released and claimed for
-    /// this very body.
+    /// Answers a request whose key has an owner.
+    ///
+    /// Unless the run has ended, only the owner may refuse the request because the key was used with
+    /// another body: the key may have been released and claimed again for this body in records that
+    /// this node has not read yet.
     fn answer_owned(&mut self, request: Request, entry: Entry, actions: &mut Vec<Action>) {
         let id = request.id;
         let mismatch = entry.fingerprint != request.fingerprint;
@@ -155,7 +158,7 @@
         if mismatch {
             return self.refuse(id, Refusal::Mismatch, actions);
         }
-        // Its answer is kept no longer, or a gap took the record of its release.
+        // The answer was dropped, or the record that released the key was lost in a gap.
         let outcome = outcome.unwrap_or(Outcome::Unknown);
         self.counters.joined += 1;
         actions.push(Action::Answer {
@@ -165,7 +168,7 @@
         });
     }
 
-    /// Writes a claim with a number of its own.
+    /// Queues a claim with a new number.
     pub(super) fn write_claim(
         &mut self,
         now: Now,
@@ -195,7 +198,8 @@
         self.stream_mut(now, shard).appends.push(now, item);
     }
 
-    /// Gives a request the answer of its key's run on this node, or lets it wait for the claim.
+    /// Joins a request to its key on this node: the request gets the answer of the run or waits for
+    /// the claim.
     fn join(&mut self, request: Request, hash: Hash, actions: &mut Vec<Action>) {
         let Some(run) = self.runs.keys.get_mut(&hash) else {
             return;
@@ -205,7 +209,7 @@
             run.fingerprint = request.fingerprint;
         }
         if run.fingerprint != request.fingerprint {
-            // Whoever ran or runs the key owns it for good, so no other body of it ever ran.
+            // Once a key runs, its owner never changes, so no other body has run under the key.
             let outcome = match run.state {
                 State::Running(..) | State::Ended(..) => Outcome::NotRun,
                 State::Claiming(..) | State::Releasing(..) => Outcome::Unknown,
@@ -235,7 +239,8 @@
         }
     }
 
-    /// A ticket needs no log: only this incarnation runs it, and it remembers what it ran.
+    /// Handles a ticket without the log: only the incarnation that issued it runs it, and this table
+    /// records which tickets it has run.
     fn receive_ticket(
         &mut self,
         now: Now,
--- a/crates/lease/src/claim/table/settle.rs
+++ b/crates/lease/src/claim/table/settle.rs
@@ -1,4 +1,4 @@
-//! Claims read back: the only place where a dated key is run.
+//! Claims that were read back. A request with a dated key runs only from here.
 
 use super::Table;
 use crate::claim::record::Item;
@@ -7,7 +7,7 @@
 use crate::claim::{Action, DatedKey, Hash, Number, Refusal, Shard};
 use crate::{Now, Outcome, Owner, Page, WallTime};
 
-/// Whether an item of a failed append is still worth sending.
+/// Returns whether an item of a failed append must be sent again.
 pub(super) fn should_resend(runs: &Runs, item: &Item) -> bool {
     match *item {
         Item::Claim { hash, number, .. } => runs.is_claiming(hash, number),
@@ -58,8 +58,8 @@
         self.stream_mut(now, shard).appends.push(now, item);
     }
 
-    /// Records were dropped before they were read: claims and releases that may have been among
-    /// them can't be judged any more.
+    /// Handles records that the stream dropped before they were read. Claims and releases of this
+    /// node that may have been among them can no longer be settled.
     fn handle_gap(&mut self, now: Now, shard: Shard, actions: &mut Vec<Action>) {
         let floor = self.floor(shard);
         let is_affected = |run: &Run| match (&run.state, run.grant) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A key is owned now, by this node or another.
+    /// Handles a key that has a new owner.
     fn handle_claimed(
         &mut self,
         now: Now,
@@ -99,8 +99,8 @@
         entry: Entry,
         actions: &mut Vec<Action>,
     ) {
-        // A number that was never given out is another process's that passes for this one. To
-        // release its claim would free a key that it runs.
+        // A claim number that was never assigned belongs to another process that uses the same
+        // owner id. Releasing its claim would free a key that the other process runs.
         if entry.owner != self.me || entry.number > self.last_claim {
             return self.claim_lost(hash, entry, actions);
         }
@@ -110,15 +110,16 @@
         self.release_late_claim(now, shard, hash, entry);
     }
 
-    /// A claim that was given up arrived late. Unless it is released nobody could ever run the
-    /// key. Requests that wait for a newer claim of this node wait for the release instead.
+    /// Releases an abandoned claim that took effect late. Without the release no node could ever run
+    /// the key. Requests that wait for a newer claim of this node wait for the release instead.
     fn release_late_claim(&mut self, now: Now, shard: Shard, hash: Hash, entry: Entry) {
         let has_run = |run: &Run| matches!(run.state, State::Running(..) | State::Ended(..));
         if self.runs.keys.get(&hash).is_some_and(has_run) {
             return;
         }
         let run = self.runs.keys.remove(&hash);
-        // What waits keeps its own body's fingerprint, which need not be the old claim's.
+        // Waiting requests keep the fingerprint of their own body, which may differ from that of the
+        // old claim.
         let fingerprint = run
             .as_ref()
             .map_or(entry.fingerprint, |run| run.fingerprint);
@@ -145,7 +146,7 @@
         self.release(now, shard, hash, entry.number);
     }
 
-    /// The claim was read back as the first one.
+    /// Handles a claim of this node that was read back as the first one of its key.
     fn claim_won(
         &mut self,
         now: Now,
@@ -161,7 +162,8 @@
         for waiter in &waiters {
             self.waiting.remove(&(waiter.deadline, waiter.request));
         }
-        // After a gap an older claim may be gone; after a pause the callers have given up.
+        // After a gap an older claim may have been dropped. After a pause of this process the
+        // deadlines may have passed.
         let late: Vec<Waiter> = waiters
             .extract_if(.., |w| expired || now >= w.deadline)
             .collect();
@@ -191,7 +193,7 @@
         }));
     }
 
-    /// Another node's claim came first.
+    /// Handles a claim of this node that lost to an earlier claim of another owner.
     fn claim_lost(&mut self, hash: Hash, entry: Entry, actions: &mut Vec<Action>) {
         let Some(State::Claiming(number, _)) = self.runs.state(hash) else {
             return;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// A release was read back; requests that came meanwhile claim the key anew.
+    /// Handles a release that was read back. Requests that wait for it claim the key again.
     fn handle_released(
         &mut self,
         now: Now,
--- a/crates/lease/src/claim/ticket.rs
+++ b/crates/lease/src/claim/ticket.rs
@@ -1,37 +1,37 @@
-//! Tickets: keys that a node issues for itself to run.
+//! Tickets: keys that a node issues and that only it runs.
 
 use crate::{Now, Owner};
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What a ticket's text starts with.
+/// Prefix of the text of a ticket.
 pub const PREFIX: &str = "ticket-";
 
-/// A ticket. Only the incarnation that issued it may run it, so no agreement is needed.
+/// A ticket. Only the incarnation that issued it may run it, so nodes need no agreement on it.
 ///
-/// It carries no signature: a forged one names a node that will run it at most once all the same,
-/// and its team is told by the bearer key, not by the ticket.
+/// Tickets are not signed. A node runs a forged ticket at most once like any other, and the bearer
+/// key, not the ticket, identifies the team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket {
-    /// Who issued it.
+    /// Incarnation of the node that issued the ticket.
     pub owner: Owner,
-    /// When, by the issuer's own monotonic clock, in whole milliseconds.
+    /// Time of issue by the issuer's monotonic clock, in whole milliseconds.
     pub issued: Now,
-    /// Its number among the issuer's tickets.
+    /// Sequence number among the issuer's tickets.
     pub number: u64,
 }
 
-/// The text is no ticket.
+/// The text is not a valid ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Error;
 
-/// Result of reading a ticket.
+/// Result of parsing a ticket.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("no ticket")
+        f.write_str("not a valid ticket")
     }
 }
 
@@ -52,8 +52,8 @@
 impl FromStr for Ticket {
     type Err = Error;
 
-    /// Takes exactly what `Display` gives: two texts for one ticket would be two keys for one
-    /// promise.
+    /// Accepts exactly the text that `Display` produces. A second text for the same ticket would be a
+    /// second key, and the ticket could run twice.
     fn from_str(text: &str) -> Result<Self> {
         let rest = text.strip_prefix(PREFIX).ok_or(Error)?;
         let mut parts = rest.split('-').map(|part| u64::from_str_radix(part, 16));
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,13 +1,14 @@
-//! Claims of idempotency keys, leases with fencing numbers and the order of a roll, without I/O.
+//! State machines for claims of idempotency keys, leases with fencing numbers, and rolling updates.
 //!
-//! - [`claim`]: a request that may not be repeated runs at most once over all nodes.
-//! - [`group_lease`]: one holder at a time gives orders to a group of endpoints.
-//! - [`roll`]: which order to which endpoint comes next on the way to the bundle's desired state.
+//! - [`claim`]: runs each non-idempotent request at most once across all nodes.
+//! - [`group_lease`]: elects one node at a time to send orders to a group of endpoints.
+//! - [`roll`]: selects the next orders that bring endpoints to the bundle's desired state.
 //!
-//! Inputs are events with the time they came at; outputs are actions that the node carries out.
-//! The log service is the only thing agreed upon: its order decides, and every table judges only
-//! by what it has read back. Left to others: sockets (`platform`, `engine`), who lives
-//! (`member`), queues and retries of requests (`route`), the answers' bytes (`entry`).
+//! The crate does no I/O. Its inputs are events with the time at which they occurred, and its
+//! outputs are actions for the node to execute. The log service is the only source of agreement:
+//! the order of its records decides, and each table relies only on records that it has read back.
+//! Other crates handle sockets (`platform`, `engine`), membership (`member`), queues and retries of
+//! requests (`route`), and the contents of answers (`entry`).
 
 use std::time::Duration;
 
@@ -23,11 +24,11 @@
 pub use owner::Owner;
 pub use page::{Page, Record};
 
-/// Time since the process started, on the monotonic clock.
+/// Time since the start of the process, by the monotonic clock.
 pub type Now = Duration;
-/// Time since the Unix epoch, on the wall clock.
+/// Time since the Unix epoch, by the wall clock.
 pub type WallTime = Duration;
-/// Place of a record in its stream.
+/// Position of a record in its stream.
 pub type Offset = u64;
-/// Id of a request, unique over all nodes.
+/// Id of a request, unique across all nodes.
 pub type RequestId = u128;
--- a/crates/lease/src/outcome.rs
+++ b/crates/lease/src/outcome.rs
@@ -1,16 +1,16 @@
-//! How a request that may not be repeated ended.
+//! Outcome of a non-idempotent request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// An outcome.
+/// How the run of a non-idempotent request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran to its end.
+    /// The request ran to completion.
     Complete,
-    /// No byte that could start it left for any endpoint, under this key, on any node.
+    /// No node sent any byte that could start a request with this key to an endpoint.
     NotRun,
-    /// It may have run, in part or in whole, and won't be repeated.
+    /// The request may have run, partly or completely, and is not repeated.
     Unknown,
 }
 
--- a/crates/lease/src/owner.rs
+++ b/crates/lease/src/owner.rs
@@ -1,18 +1,20 @@
-//! Who holds a claim or a lease.
+//! Owner of a claim or a lease.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Number of a node, the same on all nodes and over its restarts.
+/// Id of a node, the same on all nodes and across its restarts.
 pub type NodeId = u64;
 
-/// One run of one node's process. What it owned is never taken over by the node's next run, which
-/// has another incarnation and can't know what its predecessor had sent.
+/// One run of one node's process.
+///
+/// The node's next run has another incarnation and never inherits what this one owned, since it
+/// can't know what its predecessor sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Drawn anew at each start of its process.
+    /// Random number drawn at each start of the node's process.
     pub incarnation: u64,
 }
 
--- a/crates/lease/src/page.rs
+++ b/crates/lease/src/page.rs
@@ -1,24 +1,26 @@
-//! A part of a stream of the log, as read.
+//! Pages of records read from a stream of the log service.
 
 use crate::Offset;
 use bytes::Bytes;
 
-/// A record.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its place in the stream.
+    /// Position in the stream.
     pub offset: Offset,
-    /// What was appended.
+    /// Appended bytes.
     pub body: Bytes,
 }
 
-/// Consecutive records; the reader of the page has checked that it has no hole.
+/// Consecutive records of a stream. Whoever builds a page must have checked that its offsets have
+/// no gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The first offset that the stream still holds.
+    /// First offset that the stream still retains.
     pub first: Offset,
-    /// One past the last record given, or `max(first, offset asked for)`.
+    /// Offset after the last record of the page, or `max(first, requested offset)` if the page is
+    /// empty.
     pub next: Offset,
-    /// The records, in order.
+    /// Records in the order of their offsets.
     pub records: Vec<Record>,
 }
