--- a/crates/lease/src/group_lease.rs
+++ b/crates/lease/src/group_lease.rs
@@ -1,10 +1,13 @@
-//! Leases: one holder at a time gives orders to a group of endpoints.
+//! Leases: one node at a time sends orders to a group of endpoints.
 //!
-//! A node takes a group by a record in the stream [`STREAM`] that names how far it had read. The
-//! record counts if no other one that counts lies between that place and its own. The fencing
-//! number is the offset of the record that began the holder's tenure. The holder asks
-//! [`Table::permit`] right before it sends; a successor waits out the term and the longest order,
-//! counted from when it read the last record of another. See `docs/design/roll.md`.
+//! A node acquires the lease of a group by a record in the stream [`STREAM`]. The record contains the
+//! offset up to which the node had read the stream, and is valid if there is no other valid record
+//! of the group between that offset and its own. The fencing number is the offset of the record with
+//! which the holder's tenure began.
+//!
+//! The holder calls [`Table::permit`] right before it sends an order. A successor waits for the term
+//! of the lease and the longest duration of an order, counted from when it read the last record of
+//! another node. See `docs/design/roll.md`.
 
 pub mod action;
 pub mod check;
@@ -21,18 +24,18 @@
 pub use settings::Settings;
 pub use table::Table;
 
-/// Name of the stream.
+/// Name of the stream of leases.
 pub const STREAM: &str = "leases";
-/// A group of endpoints; the hash of its name, so that it outlives bundles.
+/// Id of a group of endpoints: the hash of its name, so that it stays the same across bundles.
 pub type Group = u64;
-/// A fencing number.
+/// Fencing number of a lease.
 pub type Fence = crate::Offset;
-/// Number of a record's item among its owner's; never used twice.
+/// Sequence number of an item among those of its owner, never reused.
 pub type Number = u64;
-/// Number of an append among the table's appends.
+/// Sequence number of an append of a table.
 pub type Batch = u64;
 
-/// The group of this name.
+/// Returns the id of the group with this name.
 pub fn group(name: &str) -> Group {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/lease/src/group_lease/check.rs
+++ b/crates/lease/src/group_lease/check.rs
@@ -1,16 +1,16 @@
-//! Invariants of a lease table, checked apart from the code that keeps them.
+//! Checks of a lease table's invariants, independent of the code that maintains them.
 
 use crate::Now;
 use crate::group_lease::Group;
 use crate::group_lease::table::Table;
 use std::fmt;
 
-/// An invariant that does not hold, and where.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The group.
+    /// Group concerned.
     pub group: Group,
-    /// What does not hold.
+    /// Description of the violation.
     pub text: &'static str,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl Table {
-    /// All invariants that do not hold.
+    /// Returns all violated invariants.
     pub fn check(&self, now: Now) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (group, state) in &self.groups {
@@ -36,16 +36,16 @@
                 report("the lease lasts longer than its term");
             }
             if tenure.expiry != tenure.sent + self.settings.term {
-                report("the lease does not last from when its record was sent");
+                report("the term of the lease does not start when its record was sent");
             }
             if tenure.fence >= self.next {
-                report("the fencing number has not been read");
+                report("the record with the offset of the fencing number has not been read");
             }
             if state.last_valid().is_some_and(|valid| tenure.fence > valid) {
-                report("the fencing number is not that of a record that counts");
+                report("the fencing number is higher than the offset of the last valid record");
             }
             if state.rank.is_none() {
-                report("held and not wanted");
+                report("the lease is held but this node is no candidate for it");
             }
         }
         findings
--- a/crates/lease/src/group_lease/counters.rs
+++ b/crates/lease/src/group_lease/counters.rs
@@ -1,27 +1,27 @@
-//! Counts of a lease table, since its start.
+//! Counters of a lease table.
 
 use std::fmt;
 
-/// Counters.
+/// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Tenures begun.
+    /// Leases acquired.
     pub gained: u64,
-    /// Tenures that lapsed or were taken over.
+    /// Leases lost: expired, taken over, or no longer wanted.
     pub lost: u64,
-    /// Records of this node that another one beat.
+    /// Records of this node that were not valid, mostly since another node's record came first.
     pub beaten: u64,
-    /// Appends asked for.
+    /// Appends requested.
     pub appends: u64,
-    /// Appends that may have had an effect.
+    /// Appends of unknown outcome.
     pub unsure: u64,
-    /// Appends or reads that failed.
+    /// Failed reads, and appends that failed or had an unknown outcome.
     pub failed: u64,
     /// Records that could not be decoded.
     pub undecodable: u64,
-    /// Times that records were dropped before this node had read them.
+    /// Times that the stream dropped records before this node read them.
     pub gaps: u64,
-    /// Invariants found broken; anything but 0 is a defect of the program.
+    /// Violated invariants. Any value other than 0 is a bug.
     pub broken: u64,
 }
 
--- a/crates/lease/src/group_lease/event.rs
+++ b/crates/lease/src/group_lease/event.rs
@@ -1,27 +1,29 @@
-//! What happens to a lease table.
+//! Events that a lease table handles.
 
 use crate::Page;
 use crate::group_lease::{Batch, Group};
 use bundle::id::Number;
 
-/// A group that this node is ready to hold.
+/// Candidacy of this node for the lease of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidacy {
     /// The group.
     pub group: Group,
-    /// The node's rank for it among the live nodes; the lowest takes it first.
+    /// Rank of this node among the live candidates. The node of the lowest rank acquires a free group
+    /// first.
     pub rank: u32,
 }
 
-/// An event.
+/// An event that a lease table handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The groups wanted from now on. One that is held and no longer wanted gets no permit any more
-    /// and is given back after the time of the longest order.
+    /// The groups that this node is now a candidate for. A lease held for any other group gives no
+    /// more permits, and is released after the maximum duration of an order.
     Candidacies(Vec<Candidacy>),
-    /// The holder stopped the roll of this bundle; later holders learn it from the lease.
+    /// The holder, this node, stopped the roll of this bundle. The lease passes this on to later
+    /// holders.
     RollStopped(Group, Number),
-    /// A read gave a page.
+    /// A read returned a page.
     Page(Page),
     /// A read failed.
     ReadFailed,
@@ -29,8 +31,8 @@
     Appended(Batch),
     /// An append had no effect.
     AppendFailed(Batch),
-    /// An append may have had an effect.
+    /// An append has an unknown outcome: it may have taken effect.
     AppendUnsure(Batch),
-    /// Time passed; comes at least every 100 ms.
+    /// Time has passed. Must be reported at least every 100 ms.
     Tick,
 }
--- a/crates/lease/src/group_lease/record.rs
+++ b/crates/lease/src/group_lease/record.rs
@@ -1,4 +1,4 @@
-//! Records of the leases stream.
+//! Records of the stream of leases.
 
 use crate::group_lease::{Group, Number};
 use crate::{Offset, Owner};
@@ -7,67 +7,68 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Largest record, in bytes.
+/// Maximum size of a record in bytes.
 pub const MAX_BYTES: usize = 16 << 10;
-/// Most items of a record.
+/// Maximum number of items in a record.
 pub const MAX_ITEMS: usize = 256;
 /// Version of the encoding, the first byte of each record.
 const VERSION: u8 = 1;
 
-/// One thing said about one group.
+/// A statement about one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
-    /// The owner takes or renews the group.
+    /// The owner acquires or renews the lease of the group.
     #[serde(rename = "Take")]
     Acquire {
         /// The group.
         group: Group,
-        /// The item's number.
+        /// Sequence number of the item.
         number: Number,
-        /// The owner had read all offsets below this.
+        /// Offset below which the owner had read all records.
         upto: Offset,
-        /// Highest number of a bundle whose roll was stopped.
+        /// Highest number of a bundle whose roll was stopped in the group, or 0.
         stop: id::Number,
     },
-    /// The owner lets go of the group; none of its orders is under way.
+    /// The owner releases the lease of the group. None of its orders is in flight.
     #[serde(rename = "Give")]
     Release {
         /// The group.
         group: Group,
-        /// Highest number that the owner has given out: later items take the group anew.
+        /// Highest number that the owner had assigned. Its items with higher numbers acquire the group
+        /// again.
         number: Number,
     },
 }
 
-/// A record.
+/// Content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who appended it.
+    /// Owner that appended the record.
     pub owner: Owner,
-    /// Items.
+    /// Items of the record.
     pub items: Vec<Item>,
 }
 
-/// A record that can't be decoded.
+/// Error of decoding a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Larger than [`MAX_BYTES`] or with more than [`MAX_ITEMS`] items.
     Large,
-    /// Another version of the encoding.
+    /// Unsupported version of the encoding.
     Version,
-    /// Not what the encoding gives; the text says where.
+    /// Malformed record, with details.
     Code(String),
 }
 
-/// Result of decoding.
+/// Result of decoding a record.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Large => f.write_str("record too large"),
-            Self::Version => f.write_str("record of another version"),
-            Self::Code(text) => write!(f, "undecodable record: {text}"),
+            Self::Version => f.write_str("unsupported record version"),
+            Self::Code(text) => write!(f, "malformed record: {text}"),
         }
     }
 }
@@ -95,7 +96,7 @@
         let (record, used): (Self, usize) = bincode::serde::decode_from_slice(body, config)
             .map_err(|e| Error::Code(e.to_string()))?;
         if used != body.len() {
-            return Err(Error::Code(format!("{} bytes too many", body.len() - used)));
+            return Err(Error::Code(format!("{} trailing bytes", body.len() - used)));
         }
         match record.items.len() > MAX_ITEMS {
             true => Err(Error::Large),
--- a/crates/lease/src/group_lease/settings.rs
+++ b/crates/lease/src/group_lease/settings.rs
@@ -1,23 +1,23 @@
-//! Settings of a lease table, the same on all nodes.
+//! Settings of a lease table. They must be the same on all nodes.
 
 use std::time::Duration;
 
-/// Settings.
+/// Settings of a lease table.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a lease lasts from when its record was sent.
+    /// Duration of a lease from when its record was sent.
     pub term: Duration,
-    /// Longest time from the sending of an order to its last effect.
+    /// Maximum time from the sending of an order to its last effect.
     pub max_order_time: Duration,
-    /// Allowance for clocks that run at different rates over a term and the longest order.
+    /// Allowance for the different rates of clocks over a term and the longest order.
     pub clock_margin: Duration,
-    /// When a lease is renewed, after its record was sent.
+    /// Time after which a lease is renewed, from when its record was sent.
     pub renew_interval: Duration,
-    /// Nodes of the next rank wait this much longer before they take a free group.
+    /// Additional delay for each rank before a node acquires a free group.
     pub rank_delay: Duration,
-    /// Least wait after a failed call.
+    /// Minimum backoff after a failed call.
     pub min_backoff: Duration,
-    /// Longest wait after a failed call.
+    /// Maximum backoff after a failed call.
     pub max_backoff: Duration,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Settings {
-    /// How long a successor waits after it read another's record.
+    /// Time that a successor waits after it has read a record of another node.
     pub fn takeover_delay(&self) -> Duration {
         self.term + self.max_order_time + self.clock_margin
     }
--- a/crates/lease/src/group_lease/state.rs
+++ b/crates/lease/src/group_lease/state.rs
@@ -1,4 +1,4 @@
-//! One group's lease, as this node has read it.
+//! State of the lease of one group, as far as this node has read the stream.
 
 use crate::group_lease::{Fence, Number, Settings};
 use crate::{Now, Offset, Owner};
@@ -7,56 +7,56 @@
 /// A lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tenure {
-    /// Its fencing number.
+    /// Fencing number of the lease.
     pub fence: Fence,
-    /// When the record was sent that it last was taken or renewed by.
+    /// Time at which this node sent the record that last acquired or renewed the lease.
     pub sent: Now,
-    /// When it lapses.
+    /// Time at which the lease expires.
     pub expiry: Now,
 }
 
-/// How a record that takes the group is judged.
+/// Validity of a record that acquires or renews the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It counts.
+    /// The record is valid.
     Valid,
-    /// It does not count.
+    /// The record is invalid.
     Invalid,
-    /// What this node has read does not tell.
+    /// The records that this node has read don't decide whether the record is valid.
     Undecided,
 }
 
-/// A group.
+/// State of the lease of one group.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// This node's rank, if it wants the group.
+    /// Rank of this node, if it is a candidate for the group.
     pub rank: Option<u32>,
-    /// Offset of the last record that counts for certain.
+    /// Offset of the last record that is certainly valid.
     last_valid: Option<Offset>,
-    /// Offset of the last record that may count.
+    /// Offset of the last record that is possibly valid.
     last_possible: Option<Offset>,
-    /// Who appended that one.
+    /// Owner of the last possibly valid record, unless it has released the group.
     pub owner: Option<Owner>,
-    /// Number of its last record.
+    /// Sequence number of that record's item, if another node appended it.
     number: Number,
-    /// When the group is free to take, as far as this node knows.
+    /// Time from which the group is free to acquire, as far as this node knows.
     free_at: Now,
-    /// The lease that this node holds.
+    /// Lease that this node holds, if any.
     pub tenure: Option<Tenure>,
-    /// Highest number of a bundle whose roll was stopped.
+    /// Highest number of a bundle whose roll was stopped, or 0.
     pub stop: id::Number,
-    /// When a record that took effect, and has not been read back, was sent.
+    /// Time at which this node sent a record that has not failed and has not been read back.
     pub unconfirmed_since: Option<Now>,
-    /// Whether the next record must not wait for the time of renewal.
+    /// Whether the next record must be sent before renewal is due.
     pub urgent: bool,
 }
 
 impl State {
-    /// Judges a record at `offset` whose owner had read to `upto`; `start` is where this node's
-    /// own view begins.
+    /// Validates a record at `offset` whose owner had read all offsets below `upto`. `start` is the
+    /// first offset that this node has read.
     ///
-    /// What a late reader can't judge, it takes for valid when it decides whether to wait, and for
-    /// not valid when it is its own.
+    /// A node that started to read late can't decide on some records. It waits as if an undecided
+    /// record of another node were valid, but doesn't rely on one of its own.
     pub fn validate(&mut self, offset: Offset, upto: Offset, start: Offset) -> Verdict {
         let verdict = match (self.last_valid, self.last_possible) {
             _ if upto > offset => Verdict::Invalid,
@@ -74,16 +74,16 @@
         verdict
     }
 
-    /// Another's record that may count was read. Its lease can't outlast the wait, since it runs from
-    /// when the record was sent.
+    /// Handles a possibly valid record of another owner. Its lease can't outlast the takeover delay,
+    /// since its term started when the record was sent.
     pub fn record_holder(&mut self, now: Now, owner: Owner, number: Number, settings: &Settings) {
         self.owner = Some(owner);
         self.number = number;
         self.free_at = now + settings.takeover_delay();
     }
 
-    /// The owner let go of the group. A record of this that arrives after the owner took the group
-    /// anew must not free it: its number is lower then.
+    /// Handles a release by `owner`. Ignores a release that arrives after the owner has acquired the
+    /// group again, which its lower number shows.
     pub fn release(&mut self, now: Now, owner: Owner, number: Number) {
         if self.owner == Some(owner) && self.number <= number {
             self.owner = None;
@@ -91,14 +91,15 @@
         }
     }
 
-    /// This node's view begins anew, and the group is free at `free` unless a record says otherwise.
+    /// Forgets the records that were read. The group is free from `free_at` on unless a record read
+    /// later says otherwise.
     pub fn reset(&mut self, free_at: Now) {
         self.last_valid = None;
         self.last_possible = None;
         self.free_at = free_at;
     }
 
-    /// Whether a record may be sent to take or renew the group.
+    /// Returns whether a record to acquire or renew the lease is due.
     pub fn is_due(&self, now: Now, settings: &Settings) -> bool {
         let Some(rank) = self.rank else { return false };
         if self
@@ -113,12 +114,12 @@
         now >= self.free_at + settings.rank_delay * rank
     }
 
-    /// The lease that this node holds and that has not lapsed.
+    /// Returns the lease that this node holds, if it has not expired.
     pub fn tenure_at(&self, now: Now) -> Option<&Tenure> {
         self.tenure.as_ref().filter(|tenure| now < tenure.expiry)
     }
 
-    /// This node's record counts.
+    /// Handles a valid record of this node, which was sent at `sent`.
     pub fn acquire(&mut self, now: Now, offset: Offset, me: Owner, sent: Now, settings: &Settings) {
         let fence = self.tenure_at(now).map_or(offset, |tenure| tenure.fence);
         let expiry = sent + settings.term;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Offset of the last record that counts for certain.
+    /// Offset of the last record that is certainly valid.
     pub fn last_valid(&self) -> Option<Offset> {
         self.last_valid
     }
@@ -144,8 +145,8 @@
 /// A record of this node that has not been read back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its number.
+    /// Sequence number of the record's item.
     pub number: Number,
-    /// When it was sent.
+    /// Time at which the record was sent.
     pub at: Now,
 }
--- a/crates/lease/src/group_lease/table.rs
+++ b/crates/lease/src/group_lease/table.rs
@@ -1,4 +1,4 @@
-//! A node's lease table.
+//! Lease table of a node.
 
 mod read;
 
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// A node's state of leases.
+/// Leases of a node.
 #[derive(Debug)]
 pub struct Table {
     pub(super) me: Owner,
@@ -23,12 +23,12 @@
     pub(super) groups: BTreeMap<Group, State>,
     pub(super) next: Offset,
     pub(super) start: Option<Offset>,
-    /// When a group of which nothing was read is free to take.
+    /// Time from which a group without any record is free to acquire.
     free_at: Now,
     caught_up: bool,
     reading: bool,
     in_flight: Option<Batch>,
-    /// Groups to give back, and when.
+    /// Groups to release, with the time of the release.
     pending_releases: Vec<(Now, Group)>,
     pub(super) attempts: VecDeque<Attempt>,
     pub(super) number: Number,
@@ -40,7 +40,7 @@
 }
 
 impl Table {
-    /// An empty table. `me` must never have been the owner of anything before.
+    /// Returns an empty table. `me` must never have been used before as the owner of any lease.
     pub fn new(me: Owner, seed: u64, settings: Settings) -> Self {
         Self {
             me,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in an event and adds what is to be done.
+    /// Handles an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         self.expire_tenures(now, actions);
         match event {
@@ -85,10 +85,10 @@
         debug_assert!(findings.is_empty(), "{findings:?}");
     }
 
-    /// The fencing number for an order to the group, if it may be sent at this very moment.
+    /// Returns the fencing number for an order to the group, if the order may be sent now.
     ///
-    /// To be asked right before the bytes leave, with the clock read just then: a holder that was
-    /// paused since an earlier answer would give orders beside its successor.
+    /// Must be called right before the order is sent, with the current time. If the process is paused
+    /// between an earlier permit and the sending, it sends orders while its successor does so too.
     pub fn permit(&self, now: Now, group: Group) -> Option<Fence> {
         let tenure = self
             .groups
@@ -97,17 +97,17 @@
         Some(tenure.fence)
     }
 
-    /// Number of the bundle whose roll was last stopped in this group; 0 for none.
+    /// Returns the highest number of a bundle whose roll was stopped in the group, or 0.
     pub fn stopped_bundle(&self, group: Group) -> id::Number {
         self.groups.get(&group).map_or(0, |state| state.stop)
     }
 
-    /// Who holds the group, as far as this node knows.
+    /// Returns the owner of the group's lease, as far as this node knows. The lease may have expired.
     pub fn holder(&self, group: Group) -> Option<Owner> {
         self.groups.get(&group)?.owner
     }
 
-    /// Counts since the start.
+    /// Counts since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -124,7 +124,7 @@
             self.counters.lost += 1;
             actions.push(Action::Lost(*group));
             if now < tenure.expiry {
-                // Its last order may still be under way.
+                // The last order may still be in flight.
                 let due = now + self.settings.max_order_time + self.settings.clock_margin;
                 self.pending_releases.push((due, *group));
             }
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Leases that lapsed are lost at once, whatever the log does.
+    /// Drops expired leases, regardless of the state of the log.
     fn expire_tenures(&mut self, now: Now, actions: &mut Vec<Action>) {
         for (group, state) in &mut self.groups {
             if state
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Groups whose last order has ended. One that is wanted again by then is not given back.
+    /// Returns releases of groups whose last order must have ended. Skips groups that this node has
+    /// become a candidate for again.
     fn due_releases(&mut self, now: Now) -> Vec<Item> {
         let due: Vec<_> = self
             .pending_releases
@@ -229,8 +230,8 @@
         .collect()
     }
 
-    /// One record for all groups that are due. Each try has numbers and a time of its own: a late
-    /// one that counts gives the term that is left of it, no more.
+    /// Appends one record for all groups that are due. Each attempt has its own numbers and time, so
+    /// that a record that takes effect late gives only the rest of its term.
     fn append_due(&mut self, now: Now, actions: &mut Vec<Action>) {
         let mut items = self.due_releases(now);
         for (group, state) in &mut self.groups {
--- a/crates/lease/src/group_lease/table/read.rs
+++ b/crates/lease/src/group_lease/table/read.rs
@@ -1,4 +1,4 @@
-//! Records read by a lease table.
+//! Handling of the records that a lease table reads.
 
 use super::Table;
 use crate::group_lease::record::{Item, Record};
@@ -31,7 +31,8 @@
         self.caught_up |= page.records.is_empty();
     }
 
-    /// Starts at the first record held, or starts over when retention was faster than this reader.
+    /// Starts at the first retained record, or restarts there if the stream dropped records before
+    /// this node read them.
     fn reset_if_gap(&mut self, now: Now, first: Offset) {
         let started = self.start.is_some();
         if started && first <= self.next {
@@ -41,7 +42,7 @@
         self.caught_up = false;
         self.start = Some(first);
         self.next = first;
-        // A lease acquisition by a record that is gone may still run.
+        // A lease acquired by a dropped record may still be in force.
         let wait = if first > 0 {
             self.settings.takeover_delay()
         } else {
@@ -100,7 +101,7 @@
             verdict,
             ..
         } = acquisition;
-        // A number that was never given out is another process's that passes for this one.
+        // A number that was never assigned belongs to another process with the same owner id.
         if owner == self.me && number <= self.number {
             return self.confirm_own(now, acquisition, actions);
         }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A record of this node was read back.
+    /// Handles a record of this node that was read back.
     fn confirm_own(&mut self, now: Now, acquisition: Acquisition, actions: &mut Vec<Action>) {
         let Acquisition {
             offset,
@@ -140,7 +141,8 @@
             return;
         }
         let held = state.tenure_at(now).is_some();
-        // Read back after its own term, or no longer wanted: others wait it out.
+        // The term has already ended, or this node is no longer a candidate. Other nodes wait until
+        // the takeover delay has passed.
         if now >= attempt.at + self.settings.term || state.rank.is_none() {
             return;
         }
@@ -152,7 +154,7 @@
     }
 }
 
-/// A judged record that takes a group.
+/// An item that acquires or renews the lease of a group, with its validity.
 #[derive(Clone, Copy)]
 struct Acquisition {
     offset: Offset,
