--- a/crates/lease/src/claim/key.rs
+++ b/crates/lease/src/claim/key.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Empty, over [`MAX_LEN`], or with characters outside visible ASCII.
-    Text,
+    InvalidText,
     /// Has the prefix of a ticket but is not a valid ticket.
-    Ticket,
+    InvalidTicket,
     /// Neither a UUID of version 7 nor a date in seconds followed by a hyphen and text.
     Undated,
 }
@@ -57,11 +57,11 @@
     pub fn parse(team: &str, text: &str) -> Result<Self> {
         let visible = text.bytes().all(|b| b.is_ascii_graphic());
         if text.is_empty() || text.len() > MAX_LEN || !visible {
-            return Err(Error::Text);
+            return Err(Error::InvalidText);
         }
         let hash = hash(team, text);
         if text.starts_with(ticket::PREFIX) {
-            let ticket = text.parse().map_err(|_| Error::Ticket)?;
+            let ticket = text.parse().map_err(|_| Error::InvalidTicket)?;
             return Ok(Self::Ticket(ticket, hash));
         }
         let date = seconds(text).or_else(|| uuid(text)).ok_or(Error::Undated)?;
@@ -80,8 +80,8 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Text => "the key is empty, too long or not visible ASCII",
-            Self::Ticket => "the key starts like a ticket and is none",
+            Self::InvalidText => "the key is empty, too long or not visible ASCII",
+            Self::InvalidTicket => "the key starts like a ticket and is none",
             Self::Undated => "the key is neither a ticket, a UUIDv7 nor SECONDS-TEXT",
         })
     }
--- a/crates/lease/src/claim/record.rs
+++ b/crates/lease/src/claim/record.rs
@@ -57,11 +57,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Larger than [`MAX_BYTES`] or with more than [`MAX_ITEMS`] items.
-    Large,
+    TooLarge,
     /// Unsupported version of the encoding.
-    Version,
+    UnsupportedVersion,
     /// Malformed record, with details.
-    Code(String),
+    Malformed(String),
 }
 
 /// Result of decoding a record.
@@ -70,9 +70,9 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Large => f.write_str("record too large"),
-            Self::Version => f.write_str("unsupported record version"),
-            Self::Code(text) => write!(f, "malformed record: {text}"),
+            Self::TooLarge => f.write_str("record too large"),
+            Self::UnsupportedVersion => f.write_str("unsupported record version"),
+            Self::Malformed(text) => write!(f, "malformed record: {text}"),
         }
     }
 }
@@ -116,16 +116,19 @@
     /// Decodes a record.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         if bytes.len() > MAX_BYTES {
-            return Err(Error::Large);
+            return Err(Error::TooLarge);
         }
         let Some((&VERSION, body)) = bytes.split_first() else {
-            return Err(Error::Version);
+            return Err(Error::UnsupportedVersion);
         };
         let config = bincode::config::standard().with_limit::<MAX_BYTES>();
         let (wire, used): (WireBatch, usize) = bincode::serde::decode_from_slice(body, config)
-            .map_err(|e| Error::Code(e.to_string()))?;
+            .map_err(|e| Error::Malformed(e.to_string()))?;
         if used != body.len() {
-            return Err(Error::Code(format!("{} trailing bytes", body.len() - used)));
+            return Err(Error::Malformed(format!(
+                "{} trailing bytes",
+                body.len() - used
+            )));
         }
         Self::try_from(wire)
     }
@@ -175,7 +178,7 @@
 
     fn try_from(wire: WireBatch) -> Result<Self> {
         if wire.items.len() > MAX_ITEMS {
-            return Err(Error::Large);
+            return Err(Error::TooLarge);
         }
         let incarnation = u64::from_le_bytes(wire.incarnation);
         Ok(Self {
--- a/crates/lease/src/group_lease/record.rs
+++ b/crates/lease/src/group_lease/record.rs
@@ -53,11 +53,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Larger than [`MAX_BYTES`] or with more than [`MAX_ITEMS`] items.
-    Large,
+    TooLarge,
     /// Unsupported version of the encoding.
-    Version,
+    UnsupportedVersion,
     /// Malformed record, with details.
-    Code(String),
+    Malformed(String),
 }
 
 /// Result of decoding a record.
@@ -66,9 +66,9 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Large => f.write_str("record too large"),
-            Self::Version => f.write_str("unsupported record version"),
-            Self::Code(text) => write!(f, "malformed record: {text}"),
+            Self::TooLarge => f.write_str("record too large"),
+            Self::UnsupportedVersion => f.write_str("unsupported record version"),
+            Self::Malformed(text) => write!(f, "malformed record: {text}"),
         }
     }
 }
@@ -87,19 +87,22 @@
     /// Decodes a record.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         if bytes.len() > MAX_BYTES {
-            return Err(Error::Large);
+            return Err(Error::TooLarge);
         }
         let Some((&VERSION, body)) = bytes.split_first() else {
-            return Err(Error::Version);
+            return Err(Error::UnsupportedVersion);
         };
         let config = bincode::config::standard().with_limit::<MAX_BYTES>();
         let (record, used): (Self, usize) = bincode::serde::decode_from_slice(body, config)
-            .map_err(|e| Error::Code(e.to_string()))?;
+            .map_err(|e| Error::Malformed(e.to_string()))?;
         if used != body.len() {
-            return Err(Error::Code(format!("{} trailing bytes", body.len() - used)));
+            return Err(Error::Malformed(format!(
+                "{} trailing bytes",
+                body.len() - used
+            )));
         }
         match record.items.len() > MAX_ITEMS {
-            true => Err(Error::Large),
+            true => Err(Error::TooLarge),
             false => Ok(record),
         }
     }
--- a/crates/lease/tests/decode.rs
+++ b/crates/lease/tests/decode.rs
@@ -104,10 +104,10 @@
     );
     assert_eq!(dated("1764700000-"), Err(Error::Undated));
     assert_eq!(dated("lock-7"), Err(Error::Undated));
-    assert_eq!(dated("ticket-1"), Err(Error::Ticket));
-    assert_eq!(dated(""), Err(Error::Text));
-    assert_eq!(dated("1764700000-a b"), Err(Error::Text));
-    assert_eq!(dated(&"1".repeat(MAX_LEN + 1)), Err(Error::Text));
+    assert_eq!(dated("ticket-1"), Err(Error::InvalidTicket));
+    assert_eq!(dated(""), Err(Error::InvalidText));
+    assert_eq!(dated("1764700000-a b"), Err(Error::InvalidText));
+    assert_eq!(dated(&"1".repeat(MAX_LEN + 1)), Err(Error::InvalidText));
 }
 
 #[test]
