--- a/crates/lease/src/roll.rs
+++ b/crates/lease/src/roll.rs
@@ -1,9 +1,9 @@
-//! The roll: which order to which endpoint comes next towards the bundle's desired state.
+//! Rolls: rolling updates that bring the endpoints of a group to the bundle's desired state.
 //!
-//! The holder of a group's lease calls [`Roll::step`] with a [`View`]: the bundle in force, what the
-//! endpoints report and what the weight store allows. Orders are idempotent: they name the state
-//! to reach, and any other state that is reported later, for whatever reason, is ordered right
-//! again. See `docs/design/roll.md`.
+//! The holder of the group's lease calls [`Roll::step`] with a [`View`]: the bundle in force, the
+//! reports of the endpoints and the rate that the weight store allows. Orders are idempotent, since
+//! each names the state to reach. If an endpoint later reports another state, for whatever reason,
+//! it gets a new order. See `docs/design/roll.md`.
 
 pub mod action;
 pub mod check;
--- a/crates/lease/src/roll/action.rs
+++ b/crates/lease/src/roll/action.rs
@@ -1,42 +1,42 @@
-//! What a roll asks its node to do.
+//! Actions that a roll returns for the node to execute.
 
 use crate::Now;
 use crate::roll::order::Order;
 use crate::roll::phase::Phase;
 use bundle::id::{EndpointId, Number};
 
-/// Why a new replica counts as failed.
+/// Cause of a new replica's failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It was not ready in time.
+    /// The replica was not ready in time.
     Late,
-    /// It went down while it loaded.
+    /// The endpoint went down during the load.
     Died,
-    /// It went down soon after it was ready.
+    /// The endpoint went down soon after the replica was ready.
     Unstable,
-    /// It refused the order.
+    /// The endpoint refused the order.
     Refused,
 }
 
-/// A new replica that failed.
+/// Failure of a new replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Name of the endpoint.
     pub endpoint: String,
-    /// Why.
+    /// Cause of the failure.
     pub cause: Cause,
-    /// When.
+    /// Time at which the failure was detected.
     pub at: Now,
 }
 
-/// An action.
+/// An action of a roll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Give the endpoint an order, with the fencing number that the permit gives right before it
-    /// is sent.
+    /// Send the endpoint an order, with the fencing number that
+    /// [`permit`](crate::group_lease::Table::permit) returns right before the sending.
     Order(EndpointId, Order),
-    /// Stop the roll of this bundle, and note it in the lease so that successors know.
+    /// Stop the roll of this bundle, and record this in the lease for later holders.
     Stop(Number, Vec<Failure>),
-    /// The phase changed; worth a log line.
+    /// Log the new phase of the roll.
     Phase(Phase),
 }
--- a/crates/lease/src/roll/coverage.rs
+++ b/crates/lease/src/roll/coverage.rs
@@ -1,4 +1,4 @@
-//! Which layers of each model are held by endpoints that are ready.
+//! Layers of each model that ready endpoints hold.
 
 use crate::roll::report::Holding;
 use crate::roll::view::View;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// By model and version: how many endpoints hold each layer ready.
+/// Number of endpoints that hold each layer ready, by model and version.
 ///
-/// Versions are never added up: a token whose layers ran on two versions is wrong.
+/// Versions are counted separately, since a token computed by layers of two versions is wrong.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage<'a> {
     models: BTreeMap<&'a str, BTreeMap<&'a str, Vec<u32>>>,
 }
 
 impl<'a> Coverage<'a> {
-    /// Counts the group's endpoints that are up, but for those that `skip` names.
+    /// Counts the holdings of the group's endpoints that are up, except those that `skip` selects.
     pub fn new(view: &View<'a>, skip: impl Fn(EndpointId) -> bool) -> Self {
         let mut cover = Self::default();
         let endpoints = view.up().filter(|id| !skip(*id));
@@ -38,7 +38,7 @@
         cover
     }
 
-    /// Takes out what an endpoint holds.
+    /// Removes the holdings of an endpoint from the counts.
     pub fn remove(&mut self, held: impl Iterator<Item = &'a Holding>) {
         for held in held.filter(|held| held.ready) {
             let versions = self.models.get_mut(held.model.as_str());
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Whether the model is whole in any version.
+    /// Returns whether all layers of the model are covered in any one version.
     pub fn is_complete(&self, model: &str) -> bool {
         let versions = self.models.get(model);
         versions.is_some_and(|versions| versions.values().any(|counts| all(counts)))
     }
 
-    /// Whether the model is whole in this version.
+    /// Returns whether all layers of the model are covered in this version.
     pub fn is_complete_in(&self, model: &str, version: &str) -> bool {
         let counts = self
             .models
@@ -67,7 +67,8 @@
         counts.is_some_and(|counts| all(counts))
     }
 
-    /// Whether the model would be whole in any version without an endpoint that holds this.
+    /// Returns whether all layers of the model would be covered in any one version without the
+    /// endpoint that has the holdings `held`.
     pub fn is_complete_without(&self, model: &str, held: &[&Holding]) -> bool {
         let Some(versions) = self.models.get(model) else {
             return false;
@@ -86,7 +87,7 @@
     !counts.is_empty() && counts.iter().all(|count| *count > 0)
 }
 
-/// The layers held, within the model's.
+/// Returns the layers of a holding, limited to those of the model.
 fn range(held: &Holding, layers: usize) -> Range<usize> {
     let to = usize::from(held.to).min(layers);
     usize::from(held.from).min(to)..to
--- a/crates/lease/src/roll/order.rs
+++ b/crates/lease/src/roll/order.rs
@@ -1,4 +1,4 @@
-//! Orders: each names a state to reach, so that doing it twice is doing it once.
+//! Orders to endpoints. Each names a state to reach, so that orders are idempotent.
 
 use crate::roll::report::{Holding, Report};
 use bundle::Bundle;
@@ -6,25 +6,25 @@
 use bundle::id::Layer;
 use std::fmt;
 
-/// An order.
+/// An order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Hold this range of a model's layers, with these adapters.
+    /// Load and hold this range of a model's layers, with these adapters.
     Load {
         /// Name of the model.
         model: String,
         /// Version of its weights.
         version: String,
-        /// Layers of the whole model.
+        /// Number of layers of the model.
         layers: Layer,
-        /// Adapters.
+        /// Names of the adapters to load.
         adapters: Vec<String>,
-        /// First layer.
+        /// First layer of the range.
         from: Layer,
-        /// One past the last layer.
+        /// Layer after the last one of the range.
         to: Layer,
     },
-    /// Hold no layers of this version.
+    /// Drop all layers of this version.
     Unload {
         /// Name of the model.
         model: String,
@@ -34,7 +34,7 @@
 }
 
 impl Order {
-    /// The order for a span of the bundle.
+    /// Returns the order to load a span of the bundle.
     pub fn load(bundle: &Bundle, span: &Span) -> Option<Self> {
         let model = bundle.models.get(usize::from(span.model))?;
         Some(Self::Load {
@@ -47,7 +47,7 @@
         })
     }
 
-    /// The order to drop what is holding.
+    /// Returns the order to drop a holding.
     pub fn unload(holding: &Holding) -> Self {
         Self::Unload {
             model: holding.model.clone(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether the state is reached.
+    /// Returns whether the report shows the state that the order names.
     pub fn is_fulfilled(&self, report: &Report) -> bool {
         match self {
             Self::Load { .. } => report
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether only adapters are missing, which an engine takes in while it runs.
+    /// Returns whether only adapters are missing. An engine loads them without interruption.
     pub fn changes_only_adapters(&self, report: &Report) -> bool {
         let Self::Load {
             model,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Whether this is what the order asks to hold, ready or not.
+    /// Returns whether the holding, ready or not, is the one that the order names.
     pub fn matches(&self, holding: &Holding) -> bool {
         let Self::Load {
             model,
@@ -109,7 +109,7 @@
                 .all(|adapter| holding.adapters.contains(adapter))
     }
 
-    /// Whether weights are fetched for it.
+    /// Returns whether the endpoint fetches weights for the order.
     pub fn fetches_weights(&self) -> bool {
         matches!(self, Self::Load { .. })
     }
--- a/crates/lease/src/roll/phase.rs
+++ b/crates/lease/src/roll/phase.rs
@@ -1,21 +1,22 @@
-//! How far a roll is.
+//! Progress of a roll.
 
 use bundle::id::{Number, ZoneId};
 use std::fmt;
 
-/// A phase.
+/// Phase of a roll.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Every endpoint that is there holds what the bundle wants.
+    /// Every endpoint that is up holds what the bundle assigns to it.
     #[default]
     Settled,
-    /// Endpoints of this availability zone load.
+    /// Endpoints in this availability zone are loading.
     Rolling(ZoneId),
-    /// The weight store's rate, the watch over a zone's new replicas or old requests hold it up.
+    /// The next loads wait for the rate of the weight store, for loads in another zone, or for the
+    /// watch of new replicas to end.
     Waiting,
-    /// The endpoint named can't be taken without a model losing its last ready replica.
+    /// The endpoint with this name can't load, since a model would lose its last ready replica.
     Blocked(String),
-    /// New replicas failed; only a newer bundle goes on.
+    /// New replicas of this bundle failed. Only a newer bundle resumes the roll.
     Stopped(Number),
 }
 
--- a/crates/lease/src/roll/plan.rs
+++ b/crates/lease/src/roll/plan.rs
@@ -1,4 +1,4 @@
-//! The decisions of a roll.
+//! Decisions of a roll.
 
 mod next;
 mod settle;
@@ -13,58 +13,61 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An order that was given and shows no effect yet.
+/// An order that was sent and is not fulfilled yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pending {
     /// The order.
     pub order: Order,
-    /// Number of the bundle that it serves.
+    /// Number of the bundle that the order belongs to.
     pub number: Number,
-    /// When it was first given.
+    /// Time at which the order was first sent.
     pub first_sent: Now,
-    /// When it was last given.
+    /// Time at which the order was last sent.
     pub last_sent: Now,
-    /// The endpoint's availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneId,
-    /// Whether it fills an endpoint that runs nothing of the model with a version that has proved
-    /// itself; such loads need not keep to one zone.
+    /// Whether the order loads a version that has been covered for the soak time into an endpoint
+    /// that runs nothing of the model. Such loads are not limited to one zone at a time.
     pub repair: bool,
-    /// Whether an earlier holder gave it.
+    /// Whether an earlier holder of the lease sent the order.
     pub adopted: bool,
 }
 
-/// When a model's desired version became covered.
+/// Time at which the desired version of a model became covered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Covered {
     pub(super) version: String,
     pub(super) since: Now,
 }
 
-/// A holder's state of one group's roll. A new holder starts with an empty one: what is under way
-/// shows in the reports, and a stopped roll in the lease.
+/// State of the roll of one group, kept by the holder of the group's lease.
+///
+/// A new holder starts with an empty state: the endpoints report loads in progress, and the lease
+/// contains the number of a stopped roll.
 #[derive(Clone, Debug)]
 pub struct Roll {
     pub(super) settings: Settings,
-    /// By name of the endpoint.
+    /// Pending orders by name of the endpoint.
     pub(super) pending: BTreeMap<String, Pending>,
-    /// New replicas under watch, by name of the endpoint: when they became ready.
+    /// Times at which the watched new replicas became ready, by name of the endpoint.
     pub(super) watched: BTreeMap<String, Now>,
     pub(super) covered: BTreeMap<String, Covered>,
     pub(super) number: Number,
     pub(super) failures: Vec<Failure>,
     pub(super) zone: Option<ZoneId>,
-    /// Earliest time of the next fetch, as far as the rate goes.
+    /// Earliest time of the next fetch that the rate of the weight store allows.
     pub(super) next_fetch: Option<Now>,
     pub(super) phase: Phase,
-    /// Orders given, and new replicas that failed, since the start.
+    /// Orders sent since the start of this state.
     orders: u64,
+    /// New replicas that failed since the start of this state.
     failed: u64,
-    /// Invariants found broken; anything but 0 is a defect of the program.
+    /// Violated invariants. Any value other than 0 is a bug.
     broken: u64,
 }
 
 impl Roll {
-    /// A roll at its start.
+    /// Returns a roll without pending orders.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Looks at the group and adds what is to be done. To be called about once a second, and by
-    /// the holder of the group's lease only.
+    /// Updates the state from the view and appends the resulting actions to `actions`. Must be called
+    /// about once a second, and only while this node holds the group's lease.
     pub fn step(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
         if view.bundle.number > self.number {
             self.number = view.bundle.number;
@@ -108,7 +111,8 @@
         debug_assert!(findings.is_empty(), "{findings:?}");
     }
 
-    /// The endpoint refused its order for good, not for an old fencing number.
+    /// Handles the refusal of an order by its endpoint. Must not be called for an order that was
+    /// refused because of an old fencing number.
     pub fn refused(&mut self, now: Now, endpoint: &str) {
         let Some(pending) = self.pending.remove(endpoint) else {
             return;
@@ -118,12 +122,12 @@
         }
     }
 
-    /// How far it is.
+    /// Returns the current phase.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// Orders that show no effect yet, by name of the endpoint.
+    /// Returns the orders that are not fulfilled yet, by name of the endpoint.
     pub fn pending(&self) -> &BTreeMap<String, Pending> {
         &self.pending
     }
--- a/crates/lease/src/roll/plan/next.rs
+++ b/crates/lease/src/roll/plan/next.rs
@@ -1,4 +1,4 @@
-//! Which order comes next.
+//! Selection of the next orders.
 
 use super::{Pending, Roll};
 use crate::Now;
@@ -10,21 +10,21 @@
 use crate::roll::view::View;
 use bundle::id::{EndpointId, ZoneId};
 
-/// What holds a load up.
+/// Reason why a load can't start.
 enum Blocker {
-    /// It would take a model's last ready replica.
+    /// A model would lose its last ready replica.
     LastReplica,
-    /// Another zone, the rate, or the watch.
+    /// Another zone loads, the weight store's rate is used up, or new replicas are still watched.
     MustWait,
 }
 
-/// The group as it is looked at in one step.
+/// Coverage and fetches of the group during one step.
 struct Snapshot<'a> {
-    /// Endpoints that fetch.
+    /// Number of endpoints that fetch weights.
     fetching: usize,
-    /// What is ready.
+    /// Coverage by all endpoints.
     present: Coverage<'a>,
-    /// The same without endpoints that fetch: those may drop out at any moment.
+    /// Coverage without the endpoints that fetch, whose holdings may become unavailable at any time.
     steady: Coverage<'a>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The endpoint gets an order to fetch.
+    /// Accounts for an order to the endpoint to fetch weights.
     fn add_fetch(&mut self, roll: &Roll, view: &View<'a>, endpoint: EndpointId) {
         if !roll.is_fetching(view, endpoint) {
             self.fetching += 1;
@@ -59,7 +59,7 @@
         self.load_missing(now, view, actions)
     }
 
-    /// Gives orders again that show no effect: the first may have been lost.
+    /// Sends orders again whose load the endpoint does not report, since they may have been lost.
     fn resend(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
         for (name, pending) in &mut self.pending {
             let Some(endpoint) = view.bundle.endpoint(name) else {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Drops what the bundle does not want, once requests that started on it must have ended.
+    /// Unloads holdings that the bundle does not assign to the endpoint, once all requests that were
+    /// started on them must have ended.
     fn unload_stale(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
         let endpoints: Vec<EndpointId> = view.up().collect();
         for endpoint in endpoints {
@@ -116,8 +117,8 @@
             .find(|held| ready && self.is_unneeded(now, view, held))
     }
 
-    /// Whether nobody needs what is held: its model is gone from the bundle, or its desired
-    /// version has been covered for as long as the longest request.
+    /// Returns whether no request needs the holding: the bundle no longer contains its model, or the
+    /// model's desired version has been covered for the maximum duration of a request.
     fn is_unneeded(&self, now: Now, view: &View, held: &Holding) -> bool {
         if view.bundle.model(&held.model).is_none() {
             return true;
@@ -158,7 +159,7 @@
         phase
     }
 
-    /// Whether the order was given, by this holder or an earlier one, and is waited for.
+    /// Returns whether this holder or an earlier one has sent the order and it is still pending.
     fn is_in_progress(
         &mut self,
         now: Now,
@@ -194,7 +195,7 @@
         snapshot: &Snapshot,
     ) -> Option<Blocker> {
         let start = *self.next_fetch.get_or_insert(now + view.rate.spacing());
-        // A fetch that the endpoint has under way is replaced by the order's.
+        // The order replaces a fetch that the endpoint already has in progress.
         let own = usize::from(self.is_fetching(view, endpoint));
         if now < start || snapshot.fetching - own >= view.rate.at_once as usize {
             return Some(Blocker::MustWait);
@@ -223,7 +224,8 @@
         self.order(now, view, endpoint, order, actions);
     }
 
-    /// One zone at a time: another one is begun when nothing loads and no new replica is watched.
+    /// Returns whether a load in the zone may start. Only one zone loads at a time: the next one starts
+    /// when no other zone loads and no new replica is watched.
     fn can_enter_zone(&self, zone: ZoneId) -> bool {
         let changes = self
             .pending
@@ -234,8 +236,8 @@
         !elsewhere && (none_watched || self.zone.is_none_or(|z| z == zone))
     }
 
-    /// Whether the load fills an endpoint that runs nothing of the model, with a version that has
-    /// been covered for as long as new replicas are watched.
+    /// Returns whether the order loads a model into an endpoint that runs nothing of it, while the
+    /// model's desired version has been covered for the soak time.
     fn is_repair(&self, now: Now, view: &View, endpoint: EndpointId, order: &Order) -> bool {
         let Order::Load { model, .. } = order else {
             return false;
@@ -247,7 +249,7 @@
         !runs && covered.is_some_and(|c| now >= c.since + self.settings.soak)
     }
 
-    /// Whether a model that the endpoint runs would be left without a ready replica.
+    /// Returns whether a model that the endpoint runs would be left without a ready replica.
     fn is_last_replica(&self, view: &View, endpoint: EndpointId, snapshot: &Snapshot) -> bool {
         let held: Vec<&Holding> = view.holdings(endpoint).filter(|held| held.ready).collect();
         let counted: &[&Holding] = if self.is_fetching(view, endpoint) {
@@ -261,7 +263,7 @@
         })
     }
 
-    /// Whether the endpoint has an order to fetch, or reports that it loads.
+    /// Returns whether the endpoint has a pending order to fetch weights or reports a load.
     fn is_fetching(&self, view: &View, endpoint: EndpointId) -> bool {
         let pending = self.pending.get(view.name(endpoint));
         let ordered = pending.is_some_and(|p| p.order.fetches_weights());
@@ -297,7 +299,7 @@
     }
 }
 
-/// The first load that the endpoint lacks.
+/// Returns the order for the first span of the endpoint that it does not hold.
 fn missing_load(view: &View, endpoint: EndpointId) -> Option<Order> {
     let report = view.report(endpoint)?;
     let spans = view.bundle.endpoints[endpoint as usize].spans.iter();
@@ -305,7 +307,7 @@
     orders.find(|order| !order.is_fulfilled(report))
 }
 
-/// Whether the endpoint shows that it carries the order out.
+/// Returns whether the endpoint reports that it is executing the order.
 pub(super) fn has_begun(view: &View, endpoint: EndpointId, order: &Order) -> bool {
     view.holdings(endpoint)
         .any(|held| !held.ready && order.matches(held))
--- a/crates/lease/src/roll/plan/settle.rs
+++ b/crates/lease/src/roll/plan/settle.rs
@@ -1,4 +1,4 @@
-//! What became of orders given and replicas watched.
+//! Results of pending orders and watched replicas.
 
 use super::{Covered, Pending, Roll};
 use crate::Now;
@@ -8,10 +8,13 @@
 use crate::roll::view::{Health, View};
 use std::collections::BTreeMap;
 
-/// How an order ended.
+/// End of a pending order.
 enum End {
+    /// The endpoint reports the state that the order names.
     Ready,
+    /// The endpoint is leaving or is no longer in the bundle.
     Gone,
+    /// The order failed.
     Failed(Cause),
 }
 
@@ -33,8 +36,8 @@
         self.check_watched(now, view);
     }
 
-    /// Since when each model's desired version is covered: from then on nodes start no request on
-    /// another one.
+    /// Updates the times since which the desired version of each model is covered. From then on nodes
+    /// start requests only on that version.
     pub(super) fn update_coverage(&mut self, now: Now, view: &View) {
         let mut covered = BTreeMap::new();
         let cover = Coverage::new(view, |_| false);
@@ -69,19 +72,20 @@
             return Some(End::Ready);
         }
         let late = now >= pending.first_sent + self.settings.load_timeout;
-        // An older bundle's order counts for as long as its load may still be under way.
+        // An order of an older bundle stays pending while its load may still be in progress.
         let lost = pending.number != self.number
             && now >= pending.last_sent + self.settings.resend_interval
             && !has_begun(view, endpoint, &pending.order);
         (late || lost).then_some(End::Failed(Cause::Late))
     }
 
-    /// Only loads of the present bundle are its new replicas.
+    /// Returns whether the order loads a new replica of the current bundle.
     fn is_new_replica(&self, pending: &Pending) -> bool {
         pending.number == self.number && pending.order.fetches_weights()
     }
 
-    /// New replicas that go down soon after they were ready have failed.
+    /// Records a failure for each watched replica whose endpoint went down, and ends the watch of
+    /// replicas after the soak time.
     fn check_watched(&mut self, now: Now, view: &View) {
         let soak = self.settings.soak;
         let watched = std::mem::take(&mut self.watched);
--- a/crates/lease/src/roll/report.rs
+++ b/crates/lease/src/roll/report.rs
@@ -1,4 +1,4 @@
-//! What an endpoint reports that it holds.
+//! Reports of endpoints on the layers that they hold.
 
 use bundle::id::Layer;
 
@@ -9,19 +9,19 @@
     pub model: String,
     /// Version of its weights.
     pub version: String,
-    /// Adapters.
+    /// Names of the loaded adapters.
     pub adapters: Vec<String>,
-    /// First layer.
+    /// First layer of the range.
     pub from: Layer,
-    /// One past the last layer.
+    /// Layer after the last one of the range.
     pub to: Layer,
-    /// Whether it can run; otherwise it is being loaded.
+    /// Whether the layers can run requests. If not, they are being loaded.
     pub ready: bool,
 }
 
-/// A report.
+/// A report of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// What it holds.
+    /// Ranges of layers that the endpoint holds or loads.
     pub holdings: Vec<Holding>,
 }
--- a/crates/lease/src/roll/settings.rs
+++ b/crates/lease/src/roll/settings.rs
@@ -2,20 +2,22 @@
 
 use std::time::Duration;
 
-/// Settings.
+/// Settings of a roll.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Longest time from a load order until the endpoint is ready.
+    /// Maximum time from a load order until the endpoint is ready.
     pub load_timeout: Duration,
-    /// When an order that shows no effect is given again.
+    /// Time after which an order without visible effect is sent again.
     pub resend_interval: Duration,
-    /// How long a new replica is watched, and how long a zone waits after the one before it.
+    /// How long a new replica is watched, and so how long a zone waits after the one before it.
     pub soak: Duration,
-    /// How long an old version stays after the new one is covered: the longest request.
+    /// How long an old version stays loaded after the new one is covered: the maximum duration of a
+    /// request.
     pub drain: Duration,
-    /// Failures of new replicas that stop the roll.
+    /// Number of failures of new replicas that stops the roll.
     pub max_failures: usize,
-    /// How long a failure counts: single ones, days apart, are those of an ordinary fleet.
+    /// How long a failure counts. Single failures days apart are normal in a fleet and must not stop
+    /// the roll.
     pub failure_window: Duration,
 }
 
--- a/crates/lease/src/roll/view.rs
+++ b/crates/lease/src/roll/view.rs
@@ -1,33 +1,33 @@
-//! What a roll sees.
+//! Input of a roll's step.
 
 use crate::roll::report::{Holding, Report};
 use bundle::Bundle;
 use bundle::id::{EndpointId, Number, ZoneId};
 use std::time::Duration;
 
-/// Whether an endpoint is there.
+/// Health of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It is live and answers.
+    /// The endpoint is live and answers.
     #[default]
     Up,
-    /// It leaves; it gets no orders, and that it goes is no failure.
+    /// The endpoint is leaving. It gets no orders, and its departure is no failure.
     Leaving,
-    /// It is gone or does not answer.
+    /// The endpoint is gone or does not answer.
     Down,
 }
 
-/// What the weight store allows.
+/// Rate of fetches that the weight store allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// Fetches started per minute.
+    /// Number of fetches that may start per minute.
     pub per_minute: u32,
-    /// Fetches that run at once.
+    /// Number of fetches that may be in progress at once.
     pub at_once: u32,
 }
 
 impl Rate {
-    /// Least time between two starts.
+    /// Returns the minimum time between the starts of two fetches.
     pub fn spacing(&self) -> Duration {
         Duration::from_secs(60) / self.per_minute.max(1)
     }
@@ -40,40 +40,40 @@
     pub bundle: &'a Bundle,
     /// Availability zones of the group, in the order of the roll.
     pub zones: &'a [ZoneId],
-    /// By endpoint of the bundle: its last report.
+    /// Last report of each endpoint of the bundle.
     pub reports: &'a [Option<Report>],
-    /// By endpoint of the bundle: whether it is there.
+    /// Health of each endpoint of the bundle.
     pub health: &'a [Health],
-    /// What the weight store allows this group.
+    /// Rate of fetches that the weight store allows this group.
     pub rate: Rate,
-    /// Number of the bundle whose roll was last stopped.
+    /// Number of the last bundle whose roll was stopped, or 0.
     pub stopped: Number,
 }
 
 impl<'a> View<'a> {
-    /// The endpoint's health; unknown ones count as gone.
+    /// Returns the endpoint's health, or [`Health::Down`] if it is unknown.
     pub fn health(&self, endpoint: EndpointId) -> Health {
         let health = self.health.get(endpoint as usize);
         health.copied().unwrap_or(Health::Down)
     }
 
-    /// The endpoint's report.
+    /// Returns the endpoint's last report.
     pub fn report(&self, endpoint: EndpointId) -> Option<&'a Report> {
         self.reports.get(endpoint as usize)?.as_ref()
     }
 
-    /// What the endpoint reports that it holds.
+    /// Returns the holdings that the endpoint reports.
     pub fn holdings(&self, endpoint: EndpointId) -> impl Iterator<Item = &'a Holding> {
         let report = self.report(endpoint);
         report.into_iter().flat_map(|report| &report.holdings)
     }
 
-    /// Name of the endpoint.
+    /// Returns the name of the endpoint.
     pub fn name(&self, endpoint: EndpointId) -> &'a str {
         &self.bundle.endpoints[endpoint as usize].name
     }
 
-    /// Endpoints of the group that are there and have reported.
+    /// Returns the endpoints of the group that are up and have reported.
     pub fn up(&self) -> impl Iterator<Item = EndpointId> + '_ {
         (0..self.bundle.endpoints.len() as EndpointId).filter(|id| {
             let in_group = self
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The endpoint's availability zone.
+    /// Returns the availability zone of the endpoint.
     pub fn zone(&self, endpoint: EndpointId) -> ZoneId {
         self.bundle.endpoints[endpoint as usize].zone
     }
