--- a/crates/route/src/router/dump.rs
+++ b/crates/route/src/router/dump.rs
@@ -29,10 +29,10 @@
             .try_for_each(|row| writeln!(f, "{row}"))?;
         writeln!(f, "\n[teams]")?;
         for row in &self.shares.accounts {
-            let (name, in_flight) = (&row.name, row.in_flight);
+            let (name, flying) = (&row.name, row.in_flight);
             writeln!(
                 f,
-                "{name}: in flight {in_flight}, taken {}, refused {}",
+                "{name}: in flight {flying}, taken {}, refused {}",
                 row.admitted, row.refused
             )?;
         }
--- a/crates/route/tests/support/world.rs
+++ b/crates/route/tests/support/world.rs
@@ -2,7 +2,7 @@
 //!
 //! Time advances over a heap of scheduled tasks. A hop of a token is served first come, first
 //! served at the speed of its accelerator; activations between hops wait for the link. The outcome
-//! caller is told is compared with what the endpoints ran, independent of the router's own checks.
+//! that a caller gets is compared with what the endpoints ran, independent of the router's checks.
 #![allow(dead_code)]
 
 use super::host::{Cost, Host};
