--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -179,7 +179,7 @@
     for name in [CONNECTION, TRANSFER_ENCODING, TE, TRAILER, UPGRADE] {
         parts.headers.remove(name);
     }
-    // The outcome is not known yet; an incomplete answer is shown by an aborted transfer.
+    // The outcome is not known yet. If the answer stays incomplete, its transfer is aborted.
     parts.headers.remove(&OUTCOME);
     Response::from_parts(parts, Body::from_stream(body_stream(body)))
 }
