--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -17,9 +17,9 @@
 use std::time::{Duration, Instant};
 
 const START: Duration = Duration::from_secs(1_764_700_000);
-const WAY: Duration = Duration::from_millis(2);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 const LENGTH: Duration = Duration::from_secs(20);
-const PATIENCE: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() {
     println!("way (a), log: claims at 8 nodes, the log takes 300 appends a second");
@@ -69,25 +69,25 @@
     }
 }
 
-enum Happening {
+enum Scheduled {
     Tick(usize),
     Deliver(usize, Event),
     Read(usize, Shard, u64, bool),
     Send,
 }
 
-struct World {
+struct Simulation {
     now: Now,
     seq: u64,
-    agenda: BTreeMap<(Now, u64), Happening>,
+    schedule: BTreeMap<(Now, u64), Scheduled>,
     tables: Vec<Table>,
     streams: Vec<Vec<Bytes>>,
     /// Reads that wait, by shard.
-    waits: Vec<Vec<(usize, u64)>>,
+    pending_reads: Vec<Vec<(usize, u64)>>,
     tokens: f64,
-    filled: Now,
+    refilled_at: Now,
     limit: f64,
-    asked: Vec<Now>,
+    requested_at: Vec<Now>,
     times: Times,
     appends: u64,
     refused: u64,
@@ -101,34 +101,34 @@
         append_interval: Duration::from_millis(pace),
         ..Settings::default()
     };
-    let mut world = World::new(nodes, settings, limit);
+    let mut simulation = Simulation::new(nodes, settings, limit);
     let all: Vec<u64> = (0..nodes as u64).collect();
     for n in 0..nodes {
         let homes = match by_home {
             true => home::shards(n as u64, &all, shards),
             false => (0..shards).collect(),
         };
-        world.give(n, Event::HomeShards(homes));
-        world.plan(Duration::from_micros(50 * n as u64), Happening::Tick(n));
+        simulation.deliver(n, Event::HomeShards(homes));
+        simulation.schedule_at(Duration::from_micros(50 * n as u64), Scheduled::Tick(n));
     }
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let gap = Duration::from_secs(1) / rate as u32;
     let mut at = Duration::from_secs(1);
     while at < LENGTH {
-        world.plan(at, Happening::Send);
+        simulation.schedule_at(at, Scheduled::Send);
         at += gap.mul_f64(random.random_range(0.0..2.0));
     }
-    while let Some(((at, _), happening)) = world.agenda.pop_first() {
-        if at > LENGTH + PATIENCE {
+    while let Some(((at, _), scheduled)) = simulation.schedule.pop_first() {
+        if at > LENGTH + CLAIM_TIMEOUT {
             break;
         }
-        world.now = at;
-        world.happen(happening, &mut random, by_home.then_some(&all), shards);
+        simulation.now = at;
+        simulation.process(scheduled, &mut random, by_home.then_some(&all), shards);
     }
-    world.print(shards, pace, rate);
+    simulation.print(shards, pace, rate);
 }
 
-impl World {
+impl Simulation {
     fn new(nodes: usize, settings: Settings, limit: u32) -> Self {
         let table = |n| {
             Table::new(
@@ -143,14 +143,14 @@
         Self {
             now: Duration::ZERO,
             seq: 0,
-            agenda: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             tables: (0..nodes as u64).map(table).collect(),
             streams: vec![Vec::new(); settings.shards.into()],
-            waits: vec![Vec::new(); settings.shards.into()],
+            pending_reads: vec![Vec::new(); settings.shards.into()],
             tokens: f64::from(limit),
-            filled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
             limit: f64::from(limit),
-            asked: Vec::new(),
+            requested_at: Vec::new(),
             times: Times::default(),
             appends: 0,
             refused: 0,
@@ -158,22 +158,22 @@
         }
     }
 
-    fn happen(
+    fn process(
         &mut self,
-        happening: Happening,
+        scheduled: Scheduled,
         random: &mut ChaCha8Rng,
         homes: Option<&Vec<u64>>,
         shards: Shard,
     ) {
-        match happening {
-            Happening::Tick(n) => {
-                self.plan(self.now + Duration::from_millis(20), Happening::Tick(n));
-                self.give(n, Event::Tick);
+        match scheduled {
+            Scheduled::Tick(n) => {
+                self.schedule_at(self.now + Duration::from_millis(20), Scheduled::Tick(n));
+                self.deliver(n, Event::Tick);
             }
-            Happening::Deliver(n, event) => self.give(n, event),
-            Happening::Read(n, shard, from, wait) => self.read(n, shard, from, wait),
-            Happening::Send => {
-                let request = self.asked.len() as u128;
+            Scheduled::Deliver(n, event) => self.deliver(n, event),
+            Scheduled::Read(n, shard, from, wait) => self.read(n, shard, from, wait),
+            Scheduled::Send => {
+                let request = self.requested_at.len() as u128;
                 let text = format!("{}-{request}", (START + self.now).as_secs());
                 let Ok(form) = Key::parse("desk", &text) else {
                     return;
@@ -184,33 +184,37 @@
                 let n = home.map_or(any, |home| home as usize);
                 // A request that is handed on comes half a millisecond later.
                 let hop = Duration::from_micros(if homes.is_some() { 500 } else { 0 });
-                self.asked.push(self.now);
-                let deadline = self.now + PATIENCE;
+                self.requested_at.push(self.now);
+                let deadline = self.now + CLAIM_TIMEOUT;
                 let ask = Request {
                     id: request,
                     key: form,
                     fingerprint: 1,
                     deadline,
                 };
-                self.plan(self.now + hop, Happening::Deliver(n, Event::Received(ask)));
+                self.schedule_at(self.now + hop, Scheduled::Deliver(n, Event::Received(ask)));
             }
         }
     }
 
-    fn give(&mut self, n: usize, event: Event) {
+    fn deliver(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
         self.tables[n].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Append { batch, shard, body } => self.append(n, batch, shard, body),
                 Action::Read { shard, from, wait } => {
-                    self.plan(self.now + WAY, Happening::Read(n, shard, from, wait));
+                    self.schedule_at(
+                        self.now + ONE_WAY_DELAY,
+                        Scheduled::Read(n, shard, from, wait),
+                    );
                 }
                 Action::Run { request, hash } => {
-                    self.times.add(self.now - self.asked[request as usize]);
+                    self.times
+                        .add(self.now - self.requested_at[request as usize]);
                     let ended = Event::Ended(hash, Outcome::Complete, 200);
                     let end = self.now + Duration::from_millis(500);
-                    self.plan(end, Happening::Deliver(n, ended));
+                    self.schedule_at(end, Scheduled::Deliver(n, ended));
                 }
                 Action::Refuse { .. } => self.refused += 1,
                 _ => {}
@@ -219,22 +223,22 @@
     }
 
     fn append(&mut self, n: usize, batch: u64, shard: Shard, body: Bytes) {
-        let at = self.now + WAY;
-        self.tokens += (at.saturating_sub(self.filled)).as_secs_f64() * self.limit;
+        let at = self.now + ONE_WAY_DELAY;
+        self.tokens += (at.saturating_sub(self.refilled_at)).as_secs_f64() * self.limit;
         self.tokens = self.tokens.min(self.limit);
-        self.filled = at;
-        let back = at + WAY;
+        self.refilled_at = at;
+        let back = at + ONE_WAY_DELAY;
         if self.tokens < 1.0 {
-            return self.plan(back, Happening::Deliver(n, Event::AppendFailed(batch)));
+            return self.schedule_at(back, Scheduled::Deliver(n, Event::AppendFailed(batch)));
         }
         self.tokens -= 1.0;
         self.appends += 1;
         // The append takes effect now for the model's purposes; readers see it after the way.
         self.streams[usize::from(shard)].push(body);
-        for (reader, from) in std::mem::take(&mut self.waits[usize::from(shard)]) {
-            self.plan(at, Happening::Read(reader, shard, from, true));
+        for (reader, from) in std::mem::take(&mut self.pending_reads[usize::from(shard)]) {
+            self.schedule_at(at, Scheduled::Read(reader, shard, from, true));
         }
-        self.plan(back, Happening::Deliver(n, Event::Appended(batch)));
+        self.schedule_at(back, Scheduled::Deliver(n, Event::Appended(batch)));
     }
 
     fn read(&mut self, n: usize, shard: Shard, from: u64, wait: bool) {
@@ -245,7 +249,7 @@
             .map(|(offset, body)| Record { offset, body })
             .collect();
         if records.is_empty() && wait {
-            return self.waits[usize::from(shard)].push((n, from));
+            return self.pending_reads[usize::from(shard)].push((n, from));
         }
         self.read += records.iter().map(|r| r.body.len() as u64).sum::<u64>();
         let next = from + records.len() as u64;
@@ -257,18 +261,18 @@
                 records,
             },
         );
-        self.plan(self.now + WAY, Happening::Deliver(n, page));
+        self.schedule_at(self.now + ONE_WAY_DELAY, Scheduled::Deliver(n, page));
     }
 
-    fn plan(&mut self, at: Now, happening: Happening) {
+    fn schedule_at(&mut self, at: Now, scheduled: Scheduled) {
         self.seq += 1;
-        self.agenda.insert((at, self.seq), happening);
+        self.schedule.insert((at, self.seq), scheduled);
     }
 
     fn print(&mut self, shards: Shard, pace: u64, rate: u64) {
         let seconds = LENGTH.as_secs() - 1;
         let bytes: usize = self.streams.iter().flatten().map(Bytes::len).sum();
-        let claims = self.asked.len().max(1);
+        let claims = self.requested_at.len().max(1);
         let read = self.read / seconds / self.tables.len() as u64;
         let (half, most) = (self.times.at(0.5), self.times.at(0.99));
         println!(
@@ -345,7 +349,7 @@
             continue;
         };
         forms.push(form);
-        let deadline = now + PATIENCE;
+        let deadline = now + CLAIM_TIMEOUT;
         let ask = Request {
             id: n.into(),
             key: form,
--- a/crates/lease/examples/holds.rs
+++ b/crates/lease/examples/holds.rs
@@ -20,7 +20,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     tables: Vec<Table>,
     events: Vec<Vec<Event>>,
     records: Vec<Bytes>,
@@ -49,7 +49,7 @@
             })
             .collect()
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         tables: (0..NODES).map(table).collect(),
         events: (0..NODES)
             .map(|n| vec![Event::Candidacies(want(n))])
@@ -62,11 +62,11 @@
     let mut now = Duration::ZERO;
     for _ in 0..SECONDS * 10 {
         now += STEP;
-        (0..NODES as usize).for_each(|n| world.step(n, now));
+        (0..NODES as usize).for_each(|n| simulation.step(n, now));
     }
-    let (appends, read) = (world.appends, world.read);
-    let spent = world.spent;
-    let takeover = world.takeover(now);
+    let (appends, read) = (simulation.appends, simulation.read);
+    let spent = simulation.spent;
+    let takeover = simulation.takeover(now);
     let seconds = f64::from(SECONDS);
     let nodes = NODES as f64;
     println!(
@@ -78,7 +78,7 @@
     );
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, n: usize, now: Now) {
         let mut actions = Vec::new();
         let events = std::mem::take(&mut self.events[n]);
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -8,7 +8,7 @@
 
 const START: Duration = Duration::from_secs(1_764_700_000);
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
-const BODY: u64 = 7;
+const FINGERPRINT: u64 = 7;
 
 fn settings() -> Settings {
     let pace = Duration::from_millis(20);
@@ -90,13 +90,13 @@
     /// A node that has read the log to its end.
     fn ready(node: u64, now: Now, log: &Log) -> Self {
         let mut node = Self::new(node, settings());
-        node.give(now, Event::HomeShards(vec![0]));
+        node.deliver(now, Event::HomeShards(vec![0]));
         node.read(now, log);
         node.read(now, log);
         node
     }
 
-    fn give(&mut self, now: Now, event: Event) {
+    fn deliver(&mut self, now: Now, event: Event) {
         let mut actions = Vec::new();
         self.table.handle(now, event, &mut actions);
         for action in actions {
@@ -108,32 +108,32 @@
         }
     }
 
-    fn ask(&mut self, now: Now, request: RequestId, key: Key) {
+    fn request(&mut self, now: Now, request: RequestId, key: Key) {
         let deadline = now + CLAIM_TIMEOUT;
-        self.give(
+        self.deliver(
             now,
             Event::Received(Request {
                 id: request,
                 key,
-                fingerprint: BODY,
+                fingerprint: FINGERPRINT,
                 deadline,
             }),
         );
     }
 
     fn read(&mut self, now: Now, log: &Log) {
-        self.give(now, Event::Page(0, log.page(self.next)));
+        self.deliver(now, Event::Page(0, log.page(self.next)));
     }
 
     /// Lets all appends take effect and answers them.
     fn append(&mut self, now: Now, log: &mut Log) {
         for (batch, body) in std::mem::take(&mut self.appends) {
             log.records.push(body);
-            self.give(now, Event::Appended(batch));
+            self.deliver(now, Event::Appended(batch));
         }
     }
 
-    fn took(&mut self) -> Vec<Action> {
+    fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
@@ -158,13 +158,13 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
-    node.ask(at(10), 2, key);
+    node.request(at(10), 1, key);
+    node.request(at(10), 2, key);
     node.append(at(12), &mut log);
-    assert_eq!(node.took(), []);
+    assert_eq!(node.take_actions(), []);
     node.read(at(14), &log);
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [
             run(1, key),
             Action::Join {
@@ -173,19 +173,19 @@
             }
         ]
     );
-    node.ask(at(20), 3, key);
+    node.request(at(20), 3, key);
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [Action::Join {
             request: 3,
             running: 1
         }]
     );
-    node.give(at(30), Event::Ended(key.hash(), Outcome::Complete, 10));
-    node.ask(at(40), 4, key);
+    node.deliver(at(30), Event::Ended(key.hash(), Outcome::Complete, 10));
+    node.request(at(40), 4, key);
     let (outcome, of) = (Outcome::Complete, Some(1));
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [Action::Answer {
             request: 4,
             outcome,
@@ -199,23 +199,26 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
+    node.request(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
-    node.took();
+    node.take_actions();
     let deadline = at(5000);
     let other = Request {
         id: 2,
         key,
-        fingerprint: BODY + 1,
+        fingerprint: FINGERPRINT + 1,
         deadline,
     };
-    node.give(at(20), Event::Received(other));
-    assert_eq!(node.took(), [refuse(2, Refusal::Mismatch, Outcome::NotRun)]);
-    let mut far = Node::ready(2, at(0), &log);
-    far.give(at(20), Event::Received(other));
+    node.deliver(at(20), Event::Received(other));
     assert_eq!(
-        far.took(),
+        node.take_actions(),
+        [refuse(2, Refusal::Mismatch, Outcome::NotRun)]
+    );
+    let mut other_node = Node::ready(2, at(0), &log);
+    other_node.deliver(at(20), Event::Received(other));
+    assert_eq!(
+        other_node.take_actions(),
         [Action::Redirect {
             request: 2,
             owner: owner(1),
@@ -231,29 +234,29 @@
     let mut log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
     let key = dated_key(0, "a");
-    a.ask(at(10), 1, key);
-    b.ask(at(10), 2, key);
+    a.request(at(10), 1, key);
+    b.request(at(10), 2, key);
     b.append(at(12), &mut log);
     a.append(at(13), &mut log);
     a.read(at(14), &log);
     b.read(at(14), &log);
     assert_eq!(
-        a.took(),
+        a.take_actions(),
         [Action::Redirect {
             request: 1,
             owner: owner(2),
             outcome: None
         }]
     );
-    assert_eq!(b.took(), [run(2, key)]);
-    b.give(at(20), Event::Ended(key.hash(), Outcome::Complete, 10));
-    b.give(at(2000), Event::Tick);
+    assert_eq!(b.take_actions(), [run(2, key)]);
+    b.deliver(at(20), Event::Ended(key.hash(), Outcome::Complete, 10));
+    b.deliver(at(2000), Event::Tick);
     b.append(at(2000), &mut log);
     a.read(at(2001), &log);
-    a.ask(at(2002), 3, key);
+    a.request(at(2002), 3, key);
     let outcome = Some(Outcome::Complete);
     assert_eq!(
-        a.took(),
+        a.take_actions(),
         [Action::Redirect {
             request: 3,
             owner: owner(2),
@@ -269,15 +272,15 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
+    node.request(at(10), 1, key);
     let (batch, body) = node.appends.remove(0);
     log.records.push(body);
-    node.give(at(1000), Event::AppendUnsure(batch));
-    node.give(at(1200), Event::Tick);
+    node.deliver(at(1000), Event::AppendUnsure(batch));
+    node.deliver(at(1200), Event::Tick);
     node.append(at(1210), &mut log);
     assert_eq!(log.records.len(), 2);
     node.read(at(1220), &log);
-    assert_eq!(node.took(), [run(1, key)]);
+    assert_eq!(node.take_actions(), [run(1, key)]);
 }
 
 /// The log is out. A request with the caller's own key is refused at its deadline, and since
@@ -286,15 +289,15 @@
 fn while_the_log_is_out_keys_wait_and_tickets_run() {
     let log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
-    node.ask(at(10), 1, dated_key(0, "a"));
+    node.request(at(10), 1, dated_key(0, "a"));
     let (batch, _) = node.appends.remove(0);
-    node.give(at(100), Event::AppendFailed(batch));
+    node.deliver(at(100), Event::AppendFailed(batch));
     let ticket = node.table.issue(at(200));
     let key = Key::parse("desk", &ticket.to_string()).unwrap();
-    node.ask(at(210), 2, key);
-    node.ask(at(210), 3, key);
+    node.request(at(210), 2, key);
+    node.request(at(210), 3, key);
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [
             run(2, key),
             Action::Join {
@@ -303,9 +306,9 @@
             }
         ]
     );
-    node.give(at(4000), Event::Tick);
+    node.deliver(at(4000), Event::Tick);
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [refuse(1, Refusal::Unsettled, Outcome::Unknown)]
     );
 }
@@ -318,20 +321,23 @@
     let mut log = Log::default();
     let mut a = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    a.ask(at(10), 1, key);
+    a.request(at(10), 1, key);
     a.append(at(12), &mut log);
     a.read(at(14), &log);
-    assert_eq!(a.took(), [run(1, key)]);
+    assert_eq!(a.take_actions(), [run(1, key)]);
     log.trim();
     let mut b = Node::ready(2, at(30_000), &log);
-    b.ask(at(30_010), 2, key);
-    assert_eq!(b.took(), [refuse(2, Refusal::Expired, Outcome::Unknown)]);
+    b.request(at(30_010), 2, key);
+    assert_eq!(
+        b.take_actions(),
+        [refuse(2, Refusal::Expired, Outcome::Unknown)]
+    );
 
     let new = dated_key(40, "b");
-    b.ask(at(40_000), 3, new);
+    b.request(at(40_000), 3, new);
     b.append(at(40_002), &mut log);
     b.read(at(40_004), &log);
-    assert_eq!(b.took(), [run(3, new)]);
+    assert_eq!(b.take_actions(), [run(3, new)]);
 }
 
 /// As above, but a record of node 1 that is still held says how much the stream held at 14 ms. It
@@ -341,19 +347,22 @@
 fn records_that_are_held_date_those_that_are_gone() {
     let mut log = Log::default();
     let mut a = Node::ready(1, at(0), &log);
-    a.ask(at(10), 1, dated_key(0, "a"));
+    a.request(at(10), 1, dated_key(0, "a"));
     a.append(at(12), &mut log);
     a.read(at(14), &log);
     log.trim();
-    a.ask(at(20_000), 2, dated_key(19, "b"));
+    a.request(at(20_000), 2, dated_key(19, "b"));
     a.append(at(20_002), &mut log);
     let mut b = Node::ready(2, at(30_000), &log);
-    b.ask(at(30_010), 3, dated_key(0, "a"));
-    assert_eq!(b.took(), [refuse(3, Refusal::Expired, Outcome::Unknown)]);
-    b.ask(at(30_010), 4, dated_key(25, "c"));
+    b.request(at(30_010), 3, dated_key(0, "a"));
+    assert_eq!(
+        b.take_actions(),
+        [refuse(3, Refusal::Expired, Outcome::Unknown)]
+    );
+    b.request(at(30_010), 4, dated_key(25, "c"));
     b.append(at(30_020), &mut log);
     b.read(at(30_030), &log);
-    assert_eq!(b.took(), [run(4, dated_key(25, "c"))]);
+    assert_eq!(b.take_actions(), [run(4, dated_key(25, "c"))]);
 }
 
 /// The node is paused between its append and the read-back, for longer than its caller waits. On
@@ -364,14 +373,17 @@
     let mut log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
     let key = dated_key(0, "a");
-    a.ask(at(10), 1, key);
+    a.request(at(10), 1, key);
     a.append(at(12), &mut log);
     b.read(at(14), &log);
     a.read(at(60_000), &log);
-    assert_eq!(a.took(), [refuse(1, Refusal::Unsettled, Outcome::Unknown)]);
-    b.ask(at(60_000), 2, key);
     assert_eq!(
-        b.took(),
+        a.take_actions(),
+        [refuse(1, Refusal::Unsettled, Outcome::Unknown)]
+    );
+    b.request(at(60_000), 2, key);
+    assert_eq!(
+        b.take_actions(),
         [Action::Redirect {
             request: 2,
             owner: owner(1),
@@ -380,10 +392,10 @@
     );
     a.append(at(60_010), &mut log);
     b.read(at(60_020), &log);
-    b.ask(at(60_020), 3, key);
+    b.request(at(60_020), 3, key);
     b.append(at(60_022), &mut log);
     b.read(at(60_024), &log);
-    assert_eq!(b.took(), [run(3, key)]);
+    assert_eq!(b.take_actions(), [run(3, key)]);
 }
 
 /// The node gave a claim up at its deadline, with the append unsure. The claim arrives after all:
@@ -393,28 +405,28 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
+    node.request(at(10), 1, key);
     let (batch, late) = node.appends.remove(0);
-    node.give(at(1000), Event::AppendUnsure(batch));
-    node.give(at(3500), Event::Tick);
+    node.deliver(at(1000), Event::AppendUnsure(batch));
+    node.deliver(at(3500), Event::Tick);
     node.appends.clear();
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [refuse(1, Refusal::Unsettled, Outcome::Unknown)]
     );
     log.records.push(late);
     node.read(at(4000), &log);
-    node.ask(at(4001), 2, key);
-    assert_eq!(node.took(), []);
+    node.request(at(4001), 2, key);
+    assert_eq!(node.take_actions(), []);
     let mut steps = 0;
     while node.actions.is_empty() && steps < 20 {
         steps += 1;
         let now = at(4000 + 100 * steps);
-        node.give(now, Event::Tick);
+        node.deliver(now, Event::Tick);
         node.append(now, &mut log);
         node.read(now, &log);
     }
-    assert_eq!(node.took(), [run(2, key)]);
+    assert_eq!(node.take_actions(), [run(2, key)]);
 }
 
 /// Found by the long run, seed 1108. The caller uses one key for two bodies. The claim of the first
@@ -426,7 +438,7 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    let ask = |request, fingerprint, now| {
+    let request_event = |request, fingerprint, now| {
         let deadline = now + CLAIM_TIMEOUT;
         Event::Received(Request {
             id: request,
@@ -435,27 +447,27 @@
             deadline,
         })
     };
-    node.give(at(10), ask(1, BODY + 1, at(10)));
+    node.deliver(at(10), request_event(1, FINGERPRINT + 1, at(10)));
     let (batch, late) = node.appends.remove(0);
-    node.give(at(1000), Event::AppendUnsure(batch));
-    node.give(at(3500), Event::Tick);
-    node.took();
-    node.give(at(3600), ask(2, BODY, at(3600)));
+    node.deliver(at(1000), Event::AppendUnsure(batch));
+    node.deliver(at(3500), Event::Tick);
+    node.take_actions();
+    node.deliver(at(3600), request_event(2, FINGERPRINT, at(3600)));
     log.records.push(late);
     for now in (3700..5000).step_by(50).map(at) {
         node.append(now, &mut log);
         node.read(now, &log);
-        node.give(now, Event::Tick);
+        node.deliver(now, Event::Tick);
     }
-    assert_eq!(node.took(), [run(2, key)]);
-    node.give(at(5000), Event::Ended(key.hash(), Outcome::Complete, 1));
-    node.give(at(6000), Event::Tick);
+    assert_eq!(node.take_actions(), [run(2, key)]);
+    node.deliver(at(5000), Event::Ended(key.hash(), Outcome::Complete, 1));
+    node.deliver(at(6000), Event::Tick);
     node.append(at(6001), &mut log);
-    let mut far = Node::ready(2, at(6100), &log);
-    far.ask(at(6200), 3, key);
+    let mut other_node = Node::ready(2, at(6100), &log);
+    other_node.request(at(6200), 3, key);
     let outcome = Some(Outcome::Complete);
     assert_eq!(
-        far.took(),
+        other_node.take_actions(),
         [Action::Redirect {
             request: 3,
             owner: owner(1),
@@ -469,18 +481,18 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
+    node.request(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
-    node.give(at(20), Event::Ended(key.hash(), Outcome::NotRun, 0));
-    node.ask(at(30), 2, key);
-    node.give(at(40), Event::Tick);
+    node.deliver(at(20), Event::Ended(key.hash(), Outcome::NotRun, 0));
+    node.request(at(30), 2, key);
+    node.deliver(at(40), Event::Tick);
     node.append(at(41), &mut log);
     node.read(at(42), &log);
-    node.give(at(80), Event::Tick);
+    node.deliver(at(80), Event::Tick);
     node.append(at(81), &mut log);
     node.read(at(82), &log);
-    assert_eq!(node.took(), [run(1, key), run(2, key)]);
+    assert_eq!(node.take_actions(), [run(1, key), run(2, key)]);
 }
 
 /// The caller leaves while the word that its request may run is on its way, so the node never
@@ -491,23 +503,23 @@
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
-    node.ask(at(10), 1, key);
+    node.request(at(10), 1, key);
     node.append(at(12), &mut log);
     node.read(at(14), &log);
-    node.give(at(15), Event::Cancelled(1));
-    node.ask(at(30), 2, key);
+    node.deliver(at(15), Event::Cancelled(1));
+    node.request(at(30), 2, key);
     for now in (40..200).step_by(20).map(at) {
-        node.give(now, Event::Tick);
+        node.deliver(now, Event::Tick);
         node.append(now, &mut log);
         node.read(now, &log);
     }
     let text = node.table.issue(at(200)).to_string();
     let ticket = Key::parse("desk", &text).unwrap();
-    node.ask(at(201), 3, ticket);
-    node.give(at(202), Event::Cancelled(3));
-    node.ask(at(203), 4, ticket);
+    node.request(at(201), 3, ticket);
+    node.deliver(at(202), Event::Cancelled(3));
+    node.request(at(203), 4, ticket);
     assert_eq!(
-        node.took(),
+        node.take_actions(),
         [run(1, key), run(2, key), run(3, ticket), run(4, ticket)]
     );
 }
@@ -518,9 +530,9 @@
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
     let ticket = a.table.issue(at(5));
     let key = Key::parse("desk", &ticket.to_string()).unwrap();
-    b.ask(at(10), 1, key);
+    b.request(at(10), 1, key);
     assert_eq!(
-        b.took(),
+        b.take_actions(),
         [Action::Redirect {
             request: 1,
             owner: owner(1),
@@ -532,15 +544,18 @@
         ..ticket
     };
     let forged = Key::parse("desk", &unissued.to_string()).unwrap();
-    a.ask(at(10), 2, forged);
-    a.ask(at(3_600_005), 3, key);
+    a.request(at(10), 2, forged);
+    a.request(at(3_600_005), 3, key);
     let unissued = refuse(2, Refusal::Unissued, Outcome::NotRun);
     assert_eq!(
-        a.took(),
+        a.take_actions(),
         [unissued, refuse(3, Refusal::Expired, Outcome::Unknown)]
     );
-    a.ask(at(10), 4, dated_key(60, "ahead"));
-    assert_eq!(a.took(), [refuse(4, Refusal::Future, Outcome::Unknown)]);
+    a.request(at(10), 4, dated_key(60, "ahead"));
+    assert_eq!(
+        a.take_actions(),
+        [refuse(4, Refusal::Future, Outcome::Unknown)]
+    );
 }
 
 #[test]
@@ -555,15 +570,15 @@
         .map(|t| Key::parse("desk", t).unwrap())
         .collect();
     for (n, key) in (0..).zip(&keys) {
-        node.ask(at(10), n, *key);
-        node.give(at(20), Event::Ended(key.hash(), Outcome::Complete, 400));
+        node.request(at(10), n, *key);
+        node.deliver(at(20), Event::Ended(key.hash(), Outcome::Complete, 400));
     }
-    assert!(node.took().contains(&Action::DropAnswer(0)));
-    node.ask(at(30), 9, keys[0]);
+    assert!(node.take_actions().contains(&Action::DropAnswer(0)));
+    node.request(at(30), 9, keys[0]);
     let gone = Action::Answer {
         request: 9,
         outcome: Outcome::Complete,
         source: None,
     };
-    assert_eq!(node.took(), [gone]);
+    assert_eq!(node.take_actions(), [gone]);
 }
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -21,7 +21,7 @@
 
 /// What is broken on purpose, to show that the invariants bite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum Defect {
     /// Nothing.
     None,
     /// A restarted node goes on under its old incarnation.
@@ -58,7 +58,7 @@
 };
 
 #[derive(Debug)]
-enum Happening {
+enum Scheduled {
     Tick(usize),
     Deliver(usize, u64, Event),
     Effect(Shard, Bytes),
@@ -77,9 +77,9 @@
 struct Node {
     table: Table,
     owner: Owner,
-    life: u64,
-    paused: Now,
-    born: Now,
+    run: u64,
+    paused_until: Now,
+    started_at: Now,
 }
 
 #[derive(Debug, Default)]
@@ -97,16 +97,16 @@
 
 /// One send of a caller.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Send {
     key: usize,
     body: u64,
     /// Whether a node handed it to another.
-    hopped: bool,
+    forwarded: bool,
 }
 
 /// What callers were told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Totals {
     pub sends: u32,
     pub runs: u32,
     pub complete: u32,
@@ -119,54 +119,54 @@
     pub unsure: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     now: Now,
     seq: u64,
     random: ChaCha8Rng,
-    broken: Break,
+    defect: Defect,
     lost: u32,
-    out_until: Now,
-    agenda: BTreeMap<(Now, u64), Happening>,
+    outage_until: Now,
+    schedule: BTreeMap<(Now, u64), Scheduled>,
     streams: BTreeMap<Shard, Stream>,
     nodes: Vec<Node>,
     keys: Vec<KeyLog>,
 
-    asks: BTreeMap<RequestId, Sent>,
+    sends_by_request: BTreeMap<RequestId, Send>,
     request: RequestId,
-    pub tally: Tally,
+    pub totals: Totals,
     /// What does not hold, with its time.
     pub findings: Vec<String>,
 }
 
-impl World {
-    pub fn new(seed: u64, broken: Break) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub fn new(seed: u64, defect: Defect) -> Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             seq: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            broken,
+            defect,
             lost: 0,
-            out_until: Duration::ZERO,
-            agenda: BTreeMap::new(),
+            outage_until: Duration::ZERO,
+            schedule: BTreeMap::new(),
             streams: (0..SHARDS)
                 .map(|shard| (shard, Stream::default()))
                 .collect(),
             nodes: Vec::new(),
             keys: Vec::new(),
 
-            asks: BTreeMap::new(),
+            sends_by_request: BTreeMap::new(),
             request: 0,
-            tally: Tally::default(),
+            totals: Totals::default(),
             findings: Vec::new(),
         };
         for n in 0..NODES {
-            let node = world.node(n, 1);
-            world.nodes.push(node);
+            let node = simulation.node(n, 1);
+            simulation.nodes.push(node);
         }
         for n in 0..NODES {
-            world.begin(n);
+            simulation.start_node(n);
         }
-        world
+        simulation
     }
 
     /// Keys each sent a few times, in parallel and later, while the faults come.
@@ -174,52 +174,52 @@
         self.lost = faults.lost;
         for _ in 0..faults.outages {
             let time = self.millis(200, 8000);
-            self.plan_within(length, Happening::Outage(time));
+            self.schedule_within(length, Scheduled::Outage(time));
         }
         for _ in 0..faults.deaths {
             let n = self.random.random_range(0..NODES);
-            self.plan_within(length, Happening::Death(n));
+            self.schedule_within(length, Scheduled::Death(n));
         }
         for _ in 0..faults.pauses {
             let (n, time) = (self.random.random_range(0..NODES), self.millis(100, 9000));
-            self.plan_within(length, Happening::Pause(n, time));
+            self.schedule_within(length, Scheduled::Pause(n, time));
         }
-        (0..faults.trims).for_each(|_| self.plan_within(length, Happening::Trim));
-        (0..keys).for_each(|_| self.plan_key(length));
-        while let Some(((at, _), happening)) = self.agenda.pop_first() {
+        (0..faults.trims).for_each(|_| self.schedule_within(length, Scheduled::Trim));
+        (0..keys).for_each(|_| self.schedule_key(length));
+        while let Some(((at, _), scheduled)) = self.schedule.pop_first() {
             if at > length + WINDOW + CLAIM_TIMEOUT {
                 break;
             }
             self.now = at;
-            self.happen(happening);
+            self.process(scheduled);
         }
-        self.count();
+        self.collect_all();
     }
 
     /// A fourth of the keys are tickets.
-    fn plan_key(&mut self, length: Duration) {
+    fn schedule_key(&mut self, length: Duration) {
         let at = self.within(length);
         let n = self.random.random_range(0..NODES);
         if self.random.random_range(0..4) == 0 {
-            return self.plan(at, Happening::Issue(n));
+            return self.schedule_at(at, Scheduled::Issue(n));
         }
         let date = EPOCH + at - self.millis(0, SKEW.as_millis() as u64) / 2;
         let text = format!("{}-{}", date.as_secs(), self.keys.len());
-        self.plan_sends(at, n, Key::parse(TEAM, &text).unwrap());
+        self.schedule_sends(at, n, Key::parse(TEAM, &text).unwrap());
     }
 
     fn issue(&mut self, n: usize) {
         let now = self.local(n);
         let text = self.nodes[n].table.issue(now).to_string();
-        self.plan_sends(self.now, n, Key::parse(TEAM, &text).unwrap());
+        self.schedule_sends(self.now, n, Key::parse(TEAM, &text).unwrap());
     }
 
     /// Sends in parallel, soon after and late, to one node or any.
-    fn plan_sends(&mut self, at: Now, home: usize, form: Key) {
+    fn schedule_sends(&mut self, at: Now, home: usize, parsed_key: Key) {
         let key = self.keys.len();
 
         self.keys.push(KeyLog {
-            key: form,
+            key: parsed_key,
             sent: Vec::new(),
         });
         for _ in 0..self.random.random_range(1..7) {
@@ -234,19 +234,19 @@
             } else {
                 self.random.random_range(0..NODES)
             };
-            self.plan(at + delay, Happening::Send(key, n));
+            self.schedule_at(at + delay, Scheduled::Send(key, n));
         }
     }
 
-    fn node(&mut self, n: usize, life: u64) -> Node {
-        let start = match self.broken {
-            Break::Clocks => EPOCH + self.now - self.millis(0, 60_000),
+    fn node(&mut self, n: usize, run: u64) -> Node {
+        let start = match self.defect {
+            Defect::Clocks => EPOCH + self.now - self.millis(0, 60_000),
             _ => EPOCH + self.now + self.millis(0, SKEW.as_millis() as u64),
         };
-        let incarnation = if self.broken == Break::SameIncarnation {
+        let incarnation = if self.defect == Defect::SameIncarnation {
             1
         } else {
-            life
+            run
         };
         let owner = Owner {
             node: n as u64,
@@ -266,14 +266,14 @@
         Node {
             table,
             owner,
-            life,
-            paused: self.now,
-            born: self.now,
+            run,
+            paused_until: self.now,
+            started_at: self.now,
         }
     }
 
     /// Half of the nodes follow only what they are home of, and read the rest when asked.
-    fn begin(&mut self, n: usize) {
+    fn start_node(&mut self, n: usize) {
         let nodes: Vec<u64> = (0..NODES as u64).collect();
         let all: Vec<Shard> = (0..SHARDS).collect();
         let homes = if n.is_multiple_of(2) {
@@ -281,65 +281,74 @@
         } else {
             home::shards(n as u64, &nodes, SHARDS)
         };
-        self.give(n, Event::HomeShards(homes));
+        self.deliver(n, Event::HomeShards(homes));
         let first = self.now + self.millis(0, 20);
-        self.plan(first, Happening::Tick(n));
+        self.schedule_at(first, Scheduled::Tick(n));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(n) => {
-                self.plan(
-                    self.now.max(self.nodes[n].paused) + TICK,
-                    Happening::Tick(n),
+    fn process(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick(n) => {
+                self.schedule_at(
+                    self.now.max(self.nodes[n].paused_until) + TICK,
+                    Scheduled::Tick(n),
                 );
-                self.give(n, Event::Tick);
+                self.deliver(n, Event::Tick);
             }
-            Happening::Deliver(n, life, event) => {
-                if let Some(until) = self.paused(n) {
-                    return self.plan(until, Happening::Deliver(n, life, event));
+            Scheduled::Deliver(n, run, event) => {
+                if let Some(until) = self.paused_until(n) {
+                    return self.schedule_at(until, Scheduled::Deliver(n, run, event));
                 }
-                if self.nodes[n].life == life {
-                    self.give(n, event);
+                if self.nodes[n].run == run {
+                    self.deliver(n, event);
                 }
             }
-            Happening::Effect(shard, body) => self.effect(shard, body),
-            Happening::Read(n, life, shard, from, wait, polls) => {
-                self.read(n, life, shard, from, wait, polls);
+            Scheduled::Effect(shard, body) => self.effect(shard, body),
+            Scheduled::Read(n, run, shard, from, wait, polls) => {
+                self.read(n, run, shard, from, wait, polls);
             }
-            Happening::Send(key, n) => self.send(key, n),
-            Happening::Forward(n, life, ask) => {
-                if let Some(until) = self.paused(n) {
-                    return self.plan(until, Happening::Forward(n, life, ask));
+            Scheduled::Send(key, n) => self.send(key, n),
+            Scheduled::Forward(n, run, claim_request) => {
+                if let Some(until) = self.paused_until(n) {
+                    return self.schedule_at(until, Scheduled::Forward(n, run, claim_request));
                 }
-                if self.nodes[n].life == life {
+                if self.nodes[n].run == run {
                     let deadline = self.local(n) + CLAIM_TIMEOUT;
-                    self.give(n, Event::Received(Request { deadline, ..ask }));
+                    self.deliver(
+                        n,
+                        Event::Received(Request {
+                            deadline,
+                            ..claim_request
+                        }),
+                    );
                 }
             }
-            Happening::Ended(n, life, hash, outcome) => self.ended(n, life, hash, outcome),
-            Happening::Issue(n) => self.issue(n),
-            Happening::Outage(time) => self.out_until = self.now + time,
-            Happening::Death(n) => self.death(n),
-            Happening::Pause(n, time) => self.nodes[n].paused = self.now + time,
-            Happening::Trim => self.trim(),
+            Scheduled::Ended(n, run, hash, outcome) => self.ended(n, run, hash, outcome),
+            Scheduled::Issue(n) => self.issue(n),
+            Scheduled::Outage(time) => self.outage_until = self.now + time,
+            Scheduled::Death(n) => self.death(n),
+            Scheduled::Pause(n, time) => self.nodes[n].paused_until = self.now + time,
+            Scheduled::Trim => self.trim(),
         }
     }
 
-    fn paused(&self, n: usize) -> Option<Now> {
-        Some(self.nodes[n].paused).filter(|until| *until > self.now)
+    fn paused_until(&self, n: usize) -> Option<Now> {
+        Some(self.nodes[n].paused_until).filter(|until| *until > self.now)
     }
 
     fn local(&self, n: usize) -> Now {
-        self.now - self.nodes[n].born
+        self.now - self.nodes[n].started_at
     }
 
-    fn give(&mut self, n: usize, event: Event) {
-        if self.paused(n).is_some() {
-            let life = self.nodes[n].life;
+    fn deliver(&mut self, n: usize, event: Event) {
+        if self.paused_until(n).is_some() {
+            let run = self.nodes[n].run;
             return match event {
                 Event::Tick => {}
-                event => self.plan(self.nodes[n].paused, Happening::Deliver(n, life, event)),
+                event => self.schedule_at(
+                    self.nodes[n].paused_until,
+                    Scheduled::Deliver(n, run, event),
+                ),
             };
         }
         let now = self.local(n);
@@ -349,33 +358,33 @@
     }
 
     fn act(&mut self, n: usize, action: Action) {
-        let life = self.nodes[n].life;
+        let run = self.nodes[n].run;
         match action {
             Action::Append { batch, shard, body } => self.append(n, batch, shard, body),
             Action::Read { shard, from, wait } => {
                 let at = self.now + self.millis(1, 10);
-                self.plan(at, Happening::Read(n, life, shard, from, wait, 0));
+                self.schedule_at(at, Scheduled::Read(n, run, shard, from, wait, 0));
             }
             Action::Run { request, hash } => self.start(n, request, hash),
             Action::Redirect {
                 request,
                 owner,
                 outcome,
-            } => self.point(request, owner, outcome),
+            } => self.redirect(request, owner, outcome),
             Action::Refuse {
                 request, outcome, ..
-            } => self.told(request, outcome),
+            } => self.record_reply(request, outcome),
             Action::Answer {
                 request, outcome, ..
-            } => self.told(request, outcome),
+            } => self.record_reply(request, outcome),
             Action::Join { .. } | Action::DropAnswer(_) => {}
         }
     }
 
     fn append(&mut self, n: usize, batch: u64, shard: Shard, body: Bytes) {
-        let life = self.nodes[n].life;
+        let run = self.nodes[n].run;
         let (there, back) = (self.now + self.millis(1, 8), self.now + self.millis(9, 20));
-        let out = self.now < self.out_until;
+        let out = self.now < self.outage_until;
         let bad = self.random.random_range(0..100) < self.lost;
         let mut answer = Event::Appended(batch);
         if out || bad {
@@ -390,9 +399,9 @@
             _ => None,
         };
         if let Some(at) = effect {
-            self.plan(at, Happening::Effect(shard, body.clone()));
+            self.schedule_at(at, Scheduled::Effect(shard, body.clone()));
         }
-        if self.broken == Break::TrustAppend && matches!(answer, Event::Appended(_)) {
+        if self.defect == Defect::TrustAppend && matches!(answer, Event::Appended(_)) {
             let stream = &self.streams[&shard];
             let offset = stream.first + stream.records.len() as u64;
             let records = vec![Record { offset, body }];
@@ -401,9 +410,9 @@
                 next: offset + 1,
                 records,
             };
-            self.plan(back, Happening::Deliver(n, life, Event::Page(shard, page)));
+            self.schedule_at(back, Scheduled::Deliver(n, run, Event::Page(shard, page)));
         }
-        self.plan(back, Happening::Deliver(n, life, answer));
+        self.schedule_at(back, Scheduled::Deliver(n, run, answer));
     }
 
     fn effect(&mut self, shard: Shard, body: Bytes) {
@@ -412,31 +421,28 @@
         }
     }
 
-    fn read(&mut self, n: usize, life: u64, shard: Shard, from: u64, wait: bool, polls: u32) {
+    fn read(&mut self, n: usize, run: u64, shard: Shard, from: u64, wait: bool, polls: u32) {
         let back = self.now + self.millis(1, 10);
-        if self.now < self.out_until || self.random.random_range(0..100) < self.lost / 4 {
-            return self.plan(back, Happening::Deliver(n, life, Event::ReadFailed(shard)));
+        if self.now < self.outage_until || self.random.random_range(0..100) < self.lost / 4 {
+            return self.schedule_at(back, Scheduled::Deliver(n, run, Event::ReadFailed(shard)));
         }
         let page = self.page(n, shard, from);
         if wait && polls < 20 && page.records.is_empty() && page.first <= from {
             let later = self.now + Duration::from_millis(30);
-            return self.plan(
-                later,
-                Happening::Read(n, life, shard, from, wait, polls + 1),
-            );
+            return self.schedule_at(later, Scheduled::Read(n, run, shard, from, wait, polls + 1));
         }
-        self.plan(back, Happening::Deliver(n, life, Event::Page(shard, page)));
+        self.schedule_at(back, Scheduled::Deliver(n, run, Event::Page(shard, page)));
     }
 
     fn page(&mut self, n: usize, shard: Shard, from: u64) -> Page {
         let most = self.random.random_range(1..30);
         let stream = &self.streams[&shard];
-        let hidden = self.broken == Break::HiddenTrim;
+        let hidden = self.defect == Defect::HiddenTrim;
         let first = if hidden { 0 } else { stream.first };
         let start = from.max(first);
         let end = stream.first + stream.records.len() as u64;
         let record = |offset: u64| {
-            let swap = self.broken == Break::OtherOrder && n % 2 == 1 && (offset ^ 1) < end;
+            let swap = self.defect == Defect::OtherOrder && n % 2 == 1 && (offset ^ 1) < end;
             let at = if swap { offset ^ 1 } else { offset };
             let body = at
                 .checked_sub(stream.first)
@@ -456,52 +462,52 @@
 
     fn send(&mut self, key: usize, n: usize) {
         self.request += 1;
-        self.tally.sends += 1;
+        self.totals.sends += 1;
         // Now and then a caller uses its key for another body by mistake.
         let body = u64::from(self.random.random_range(0..20) == 0);
-        self.asks.insert(
+        self.sends_by_request.insert(
             self.request,
-            Sent {
+            Send {
                 key,
                 body,
-                hopped: false,
+                forwarded: false,
             },
         );
 
-        self.ask(n, self.request);
+        self.forward(n, self.request);
     }
 
-    fn ask(&mut self, n: usize, request: RequestId) {
-        let Sent { key, body, .. } = self.asks[&request];
-        let form = self.keys[key].key;
-        let ask = Request {
+    fn forward(&mut self, n: usize, request: RequestId) {
+        let Send { key, body, .. } = self.sends_by_request[&request];
+        let parsed_key = self.keys[key].key;
+        let claim_request = Request {
             id: request,
-            key: form,
+            key: parsed_key,
             fingerprint: body,
             deadline: Duration::ZERO,
         };
-        let life = self.nodes[n].life;
-        self.plan(self.now, Happening::Forward(n, life, ask));
+        let run = self.nodes[n].run;
+        self.schedule_at(self.now, Scheduled::Forward(n, run, claim_request));
     }
 
     /// The router refuses some requests unrun; the others leave for an endpoint at once.
     fn start(&mut self, n: usize, request: RequestId, hash: Hash) {
-        self.tally.runs += 1;
-        let fate = self.random.random_range(0..16);
-        if fate == 0 {
+        self.totals.runs += 1;
+        let choice = self.random.random_range(0..16);
+        if choice == 0 {
             // The caller left while the word to run was on its way.
             let at = self.now + self.millis(0, 20);
-            let life = self.nodes[n].life;
-            return self.plan(at, Happening::Deliver(n, life, Event::Cancelled(request)));
+            let run = self.nodes[n].run;
+            return self.schedule_at(at, Scheduled::Deliver(n, run, Event::Cancelled(request)));
         }
-        let refused = fate < 5;
-        let life = self.nodes[n].life;
+        let refused = choice < 5;
+        let run = self.nodes[n].run;
         let end = self.now + self.millis(1, 2000);
         if refused {
             self.not_run(request);
-            return self.plan(end, Happening::Ended(n, life, hash, Outcome::NotRun));
+            return self.schedule_at(end, Scheduled::Ended(n, run, hash, Outcome::NotRun));
         }
-        let Sent { key, body, .. } = self.asks[&request];
+        let Send { key, body, .. } = self.sends_by_request[&request];
         let sent = &mut self.keys[key].sent;
         sent.push(body);
         if sent.len() > 1 {
@@ -514,55 +520,55 @@
         }
 
         let outcome = match self.random.random_range(0..4) {
-            0 if self.broken == Break::FalseNotRun => Outcome::NotRun,
+            0 if self.defect == Defect::FalseNotRun => Outcome::NotRun,
             1 => Outcome::Unknown,
             _ => Outcome::Complete,
         };
-        self.plan(end, Happening::Ended(n, life, hash, outcome));
+        self.schedule_at(end, Scheduled::Ended(n, run, hash, outcome));
     }
 
-    fn ended(&mut self, n: usize, life: u64, hash: Hash, outcome: Outcome) {
-        if let Some(until) = self.paused(n) {
-            return self.plan(until, Happening::Ended(n, life, hash, outcome));
+    fn ended(&mut self, n: usize, run: u64, hash: Hash, outcome: Outcome) {
+        if let Some(until) = self.paused_until(n) {
+            return self.schedule_at(until, Scheduled::Ended(n, run, hash, outcome));
         }
-        if self.nodes[n].life == life {
-            self.give(n, Event::Ended(hash, outcome, 100));
+        if self.nodes[n].run == run {
+            self.deliver(n, Event::Ended(hash, outcome, 100));
         }
     }
 
     /// One hop to the owner; with the owner dead or the hop spent, what is known is told.
-    fn point(&mut self, request: RequestId, owner: Owner, outcome: Option<Outcome>) {
-        self.tally.pointed += 1;
-        let Some(sent) = self.asks.get_mut(&request) else {
+    fn redirect(&mut self, request: RequestId, owner: Owner, outcome: Option<Outcome>) {
+        self.totals.pointed += 1;
+        let Some(sent) = self.sends_by_request.get_mut(&request) else {
             return;
         };
         let n = owner.node as usize;
-        if sent.hopped || self.nodes[n].owner != owner {
-            return self.told(request, outcome.unwrap_or(Outcome::Unknown));
+        if sent.forwarded || self.nodes[n].owner != owner {
+            return self.record_reply(request, outcome.unwrap_or(Outcome::Unknown));
         }
-        sent.hopped = true;
-        self.ask(n, request);
+        sent.forwarded = true;
+        self.forward(n, request);
     }
 
-    fn told(&mut self, request: RequestId, outcome: Outcome) {
-        let Sent { key, body, .. } = self.asks[&request];
+    fn record_reply(&mut self, request: RequestId, outcome: Outcome) {
+        let Send { key, body, .. } = self.sends_by_request[&request];
 
         match outcome {
             Outcome::Complete => {
-                self.tally.complete += 1;
+                self.totals.complete += 1;
                 if self.keys[key].sent != [body] {
                     self.findings
                         .push(format!("{:?}: {request} complete, not sent", self.now));
                 }
             }
-            Outcome::Unknown => self.tally.unknown += 1,
+            Outcome::Unknown => self.totals.unknown += 1,
             Outcome::NotRun => self.not_run(request),
         }
     }
 
     fn not_run(&mut self, request: RequestId) {
-        self.tally.not_run += 1;
-        let Sent { key, body, .. } = self.asks[&request];
+        self.totals.not_run += 1;
+        let Send { key, body, .. } = self.sends_by_request[&request];
         if self.keys[key].sent.contains(&body) {
             self.findings
                 .push(format!("{:?}: {request} told not run, was sent", self.now));
@@ -570,16 +576,16 @@
     }
 
     fn death(&mut self, n: usize) {
-        self.gather(n);
-        let life = self.nodes[n].life + 1;
-        self.nodes[n] = self.node(n, life);
-        self.begin_again(n);
+        self.collect_node(n);
+        let run = self.nodes[n].run + 1;
+        self.nodes[n] = self.node(n, run);
+        self.restart_node(n);
     }
 
-    fn begin_again(&mut self, n: usize) {
-        let stale = |h: &Happening| matches!(h, Happening::Tick(m) if *m == n);
-        self.agenda.retain(|_, h| !stale(h));
-        self.begin(n);
+    fn restart_node(&mut self, n: usize) {
+        let stale = |h: &Scheduled| matches!(h, Scheduled::Tick(m) if *m == n);
+        self.schedule.retain(|_, h| !stale(h));
+        self.start_node(n);
     }
 
     fn trim(&mut self) {
@@ -591,12 +597,12 @@
         }
     }
 
-    fn gather(&mut self, n: usize) {
+    fn collect_node(&mut self, n: usize) {
         let counters = *self.nodes[n].table.counters();
-        self.tally.gaps += counters.gaps;
-        self.tally.released += counters.released;
-        self.tally.unsure += counters.unsure;
-        self.tally.expired += counters.refused_expired as u32;
+        self.totals.gaps += counters.gaps;
+        self.totals.released += counters.released;
+        self.totals.unsure += counters.unsure;
+        self.totals.expired += counters.refused_expired as u32;
         let findings = self.nodes[n].table.check();
         self.findings.extend(
             findings
@@ -605,18 +611,19 @@
         );
     }
 
-    fn count(&mut self) {
-        (0..NODES).for_each(|n| self.gather(n));
+    fn collect_all(&mut self) {
+        (0..NODES).for_each(|n| self.collect_node(n));
     }
 
-    fn plan(&mut self, at: Now, happening: Happening) {
+    fn schedule_at(&mut self, at: Now, scheduled: Scheduled) {
         self.seq += 1;
-        self.agenda.insert((at.max(self.now), self.seq), happening);
+        self.schedule
+            .insert((at.max(self.now), self.seq), scheduled);
     }
 
-    fn plan_within(&mut self, length: Duration, happening: Happening) {
+    fn schedule_within(&mut self, length: Duration, scheduled: Scheduled) {
         let at = self.within(length);
-        self.plan(at, happening);
+        self.schedule_at(at, scheduled);
     }
 
     fn within(&mut self, length: Duration) -> Now {
--- a/crates/lease/tests/holds/cases.rs
+++ b/crates/lease/tests/holds/cases.rs
@@ -36,7 +36,7 @@
             appends: Vec::new(),
             actions: Vec::new(),
         };
-        node.give(
+        node.deliver(
             now,
             Event::Candidacies(vec![Candidacy {
                 group: GROUP,
@@ -48,7 +48,7 @@
         node
     }
 
-    fn give(&mut self, now: Now, event: Event) {
+    fn deliver(&mut self, now: Now, event: Event) {
         let mut actions = Vec::new();
         self.table.handle(now, event, &mut actions);
         for action in actions {
@@ -67,7 +67,7 @@
             .map(|(offset, body)| Record { offset, body })
             .collect();
         let next = self.next + records.len() as u64;
-        self.give(
+        self.deliver(
             now,
             Event::Page(Page {
                 first: 0,
@@ -80,13 +80,13 @@
     fn append(&mut self, now: Now, log: &mut Log) {
         for (batch, body) in std::mem::take(&mut self.appends) {
             log.records.push(body);
-            self.give(now, Event::Appended(batch));
+            self.deliver(now, Event::Appended(batch));
         }
     }
 
     /// Lets the node act, append and read back.
     fn step(&mut self, now: Now, log: &mut Log) {
-        self.give(now, Event::Tick);
+        self.deliver(now, Event::Tick);
         self.append(now, log);
         self.read(now, log);
     }
@@ -122,7 +122,7 @@
     b.step(secs(21.0), &mut log);
     assert_eq!(b.table.permit(secs(21.1), GROUP), Some(1));
     assert_eq!(a.table.permit(secs(60.0), GROUP), None);
-    a.give(secs(60.0), Event::Tick);
+    a.deliver(secs(60.0), Event::Tick);
     assert_eq!(a.actions, [Action::Gained(GROUP, 0), Action::Lost(GROUP)]);
 }
 
@@ -133,7 +133,7 @@
     let mut a = Node::new(1, &log, secs(0.0));
     let (batch, body) = a.appends.remove(0);
     log.records.push(body);
-    a.give(secs(3.0), Event::AppendUnsure(batch));
+    a.deliver(secs(3.0), Event::AppendUnsure(batch));
     assert_eq!(a.table.permit(secs(3.0), GROUP), None);
     a.read(secs(4.0), &log);
     assert_eq!(a.table.permit(secs(4.1), GROUP), Some(0));
@@ -147,15 +147,15 @@
     let mut log = Log::default();
     let mut a = Node::new(1, &log, secs(0.0));
     a.step(secs(0.1), &mut log);
-    a.give(secs(6.0), Event::Tick);
+    a.deliver(secs(6.0), Event::Tick);
     let (batch, _) = a.appends.remove(0);
-    a.give(secs(7.0), Event::AppendFailed(batch));
+    a.deliver(secs(7.0), Event::AppendFailed(batch));
     assert_eq!(a.table.permit(secs(14.0), GROUP), Some(0));
     assert_eq!(a.table.permit(secs(15.0), GROUP), None);
     a.appends.clear();
-    a.give(secs(40.0), Event::Tick);
+    a.deliver(secs(40.0), Event::Tick);
     let (batch, _) = a.appends.remove(0);
-    a.give(secs(41.0), Event::AppendFailed(batch));
+    a.deliver(secs(41.0), Event::AppendFailed(batch));
     a.step(secs(45.0), &mut log);
     assert_eq!(a.table.permit(secs(45.1), GROUP), Some(1));
 }
@@ -169,7 +169,7 @@
     }
     assert_eq!(a.table.permit(secs(46.0), GROUP), Some(0));
     let mut b = Node::new(2, &log, secs(46.0));
-    a.give(secs(47.0), Event::Candidacies(Vec::new()));
+    a.deliver(secs(47.0), Event::Candidacies(Vec::new()));
     assert_eq!(a.table.permit(secs(47.0), GROUP), None);
     b.step(secs(52.0), &mut log);
     assert_eq!(b.table.permit(secs(52.0), GROUP), None);
@@ -185,7 +185,7 @@
     let mut log = Log::default();
     let mut a = Node::new(1, &log, secs(0.0));
     a.step(secs(0.1), &mut log);
-    a.give(secs(1.0), Event::RollStopped(GROUP, 17));
+    a.deliver(secs(1.0), Event::RollStopped(GROUP, 17));
     a.step(secs(1.1), &mut log);
     let b = Node::new(2, &log, secs(2.0));
     assert_eq!(b.table.stopped_bundle(GROUP), 17);
--- a/crates/lease/tests/holds/random.rs
+++ b/crates/lease/tests/holds/random.rs
@@ -1,6 +1,6 @@
 //! Long randomised runs, and broken variants that they catch.
 
-use crate::world::{Break, Faults, World};
+use crate::world::{Defect, Faults, Simulation};
 use std::time::Duration;
 
 const LENGTH: Duration = Duration::from_secs(400);
@@ -21,29 +21,32 @@
     lost: 20,
 };
 
-fn run(seed: u64, faults: Faults, broken: Break) -> World {
-    let mut world = World::new(seed, broken);
-    world.run(LENGTH, faults);
-    world
+fn run(seed: u64, faults: Faults, defect: Defect) -> Simulation {
+    let mut simulation = Simulation::new(seed, defect);
+    simulation.run(LENGTH, faults);
+    simulation
 }
 
-fn holds(seeds: std::ops::Range<u64>, faults: Faults) -> Vec<World> {
-    let worlds: Vec<World> = seeds.clone().map(|s| run(s, faults, Break::None)).collect();
-    for (seed, world) in seeds.zip(&worlds) {
+fn assert_invariants(seeds: std::ops::Range<u64>, faults: Faults) -> Vec<Simulation> {
+    let simulations: Vec<Simulation> = seeds
+        .clone()
+        .map(|s| run(s, faults, Defect::None))
+        .collect();
+    for (seed, simulation) in seeds.zip(&simulations) {
         assert!(
-            world.findings.is_empty(),
+            simulation.findings.is_empty(),
             "seed {seed}: {:#?}",
-            world.findings
+            simulation.findings
         );
     }
-    worlds
+    simulations
 }
 
 #[test]
 fn without_faults_one_holder_stays() {
-    for world in holds(0..3, NONE) {
-        assert_eq!(world.changes, 0);
-        assert!(world.orders > 500, "{}", world.orders);
+    for simulation in assert_invariants(0..3, NONE) {
+        assert_eq!(simulation.changes, 0);
+        assert!(simulation.orders > 500, "{}", simulation.orders);
     }
 }
 
@@ -52,19 +55,19 @@
 /// holder's, and fencing numbers only rise.
 #[test]
 fn all_faults_together() {
-    let worlds = holds(100..130, ALL);
-    assert!(worlds.iter().map(|w| w.changes).sum::<u32>() > 100);
-    assert!(worlds.iter().map(|w| w.orders).sum::<u32>() > 5000);
+    let simulations = assert_invariants(100..130, ALL);
+    assert!(simulations.iter().map(|w| w.changes).sum::<u32>() > 100);
+    assert!(simulations.iter().map(|w| w.orders).sum::<u32>() > 5000);
 }
 
 #[test]
 fn each_fault_alone() {
-    holds(200..203, Faults { outages: 3, ..NONE });
-    holds(210..213, Faults { deaths: 6, ..NONE });
-    holds(220..223, Faults { pauses: 6, ..NONE });
-    holds(230..233, Faults { trims: 6, ..NONE });
-    holds(240..243, Faults { lost: 50, ..NONE });
-    holds(
+    assert_invariants(200..203, Faults { outages: 3, ..NONE });
+    assert_invariants(210..213, Faults { deaths: 6, ..NONE });
+    assert_invariants(220..223, Faults { pauses: 6, ..NONE });
+    assert_invariants(230..233, Faults { trims: 6, ..NONE });
+    assert_invariants(240..243, Faults { lost: 50, ..NONE });
+    assert_invariants(
         250..253,
         Faults {
             leaves: 5,
@@ -78,33 +81,33 @@
 #[test]
 #[ignore = "minutes long"]
 fn long() {
-    holds(1000..3000, ALL);
+    assert_invariants(1000..3000, ALL);
 }
 
-fn caught(broken: Break) {
-    let bitten = (300..360).any(|seed| {
-        let findings = run(seed, ALL, broken).findings;
+fn assert_detected(defect: Defect) {
+    let detected = (300..360).any(|seed| {
+        let findings = run(seed, ALL, defect).findings;
         findings.iter().any(|text| text.contains("beside"))
     });
-    assert!(bitten, "{broken:?} went unnoticed");
+    assert!(detected, "{defect:?} went unnoticed");
 }
 
 #[test]
 fn a_permit_asked_before_a_pause_is_caught() {
-    caught(Break::EarlyPermit);
+    assert_detected(Defect::EarlyPermit);
 }
 
 #[test]
 fn a_holder_with_a_longer_term_is_caught() {
-    caught(Break::LongTerm);
+    assert_detected(Defect::LongTerm);
 }
 
 #[test]
 fn a_successor_that_does_not_wait_is_caught() {
-    caught(Break::ShortWait);
+    assert_detected(Defect::ShortWait);
 }
 
 #[test]
 fn holding_on_the_append_answer_is_caught() {
-    caught(Break::TrustAppend);
+    assert_detected(Defect::TrustAppend);
 }
--- a/crates/lease/tests/holds/world.rs
+++ b/crates/lease/tests/holds/world.rs
@@ -14,7 +14,7 @@
 
 /// What is broken on purpose, to show that the invariants bite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum Defect {
     /// Nothing.
     None,
     /// Holders ask for the permit some time before they send.
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum Scheduled {
     Tick(usize, u64),
     Deliver(usize, u64, Event),
     Effect(Bytes),
@@ -57,9 +57,9 @@
 struct Node {
     table: Table,
     owner: Owner,
-    life: u64,
-    paused: Now,
-    born: Now,
+    run: u64,
+    paused_until: Now,
+    started_at: Now,
 }
 
 /// An order that left.
@@ -70,14 +70,14 @@
     fence: Fence,
 }
 
-pub struct World {
+pub struct Simulation {
     now: Now,
     seq: u64,
     random: ChaCha8Rng,
-    broken: Break,
+    defect: Defect,
     lost: u32,
-    out_until: Now,
-    agenda: BTreeMap<(Now, u64), Happening>,
+    outage_until: Now,
+    schedule: BTreeMap<(Now, u64), Scheduled>,
     first: u64,
     records: Vec<Bytes>,
     nodes: Vec<Node>,
@@ -89,16 +89,16 @@
     pub findings: Vec<String>,
 }
 
-impl World {
-    pub fn new(seed: u64, broken: Break) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub fn new(seed: u64, defect: Defect) -> Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             seq: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            broken,
+            defect,
             lost: 0,
-            out_until: Duration::ZERO,
-            agenda: BTreeMap::new(),
+            outage_until: Duration::ZERO,
+            schedule: BTreeMap::new(),
             first: 0,
             records: Vec::new(),
             nodes: Vec::new(),
@@ -108,49 +108,49 @@
             findings: Vec::new(),
         };
         for n in 0..NODES {
-            let node = world.node(n, 1);
-            world.nodes.push(node);
+            let node = simulation.node(n, 1);
+            simulation.nodes.push(node);
         }
-        (0..NODES).for_each(|n| world.begin(n));
-        world
+        (0..NODES).for_each(|n| simulation.start_node(n));
+        simulation
     }
 
     pub fn run(&mut self, length: Duration, faults: Faults) {
         self.lost = faults.lost;
         for _ in 0..faults.outages {
             let time = self.millis(1000, 40_000);
-            self.plan_within(length, Happening::Outage(time));
+            self.schedule_within(length, Scheduled::Outage(time));
         }
         for _ in 0..faults.pauses {
             let (n, time) = (self.random.random_range(0..NODES), self.millis(500, 60_000));
-            self.plan_within(length, Happening::Pause(n, time));
+            self.schedule_within(length, Scheduled::Pause(n, time));
         }
         for _ in 0..faults.deaths {
             let n = self.random.random_range(0..NODES);
-            self.plan_within(length, Happening::Death(n));
+            self.schedule_within(length, Scheduled::Death(n));
         }
         for _ in 0..faults.leaves {
             let n = self.random.random_range(0..NODES);
-            self.plan_within(length, Happening::Leave(n));
+            self.schedule_within(length, Scheduled::Leave(n));
         }
-        (0..faults.trims).for_each(|_| self.plan_within(length, Happening::Trim));
-        while let Some(((at, _), happening)) = self.agenda.pop_first() {
+        (0..faults.trims).for_each(|_| self.schedule_within(length, Scheduled::Trim));
+        while let Some(((at, _), scheduled)) = self.schedule.pop_first() {
             if at > length {
                 break;
             }
             self.now = at;
-            self.happen(happening);
+            self.process(scheduled);
         }
     }
 
     fn settings(&self, n: usize) -> Settings {
         let usual = Settings::default();
-        match self.broken {
-            Break::LongTerm if n == 0 => Settings {
+        match self.defect {
+            Defect::LongTerm if n == 0 => Settings {
                 term: usual.term * 3,
                 ..usual
             },
-            Break::ShortWait => {
+            Defect::ShortWait => {
                 let short = usual.term / 5;
                 // The holder's own term stays: only what successors wait is cut.
                 let (term, max_order_time) = if n == 0 {
@@ -169,54 +169,54 @@
         }
     }
 
-    fn node(&mut self, n: usize, life: u64) -> Node {
+    fn node(&mut self, n: usize, run: u64) -> Node {
         let owner = Owner {
             node: n as u64,
-            incarnation: life,
+            incarnation: run,
         };
         let table = Table::new(owner, self.random.random(), self.settings(n));
         Node {
             table,
             owner,
-            life,
-            paused: self.now,
-            born: self.now,
+            run,
+            paused_until: self.now,
+            started_at: self.now,
         }
     }
 
-    fn begin(&mut self, n: usize) {
+    fn start_node(&mut self, n: usize) {
         let want = |(g, group): (usize, &Group)| Candidacy {
             group: *group,
             rank: ((n + 3 * g) % NODES) as u32,
         };
-        self.give(
+        self.deliver(
             n,
             Event::Candidacies(GROUPS.iter().enumerate().map(want).collect()),
         );
-        let (at, life) = (self.now + self.millis(0, 50), self.nodes[n].life);
-        self.plan(at, Happening::Tick(n, life));
+        let (at, run) = (self.now + self.millis(0, 50), self.nodes[n].run);
+        self.schedule_at(at, Scheduled::Tick(n, run));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(n, life) if self.nodes[n].life == life => self.tick(n),
-            Happening::Tick(..) => {}
-            Happening::Deliver(n, life, event) if self.nodes[n].life == life => {
-                self.give(n, event);
+    fn process(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick(n, run) if self.nodes[n].run == run => self.tick(n),
+            Scheduled::Tick(..) => {}
+            Scheduled::Deliver(n, run, event) if self.nodes[n].run == run => {
+                self.deliver(n, event);
             }
-            Happening::Deliver(..) => {}
-            Happening::Effect(body) => self.records.push(body),
-            Happening::Read(n, life, from, wait, polls) => self.read(n, life, from, wait, polls),
-            Happening::Order(n, life, group, early) => self.order(n, life, group, early),
-            Happening::Outage(time) => self.out_until = self.now + time,
-            Happening::Death(n) => {
-                let life = self.nodes[n].life + 1;
-                self.nodes[n] = self.node(n, life);
-                self.begin(n);
+            Scheduled::Deliver(..) => {}
+            Scheduled::Effect(body) => self.records.push(body),
+            Scheduled::Read(n, run, from, wait, polls) => self.read(n, run, from, wait, polls),
+            Scheduled::Order(n, run, group, early) => self.order(n, run, group, early),
+            Scheduled::Outage(time) => self.outage_until = self.now + time,
+            Scheduled::Death(n) => {
+                let run = self.nodes[n].run + 1;
+                self.nodes[n] = self.node(n, run);
+                self.start_node(n);
             }
-            Happening::Pause(n, time) => self.nodes[n].paused = self.now + time,
-            Happening::Leave(n) => self.give(n, Event::Candidacies(Vec::new())),
-            Happening::Trim => {
+            Scheduled::Pause(n, time) => self.nodes[n].paused_until = self.now + time,
+            Scheduled::Leave(n) => self.deliver(n, Event::Candidacies(Vec::new())),
+            Scheduled::Trim => {
                 let drop = self.random.random_range(0..=self.records.len());
                 self.records.drain(..drop);
                 self.first += drop as u64;
@@ -225,33 +225,33 @@
     }
 
     fn tick(&mut self, n: usize) {
-        let (life, paused) = (self.nodes[n].life, self.nodes[n].paused);
-        if paused > self.now {
-            return self.plan(paused, Happening::Tick(n, life));
+        let (run, paused_until) = (self.nodes[n].run, self.nodes[n].paused_until);
+        if paused_until > self.now {
+            return self.schedule_at(paused_until, Scheduled::Tick(n, run));
         }
-        self.plan(self.now + TICK, Happening::Tick(n, life));
-        self.give(n, Event::Tick);
+        self.schedule_at(self.now + TICK, Scheduled::Tick(n, run));
+        self.deliver(n, Event::Tick);
         for group in GROUPS {
             if self.random.random_range(0..6) > 0 {
                 continue;
             }
             let early = self.nodes[n].table.permit(self.local(n), group);
             let at = self.now + self.millis(1, 40);
-            self.plan(at, Happening::Order(n, life, group, early));
+            self.schedule_at(at, Scheduled::Order(n, run, group, early));
         }
     }
 
     /// The node sends an order, now or, when it is paused, on waking.
-    fn order(&mut self, n: usize, life: u64, group: Group, early: Option<Fence>) {
-        if self.nodes[n].paused > self.now {
-            let until = self.nodes[n].paused;
-            return self.plan(until, Happening::Order(n, life, group, early));
+    fn order(&mut self, n: usize, run: u64, group: Group, early: Option<Fence>) {
+        if self.nodes[n].paused_until > self.now {
+            let until = self.nodes[n].paused_until;
+            return self.schedule_at(until, Scheduled::Order(n, run, group, early));
         }
-        if self.nodes[n].life != life {
+        if self.nodes[n].run != run {
             return;
         }
         let permit = self.nodes[n].table.permit(self.local(n), group);
-        let permit = if self.broken == Break::EarlyPermit {
+        let permit = if self.defect == Defect::EarlyPermit {
             early
         } else {
             permit
@@ -280,13 +280,13 @@
     }
 
     fn local(&self, n: usize) -> Now {
-        self.now - self.nodes[n].born
+        self.now - self.nodes[n].started_at
     }
 
-    fn give(&mut self, n: usize, event: Event) {
-        let (life, paused) = (self.nodes[n].life, self.nodes[n].paused);
-        if paused > self.now {
-            return self.plan(paused, Happening::Deliver(n, life, event));
+    fn deliver(&mut self, n: usize, event: Event) {
+        let (run, paused_until) = (self.nodes[n].run, self.nodes[n].paused_until);
+        if paused_until > self.now {
+            return self.schedule_at(paused_until, Scheduled::Deliver(n, run, event));
         }
         let now = self.local(n);
         let mut actions = Vec::new();
@@ -296,7 +296,7 @@
                 Action::Append { batch, body } => self.append(n, batch, body),
                 Action::Read { from, wait } => {
                     let at = self.now + self.millis(1, 10);
-                    self.plan(at, Happening::Read(n, life, from, wait, 0));
+                    self.schedule_at(at, Scheduled::Read(n, run, from, wait, 0));
                 }
                 Action::Gained(..) | Action::Lost(_) => {}
             }
@@ -304,9 +304,9 @@
     }
 
     fn append(&mut self, n: usize, batch: u64, body: Bytes) {
-        let life = self.nodes[n].life;
+        let run = self.nodes[n].run;
         let (there, back) = (self.now + self.millis(1, 8), self.now + self.millis(9, 20));
-        let bad = self.now < self.out_until || self.random.random_range(0..100) < self.lost;
+        let bad = self.now < self.outage_until || self.random.random_range(0..100) < self.lost;
         let late = self.millis(0, 20_000);
         let (answer, effect) = match (bad, self.random.random_range(0..3)) {
             (false, _) => (Event::Appended(batch), Some(there)),
@@ -315,9 +315,9 @@
             (true, _) => (Event::AppendUnsure(batch), Some(there + late)),
         };
         if let Some(at) = effect {
-            self.plan(at, Happening::Effect(body.clone()));
+            self.schedule_at(at, Scheduled::Effect(body.clone()));
         }
-        if self.broken == Break::TrustAppend && matches!(answer, Event::Appended(_)) {
+        if self.defect == Defect::TrustAppend && matches!(answer, Event::Appended(_)) {
             let offset = self.first + self.records.len() as u64;
             let records = vec![Record { offset, body }];
             let page = Page {
@@ -325,15 +325,15 @@
                 next: offset + 1,
                 records,
             };
-            self.plan(there, Happening::Deliver(n, life, Event::Page(page)));
+            self.schedule_at(there, Scheduled::Deliver(n, run, Event::Page(page)));
         }
-        self.plan(back, Happening::Deliver(n, life, answer));
+        self.schedule_at(back, Scheduled::Deliver(n, run, answer));
     }
 
-    fn read(&mut self, n: usize, life: u64, from: u64, wait: bool, polls: u32) {
+    fn read(&mut self, n: usize, run: u64, from: u64, wait: bool, polls: u32) {
         let back = self.now + self.millis(1, 10);
-        if self.now < self.out_until || self.random.random_range(0..100) < self.lost / 4 {
-            return self.plan(back, Happening::Deliver(n, life, Event::ReadFailed));
+        if self.now < self.outage_until || self.random.random_range(0..100) < self.lost / 4 {
+            return self.schedule_at(back, Scheduled::Deliver(n, run, Event::ReadFailed));
         }
         let start = from.max(self.first);
         let skip = (start - self.first) as usize;
@@ -344,7 +344,7 @@
             .collect();
         if wait && polls < 30 && records.is_empty() && self.first <= from {
             let later = self.now + Duration::from_millis(30);
-            return self.plan(later, Happening::Read(n, life, from, wait, polls + 1));
+            return self.schedule_at(later, Scheduled::Read(n, run, from, wait, polls + 1));
         }
         let next = start + records.len() as u64;
         let page = Page {
@@ -352,17 +352,18 @@
             next,
             records,
         };
-        self.plan(back, Happening::Deliver(n, life, Event::Page(page)));
+        self.schedule_at(back, Scheduled::Deliver(n, run, Event::Page(page)));
     }
 
-    fn plan(&mut self, at: Now, happening: Happening) {
+    fn schedule_at(&mut self, at: Now, scheduled: Scheduled) {
         self.seq += 1;
-        self.agenda.insert((at.max(self.now), self.seq), happening);
+        self.schedule
+            .insert((at.max(self.now), self.seq), scheduled);
     }
 
-    fn plan_within(&mut self, length: Duration, happening: Happening) {
+    fn schedule_within(&mut self, length: Duration, scheduled: Scheduled) {
         let at = self.millis(1000, length.as_millis() as u64);
-        self.plan(at, happening);
+        self.schedule_at(at, scheduled);
     }
 
     fn millis(&mut self, from: u64, to: u64) -> Duration {
--- a/crates/lease/tests/rolls/fleet.rs
+++ b/crates/lease/tests/rolls/fleet.rs
@@ -88,7 +88,7 @@
 
 /// What is broken on purpose, to show that the invariants bite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum Defect {
     /// Nothing.
     None,
     /// Reports say that what is being loaded is ready.
@@ -113,7 +113,7 @@
     pub reports: Vec<Option<Report>>,
     pub health: Vec<Health>,
     pub engine: Engine,
-    pub broken: Break,
+    pub defect: Defect,
     /// A version whose loads never get ready.
     pub bad: Option<String>,
     /// Orders lost on their way: the next so many.
@@ -142,7 +142,7 @@
             reports: vec![Some(Report::default()); count],
             health: vec![Health::Up; count],
             engine: Engine::InPlace,
-            broken: Break::None,
+            defect: Defect::None,
             bad: None,
             lose: 0,
             loads: vec![Load::default(); count],
@@ -272,7 +272,7 @@
         let mut actions = Vec::new();
         let mut view = self.view();
         let mut reports = self.reports.clone();
-        if self.broken == Break::FalseReady {
+        if self.defect == Defect::FalseReady {
             let held = reports
                 .iter_mut()
                 .flatten()
@@ -280,7 +280,7 @@
             held.for_each(|held| held.ready = true);
             view.reports = &reports;
         }
-        if self.broken == Break::OtherRate {
+        if self.defect == Defect::OtherRate {
             view.rate.at_once += 2;
         }
         roll.step(self.now, &view, &mut actions);
--- a/crates/lease/tests/rolls/random.rs
+++ b/crates/lease/tests/rolls/random.rs
@@ -1,13 +1,13 @@
 //! Randomised rolls: bundles, restarts, deaths, lost orders and new holders, all together.
 
-use crate::fleet::{Break, Engine, Fleet, SECOND, bundle, settings};
+use crate::fleet::{Defect, Engine, Fleet, SECOND, bundle, settings};
 use lease::roll::{Health, Roll};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const STEPS: u32 = 1500;
 
-fn run(seed: u64, broken: Break) -> Fleet {
+fn run(seed: u64, defect: Defect) -> Fleet {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let replicas = random.random_range(2..4);
     let mut fleet = Fleet::full(bundle(1, 3, replicas, "v1"));
@@ -16,21 +16,21 @@
     } else {
         Engine::InPlace
     };
-    fleet.broken = broken;
+    fleet.defect = defect;
     let mut number = 1;
     for step in 0..STEPS {
         fleet.run(SECOND);
-        let calm = step > STEPS / 2;
+        let faults_ended = step > STEPS / 2;
         let id = random.random_range(0..fleet.reports.len());
         match random.random_range(0..400) {
-            0..3 if !calm => {
+            0..3 if !faults_ended => {
                 number += 1;
                 fleet.bundle = bundle(number, 3, replicas, &format!("v{number}"));
                 fleet.bad = random.random_bool(0.2).then(|| format!("v{number}"));
             }
-            3 if !calm => fleet.restart(id),
-            4 if !calm => fleet.health[id] = Health::Down,
-            5 if !calm => fleet.health[id] = Health::Leaving,
+            3 if !faults_ended => fleet.restart(id),
+            4 if !faults_ended => fleet.health[id] = Health::Down,
+            5 if !faults_ended => fleet.health[id] = Health::Leaving,
             6..20 if fleet.health[id] != Health::Up => {
                 fleet.restart(id);
                 fleet.health[id] = Health::Up;
@@ -55,7 +55,7 @@
 #[test]
 fn whatever_came_the_last_bundle_is_reached_with_a_whole_replica_kept() {
     for seed in 0..40 {
-        let fleet = run(seed, Break::None);
+        let fleet = run(seed, Defect::None);
         assert_eq!(fleet.findings, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
             fleet.done(),
@@ -71,7 +71,7 @@
 #[ignore = "minutes long"]
 fn long() {
     for seed in 1000..3000 {
-        let fleet = run(seed, Break::None);
+        let fleet = run(seed, Defect::None);
         assert_eq!(fleet.findings, Vec::<String>::new(), "seed {seed}");
         assert_eq!(
             fleet.done(),
@@ -82,20 +82,20 @@
     }
 }
 
-fn caught(broken: Break, text: &str) {
-    let bitten = (300..320).any(|seed| {
-        let findings = run(seed, broken).findings;
+fn assert_detected(defect: Defect, text: &str) {
+    let detected = (300..320).any(|seed| {
+        let findings = run(seed, defect).findings;
         findings.iter().any(|finding| finding.contains(text))
     });
-    assert!(bitten, "{broken:?} went unnoticed");
+    assert!(detected, "{defect:?} went unnoticed");
 }
 
 #[test]
 fn loads_that_pass_for_ready_are_caught() {
-    caught(Break::FalseReady, "no whole replica");
+    assert_detected(Defect::FalseReady, "no whole replica");
 }
 
 #[test]
 fn fetches_over_the_rate_are_caught() {
-    caught(Break::OtherRate, "fetches at once");
+    assert_detected(Defect::OtherRate, "fetches at once");
 }
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -17,26 +17,26 @@
 
 const NODES: u64 = 3;
 const KEYS: u64 = 30;
-const WAIT: Duration = Duration::from_millis(500);
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const TICK: Duration = Duration::from_millis(20);
 
-/// What became of requests: runs by key, and what each request was told.
+/// What became of requests: runs by key, and the reply to each request.
 #[derive(Debug, Default)]
-struct Book {
+struct Results {
     runs: BTreeMap<claim::Hash, u32>,
-    told: BTreeMap<RequestId, Told>,
+    replies: BTreeMap<RequestId, Reply>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Reply {
     Ran,
     Joined,
-    Pointed,
+    Redirected,
     Refused,
 }
 
-type Shared = Arc<Mutex<Book>>;
+type Shared = Arc<Mutex<Results>>;
 
 struct Node {
     events: UnboundedSender<claim::Event>,
@@ -66,7 +66,7 @@
     }
 }
 
-fn start(n: u64, log: SocketAddr, book: Shared) -> Node {
+fn start(n: u64, log: SocketAddr, results: Shared) -> Node {
     let (events, queue) = unbounded_channel();
     let settings = claim::Settings {
         shards: 2,
@@ -83,7 +83,7 @@
         settings,
     );
     let client = Arc::new(http::Log::new(log, Limits::default()));
-    let task = tokio::spawn(drive(table, client, events.clone(), queue, book));
+    let task = tokio::spawn(drive(table, client, events.clone(), queue, results));
     events.send(claim::Event::HomeShards(vec![0, 1])).unwrap();
     Node { events, task }
 }
@@ -93,9 +93,9 @@
     client: Arc<http::Log>,
     events: UnboundedSender<claim::Event>,
     mut queue: UnboundedReceiver<claim::Event>,
-    book: Shared,
+    results: Shared,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut ticks = tokio::time::interval(TICK);
     loop {
         let event = tokio::select! {
@@ -103,23 +103,23 @@
             _ = ticks.tick() => claim::Event::Tick,
         };
         let mut actions = Vec::new();
-        table.handle(begun.elapsed(), event, &mut actions);
+        table.handle(started.elapsed(), event, &mut actions);
         for action in actions {
-            act(action, &client, &events, &book);
+            execute_claim_action(action, &client, &events, &results);
         }
     }
 }
 
-fn act(
+fn execute_claim_action(
     action: claim::Action,
     client: &Arc<http::Log>,
     events: &UnboundedSender<claim::Event>,
-    book: &Shared,
+    results: &Shared,
 ) {
     use claim::Action;
     let (client, events) = (client.clone(), events.clone());
-    let told = |request, told| {
-        book.lock().unwrap().told.insert(request, told);
+    let record = |request, reply| {
+        results.lock().unwrap().replies.insert(request, reply);
     };
     match action {
         Action::Append { batch, shard, body } => {
@@ -134,7 +134,7 @@
         }
         Action::Read { shard, from, wait } => {
             tokio::spawn(async move {
-                let wait = if wait { WAIT } else { Duration::ZERO };
+                let wait = if wait { READ_TIMEOUT } else { Duration::ZERO };
                 let event = match client.read(&claim::stream(shard), from, wait).await {
                     Ok(read) => claim::Event::Page(shard, page(read)),
                     Err(_) => claim::Event::ReadFailed(shard),
@@ -143,23 +143,23 @@
             });
         }
         Action::Run { request, hash } => {
-            *book.lock().unwrap().runs.entry(hash).or_default() += 1;
-            told(request, Told::Ran);
+            *results.lock().unwrap().runs.entry(hash).or_default() += 1;
+            record(request, Reply::Ran);
             events
                 .send(claim::Event::Ended(hash, Outcome::Complete, 10))
                 .ok();
         }
         Action::Join { request, .. } | Action::Answer { request, .. } => {
-            told(request, Told::Joined);
+            record(request, Reply::Joined);
         }
-        Action::Redirect { request, .. } => told(request, Told::Pointed),
-        Action::Refuse { request, .. } => told(request, Told::Refused),
+        Action::Redirect { request, .. } => record(request, Reply::Redirected),
+        Action::Refuse { request, .. } => record(request, Reply::Refused),
         Action::DropAnswer(_) => {}
     }
 }
 
-/// Sends each key to all nodes in parallel and waits until all are told something.
-async fn send_all(nodes: &[Node], book: &Shared, round: u64) {
+/// Sends each key to all nodes in parallel and waits until all have a reply.
+async fn send_all(nodes: &[Node], results: &Shared, round: u64) {
     for key in 0..KEYS {
         let text = format!("{}-{round}-{key}", wall().as_secs());
         let form = Key::parse("desk", &text).unwrap();
@@ -176,8 +176,8 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let wanted = ((round + 1) * KEYS * NODES) as usize;
-    let end = Instant::now() + PATIENCE;
-    while book.lock().unwrap().told.len() < wanted && Instant::now() < end {
+    let end = Instant::now() + TEST_TIMEOUT;
+    while results.lock().unwrap().replies.len() < wanted && Instant::now() < end {
         tokio::time::sleep(TICK).await;
     }
 }
@@ -189,24 +189,33 @@
 async fn each_key_sent_to_three_nodes_runs_once() {
     let log = Log::start(any()).await.unwrap();
     log.limit(100);
-    let book = Shared::default();
+    let results = Shared::default();
     let nodes: Vec<Node> = (0..NODES)
-        .map(|n| start(n, log.addr, book.clone()))
+        .map(|n| start(n, log.addr, results.clone()))
         .collect();
-    send_all(&nodes, &book, 0).await;
+    send_all(&nodes, &results, 0).await;
     log.faults.lose(10);
-    send_all(&nodes, &book, 1).await;
+    send_all(&nodes, &results, 1).await;
     log.faults.set(Mode::Down);
     let later = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
         log.faults.set(Mode::Up);
     };
-    tokio::join!(send_all(&nodes, &book, 2), later);
-    let book = book.lock().unwrap();
-    assert_eq!(book.runs.len() as u64, 3 * KEYS);
-    assert!(book.runs.values().all(|runs| *runs == 1), "{:?}", book.runs);
-    assert_eq!(book.told.len() as u64, 3 * KEYS * NODES);
-    assert!(!book.told.values().any(|told| *told == Told::Refused));
+    tokio::join!(send_all(&nodes, &results, 2), later);
+    let results = results.lock().unwrap();
+    assert_eq!(results.runs.len() as u64, 3 * KEYS);
+    assert!(
+        results.runs.values().all(|runs| *runs == 1),
+        "{:?}",
+        results.runs
+    );
+    assert_eq!(results.replies.len() as u64, 3 * KEYS * NODES);
+    assert!(
+        !results
+            .replies
+            .values()
+            .any(|reply| *reply == Reply::Refused)
+    );
     assert!(log.faults.lost() > 0);
     nodes.iter().for_each(|node| node.task.abort());
 }
@@ -234,38 +243,38 @@
     };
     let mut tables = [table(1), table(2)];
     let mut queues: [Vec<group_lease::Event>; 2] = Default::default();
-    let begun = Instant::now();
+    let started = Instant::now();
     for queue in &mut queues {
         queue.push(group_lease::Event::Candidacies(vec![Candidacy {
             group: GROUP,
             rank: 0,
         }]));
     }
-    let end = begun + PATIENCE;
+    let end = started + TEST_TIMEOUT;
     let held = |tables: &[group_lease::Table], now| {
         tables
             .iter()
             .filter(|table| table.permit(now, GROUP).is_some())
             .count()
     };
-    while held(&tables, begun.elapsed()) == 0 && Instant::now() < end {
+    while held(&tables, started.elapsed()) == 0 && Instant::now() < end {
         for (table, queue) in tables.iter_mut().zip(&mut queues) {
             let mut actions = Vec::new();
             let events = std::mem::take(queue);
             for event in events.into_iter().chain([group_lease::Event::Tick]) {
-                table.handle(begun.elapsed(), event, &mut actions);
+                table.handle(started.elapsed(), event, &mut actions);
             }
             for action in actions {
-                queue.extend(carry_out(action, &client).await);
+                queue.extend(execute(action, &client).await);
             }
         }
         tokio::time::sleep(TICK).await;
     }
-    assert_eq!(held(&tables, begun.elapsed()), 1);
+    assert_eq!(held(&tables, started.elapsed()), 1);
     assert!(log.faults.lost() > 0);
 }
 
-async fn carry_out(action: group_lease::Action, client: &http::Log) -> Option<group_lease::Event> {
+async fn execute(action: group_lease::Action, client: &http::Log) -> Option<group_lease::Event> {
     match action {
         group_lease::Action::Append { batch, body } => {
             Some(match client.append(group_lease::STREAM, body).await {
