--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -1,10 +1,10 @@
-//! Cost of the two ways to run a request at most once.
+//! Cost of dated keys and of tickets, the two mechanisms for at-most-once execution.
 //!
 //! `cargo run --release -p wigeonshelf-lease --example claims`
 //!
-//! The log is modelled: an append takes 2 ms there and 2 ms back, and the service takes a bounded
-//! number of appends a second over all nodes, each over it failing at once. Processor time is
-//! measured, everything else is counted in passed-in time.
+//! The log is simulated: messages take 2 ms each way, and the service accepts a limited number of
+//! appends per second from all nodes together. Appends beyond the limit fail at once. Processor time is
+//! measured. All other times are simulated.
 
 use bytes::Bytes;
 use hdr::Times;
@@ -22,20 +22,20 @@
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 fn main() {
-    println!("way (a), log: claims at 8 nodes, the log takes 300 appends a second");
+    println!("dated keys: claims at 8 nodes, the log accepts 300 appends per second");
     println!("shards pace  claims/s  appends/s  refused  p50      p99      bytes/claim  read KB/s");
     for (shards, pace) in [(16, 20), (16, 100), (4, 20), (4, 100)] {
         for rate in [10, 100, 400, 1000] {
             log(8, shards, pace, rate, 300, false);
         }
     }
-    println!("the same, each request handed to its shard's home first");
+    println!("dated keys, each request forwarded to the home of its shard first");
     for (shards, pace) in [(16, 20), (16, 100)] {
         for rate in [10, 100, 400, 1000] {
             log(8, shards, pace, rate, 300, true);
         }
     }
-    println!("370 nodes, 64 shards, by home");
+    println!("dated keys at 370 nodes, 64 shards, forwarded to the home");
     for rate in [100, 400, 1000] {
         log(370, 64, 200, rate, 300, true);
     }
@@ -43,21 +43,21 @@
     cost();
 }
 
-/// A small table of waits, since every one is kept.
+/// Exact quantiles of times, computed from all recorded values.
 mod hdr {
     use std::time::Duration;
 
-    /// Waits.
+    /// Recorded times.
     #[derive(Default)]
     pub struct Times(Vec<Duration>);
 
     impl Times {
-        /// Adds one.
+        /// Records a time.
         pub fn add(&mut self, time: Duration) {
             self.0.push(time);
         }
 
-        /// The wait that this share stays within.
+        /// Returns the quantile at `share`, between 0 and 1.
         pub fn at(&mut self, share: f64) -> Duration {
             self.0.sort_unstable();
             let index = (self.0.len() as f64 * share) as usize;
@@ -82,7 +82,7 @@
     schedule: BTreeMap<(Now, u64), Scheduled>,
     tables: Vec<Table>,
     streams: Vec<Vec<Bytes>>,
-    /// Reads that wait, by shard.
+    /// Waiting reads by shard: the node and the offset to read from.
     pending_reads: Vec<Vec<(usize, u64)>>,
     tokens: f64,
     refilled_at: Now,
@@ -182,7 +182,7 @@
                 let home = homes.and_then(|all| home::home(shard, all));
                 let any = random.random_range(0..self.tables.len());
                 let n = home.map_or(any, |home| home as usize);
-                // A request that is handed on comes half a millisecond later.
+                // Forwarding to the home takes half a millisecond.
                 let hop = Duration::from_micros(if homes.is_some() { 500 } else { 0 });
                 self.requested_at.push(self.now);
                 let deadline = self.now + CLAIM_TIMEOUT;
@@ -233,7 +233,7 @@
         }
         self.tokens -= 1.0;
         self.appends += 1;
-        // The append takes effect now for the model's purposes; readers see it after the way.
+        // The append takes effect at once in the simulation. Readers see it after the one-way delay.
         self.streams[usize::from(shard)].push(body);
         for (reader, from) in std::mem::take(&mut self.pending_reads[usize::from(shard)]) {
             self.schedule_at(at, Scheduled::Read(reader, shard, from, true));
@@ -285,12 +285,14 @@
     }
 }
 
-/// Processor time and memory of each way.
+/// Prints the processor time and memory of both mechanisms.
 fn cost() {
     let held = size_of::<lease::claim::replay::Entry>() + 2 * size_of::<u128>();
     let own = size_of::<lease::claim::run::Run>() + size_of::<u128>();
-    println!("bytes of one key, without the trees' own: {held} remembered, {own} more if run here");
-    println!("processor time of one request, from ask to end, batches of 64");
+    println!(
+        "bytes per key without overhead of the trees: {held} in a shard, {own} more if run on this node"
+    );
+    println!("processor time per request from arrival to end, batches of 64");
     println!("keys held   log, ns   ticket, ns");
     for keys in [1_000, 10_000, 60_000] {
         let log = spent(keys, false);
@@ -336,7 +338,7 @@
     start.elapsed().as_nanos() / 6400
 }
 
-/// Sixty-four requests from ask to end; their claims in one append.
+/// Runs 64 requests from arrival to end, with their claims in one append.
 fn round(table: &mut Table, now: Now, first: u64, tickets: bool, offset: &mut u64) {
     let mut actions = Vec::new();
     let mut forms = Vec::new();
@@ -368,7 +370,7 @@
     settle(table, later, &mut actions, offset);
 }
 
-/// Lets appends take effect at once and reads them back.
+/// Lets the requested appends take effect at once and reads them back.
 fn settle(table: &mut Table, now: Now, actions: &mut Vec<Action>, offset: &mut u64) {
     while let Some(at) = actions
         .iter()
--- a/crates/lease/examples/holds.rs
+++ b/crates/lease/examples/holds.rs
@@ -1,8 +1,9 @@
-//! Cost of leases: appends, bytes read and processor time, by the number of groups.
+//! Cost of leases by the number of groups: appends, bytes read, processor time, and time to take over.
 //!
 //! `cargo run --release -p wigeonshelf-lease --example holds`
 //!
-//! Eight nodes and a log without faults, in passed-in time; one append and read takes 4 ms.
+//! Eight nodes and a log without faults, in simulated time. Appends and reads are answered in the
+//! node's next step, 100 ms later.
 
 use bytes::Bytes;
 use lease::group_lease::{Action, Candidacy, Event, Group, Settings, Table};
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The holder of group 0 dies; how long until another one gets a permit.
+    /// Stops the holder of group 0 and returns the time until another node gets a permit.
     fn takeover(&mut self, from: Now) -> Duration {
         let holds = |table: &Table, now| table.permit(now, 0).is_some();
         let Some(dead) = self.tables.iter().position(|table| holds(table, from)) else {
--- a/crates/lease/examples/roll.rs
+++ b/crates/lease/examples/roll.rs
@@ -1,4 +1,4 @@
-//! Cost of one look at a group of endpoints, and how long a roll takes.
+//! Processor time of a step of a roll, and duration of a roll.
 //!
 //! `cargo run --release -p wigeonshelf-lease --example roll`
 
@@ -94,13 +94,14 @@
     for replicas in [40, 160, 600] {
         measure(replicas, 4);
     }
-    println!("one replica of each model, so that nothing may be taken:");
+    println!("one replica of each model, so that every load is blocked:");
     for replicas in [40, 160, 600] {
         measure(replicas, replicas as u16);
     }
 }
 
-/// Endpoints load beside what they hold, in two minutes each; a hundredth of them at once.
+/// Measures a roll from version v1 to v2. Endpoints keep what they hold during a load of two minutes,
+/// and a tenth of the number of replicas, at least 4, load at once.
 fn measure(replicas: usize, models: u16) {
     let old = bundle(1, replicas, models, "v1");
     let new = bundle(2, replicas, models, "v2");
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -1,4 +1,4 @@
-//! Single failures, one table or two, step by step.
+//! Scenarios of single faults with one or two claim tables.
 
 use bytes::Bytes;
 use lease::claim::event::Request;
@@ -32,12 +32,12 @@
     Duration::from_millis(millis)
 }
 
-/// A key made `seconds` after the start.
+/// Returns a key dated `seconds` after the start.
 fn dated_key(seconds: u64, text: &str) -> Key {
     Key::parse("desk", &format!("{}-{text}", START.as_secs() + seconds)).unwrap()
 }
 
-/// A log with one stream that does what the test says.
+/// A log with one stream that the test controls.
 #[derive(Default)]
 struct Log {
     first: u64,
@@ -68,7 +68,7 @@
     }
 }
 
-/// One node: its table, what it wants appended, and what else it asked for.
+/// A node with its table, its requested appends and its other actions.
 struct Node {
     table: Table,
     next: u64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A node that has read the log to its end.
+    /// Returns a node that has read the log to its end.
     fn ready(node: u64, now: Now, log: &Log) -> Self {
         let mut node = Self::new(node, settings());
         node.deliver(now, Event::HomeShards(vec![0]));
@@ -125,7 +125,7 @@
         self.deliver(now, Event::Page(0, log.page(self.next)));
     }
 
-    /// Lets all appends take effect and answers them.
+    /// Lets all appends take effect and reports them as successful.
     fn append(&mut self, now: Now, log: &mut Log) {
         for (batch, body) in std::mem::take(&mut self.appends) {
             log.records.push(body);
@@ -227,8 +227,8 @@
     );
 }
 
-/// The caller sends to two nodes in parallel. Both claim; the log puts node 2's claim first. Node
-/// 1 learns so when it reads back, does not run the request, and points to node 2.
+/// A caller sends the same key to two nodes in parallel, and the log orders node 2's claim first.
+/// When node 1 reads the claims back, it must redirect to node 2 and not run the request.
 #[test]
 fn of_two_claims_the_one_with_the_lower_offset_runs() {
     let mut log = Log::default();
@@ -265,8 +265,8 @@
     );
 }
 
-/// The append takes effect and its answer is lost. The node sends the same claim again, reads both
-/// back, and runs the request once.
+/// An append takes effect but its answer is lost. The node appends the claim again, reads both
+/// records back, and must run the request once.
 #[test]
 fn a_lost_append_answer_is_settled_by_reading_back() {
     let mut log = Log::default();
@@ -283,10 +283,10 @@
     assert_eq!(node.take_actions(), [run(1, key)]);
 }
 
-/// The log is out. A request with the caller's own key is refused at its deadline, and since
-/// another node may have run an earlier send, the outcome is unknown. A ticket runs at once.
+/// While the log is unavailable, a request with a dated key is refused at its deadline. The outcome
+/// is unknown, since another node may have run an earlier send. A ticket runs at once.
 #[test]
-fn while_the_log_is_out_keys_wait_and_tickets_run() {
+fn while_the_log_is_unavailable_keys_wait_and_tickets_run() {
     let log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     node.request(at(10), 1, dated_key(0, "a"));
@@ -313,9 +313,9 @@
     );
 }
 
-/// Node 1 ran a key, its claim was dropped by retention, and node 2 starts without any record of
-/// it. The resend to node 2 is refused as expired with the outcome unknown; it isn't run again. A
-/// key made after node 2's start runs.
+/// Node 1 runs a key, the stream drops the claim, and node 2 starts without any record of it. Node 2
+/// must refuse a resend as expired with an unknown outcome, since it can't tell whether the key has
+/// run. A key created after the start of node 2 runs.
 #[test]
 fn a_claim_that_could_have_been_dropped_is_not_run_again() {
     let mut log = Log::default();
@@ -340,11 +340,11 @@
     assert_eq!(b.take_actions(), [run(3, new)]);
 }
 
-/// As above, but a record of node 1 that is still held says how much the stream held at 14 ms. It
-/// bounds when the dropped claims were made, so a key made after that runs on a node that starts
-/// later, and an older one doesn't.
+/// As above, but a retained record of node 1 contains how far the stream reached at 14 ms. This
+/// bounds the date of the dropped claims: on a node that starts later, a key created after that time
+/// runs, and an older one doesn't.
 #[test]
-fn records_that_are_held_date_those_that_are_gone() {
+fn retained_records_bound_the_date_of_dropped_ones() {
     let mut log = Log::default();
     let mut a = Node::ready(1, at(0), &log);
     a.request(at(10), 1, dated_key(0, "a"));
@@ -365,9 +365,9 @@
     assert_eq!(b.take_actions(), [run(4, dated_key(25, "c"))]);
 }
 
-/// The node is paused between its append and the read-back, for longer than its caller waits. On
-/// waking it reads that its claim is the first, runs nothing, and releases the key, so that the
-/// resend to node 2 runs.
+/// A node is paused between its append and the read-back until after the deadline. Although its
+/// claim is the first, it must not run the request, and must release the key so that a resend to
+/// node 2 runs.
 #[test]
 fn a_claim_won_after_the_deadline_is_released() {
     let mut log = Log::default();
@@ -398,10 +398,11 @@
     assert_eq!(b.take_actions(), [run(3, key)]);
 }
 
-/// The node gave a claim up at its deadline, with the append unsure. The claim arrives after all:
-/// the node releases it, and a request that came meanwhile runs under a claim of its own.
+/// A node abandons a claim at its deadline while the outcome of the append is unknown. The claim
+/// takes effect later: the node must release it, and a request received meanwhile must run under a
+/// claim of its own.
 #[test]
-fn a_given_up_claim_that_arrives_late_is_released() {
+fn an_abandoned_claim_that_takes_effect_late_is_released() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
@@ -429,12 +430,12 @@
     assert_eq!(node.take_actions(), [run(2, key)]);
 }
 
-/// Found by the long run, seed 1108. The caller uses one key for two bodies. The claim of the first
-/// body is given up and arrives late, while a request with the second body waits on the same node.
-/// That request must run under a claim that names the second body: under the first one's
-/// fingerprint its resends to other nodes were told "not run" about a run that had taken place.
+/// A caller uses one key for two bodies. The claim of the first body is abandoned and takes effect
+/// late, while a request with the second body waits on the same node. That request must run under a
+/// claim with the fingerprint of the second body. With the first one, other nodes answered its resends
+/// with "not run" although it had run. Occurs in the long run with seed 1108.
 #[test]
-fn a_late_claim_of_another_body_does_not_lend_its_fingerprint() {
+fn a_late_claim_of_another_body_does_not_pass_on_its_fingerprint() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
@@ -495,11 +496,10 @@
     assert_eq!(node.take_actions(), [run(1, key), run(2, key)]);
 }
 
-/// The caller leaves while the word that its request may run is on its way, so the node never
-/// begins. The key is released, and a resend runs; without that it would wait for a run that never
-/// takes place.
+/// The caller disconnects after the table returned the action to run the request and before the node
+/// started it. The key must be released, so that a resend runs instead of waiting forever.
 #[test]
-fn a_caller_that_leaves_before_its_run_begins_frees_the_key() {
+fn a_caller_that_disconnects_before_its_run_starts_frees_the_key() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
--- a/crates/lease/tests/claims/main.rs
+++ b/crates/lease/tests/claims/main.rs
@@ -1,4 +1,4 @@
-//! Claim tables under random faults: at most one run per key over all nodes, ever.
+//! Claim tables under faults: each key runs at most once across all nodes.
 
 mod cases;
 mod random;
--- a/crates/lease/tests/claims/random.rs
+++ b/crates/lease/tests/claims/random.rs
@@ -1,4 +1,4 @@
-//! Long randomised runs, and broken variants that they catch.
+//! Randomized runs, and deliberate defects that they must detect.
 
 use crate::world::{ALL, Defect, Faults, Simulation, Totals};
 use std::time::Duration;
@@ -43,13 +43,13 @@
     }
 }
 
-/// Nodes die and pause, the log goes out, loses answers, takes appends seconds late and drops old
-/// records, all together, while callers send each key up to six times to any node. No key is sent
-/// to an endpoint twice, and nobody is told "not run" about a key that was sent.
+/// Combines all faults: nodes die and pause, and the log becomes unavailable, loses answers, applies
+/// appends seconds late and drops old records. Callers send each key up to six times to any node. No
+/// key may be sent to an endpoint twice, and no caller may get "not run" for a key that was sent.
 #[test]
 fn all_faults_together() {
     let all_totals = assert_invariants(100..120, ALL);
-    // The run is worth something only if the faults came about.
+    // The run is meaningful only if the faults occurred.
     assert!(total(&all_totals, |t| t.gaps) > 0, "{all_totals:?}");
     assert!(total(&all_totals, |t| t.unsure) > 100);
     assert!(total(&all_totals, |t| t.released) > 100);
@@ -67,7 +67,7 @@
     assert_invariants(240..242, Faults { lost: 50, ..NONE });
 }
 
-/// The long run: `cargo test --release -p wigeonshelf-lease --test claims -- --ignored`.
+/// Long run. Start it with `cargo test --release -p wigeonshelf-lease --test claims -- --ignored`.
 #[test]
 #[ignore = "minutes long"]
 fn long() {
@@ -80,35 +80,35 @@
         findings.iter().any(|text| text.contains("sent 2 times"))
     });
 
-    assert!(detected, "{defect:?} went unnoticed");
+    assert!(detected, "{defect:?} was not detected");
 }
 
 #[test]
-fn an_incarnation_used_twice_is_caught() {
+fn an_incarnation_used_twice_is_detected() {
     assert_detected(Defect::SameIncarnation);
 }
 
 #[test]
-fn a_log_that_hides_what_it_dropped_is_caught() {
+fn a_log_that_hides_dropped_records_is_detected() {
     assert_detected(Defect::HiddenTrim);
 }
 
 #[test]
-fn running_on_the_append_answer_is_caught() {
+fn running_on_the_append_answer_is_detected() {
     assert_detected(Defect::TrustAppend);
 }
 
 #[test]
-fn a_log_that_orders_differently_for_some_is_caught() {
+fn a_log_with_different_orders_for_some_nodes_is_detected() {
     assert_detected(Defect::OtherOrder);
 }
 
 #[test]
-fn clocks_beyond_the_allowed_error_are_caught() {
+fn clocks_beyond_the_allowed_error_are_detected() {
     assert_detected(Defect::Clocks);
 }
 
 #[test]
-fn a_false_word_that_a_sent_request_was_not_run_is_caught() {
+fn a_false_report_that_a_sent_request_was_not_run_is_detected() {
     assert_detected(Defect::FalseNotRun);
 }
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -1,4 +1,4 @@
-//! Eight claim tables and a log service with faults, in passed-in time.
+//! Simulation of eight claim tables and a log service with faults, in simulated time.
 
 use bytes::Bytes;
 use lease::claim::event::Request;
@@ -19,33 +19,33 @@
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 const TEAM: &str = "desk";
 
-/// What is broken on purpose, to show that the invariants bite.
+/// A deliberate defect, to show that violations of the invariants are detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// A restarted node goes on under its old incarnation.
+    /// A restarted node uses its previous incarnation.
     SameIncarnation,
-    /// The log hides what it dropped: it gives blanks in place of it.
+    /// The log hides that it dropped records and returns empty records instead.
     HiddenTrim,
-    /// A node takes the append's answer for its claim being the first.
+    /// A node treats the answer to an append as proof that its claim is the first.
     TrustAppend,
-    /// Nodes of odd number see the claims of each pair of neighbours in another order.
+    /// Nodes with odd numbers read each pair of adjacent records in the opposite order.
     OtherOrder,
-    /// Clocks err more than the settings allow for.
+    /// Clocks have larger errors than the settings allow.
     Clocks,
-    /// The node says that a request was not run after it was sent.
+    /// A node reports that a request was not run after it was sent to an endpoint.
     FalseNotRun,
 }
 
-/// How many times each fault comes.
+/// Number of occurrences of each fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub outages: usize,
     pub deaths: usize,
     pub pauses: usize,
     pub trims: usize,
-    /// Appends in a hundred whose answer is lost, or that fail, or that arrive late.
+    /// Percentage of appends that fail, take effect late, or whose answer is lost.
     pub lost: u32,
 }
 
@@ -91,20 +91,20 @@
 #[derive(Debug)]
 struct KeyLog {
     key: Key,
-    /// Bodies that were sent to an endpoint under it, each time.
+    /// Body of each request with this key that was sent to an endpoint.
     sent: Vec<u64>,
 }
 
-/// One send of a caller.
+/// A request that a caller sent.
 #[derive(Clone, Copy, Debug)]
 struct Send {
     key: usize,
     body: u64,
-    /// Whether a node handed it to another.
+    /// Whether a node forwarded it to another one.
     forwarded: bool,
 }
 
-/// What callers were told.
+/// Counts of the replies to callers and of the tables' counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     pub sends: u32,
@@ -134,7 +134,7 @@
     sends_by_request: BTreeMap<RequestId, Send>,
     request: RequestId,
     pub totals: Totals,
-    /// What does not hold, with its time.
+    /// Violated invariants, with the time of each.
     pub findings: Vec<String>,
 }
 
@@ -169,7 +169,7 @@
         simulation
     }
 
-    /// Keys each sent a few times, in parallel and later, while the faults come.
+    /// Sends each of `keys` keys a few times, in parallel and later, while the faults occur.
     pub fn run(&mut self, keys: usize, length: Duration, faults: Faults) {
         self.lost = faults.lost;
         for _ in 0..faults.outages {
@@ -196,7 +196,7 @@
         self.collect_all();
     }
 
-    /// A fourth of the keys are tickets.
+    /// Schedules the sends of one key. A quarter of the keys are tickets.
     fn schedule_key(&mut self, length: Duration) {
         let at = self.within(length);
         let n = self.random.random_range(0..NODES);
@@ -214,7 +214,7 @@
         self.schedule_sends(self.now, n, Key::parse(TEAM, &text).unwrap());
     }
 
-    /// Sends in parallel, soon after and late, to one node or any.
+    /// Schedules sends in parallel, soon after and late, to one node or to any.
     fn schedule_sends(&mut self, at: Now, home: usize, parsed_key: Key) {
         let key = self.keys.len();
 
@@ -272,7 +272,8 @@
         }
     }
 
-    /// Half of the nodes follow only what they are home of, and read the rest when asked.
+    /// Starts a node. Nodes with odd numbers follow only the shards that they are the home of, and
+    /// the others when they get a request.
     fn start_node(&mut self, n: usize) {
         let nodes: Vec<u64> = (0..NODES as u64).collect();
         let all: Vec<Shard> = (0..SHARDS).collect();
@@ -463,7 +464,7 @@
     fn send(&mut self, key: usize, n: usize) {
         self.request += 1;
         self.totals.sends += 1;
-        // Now and then a caller uses its key for another body by mistake.
+        // One send in 20 uses the key with another body, like a caller that reuses a key by mistake.
         let body = u64::from(self.random.random_range(0..20) == 0);
         self.sends_by_request.insert(
             self.request,
@@ -490,12 +491,13 @@
         self.schedule_at(self.now, Scheduled::Forward(n, run, claim_request));
     }
 
-    /// The router refuses some requests unrun; the others leave for an endpoint at once.
+    /// Starts a request. The router refuses some requests without running them. The others are sent
+    /// to an endpoint at once.
     fn start(&mut self, n: usize, request: RequestId, hash: Hash) {
         self.totals.runs += 1;
         let choice = self.random.random_range(0..16);
         if choice == 0 {
-            // The caller left while the word to run was on its way.
+            // The caller disconnects before the node handles the action to run the request.
             let at = self.now + self.millis(0, 20);
             let run = self.nodes[n].run;
             return self.schedule_at(at, Scheduled::Deliver(n, run, Event::Cancelled(request)));
@@ -536,7 +538,8 @@
         }
     }
 
-    /// One hop to the owner; with the owner dead or the hop spent, what is known is told.
+    /// Forwards the request to the owner once. If the owner is dead or the request was already
+    /// forwarded, replies with the known outcome.
     fn redirect(&mut self, request: RequestId, owner: Owner, outcome: Option<Outcome>) {
         self.totals.pointed += 1;
         let Some(sent) = self.sends_by_request.get_mut(&request) else {
@@ -557,8 +560,10 @@
             Outcome::Complete => {
                 self.totals.complete += 1;
                 if self.keys[key].sent != [body] {
-                    self.findings
-                        .push(format!("{:?}: {request} complete, not sent", self.now));
+                    self.findings.push(format!(
+                        "{:?}: {request} reported complete but not sent once with its body",
+                        self.now
+                    ));
                 }
             }
             Outcome::Unknown => self.totals.unknown += 1,
@@ -570,8 +575,10 @@
         self.totals.not_run += 1;
         let Send { key, body, .. } = self.sends_by_request[&request];
         if self.keys[key].sent.contains(&body) {
-            self.findings
-                .push(format!("{:?}: {request} told not run, was sent", self.now));
+            self.findings.push(format!(
+                "{:?}: {request} reported not run but was sent",
+                self.now
+            ));
         }
     }
 
--- a/crates/lease/tests/decode.rs
+++ b/crates/lease/tests/decode.rs
@@ -1,4 +1,4 @@
-//! Decoders and parsers fed with seeded garbage and mutated good input.
+//! Decoders and parsers with seeded random bytes and with mutated valid input.
 
 use arbtest::arbtest;
 use lease::claim::key::{Error, Key, MAX_LEN};
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn keys_are_told_apart_by_form() {
+fn key_formats_are_distinguished() {
     let dated = |text| match Key::parse("desk", text) {
         Ok(Key::Dated(key)) => Ok(key.date.as_millis()),
         Ok(Key::Ticket(..)) => panic!("{text} is a ticket"),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn teams_keys_never_meet() {
+fn keys_of_different_teams_have_different_hashes() {
     let hash = |team, text| Key::parse(team, text).unwrap().hash();
     assert_ne!(hash("a", "1764700000-x"), hash("b", "1764700000-x"));
     assert_ne!(hash("a1", "1764700000-x"), hash("a", "1764700000-x"));
@@ -198,7 +198,7 @@
     assert!(record::Record::decode(&vec![1; record::MAX_BYTES + 1]).is_err());
 }
 
-/// Bytes of any kind, as the library draws them from fixed seeds.
+/// Decodes arbitrary bytes and text that `arbtest` generates from fixed seeds.
 #[test]
 fn any_bytes_are_taken_or_refused_without_a_panic() {
     for seed in 0..500 {
--- a/crates/lease/tests/holds/cases.rs
+++ b/crates/lease/tests/holds/cases.rs
@@ -1,4 +1,4 @@
-//! Single failures, step by step.
+//! Scenarios of single faults with one or two lease tables.
 
 use bytes::Bytes;
 use lease::group_lease::{Action, Candidacy, Event, Group, Settings, Table};
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Lets the node act, append and read back.
+    /// Lets the node handle a tick, append and read back.
     fn step(&mut self, now: Now, log: &mut Log) {
         self.deliver(now, Event::Tick);
         self.append(now, log);
@@ -92,10 +92,10 @@
     }
 }
 
-/// Two nodes take the group at once. The record with the lower offset counts; the other node
-/// reads so and waits out the term and the longest order.
+/// Two nodes try to acquire a group at once. Only the record with the lower offset is valid. The other
+/// node must not get a permit before the takeover delay has passed.
 #[test]
-fn of_two_records_the_first_counts() {
+fn of_two_records_the_first_is_valid() {
     let mut log = Log::default();
     let (mut a, mut b) = (Node::new(1, &log, secs(0.0)), Node::new(2, &log, secs(0.0)));
     a.append(secs(0.1), &mut log);
@@ -109,10 +109,11 @@
     assert_eq!(b.table.counters().beaten, 1);
 }
 
-/// The holder is paused for a minute, unaware. Its lease lapses by its own clock, so its next
-/// permit is refused before anything is read; meanwhile node 2 took over under a higher number.
+/// The holder is paused for a minute without noticing. Its lease expires by its own clock, so it must
+/// not get a permit even before it has read anything. Meanwhile node 2 takes over with a higher fencing
+/// number.
 #[test]
-fn a_paused_holder_does_not_send_after_its_lapse() {
+fn a_paused_holder_gets_no_permit_after_expiry() {
     let mut log = Log::default();
     let mut a = Node::new(1, &log, secs(0.0));
     a.step(secs(0.1), &mut log);
@@ -126,7 +127,8 @@
     assert_eq!(a.actions, [Action::Gained(GROUP, 0), Action::Lost(GROUP)]);
 }
 
-/// The append's answer is lost. The record counts once it is read back, from when it was sent.
+/// The answer to an append is lost. The lease holds once the record is read back, and its term starts
+/// when the record was sent.
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
     let mut log = Log::default();
@@ -140,8 +142,8 @@
     assert_eq!(a.table.permit(secs(15.0), GROUP), None);
 }
 
-/// The log goes out for longer than a term. The holder can't renew, stops at its lapse, and takes
-/// the group again under a new number once the log is back.
+/// The log is unavailable for longer than a term. The holder can't renew its lease and must stop when
+/// it expires. Once the log is available, it acquires the group again with a new fencing number.
 #[test]
 fn a_holder_that_cannot_renew_stops() {
     let mut log = Log::default();
@@ -179,7 +181,7 @@
     assert!(b.table.permit(secs(52.9), GROUP) > Some(0));
 }
 
-/// The holder stops a roll whose replicas fail. Whoever holds the group next knows from the lease.
+/// A holder stops a roll whose replicas fail. The next holder learns this from the lease.
 #[test]
 fn a_stopped_roll_is_known_to_the_successor() {
     let mut log = Log::default();
--- a/crates/lease/tests/holds/main.rs
+++ b/crates/lease/tests/holds/main.rs
@@ -1,4 +1,4 @@
-//! Lease tables under faults: one holder at a time, and none that sends after its lapse.
+//! Lease tables under faults: one holder at a time, and no orders after a lease has expired.
 
 mod cases;
 mod random;
--- a/crates/lease/tests/holds/random.rs
+++ b/crates/lease/tests/holds/random.rs
@@ -1,4 +1,4 @@
-//! Long randomised runs, and broken variants that they catch.
+//! Randomized runs, and deliberate defects that they must detect.
 
 use crate::world::{Defect, Faults, Simulation};
 use std::time::Duration;
@@ -50,9 +50,9 @@
     }
 }
 
-/// Holders pause unaware, die, leave and come back; the log goes out, loses answers, takes records
-/// up to 20 s late and drops old ones. No order leaves within the longest order's time of another
-/// holder's, and fencing numbers only rise.
+/// Combines all faults: holders pause without noticing, die, leave and return, and the log becomes
+/// unavailable, loses answers, applies appends up to 20 s late and drops old records. No order may be
+/// sent within the maximum order time after another holder's, and fencing numbers must only rise.
 #[test]
 fn all_faults_together() {
     let simulations = assert_invariants(100..130, ALL);
@@ -77,7 +77,7 @@
     );
 }
 
-/// The long run: `cargo test --release -p wigeonshelf-lease --test holds -- --ignored`.
+/// Long run. Start it with `cargo test --release -p wigeonshelf-lease --test holds -- --ignored`.
 #[test]
 #[ignore = "minutes long"]
 fn long() {
@@ -89,25 +89,25 @@
         let findings = run(seed, ALL, defect).findings;
         findings.iter().any(|text| text.contains("beside"))
     });
-    assert!(detected, "{defect:?} went unnoticed");
+    assert!(detected, "{defect:?} was not detected");
 }
 
 #[test]
-fn a_permit_asked_before_a_pause_is_caught() {
+fn a_permit_from_before_a_pause_is_detected() {
     assert_detected(Defect::EarlyPermit);
 }
 
 #[test]
-fn a_holder_with_a_longer_term_is_caught() {
+fn a_holder_with_a_longer_term_is_detected() {
     assert_detected(Defect::LongTerm);
 }
 
 #[test]
-fn a_successor_that_does_not_wait_is_caught() {
+fn a_successor_that_does_not_wait_is_detected() {
     assert_detected(Defect::ShortWait);
 }
 
 #[test]
-fn holding_on_the_append_answer_is_caught() {
+fn holding_on_the_append_answer_is_detected() {
     assert_detected(Defect::TrustAppend);
 }
--- a/crates/lease/tests/holds/world.rs
+++ b/crates/lease/tests/holds/world.rs
@@ -1,4 +1,4 @@
-//! Six lease tables and a log service with faults, in passed-in time.
+//! Simulation of six lease tables and a log service with faults, in simulated time.
 
 use bytes::Bytes;
 use lease::group_lease::{Action, Candidacy, Event, Fence, Group, Settings, Table};
@@ -12,22 +12,22 @@
 pub const GROUPS: [Group; 2] = [11, 22];
 const TICK: Duration = Duration::from_millis(50);
 
-/// What is broken on purpose, to show that the invariants bite.
+/// A deliberate defect, to show that violations of the invariants are detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// Holders ask for the permit some time before they send.
+    /// Holders get the permit some time before they send an order.
     EarlyPermit,
-    /// One node holds on for three terms.
+    /// One node uses three times the term.
     LongTerm,
-    /// Successors wait for a fifth of the term.
+    /// Successors use a fifth of the term, and so wait too briefly.
     ShortWait,
-    /// A node takes the append's answer for its record being the first.
+    /// A node treats the answer to an append as proof that its record is the first.
     TrustAppend,
 }
 
-/// How many times each fault comes.
+/// Number of occurrences of each fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub outages: usize,
@@ -35,7 +35,7 @@
     pub pauses: usize,
     pub trims: usize,
     pub leaves: usize,
-    /// Appends in a hundred whose answer is lost, or that fail, or that arrive late.
+    /// Percentage of appends that fail, take effect late, or whose answer is lost.
     pub lost: u32,
 }
 
@@ -62,7 +62,7 @@
     started_at: Now,
 }
 
-/// An order that left.
+/// An order that was sent.
 #[derive(Clone, Copy, Debug)]
 struct Order {
     at: Now,
@@ -82,10 +82,11 @@
     records: Vec<Bytes>,
     nodes: Vec<Node>,
     last: BTreeMap<Group, Order>,
-    /// Orders sent, and how many times the holder changed.
+    /// Number of orders sent.
     pub orders: u32,
+    /// Number of changes of the holder.
     pub changes: u32,
-    /// What does not hold, with its time.
+    /// Violated invariants, with the time of each.
     pub findings: Vec<String>,
 }
 
@@ -152,7 +153,7 @@
             },
             Defect::ShortWait => {
                 let short = usual.term / 5;
-                // The holder's own term stays: only what successors wait is cut.
+                // Node 0 keeps its term: only the wait of the successors is cut.
                 let (term, max_order_time) = if n == 0 {
                     (usual.term, short)
                 } else {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// The node sends an order, now or, when it is paused, on waking.
+    /// Sends an order, now or, if the node is paused, when it resumes.
     fn order(&mut self, n: usize, run: u64, group: Group, early: Option<Fence>) {
         if self.nodes[n].paused_until > self.now {
             let until = self.nodes[n].paused_until;
--- a/crates/lease/tests/rolls/cases.rs
+++ b/crates/lease/tests/rolls/cases.rs
@@ -1,10 +1,10 @@
-//! Single rolls, step by step.
+//! Scenarios of single rolls.
 
 use crate::fleet::{Engine, Fleet, LOAD, SECOND, bundle, settings};
 use lease::roll::{Health, Order, Phase, Rate, Roll};
 
 #[test]
-fn an_empty_fleet_is_filled_zone_by_zone_within_the_rate() {
+fn an_empty_fleet_is_loaded_zone_by_zone_within_the_rate() {
     let mut fleet = Fleet::new(bundle(1, 3, 2, "v1"));
     fleet.run(SECOND * 600);
     assert_eq!(fleet.done(), 12);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_new_version_never_takes_the_last_whole_replica() {
+fn a_new_version_never_removes_the_last_complete_replica() {
     for engine in [Engine::InPlace, Engine::Beside] {
         let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
         fleet.engine = engine;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Zones are taken one after the other, and each waits until the last one's replicas were watched.
+/// Zones must be updated one after the other, each only after the soak time of the one before.
 #[test]
 fn one_zone_at_a_time() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
@@ -75,8 +75,9 @@
     assert_eq!(fleet.findings, Vec::<String>::new());
 }
 
-/// New replicas of v2 never get ready. After two of them the roll stops, says so once, and gives no
-/// more orders, also under a new holder that learns of it from the lease. A newer bundle goes on.
+/// New replicas of v2 never become ready. After two failures the roll must stop, report this once, and
+/// send no more orders, even under a new holder, which learns of the stop from the lease. A newer
+/// bundle resumes the roll.
 #[test]
 fn failing_replicas_stop_the_roll_until_a_newer_bundle() {
     let mut fleet = Fleet::full(bundle(1, 3, 3, "v1"));
@@ -96,7 +97,7 @@
     assert_eq!(fleet.findings, Vec::<String>::new());
 }
 
-/// The new version loads, and its replicas go down soon after.
+/// Replicas of a new version go down soon after they are ready. The roll must stop.
 #[test]
 fn replicas_that_go_down_when_ready_stop_the_roll() {
     let mut fleet = Fleet::full(bundle(1, 3, 3, "v1"));
@@ -114,8 +115,8 @@
     assert!(fleet.covered());
 }
 
-/// Bundle 3 comes while bundle 2 is being rolled. Endpoints on either older version go straight to
-/// bundle 3's; the zone that was under way is finished first.
+/// Bundle 3 comes into force during the roll of bundle 2. From then on endpoints on either older
+/// version must get only orders for the version of bundle 3. The zone in progress is finished first.
 #[test]
 fn a_newer_bundle_takes_over_mid_roll() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
@@ -131,9 +132,9 @@
     assert_eq!(fleet.findings, Vec::<String>::new());
 }
 
-/// Orders are lost on their way; each is given again until the report shows its effect.
+/// Orders are lost in transit. Each must be sent again until a report shows its effect.
 #[test]
-fn lost_orders_are_given_again() {
+fn lost_orders_are_sent_again() {
     let mut fleet = Fleet::full(bundle(1, 2, 2, "v1"));
     fleet.bundle = bundle(2, 2, 2, "v2");
     fleet.lose = 5;
@@ -142,10 +143,10 @@
     assert_eq!(fleet.stops, 0);
 }
 
-/// An endpoint that ignores fencing numbers obeys an old holder's order late, and loads the old
-/// version over the new one. Its report shows so, and it is ordered right again.
+/// An endpoint that ignores fencing numbers executes a late order of an old holder and loads the old
+/// version over the new one. Once it reports this, it must get the right order again.
 #[test]
-fn a_late_order_of_an_old_holder_is_put_right() {
+fn a_late_order_of_an_old_holder_is_corrected() {
     let mut fleet = Fleet::full(bundle(2, 2, 2, "v2"));
     fleet.run(SECOND * 5);
     let span = fleet.bundle.endpoints[3].spans[0];
@@ -162,10 +163,10 @@
     assert_eq!(fleet.roll.phase(), &Phase::Settled);
 }
 
-/// The holder changes while endpoints load. The new one sees the loads in the reports, keeps the
-/// rate, and goes on.
+/// The holder changes while endpoints load. The new one must take the loads from the reports, respect
+/// the rate of the weight store, and continue the roll.
 #[test]
-fn a_new_holder_goes_on_within_the_rate() {
+fn a_new_holder_continues_within_the_rate() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
     fleet.rate = Rate {
         per_minute: 6,
@@ -180,9 +181,10 @@
     assert_eq!(fleet.findings, Vec::<String>::new());
 }
 
-/// A restarted endpoint is filled again while another zone is being rolled.
+/// Endpoints of two zones restart without any layers. Both must load again without waiting for the
+/// other zone.
 #[test]
-fn a_restarted_endpoint_is_filled_at_once() {
+fn a_restarted_endpoint_is_loaded_at_once() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
     fleet.run(SECOND * 60);
     fleet.restart(0);
--- a/crates/lease/tests/rolls/fleet.rs
+++ b/crates/lease/tests/rolls/fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoints that carry out orders, in passed-in time.
+//! Simulated endpoints that execute orders, in simulated time.
 
 use bundle::Bundle;
 use bundle::endpoint::{Endpoint, Span};
@@ -26,7 +26,8 @@
     }
 }
 
-/// `replicas` pairs of endpoints per zone, each pair holding the whole model.
+/// Returns a bundle with `replicas` pairs of endpoints per zone. The endpoints of a pair hold one half
+/// of the model's layers each.
 pub fn bundle(number: Number, zones: ZoneId, replicas: usize, version: &str) -> Bundle {
     let zone = |z| Zone {
         name: format!("z{z}"),
@@ -77,23 +78,23 @@
     }
 }
 
-/// What an engine does when it loads.
+/// Behavior of an engine during a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Engine {
-    /// It goes on with what it held.
+    /// The engine continues to serve the layers that it held.
     Beside,
-    /// It drops what it held of the model first.
+    /// The engine first drops the layers of the model that it held.
     InPlace,
 }
 
-/// What is broken on purpose, to show that the invariants bite.
+/// A deliberate defect, to show that violations of the invariants are detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// Reports say that what is being loaded is ready.
+    /// Reports show layers as ready that are still being loaded.
     FalseReady,
-    /// The roll takes the weight store to allow more than it does.
+    /// The roll uses a higher rate than the weight store allows.
     OtherRate,
 }
 
@@ -114,20 +115,20 @@
     pub health: Vec<Health>,
     pub engine: Engine,
     pub defect: Defect,
-    /// A version whose loads never get ready.
+    /// Version whose loads never become ready.
     pub bad: Option<String>,
-    /// Orders lost on their way: the next so many.
+    /// Number of next orders that are lost in transit.
     pub lose: u32,
     loads: Vec<Load>,
     pub phases: Vec<Phase>,
     pub orders: Vec<(Now, EndpointId, Order)>,
     pub stops: u32,
-    /// What does not hold, with its time.
+    /// Violated invariants, with the time of each.
     pub findings: Vec<String>,
 }
 
 impl Fleet {
-    /// A fleet that holds nothing.
+    /// Returns a fleet whose endpoints hold nothing.
     pub fn new(bundle: Bundle) -> Self {
         let count = bundle.endpoints.len();
         Self {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A fleet that holds all of its bundle.
+    /// Returns a fleet whose endpoints hold what the bundle assigns to them.
     pub fn full(bundle: Bundle) -> Self {
         let mut fleet = Self::new(bundle);
         for id in 0..fleet.reports.len() {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Endpoints that hold the bundle's version ready.
+    /// Number of endpoints that hold the bundle's version ready.
     pub fn done(&self) -> usize {
         let version = &self.bundle.models[0].version;
         let ready = |r: &&Option<Report>| {
@@ -202,7 +203,7 @@
         self.reports.iter().filter(ready).count()
     }
 
-    /// Whether endpoints that are up hold all layers ready in one version.
+    /// Returns whether endpoints that are up hold all layers of one version ready.
     pub fn covered(&self) -> bool {
         Coverage::new(&self.view(), |_| false).is_complete("m")
     }
@@ -218,13 +219,13 @@
         }
     }
 
-    /// The endpoint restarts with nothing.
+    /// Restarts the endpoint without any layers.
     pub fn restart(&mut self, id: usize) {
         self.reports[id] = Some(Report::default());
         self.loads[id] = Load::default();
     }
 
-    /// An order that some earlier holder sent arrives now.
+    /// Executes an order at the endpoint, also one that an earlier holder sent.
     pub fn obey(&mut self, id: usize, order: &Order) {
         let report = self.reports[id].get_or_insert_default();
         let Order::Load { model, version, .. } = order else {
--- a/crates/lease/tests/rolls/main.rs
+++ b/crates/lease/tests/rolls/main.rs
@@ -1,4 +1,4 @@
-//! Rolls over a small fleet of endpoints that load, fail, leave and restart.
+//! Rolls over a small simulated fleet of endpoints that load, fail, leave and restart.
 
 mod cases;
 mod fleet;
--- a/crates/lease/tests/rolls/random.rs
+++ b/crates/lease/tests/rolls/random.rs
@@ -1,4 +1,4 @@
-//! Randomised rolls: bundles, restarts, deaths, lost orders and new holders, all together.
+//! Randomized rolls with new bundles, restarts, deaths, lost orders and new holders combined.
 
 use crate::fleet::{Defect, Engine, Fleet, SECOND, bundle, settings};
 use lease::roll::{Health, Roll};
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn whatever_came_the_last_bundle_is_reached_with_a_whole_replica_kept() {
+fn after_all_faults_the_last_bundle_is_reached_and_a_complete_replica_kept() {
     for seed in 0..40 {
         let fleet = run(seed, Defect::None);
         assert_eq!(fleet.findings, Vec::<String>::new(), "seed {seed}");
@@ -66,7 +66,7 @@
     }
 }
 
-/// The long run: `cargo test --release -p wigeonshelf-lease --test rolls -- --ignored`.
+/// Long run. Start it with `cargo test --release -p wigeonshelf-lease --test rolls -- --ignored`.
 #[test]
 #[ignore = "minutes long"]
 fn long() {
@@ -87,15 +87,15 @@
         let findings = run(seed, defect).findings;
         findings.iter().any(|finding| finding.contains(text))
     });
-    assert!(detected, "{defect:?} went unnoticed");
+    assert!(detected, "{defect:?} was not detected");
 }
 
 #[test]
-fn loads_that_pass_for_ready_are_caught() {
+fn loads_reported_as_ready_are_detected() {
     assert_detected(Defect::FalseReady, "no whole replica");
 }
 
 #[test]
-fn fetches_over_the_rate_are_caught() {
+fn fetches_over_the_rate_are_detected() {
     assert_detected(Defect::OtherRate, "fetches at once");
 }
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Claim and lease tables against the log service's stand-in, over loopback sockets: the way a node
-//! drives them.
+//! Claim and lease tables with the stand-in of the log service over loopback sockets, driven as in a
+//! node.
 
 use lease::claim::event::Request;
 use lease::claim::{self, Key};
@@ -21,7 +21,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const TICK: Duration = Duration::from_millis(20);
 
-/// What became of requests: runs by key, and the reply to each request.
+/// Number of runs of each key, and the reply to each request.
 #[derive(Debug, Default)]
 struct Results {
     runs: BTreeMap<claim::Hash, u32>,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Sends each key to all nodes in parallel and waits until all have a reply.
+/// Sends each key to all nodes in parallel and waits until all requests have a reply.
 async fn send_all(nodes: &[Node], results: &Shared, round: u64) {
     for key in 0..KEYS {
         let text = format!("{}-{round}-{key}", wall().as_secs());
@@ -182,9 +182,9 @@
     }
 }
 
-/// Three nodes get every key at once, while the log loses answers, refuses appends over its rate and
-/// is down for a while. Each key runs once, and every send is told so or is pointed to the node
-/// that ran it.
+/// Three nodes get every key at once, while the log loses answers, refuses appends over its rate limit
+/// and is unavailable for a while. Each key must run once, and every request must run, join the run, or
+/// be redirected to the node that runs it.
 #[tokio::test]
 async fn each_key_sent_to_three_nodes_runs_once() {
     let log = Log::start(any()).await.unwrap();
@@ -220,7 +220,8 @@
     nodes.iter().for_each(|node| node.task.abort());
 }
 
-/// Two nodes contend for a group through the stand-in, whose first answers are lost: one gains it.
+/// Two nodes contend for a group while the log service loses its first answers. Exactly one node must
+/// acquire the lease.
 #[tokio::test]
 async fn one_of_two_nodes_holds_the_group() {
     const GROUP: Group = 7;
--- a/crates/lease/tests/text.rs
+++ b/crates/lease/tests/text.rs
@@ -1,4 +1,4 @@
-//! Text forms, as the dump shows them.
+//! Text of claims, leases and rolls in the dump.
 
 use bundle::Bundle;
 use lease::claim::event::Request;
@@ -22,7 +22,7 @@
     Page::default()
 }
 
-/// A table with one claim in flight.
+/// Returns a table with one claim in flight.
 fn claims() -> claim::Table {
     let settings = claim::Settings {
         shards: 1,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn claims_read_as_text() {
+fn claims_are_displayed() {
     let wanted = "\
 claims of a1/beef: asks 1 claims 1 lost 0 runs 0 joined 0 pointed 0 refused 0 (log 0 expired 0) \
 released 0 tickets 0 appends 1 unsure 0 failed 0 records 0 bad 0 skewed 0 stepped 0 gaps 0 broken 0
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_was_off_is_counted_and_set() {
+fn a_shift_of_the_wall_clock_is_counted_and_corrected() {
     let mut table = claims();
     let mut actions = Vec::new();
     table.handle(
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn leases_read_as_text() {
+fn leases_are_displayed() {
     let mut table = group_lease::Table::new(owner(), 1, group_lease::Settings::default());
     let mut actions = Vec::new();
     let want = vec![Candidacy {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_roll_reads_as_text() {
+fn a_roll_is_displayed() {
     let bundle = Bundle {
         number: 3,
         ..Bundle::default()
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn refusals_read_as_text_and_have_a_status() {
+fn refusals_are_displayed_and_have_a_status() {
     assert_eq!(
         Refusal::Unsettled.to_string(),
         "the log service did not settle the claim in time"
