--- a/crates/node/src/control/state/admin.rs
+++ b/crates/node/src/control/state/admin.rs
@@ -53,7 +53,7 @@
             let requests = targets
                 .into_iter()
                 .map(|(identity, state, link)| async move {
-                    let status = link.status(identity.addr).await.unwrap_or_default();
+                    let status = link.request_status(identity.addr).await.unwrap_or_default();
                     Node {
                         node: identity.name,
                         zone: identity.zone,
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
-use wire::frame::HeadAsk;
+use wire::frame::HeadRequest;
 
 impl State {
     /// Applies a page of the bundle stream. Returns the offset to read next.
@@ -87,14 +87,14 @@
     /// Requests from a peer the records that lead to its newer head.
     pub(super) fn fetch_records(&mut self, head: Head, addr: SocketAddr) {
         let have = self.fold.head().map_or(0, |b| b.number);
-        let ask = HeadAsk {
+        let ask = HeadRequest {
             number: head.number,
             have,
         };
         let link = self.link.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let body = link.head(addr, ask).await.ok().flatten();
+            let body = link.request_head(addr, ask).await.ok().flatten();
             let _ = inputs.send(Input::Records(body)).await;
         });
     }
@@ -119,7 +119,7 @@
     }
 
     /// Returns the records that a peer has requested, encoded in one body.
-    pub(super) fn records_since(&self, ask: HeadAsk) -> Option<Vec<u8>> {
+    pub(super) fn records_since(&self, ask: HeadRequest) -> Option<Vec<u8>> {
         records::encode(&self.fold.offer(ask.have))
     }
 }
--- a/crates/node/src/control/state/peers.rs
+++ b/crates/node/src/control/state/peers.rs
@@ -66,8 +66,8 @@
             Inbound::Member { from, message } => {
                 self.handle_group_event(Event::Received { from, message })
             }
-            Inbound::Head { ask, reply } => {
-                let _ = reply.send(self.records_since(ask));
+            Inbound::Head { request, reply } => {
+                let _ = reply.send(self.records_since(request));
             }
             // Only nodes on a platform's store have copies of tables.
             Inbound::Copy { reply, .. } => {
@@ -76,7 +76,7 @@
             Inbound::Status { reply } => {
                 let _ = reply.send(self.peer_status());
             }
-            Inbound::Unreached(addr) => self.report_connect_failure(addr),
+            Inbound::ConnectFailed(addr) => self.report_connect_failure(addr),
         }
     }
 
--- a/crates/node/src/hosted/control.rs
+++ b/crates/node/src/hosted/control.rs
@@ -76,7 +76,7 @@
             advertise: Some(self.settings.peers),
             key: self.settings.key.clone(),
             limits: wire::limits::Limits {
-                routes: MAX_PEER_CONNECTIONS,
+                max_routes: MAX_PEER_CONNECTIONS,
                 ..wire::limits::Limits::default()
             },
         };
--- a/crates/node/src/hosted/control/state/exchange.rs
+++ b/crates/node/src/hosted/control/state/exchange.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::time::Instant;
-use wire::frame::CopyAsk;
+use wire::frame::CopyRequest;
 
 impl State {
     /// Recomputes this node's assignment, and starts or stops its reads of the store accordingly.
@@ -136,7 +136,7 @@
             (self.link.clone(), self.inputs.clone(), self.metrics.clone());
         tokio::spawn(async move {
             let started = Instant::now();
-            let answer = link.copy(peer, CopyAsk { table, from }).await;
+            let answer = link.request_copy(peer, CopyRequest { table, from }).await;
             metrics.record_peer_request(
                 request.label(),
                 matches!(answer, Ok(Some(_))),
@@ -234,7 +234,7 @@
         }
     }
 
-    pub(super) fn serve_copy(&self, request: CopyAsk) -> Option<Vec<u8>> {
+    pub(super) fn serve_copy(&self, request: CopyRequest) -> Option<Vec<u8>> {
         let from = request.from;
         let encoded = Request::try_from(request.table).and_then(|request| match request {
             Request::Changes(table) | Request::Keys(table) => {
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -20,8 +20,8 @@
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
             }
-            Inbound::Copy { ask, reply } => {
-                let _ = reply.send(self.serve_copy(ask));
+            Inbound::Copy { request, reply } => {
+                let _ = reply.send(self.serve_copy(request));
             }
             Inbound::Status { reply } => {
                 let _ = reply.send(Status {
@@ -31,7 +31,7 @@
                     ..Status::default()
                 });
             }
-            Inbound::Unreached(addr) => {
+            Inbound::ConnectFailed(addr) => {
                 let peers = self.group.roster().iter();
                 let unreachable: Vec<_> = peers
                     .filter(|p| p.identity.addr == addr)
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -13,11 +13,11 @@
 use std::net::SocketAddr;
 
 /// Version of the protocol.
-pub const VERSION: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 /// Bytes of a frame's MAC: HMAC-SHA-256 cut to its left half.
-pub const TAG: usize = 16;
+pub const TAG_LEN: usize = 16;
 /// Bytes of the shared key at least.
-const MIN_KEY: usize = 32;
+const MIN_KEY_LEN: usize = 32;
 
 type Hasher = Hmac<Sha256>;
 
@@ -29,10 +29,10 @@
     type Error = Error;
 
     fn try_from(text: &str) -> Result<Self> {
-        let bytes = hex::decode(text.trim()).map_err(|_| Error::Key)?;
-        match bytes.len() >= MIN_KEY {
+        let bytes = hex::decode(text.trim()).map_err(|_| Error::InvalidKey)?;
+        match bytes.len() >= MIN_KEY_LEN {
             true => Ok(Self(bytes)),
-            false => Err(Error::Key),
+            false => Err(Error::InvalidKey),
         }
     }
 }
@@ -58,7 +58,7 @@
     /// A hello with a fresh nonce.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             nonce: rand::random(),
             addr,
         }
@@ -72,14 +72,14 @@
 
     /// Reads its bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
-        let config = bincode::config::standard().with_limit::<{ crate::limits::MAX_HELLO }>();
+        let config = bincode::config::standard().with_limit::<{ crate::limits::MAX_HELLO_LEN }>();
         let (hello, used): (Self, usize) = bincode::serde::decode_from_slice(bytes, config)
             .map_err(|e| Error::Codec(e.to_string()))?;
         if used != bytes.len() {
             return Err(Error::Codec("trailing bytes".into()));
         }
-        if hello.version != VERSION {
-            return Err(Error::Version(hello.version));
+        if hello.version != PROTOCOL_VERSION {
+            return Err(Error::UnsupportedVersion(hello.version));
         }
         Ok(hello)
     }
@@ -103,13 +103,13 @@
 
 impl Channel {
     fn new(key: &Key, label: &[u8], client: &[u8], server: &[u8]) -> Result<Self> {
-        let mut mac = Hasher::new_from_slice(&key.0).map_err(|_| Error::Key)?;
+        let mut mac = Hasher::new_from_slice(&key.0).map_err(|_| Error::InvalidKey)?;
         mac.update(label);
         mac.update(&(client.len() as u64).to_le_bytes());
         mac.update(client);
         mac.update(server);
         let derived = mac.finalize().into_bytes();
-        let mac = Hasher::new_from_slice(&derived).map_err(|_| Error::Key)?;
+        let mac = Hasher::new_from_slice(&derived).map_err(|_| Error::InvalidKey)?;
         Ok(Self { mac, count: 0 })
     }
 
@@ -122,20 +122,20 @@
     }
 
     /// The MAC of the next frame to send.
-    pub fn seal(&mut self, payload: &[u8]) -> [u8; TAG] {
+    pub fn seal(&mut self, payload: &[u8]) -> [u8; TAG_LEN] {
         let full = self.next(payload).finalize().into_bytes();
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&full[..TAG]);
+        let mut tag = [0; TAG_LEN];
+        tag.copy_from_slice(&full[..TAG_LEN]);
         tag
     }
 
     /// The payload of the next frame received.
     pub fn open<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8]> {
-        let at = frame.len().checked_sub(TAG).ok_or(Error::Mac)?;
+        let at = frame.len().checked_sub(TAG_LEN).ok_or(Error::InvalidMac)?;
         let (payload, tag) = frame.split_at(at);
         self.next(payload)
             .verify_truncated_left(tag)
-            .map_err(|_| Error::Mac)?;
+            .map_err(|_| Error::InvalidMac)?;
         Ok(payload)
     }
 }
--- a/crates/wire/src/conn.rs
+++ b/crates/wire/src/conn.rs
@@ -1,9 +1,9 @@
 //! One connection: an HTTP/2 stream with frames in both directions.
 
-use crate::auth::{Channel, Session, TAG};
+use crate::auth::{Channel, Session, TAG_LEN};
 use crate::error::{Error, Result};
 use crate::frame::Frame;
-use crate::limits::MAX_HELLO;
+use crate::limits::MAX_HELLO_LEN;
 use crate::peer::Link;
 use crate::route::Outgoing;
 use bytes::{Bytes, BytesMut};
@@ -41,8 +41,11 @@
 impl From<&Error> for End {
     fn from(error: &Error) -> Self {
         match error {
-            Error::Silent => Self::Silent,
-            Error::Mac | Error::Long(_) | Error::Codec(_) | Error::Field(_) => Self::Refused,
+            Error::Unresponsive => Self::Silent,
+            Error::InvalidMac
+            | Error::FrameTooLong(_)
+            | Error::Codec(_)
+            | Error::InvalidField(_) => Self::Refused,
             _ => Self::Closed,
         }
     }
@@ -71,7 +74,7 @@
             send,
             recv,
             ping,
-            codec: codec(MAX_HELLO),
+            codec: codec(MAX_HELLO_LEN),
             buffer: BytesMut::new(),
         }
     }
@@ -101,7 +104,7 @@
     loop {
         let frame = codec
             .decode(buffer)
-            .map_err(|_| Error::Long(buffer.len()))?;
+            .map_err(|_| Error::FrameTooLong(buffer.len()))?;
         if let Some(frame) = frame {
             return Ok(frame);
         }
@@ -116,7 +119,7 @@
     let mut out = BytesMut::with_capacity(frame.len() + 4);
     codec
         .encode(frame, &mut out)
-        .map_err(|_| Error::Long(out.len()))?;
+        .map_err(|_| Error::FrameTooLong(out.len()))?;
     Ok(out.freeze())
 }
 
@@ -131,7 +134,7 @@
 impl Conn {
     /// Takes a pipe whose hellos were exchanged.
     pub(crate) fn new(link: &Link, mut pipe: Pipe, session: Session, peer: SocketAddr) -> Self {
-        pipe.codec = codec(link.shared.limits.frame + TAG);
+        pipe.codec = codec(link.shared.limits.max_frame_len + TAG_LEN);
         Self {
             peer,
             pipe,
@@ -185,7 +188,7 @@
             channel: session.recv,
             heard: heard.clone(),
         };
-        let codec = codec(link.shared.limits.frame + TAG);
+        let codec = codec(link.shared.limits.max_frame_len + TAG_LEN);
         let mut writer = Writer {
             link,
             send,
@@ -214,11 +217,16 @@
 pub(crate) fn count(link: &Link, error: Option<&Error>) {
     let counters = &link.shared.counters;
     match error {
-        Some(Error::Mac) => counters.bad_mac.add(1),
-        Some(Error::Long(_) | Error::Codec(_) | Error::Field(_) | Error::Version(_)) => {
+        Some(Error::InvalidMac) => counters.bad_mac.add(1),
+        Some(
+            Error::FrameTooLong(_)
+            | Error::Codec(_)
+            | Error::InvalidField(_)
+            | Error::UnsupportedVersion(_),
+        ) => {
             counters.bad_frame.add(1);
         }
-        Some(Error::Silent) => counters.silent.add(1),
+        Some(Error::Unresponsive) => counters.silent.add(1),
         _ => {}
     }
 }
@@ -301,8 +309,8 @@
         }
         loop {
             let limits = &self.link.shared.limits;
-            let silent = self.pinged.map(|p| p + limits.silent);
-            let idle = self.used.max(self.heard.last()) + limits.idle;
+            let silent = self.pinged.map(|p| p + limits.confirm_timeout);
+            let idle = self.used.max(self.heard.last()) + limits.idle_timeout;
             tokio::select! {
                 frame = queue.recv() => match frame {
                     Some(frame) => self.put(frame).await?,
@@ -315,7 +323,7 @@
                 () = sleep_until(silent.unwrap_or(idle)) => match silent {
                     // Something between the two ends may have lost track of this connection.
                     // The peer is judged by a new one.
-                    Some(_) => return Err(Error::Silent),
+                    Some(_) => return Err(Error::Unresponsive),
                     None if self.idle(idle) => return Ok(()),
                     None => {}
                 },
@@ -324,7 +332,7 @@
     }
 
     fn idle(&self, planned: Instant) -> bool {
-        let now = self.used.max(self.heard.last()) + self.link.shared.limits.idle;
+        let now = self.used.max(self.heard.last()) + self.link.shared.limits.idle_timeout;
         now <= planned
     }
 
@@ -336,14 +344,14 @@
             self.unsent.pop_front();
         }
         let tag = self.channel.seal(&bytes);
-        let mut sealed = BytesMut::with_capacity(bytes.len() + TAG);
+        let mut sealed = BytesMut::with_capacity(bytes.len() + TAG_LEN);
         sealed.extend_from_slice(&bytes);
         sealed.extend_from_slice(&tag);
         let packed = pack(&mut self.codec, sealed.freeze())?;
         let len = packed.len() as u64;
-        let silent = self.link.shared.limits.silent;
+        let silent = self.link.shared.limits.confirm_timeout;
         let written = timeout(silent, write(&mut self.send, packed)).await;
-        written.map_err(|_| Error::Silent)??;
+        written.map_err(|_| Error::Unresponsive)??;
         self.link.shared.counters.sent.add(1);
         self.link.shared.counters.sent_bytes.add(len);
         self.used = Instant::now();
--- a/crates/wire/src/counters.rs
+++ b/crates/wire/src/counters.rs
@@ -5,9 +5,9 @@
 
 /// A counter.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     /// Adds `n`.
     pub(crate) fn add(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
@@ -23,31 +23,31 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Connections opened.
-    pub dialed: Count,
+    pub dialed: Counter,
     /// Connections accepted.
-    pub accepted: Count,
+    pub accepted: Counter,
     /// Connections refused over the bound.
-    pub refused: Count,
+    pub refused: Counter,
     /// Frames sent.
-    pub sent: Count,
+    pub sent: Counter,
     /// Bytes of frames sent, with length and MAC.
-    pub sent_bytes: Count,
+    pub sent_bytes: Counter,
     /// Frames received.
-    pub received: Count,
+    pub received: Counter,
     /// Bytes of frames received, with length and MAC.
-    pub received_bytes: Count,
+    pub received_bytes: Counter,
     /// Connections closed for a wrong MAC.
-    pub bad_mac: Count,
+    pub bad_mac: Counter,
     /// Connections closed for a frame that is too long or cannot be read.
-    pub bad_frame: Count,
+    pub bad_frame: Counter,
     /// Connections that did not finish their handshake in time.
-    pub slow_hello: Count,
+    pub slow_hello: Counter,
     /// Connections that went silent.
-    pub silent: Count,
+    pub silent: Counter,
     /// Peers that could not be reached over a new connection.
-    pub unreached: Count,
+    pub unreached: Counter,
     /// Frames dropped for a full queue.
-    pub dropped: Count,
+    pub dropped: Counter,
 }
 
 impl fmt::Display for Counters {
--- a/crates/wire/src/dial.rs
+++ b/crates/wire/src/dial.rs
@@ -18,7 +18,7 @@
 
 /// Connects and exchanges hellos.
 pub(crate) async fn dial(link: &Link, addr: SocketAddr, stop: &CancellationToken) -> Result<Conn> {
-    let limit = link.shared.limits.handshake;
+    let limit = link.shared.limits.handshake_timeout;
     let result = tokio::select! {
         result = timeout(limit, open(link, addr)) => result,
         () = stop.cancelled() => return Err(Error::Closed),
@@ -46,7 +46,7 @@
         }
     });
     let request = Request::post(format!("http://{addr}{PATH}")).body(());
-    let request = request.map_err(|_| Error::Field("address"))?;
+    let request = request.map_err(|_| Error::InvalidField("address"))?;
     let (answer, send) = client.ready().await?.send_request(request, false)?;
     link.shared.counters.dialed.add(1);
     let hello = Hello::new(link.shared.addr).encode()?;
@@ -61,7 +61,7 @@
     mut send: h2::SendStream<Bytes>,
     ping: h2::PingPong,
 ) -> Result<Conn> {
-    let mut codec = crate::conn::codec(crate::limits::MAX_HELLO);
+    let mut codec = crate::conn::codec(crate::limits::MAX_HELLO_LEN);
     let packed = pack(&mut codec, Bytes::copy_from_slice(&hello))?;
     write(&mut send, packed).await?;
     let response = answer.await?;
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -10,25 +10,25 @@
 #[derive(Debug)]
 pub enum Error {
     /// The shared key is not hexadecimal, or shorter than 32 bytes.
-    Key,
+    InvalidKey,
     /// A frame is longer than the bound.
-    Long(usize),
+    FrameTooLong(usize),
     /// A frame is not what the codec reads.
     Codec(String),
     /// A field is outside its bounds.
-    Field(&'static str),
+    InvalidField(&'static str),
     /// A frame's MAC is wrong: another key, a replay, or a changed byte.
-    Mac,
+    InvalidMac,
     /// The other side speaks another version.
-    Version(u16),
+    UnsupportedVersion(u16),
     /// The peer did not answer in time.
     Timeout(SocketAddr),
     /// The connection is open and nothing comes back.
-    Silent,
+    Unresponsive,
     /// The connection ended.
     Closed,
     /// A queue is full.
-    Full,
+    QueueFull,
     /// The socket failed.
     Io(std::io::Error),
     /// HTTP/2 failed.
@@ -38,16 +38,16 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Key => write!(f, "the peer key is not at least 32 bytes in hexadecimal"),
-            Self::Long(len) => write!(f, "a frame of {len} bytes is over the bound"),
+            Self::InvalidKey => write!(f, "the peer key is not at least 32 bytes in hexadecimal"),
+            Self::FrameTooLong(len) => write!(f, "a frame of {len} bytes is over the bound"),
             Self::Codec(what) => write!(f, "a frame cannot be read: {what}"),
-            Self::Field(what) => write!(f, "a frame's field is out of bounds: {what}"),
-            Self::Mac => write!(f, "a frame's MAC is wrong"),
-            Self::Version(version) => write!(f, "the peer speaks version {version}"),
+            Self::InvalidField(what) => write!(f, "a frame's field is out of bounds: {what}"),
+            Self::InvalidMac => write!(f, "a frame's MAC is wrong"),
+            Self::UnsupportedVersion(version) => write!(f, "the peer speaks version {version}"),
             Self::Timeout(addr) => write!(f, "{addr} did not answer in time"),
-            Self::Silent => write!(f, "the connection went silent"),
+            Self::Unresponsive => write!(f, "the connection went silent"),
             Self::Closed => write!(f, "the connection is closed"),
-            Self::Full => write!(f, "the queue is full"),
+            Self::QueueFull => write!(f, "the queue is full"),
             Self::Io(error) => write!(f, "socket: {error}"),
             Self::H2(error) => write!(f, "http/2: {error}"),
         }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,22 +1,22 @@
 //! Frames and their codec.
 
 use crate::error::{Error, Result};
-use crate::limits::MAX_FRAME;
+use crate::limits::MAX_FRAME_LEN;
 use crate::raw;
 use std::fmt;
 
 /// Number of an ask within one process.
-pub type Call = u64;
+pub type CallId = u64;
 
 /// How a frame belongs to an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// It needs no answer.
-    Send,
+    OneWay,
     /// It asks.
-    Ask(Call),
+    Request(CallId),
     /// It answers the ask of that number.
-    Answer(Call),
+    Response(CallId),
 }
 
 /// A frame.
@@ -34,37 +34,40 @@
     /// For the group.
     Member(member::Message),
     /// Asks for the records that lead to a version.
-    HeadAsk(HeadAsk),
+    HeadRequest(HeadRequest),
     /// The records; nothing if they are not at hand.
-    HeadGive(Option<Vec<u8>>),
+    HeadResponse(Option<Vec<u8>>),
     /// Asks for changes of a table that the peer has a copy of.
-    CopyAsk(CopyAsk),
+    CopyRequest(CopyRequest),
     /// The changes; nothing if the peer has no such copy.
-    CopyGive(Option<Vec<u8>>),
+    CopyResponse(Option<Vec<u8>>),
     /// Asks what is in force.
-    StatusAsk,
+    StatusRequest,
     /// What is in force.
-    StatusGive(Status),
+    StatusResponse(Status),
 }
 
 impl Body {
     /// Whether it is an ask.
-    pub(crate) fn asks(&self) -> bool {
-        matches!(self, Self::HeadAsk(_) | Self::CopyAsk(_) | Self::StatusAsk)
+    pub(crate) fn is_request(&self) -> bool {
+        matches!(
+            self,
+            Self::HeadRequest(_) | Self::CopyRequest(_) | Self::StatusRequest
+        )
     }
 
     /// Whether it is the answer to an ask.
-    pub(crate) fn gives(&self) -> bool {
+    pub(crate) fn is_response(&self) -> bool {
         matches!(
             self,
-            Self::HeadGive(_) | Self::CopyGive(_) | Self::StatusGive(_)
+            Self::HeadResponse(_) | Self::CopyResponse(_) | Self::StatusResponse(_)
         )
     }
 }
 
 /// An ask for a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeadAsk {
+pub struct HeadRequest {
     /// The version wanted.
     pub number: u64,
     /// The version at hand; 0 for none.
@@ -73,7 +76,7 @@
 
 /// An ask for the changes of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CopyAsk {
+pub struct CopyRequest {
     /// Number of the table.
     pub table: u8,
     /// Offset of the first change that is not at hand.
@@ -113,7 +116,7 @@
     /// A frame that needs no answer.
     pub fn send(message: member::Message) -> Self {
         Self {
-            kind: Kind::Send,
+            kind: Kind::OneWay,
             body: Body::Member(message),
         }
     }
@@ -127,10 +130,10 @@
 
     /// Reads and checks its bytes.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
-        if bytes.len() > MAX_FRAME {
-            return Err(Error::Long(bytes.len()));
+        if bytes.len() > MAX_FRAME_LEN {
+            return Err(Error::FrameTooLong(bytes.len()));
         }
-        let config = bincode::config::standard().with_limit::<MAX_FRAME>();
+        let config = bincode::config::standard().with_limit::<MAX_FRAME_LEN>();
         let (raw, used): (raw::Frame, usize) = bincode::serde::decode_from_slice(bytes, config)
             .map_err(|e| Error::Codec(e.to_string()))?;
         if used != bytes.len() {
--- a/crates/wire/src/listen.rs
+++ b/crates/wire/src/listen.rs
@@ -23,7 +23,7 @@
 
 /// Accepts until the link is cancelled.
 pub(crate) async fn run(link: Link, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(link.shared.limits.inbound));
+    let room = Arc::new(Semaphore::new(link.shared.limits.max_inbound_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -47,7 +47,7 @@
 
 async fn accept(link: &Link, stream: TcpStream) {
     link.shared.counters.accepted.add(1);
-    let limit = link.shared.limits.handshake;
+    let limit = link.shared.limits.handshake_timeout;
     let Ok(result) = timeout(limit, open(stream)).await else {
         link.shared.counters.slow_hello.add(1);
         return;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::auth::Key;
 use crate::counters::Counters;
 use crate::error::{Error, Result};
-use crate::frame::{Body, Call, CopyAsk, Frame, HeadAsk, Kind, Status};
+use crate::frame::{Body, CallId, CopyRequest, Frame, HeadRequest, Kind, Status};
 use crate::limits::Limits;
 use crate::listen;
 use crate::route::{Outgoing, Routes};
@@ -29,14 +29,14 @@
     /// A peer asks for the records that lead to a version.
     Head {
         /// What it wants.
-        ask: HeadAsk,
+        request: HeadRequest,
         /// Takes the answer.
         reply: Reply<Option<Vec<u8>>>,
     },
     /// A peer asks for the changes of a table.
     Copy {
         /// What it wants.
-        ask: CopyAsk,
+        request: CopyRequest,
         /// Takes the answer.
         reply: Reply<Option<Vec<u8>>>,
     },
@@ -46,7 +46,7 @@
         reply: Reply<Status>,
     },
     /// A new connection to this address failed.
-    Unreached(SocketAddr),
+    ConnectFailed(SocketAddr),
 }
 
 /// How a link is set up.
@@ -71,12 +71,12 @@
     pub(crate) inbound: mpsc::Sender<Inbound>,
     pub(crate) cancel: CancellationToken,
     pub(crate) routes: Routes,
-    calls: Mutex<HashMap<Call, Waiting>>,
-    next: AtomicU64,
+    calls: Mutex<HashMap<CallId, PendingCall>>,
+    next_call: AtomicU64,
 }
 
 /// An ask that waits.
-struct Waiting {
+struct PendingCall {
     peer: SocketAddr,
     answer: oneshot::Sender<Body>,
 }
@@ -105,7 +105,7 @@
             cancel,
             routes: Routes::default(),
             calls: Mutex::default(),
-            next: AtomicU64::new(1),
+            next_call: AtomicU64::new(1),
         };
         let link = Self {
             shared: Arc::new(shared),
@@ -125,52 +125,60 @@
     }
 
     /// Peers with an open route.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.shared.routes.len()
     }
 
     /// Sends a message. It is dropped and counted if the queue to that peer is full.
     pub fn send(&self, to: SocketAddr, message: member::Message) -> Result<()> {
-        self.push(to, &Frame::send(message))
+        self.enqueue(to, &Frame::send(message))
     }
 
     /// Asks a peer for the records that lead to a version.
-    pub async fn head(&self, to: SocketAddr, ask: HeadAsk) -> Result<Option<Vec<u8>>> {
-        match self.ask(to, Body::HeadAsk(ask)).await? {
-            Body::HeadGive(bytes) => Ok(bytes),
-            _ => Err(Error::Field("answer")),
+    pub async fn request_head(
+        &self,
+        to: SocketAddr,
+        request: HeadRequest,
+    ) -> Result<Option<Vec<u8>>> {
+        match self.call(to, Body::HeadRequest(request)).await? {
+            Body::HeadResponse(bytes) => Ok(bytes),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
     /// Asks a peer for the changes of a table.
-    pub async fn copy(&self, to: SocketAddr, ask: CopyAsk) -> Result<Option<Vec<u8>>> {
-        match self.ask(to, Body::CopyAsk(ask)).await? {
-            Body::CopyGive(bytes) => Ok(bytes),
-            _ => Err(Error::Field("answer")),
+    pub async fn request_copy(
+        &self,
+        to: SocketAddr,
+        request: CopyRequest,
+    ) -> Result<Option<Vec<u8>>> {
+        match self.call(to, Body::CopyRequest(request)).await? {
+            Body::CopyResponse(bytes) => Ok(bytes),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
     /// Asks a peer what it has in force.
-    pub async fn status(&self, to: SocketAddr) -> Result<Status> {
-        match self.ask(to, Body::StatusAsk).await? {
-            Body::StatusGive(status) => Ok(status),
-            _ => Err(Error::Field("answer")),
+    pub async fn request_status(&self, to: SocketAddr) -> Result<Status> {
+        match self.call(to, Body::StatusRequest).await? {
+            Body::StatusResponse(status) => Ok(status),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
-    async fn ask(&self, to: SocketAddr, body: Body) -> Result<Body> {
-        let call = self.shared.next.fetch_add(1, Ordering::Relaxed);
+    async fn call(&self, to: SocketAddr, body: Body) -> Result<Body> {
+        let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
         let (answer, wait) = oneshot::channel();
-        self.calls().insert(call, Waiting { peer: to, answer });
-        let _guard = Forget { link: self, call };
-        self.push(
+        self.calls().insert(call, PendingCall { peer: to, answer });
+        let _guard = CallGuard { link: self, call };
+        self.enqueue(
             to,
             &Frame {
-                kind: Kind::Ask(call),
+                kind: Kind::Request(call),
                 body,
             },
         )?;
-        let limit = self.shared.limits.ask;
+        let limit = self.shared.limits.call_timeout;
         match tokio::time::timeout(limit, wait).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(_)) => Err(Error::Closed),
@@ -180,26 +188,26 @@
 
     /// Ends the asks to a peer that is gone: it has lost them, and nothing else would tell before their
     /// time limit.
-    pub(crate) fn end_calls(&self, peer: SocketAddr) {
+    pub(crate) fn fail_calls(&self, peer: SocketAddr) {
         self.calls().retain(|_, waiting| waiting.peer != peer);
     }
 
     /// Whether an ask to a peer waits for its answer.
-    pub(crate) fn awaits(&self, peer: SocketAddr) -> bool {
+    pub(crate) fn has_pending_call(&self, peer: SocketAddr) -> bool {
         self.calls().values().any(|waiting| waiting.peer == peer)
     }
 
-    fn calls(&self) -> std::sync::MutexGuard<'_, HashMap<Call, Waiting>> {
+    fn calls(&self) -> std::sync::MutexGuard<'_, HashMap<CallId, PendingCall>> {
         self.shared
             .calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn push(&self, to: SocketAddr, frame: &Frame) -> Result<()> {
+    pub(crate) fn enqueue(&self, to: SocketAddr, frame: &Frame) -> Result<()> {
         let bytes = Bytes::from(frame.encode()?);
-        if bytes.len() > self.shared.limits.frame {
-            return Err(Error::Long(bytes.len()));
+        if bytes.len() > self.shared.limits.max_frame_len {
+            return Err(Error::FrameTooLong(bytes.len()));
         }
         let pushed = self
             .shared
@@ -214,25 +222,25 @@
     /// Gives a frame to whom it is for.
     pub(crate) async fn deliver(&self, from: SocketAddr, frame: Frame) {
         let inbound = match (frame.kind, frame.body) {
-            (Kind::Send, Body::Member(message)) => Inbound::Member { from, message },
-            (Kind::Ask(call), Body::HeadAsk(ask)) => Inbound::Head {
-                ask,
-                reply: self.reply(from, call, Body::HeadGive),
+            (Kind::OneWay, Body::Member(message)) => Inbound::Member { from, message },
+            (Kind::Request(call), Body::HeadRequest(request)) => Inbound::Head {
+                request,
+                reply: self.reply(from, call, Body::HeadResponse),
             },
-            (Kind::Ask(call), Body::CopyAsk(ask)) => Inbound::Copy {
-                ask,
-                reply: self.reply(from, call, Body::CopyGive),
+            (Kind::Request(call), Body::CopyRequest(request)) => Inbound::Copy {
+                request,
+                reply: self.reply(from, call, Body::CopyResponse),
             },
-            (Kind::Ask(call), Body::StatusAsk) => Inbound::Status {
-                reply: self.reply(from, call, Body::StatusGive),
+            (Kind::Request(call), Body::StatusRequest) => Inbound::Status {
+                reply: self.reply(from, call, Body::StatusResponse),
             },
-            (Kind::Answer(call), body) => return self.answered(from, call, body),
+            (Kind::Response(call), body) => return self.complete_call(from, call, body),
             _ => return,
         };
         let _ = self.shared.inbound.send(inbound).await;
     }
 
-    fn reply<T>(&self, to: SocketAddr, call: Call, body: fn(T) -> Body) -> Reply<T> {
+    fn reply<T>(&self, to: SocketAddr, call: CallId, body: fn(T) -> Body) -> Reply<T> {
         Reply {
             link: self.clone(),
             to,
@@ -242,7 +250,7 @@
     }
 
     /// An answer counts only from the peer that was asked.
-    fn answered(&self, from: SocketAddr, call: Call, body: Body) {
+    fn complete_call(&self, from: SocketAddr, call: CallId, body: Body) {
         let mut calls = self.calls();
         if calls.get(&call).is_none_or(|w| w.peer != from) {
             return;
@@ -254,12 +262,12 @@
 }
 
 /// Forgets an ask when its future is dropped, so that those that time out do not pile up.
-struct Forget<'a> {
+struct CallGuard<'a> {
     link: &'a Link,
-    call: Call,
+    call: CallId,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.link.calls().remove(&self.call);
     }
@@ -269,7 +277,7 @@
 pub struct Reply<T> {
     link: Link,
     to: SocketAddr,
-    call: Call,
+    call: CallId,
     body: fn(T) -> Body,
 }
 
@@ -283,9 +291,9 @@
     /// Answers.
     pub fn send(self, answer: T) -> Result<()> {
         let frame = Frame {
-            kind: Kind::Answer(self.call),
+            kind: Kind::Response(self.call),
             body: (self.body)(answer),
         };
-        self.link.push(self.to, &frame)
+        self.link.enqueue(self.to, &frame)
     }
 }
--- a/crates/wire/src/raw/from.rs
+++ b/crates/wire/src/raw/from.rs
@@ -17,9 +17,9 @@
 impl From<frame::Kind> for Kind {
     fn from(kind: frame::Kind) -> Self {
         match kind {
-            frame::Kind::Send => Self::Send,
-            frame::Kind::Ask(call) => Self::Ask(call),
-            frame::Kind::Answer(call) => Self::Answer(call),
+            frame::Kind::OneWay => Self::Send,
+            frame::Kind::Request(call) => Self::Ask(call),
+            frame::Kind::Response(call) => Self::Answer(call),
         }
     }
 }
@@ -28,18 +28,18 @@
     fn from(body: &frame::Body) -> Self {
         match body {
             frame::Body::Member(message) => Self::Member(message.into()),
-            frame::Body::HeadAsk(ask) => Self::HeadAsk {
+            frame::Body::HeadRequest(ask) => Self::HeadAsk {
                 number: ask.number,
                 have: ask.have,
             },
-            frame::Body::HeadGive(bytes) => Self::HeadGive(bytes.clone()),
-            frame::Body::CopyAsk(ask) => Self::CopyAsk {
+            frame::Body::HeadResponse(bytes) => Self::HeadGive(bytes.clone()),
+            frame::Body::CopyRequest(ask) => Self::CopyAsk {
                 table: ask.table,
                 from: ask.from,
             },
-            frame::Body::CopyGive(bytes) => Self::CopyGive(bytes.clone()),
-            frame::Body::StatusAsk => Self::StatusAsk,
-            frame::Body::StatusGive(status) => Self::StatusGive {
+            frame::Body::CopyResponse(bytes) => Self::CopyGive(bytes.clone()),
+            frame::Body::StatusRequest => Self::StatusAsk,
+            frame::Body::StatusResponse(status) => Self::StatusGive {
                 number: status.number,
                 digest: status.digest,
                 incarnation: status.incarnation,
--- a/crates/wire/src/raw/into.rs
+++ b/crates/wire/src/raw/into.rs
@@ -28,24 +28,26 @@
     what: &'static str,
 ) -> Result<Vec<T>> {
     if rows.len() > most {
-        return Err(Error::Field(what));
+        return Err(Error::InvalidField(what));
     }
     rows.into_iter().map(T::try_from).collect()
 }
 
 fn name(text: String, what: &'static str) -> Result<String> {
     let fits = !text.is_empty() && text.len() <= NAME && !text.contains(char::is_control);
-    fits.then_some(text).ok_or(Error::Field(what))
+    fits.then_some(text).ok_or(Error::InvalidField(what))
 }
 
 fn bucket(index: u8) -> Result<u8> {
     let fits = usize::from(index) < BUCKETS;
-    fits.then_some(index).ok_or(Error::Field("bucket"))
+    fits.then_some(index).ok_or(Error::InvalidField("bucket"))
 }
 
 fn ttl(seconds: u32) -> Result<Duration> {
     let ttl = Duration::from_secs(seconds.into());
-    (ttl <= MAX_TTL).then_some(ttl).ok_or(Error::Field("ttl"))
+    (ttl <= MAX_TTL)
+        .then_some(ttl)
+        .ok_or(Error::InvalidField("ttl"))
 }
 
 impl TryFrom<Frame> for frame::Frame {
@@ -53,16 +55,16 @@
 
     fn try_from(raw: Frame) -> Result<Self> {
         let kind = match raw.kind {
-            Kind::Send => frame::Kind::Send,
-            Kind::Ask(call) => frame::Kind::Ask(call),
-            Kind::Answer(call) => frame::Kind::Answer(call),
+            Kind::Send => frame::Kind::OneWay,
+            Kind::Ask(call) => frame::Kind::Request(call),
+            Kind::Answer(call) => frame::Kind::Response(call),
         };
         let body = frame::Body::try_from(raw.body)?;
         match (kind, &body) {
-            (frame::Kind::Send, frame::Body::Member(_)) => {}
-            (frame::Kind::Ask(_), body) if body.asks() => {}
-            (frame::Kind::Answer(_), body) if body.gives() => {}
-            _ => return Err(Error::Field("kind")),
+            (frame::Kind::OneWay, frame::Body::Member(_)) => {}
+            (frame::Kind::Request(_), body) if body.is_request() => {}
+            (frame::Kind::Response(_), body) if body.is_response() => {}
+            _ => return Err(Error::InvalidField("kind")),
         }
         Ok(Self { kind, body })
     }
@@ -74,17 +76,19 @@
     fn try_from(raw: Body) -> Result<Self> {
         Ok(match raw {
             Body::Member(message) => Self::Member(message.try_into()?),
-            Body::HeadAsk { number, have } => Self::HeadAsk(frame::HeadAsk { number, have }),
-            Body::HeadGive(bytes) => Self::HeadGive(bytes),
-            Body::CopyAsk { table, from } => Self::CopyAsk(frame::CopyAsk { table, from }),
-            Body::CopyGive(bytes) => Self::CopyGive(bytes),
-            Body::StatusAsk => Self::StatusAsk,
+            Body::HeadAsk { number, have } => {
+                Self::HeadRequest(frame::HeadRequest { number, have })
+            }
+            Body::HeadGive(bytes) => Self::HeadResponse(bytes),
+            Body::CopyAsk { table, from } => Self::CopyRequest(frame::CopyRequest { table, from }),
+            Body::CopyGive(bytes) => Self::CopyResponse(bytes),
+            Body::StatusAsk => Self::StatusRequest,
             Body::StatusGive {
                 number,
                 digest,
                 incarnation,
                 leaving,
-            } => Self::StatusGive(frame::Status {
+            } => Self::StatusResponse(frame::Status {
                 number,
                 digest,
                 incarnation,
@@ -186,7 +190,7 @@
 
     fn try_from(raw: Summary) -> Result<Self> {
         if raw.versions.len() > PLACES {
-            return Err(Error::Field("versions"));
+            return Err(Error::InvalidField("versions"));
         }
         Ok(Self {
             hash: u32::from_le_bytes(raw.hash),
@@ -200,7 +204,7 @@
 
     fn try_from(raw: Delta) -> Result<Self> {
         if raw.whole.len() > BUCKETS {
-            return Err(Error::Field("whole"));
+            return Err(Error::InvalidField("whole"));
         }
         Ok(Self {
             items: all(raw.groups, BUCKETS, "groups")?,
@@ -231,7 +235,7 @@
         let ascending = prints.windows(2).all(|w| w[0].version < w[1].version);
         let covered = prints.last().is_none_or(|p| p.version <= raw.upto);
         if !ascending || !covered {
-            return Err(Error::Field("prints"));
+            return Err(Error::InvalidField("prints"));
         }
         Ok(Self {
             row: raw.place,
@@ -257,7 +261,7 @@
 
     fn try_from(raw: Want) -> Result<Self> {
         if raw.gaps.len() > PLACES {
-            return Err(Error::Field("gaps"));
+            return Err(Error::InvalidField("gaps"));
         }
         let gap = |g: Gap| message::KnownVersion {
             row: g.place,
--- a/crates/wire/src/route.rs
+++ b/crates/wire/src/route.rs
@@ -60,7 +60,7 @@
                 row.used = clock;
                 match row.queue.try_send(frame) {
                     Ok(()) => return Ok(()),
-                    Err(TrySendError::Full(_)) => return Err(Error::Full),
+                    Err(TrySendError::Full(_)) => return Err(Error::QueueFull),
                     Err(TrySendError::Closed(frame)) => frame,
                 }
             }
@@ -68,7 +68,7 @@
         };
         let (task, queue) = table.open(link, to, None);
         tokio::spawn(task.run());
-        queue.try_send(frame).map_err(|_| Error::Full)
+        queue.try_send(frame).map_err(|_| Error::QueueFull)
     }
 
     /// Serves a connection that a peer opened; it becomes the route to that peer if there is
@@ -101,8 +101,8 @@
         addr: SocketAddr,
         conn: Option<Conn>,
     ) -> (Task, mpsc::Sender<Outgoing>) {
-        self.evict(link.shared.limits.routes);
-        let (queue, frames) = mpsc::channel(link.shared.limits.queue);
+        self.evict(link.shared.limits.max_routes);
+        let (queue, frames) = mpsc::channel(link.shared.limits.queue_capacity);
         self.clock += 1;
         let number = self.clock;
         let stop = link.shared.cancel.child_token();
@@ -170,7 +170,7 @@
             unsent = retry(left);
             // A peer that lives closes connections too, and answers over another one. Whether it lives
             // shows when a new one is opened.
-            let awaits = end == End::Closed && self.link.awaits(self.addr);
+            let awaits = end == End::Closed && self.link.has_pending_call(self.addr);
             let done = unsent.is_empty() && self.frames.is_empty() && !awaits;
             if done || end == End::Refused || self.stop.is_cancelled() {
                 return self.close();
@@ -186,12 +186,12 @@
             return;
         }
         self.link.shared.counters.unreached.add(1);
-        self.link.end_calls(self.addr);
+        self.link.fail_calls(self.addr);
         let _ = self
             .link
             .shared
             .inbound
-            .send(Inbound::Unreached(self.addr))
+            .send(Inbound::ConnectFailed(self.addr))
             .await;
     }
 
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wire::auth::{Hello, Key, Session, Side};
 use wire::error::Error;
-use wire::frame::{Body as Matter, CopyAsk, Frame, HeadAsk, Kind, Status};
+use wire::frame::{Body as FrameBody, CopyRequest, Frame, HeadRequest, Kind, Status};
 
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
@@ -150,32 +150,32 @@
         leaving: true,
     };
     frames.push(Frame {
-        kind: Kind::Ask(1),
-        body: Matter::StatusAsk,
+        kind: Kind::Request(1),
+        body: FrameBody::StatusRequest,
     });
     frames.push(Frame {
-        kind: Kind::Answer(1),
-        body: Matter::StatusGive(status),
+        kind: Kind::Response(1),
+        body: FrameBody::StatusResponse(status),
     });
     frames.push(Frame {
-        kind: Kind::Ask(2),
-        body: Matter::HeadAsk(HeadAsk { number: 2, have: 1 }),
+        kind: Kind::Request(2),
+        body: FrameBody::HeadRequest(HeadRequest { number: 2, have: 1 }),
     });
     frames.push(Frame {
-        kind: Kind::Answer(2),
-        body: Matter::HeadGive(Some(vec![7; 1000])),
+        kind: Kind::Response(2),
+        body: FrameBody::HeadResponse(Some(vec![7; 1000])),
     });
     frames.push(Frame {
-        kind: Kind::Answer(3),
-        body: Matter::HeadGive(None),
+        kind: Kind::Response(3),
+        body: FrameBody::HeadResponse(None),
     });
     frames.push(Frame {
-        kind: Kind::Ask(4),
-        body: Matter::CopyAsk(CopyAsk { table: 1, from: 70 }),
+        kind: Kind::Request(4),
+        body: FrameBody::CopyRequest(CopyRequest { table: 1, from: 70 }),
     });
     frames.push(Frame {
-        kind: Kind::Answer(4),
-        body: Matter::CopyGive(Some(vec![3; 1000])),
+        kind: Kind::Response(4),
+        body: FrameBody::CopyResponse(Some(vec![3; 1000])),
     });
     frames
 }
@@ -191,11 +191,14 @@
 #[test]
 fn a_kind_fits_its_body() {
     let frame = Frame {
-        kind: Kind::Send,
-        body: Matter::StatusAsk,
+        kind: Kind::OneWay,
+        body: FrameBody::StatusRequest,
     };
     let bytes = frame.encode().expect("encodes");
-    assert!(matches!(Frame::decode(&bytes), Err(Error::Field("kind"))));
+    assert!(matches!(
+        Frame::decode(&bytes),
+        Err(Error::InvalidField("kind"))
+    ));
 }
 
 #[test]
@@ -242,7 +245,7 @@
     for body in bad {
         let bytes = message(body.clone()).encode().expect("encodes");
         assert!(
-            matches!(Frame::decode(&bytes), Err(Error::Field(_))),
+            matches!(Frame::decode(&bytes), Err(Error::InvalidField(_))),
             "{body:?}"
         );
     }
@@ -291,8 +294,8 @@
     bytes.extend_from_slice(&(1u64 << 62).to_le_bytes());
     assert!(Frame::decode(&bytes).is_err());
     assert!(matches!(
-        Frame::decode(&vec![0; wire::limits::MAX_FRAME + 1]),
-        Err(Error::Long(_))
+        Frame::decode(&vec![0; wire::limits::MAX_FRAME_LEN + 1]),
+        Err(Error::FrameTooLong(_))
     ));
 }
 
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -19,7 +19,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use wire::error::Error;
-use wire::frame::{CopyAsk, HeadAsk};
+use wire::frame::{CopyRequest, HeadRequest};
 use wire::limits::Limits;
 use wire::peer::Inbound;
 
@@ -43,7 +43,7 @@
     }))
     .await;
     b.until("head at b", |s| s.head == 3).await;
-    let status = a.link.status(b.link.addr()).await.expect("status");
+    let status = a.link.request_status(b.link.addr()).await.expect("status");
     assert_eq!(status.number, 3);
     assert_eq!(
         a.link.counters().bad_mac.get() + b.link.counters().bad_mac.get(),
@@ -100,16 +100,16 @@
         .await
         .expect("in time");
     assert!(
-        matches!(inbound, Some(Inbound::Unreached(a)) if a == addr),
+        matches!(inbound, Some(Inbound::ConnectFailed(a)) if a == addr),
         "{inbound:?}"
     );
-    assert_eq!(near.link.routes(), 0);
+    assert_eq!(near.link.route_count(), 0);
 }
 
 /// Limits under which an ask ends by its time limit only long after the test.
 fn patient() -> Limits {
     Limits {
-        ask: PATIENCE * 10,
+        call_timeout: PATIENCE * 10,
         ..Limits::default()
     }
 }
@@ -120,7 +120,10 @@
     let near = Bare::start(KEY, patient()).await;
     let mut far = Bare::start(KEY, Limits::default()).await;
     let (link, addr) = (near.link.clone(), far.link.addr());
-    let ask = tokio::spawn(async move { link.copy(addr, CopyAsk { table: 1, from: 0 }).await });
+    let ask = tokio::spawn(async move {
+        link.request_copy(addr, CopyRequest { table: 1, from: 0 })
+            .await
+    });
     let taken = tokio::time::timeout(PATIENCE, far.inbound.recv()).await;
     assert!(matches!(taken, Ok(Some(Inbound::Copy { .. }))), "{taken:?}");
     far.cancel.cancel();
@@ -133,14 +136,17 @@
 #[tokio::test]
 async fn ask_outlives_its_connection() {
     let few = Limits {
-        routes: 1,
+        max_routes: 1,
         ..Limits::default()
     };
     let near = Bare::start(KEY, patient()).await;
     let mut far = Bare::start(KEY, few).await;
     let other = Bare::start(KEY, Limits::default()).await;
     let (link, addr) = (near.link.clone(), far.link.addr());
-    let ask = tokio::spawn(async move { link.copy(addr, CopyAsk { table: 1, from: 0 }).await });
+    let ask = tokio::spawn(async move {
+        link.request_copy(addr, CopyRequest { table: 1, from: 0 })
+            .await
+    });
     let taken = tokio::time::timeout(PATIENCE, far.inbound.recv()).await;
     let Ok(Some(Inbound::Copy { reply, .. })) = taken else {
         panic!("{taken:?}");
@@ -165,7 +171,9 @@
     // Connections are accepted by the kernel and nobody reads them, as those of a frozen node.
     let frozen = std::net::TcpListener::bind("127.0.0.1:0").expect("listens");
     let addr = frozen.local_addr().expect("address");
-    let ask = near.link.copy(addr, CopyAsk { table: 1, from: 0 });
+    let ask = near
+        .link
+        .request_copy(addr, CopyRequest { table: 1, from: 0 });
     let answer = tokio::time::timeout(PATIENCE, ask).await.expect("in time");
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
@@ -187,7 +195,7 @@
 #[tokio::test]
 async fn strangers_are_bounded() {
     let limits = Limits {
-        inbound: 4,
+        max_inbound_connections: 4,
         ..Limits::default()
     };
     let mut far = Bare::start(KEY, limits).await;
@@ -215,12 +223,12 @@
 #[tokio::test]
 async fn unanswered_ask_times_out() {
     let limits = Limits {
-        ask: Duration::from_millis(200),
+        call_timeout: Duration::from_millis(200),
         ..Limits::default()
     };
     let near = Bare::start(KEY, limits).await;
     let far = Bare::start(KEY, Limits::default()).await;
-    let answer = near.link.status(far.link.addr()).await;
+    let answer = near.link.request_status(far.link.addr()).await;
     assert!(matches!(answer, Err(wire::Error::Timeout(_))), "{answer:?}");
 }
 
@@ -242,7 +250,7 @@
     });
     let got = near
         .link
-        .head(addr, HeadAsk { number: 1, have: 0 })
+        .request_head(addr, HeadRequest { number: 1, have: 0 })
         .await
         .expect("answer");
     assert!(got == Some(record));
@@ -252,7 +260,7 @@
 #[tokio::test]
 async fn routes_are_bounded() {
     let limits = Limits {
-        routes: 3,
+        max_routes: 3,
         ..Limits::default()
     };
     let near = Bare::start(KEY, limits).await;
@@ -262,7 +270,7 @@
             .send(far.link.addr(), note(round))
             .expect("queued");
         assert_eq!(far.next().await, round);
-        assert!(near.link.routes() <= 3);
+        assert!(near.link.route_count() <= 3);
     }
 }
 
@@ -273,7 +281,7 @@
     let far = Bare::start(
         KEY,
         Limits {
-            frame: 100,
+            max_frame_len: 100,
             ..Limits::default()
         },
     )
@@ -296,7 +304,7 @@
 #[tokio::test]
 async fn idle_connection_closes() {
     let limits = Limits {
-        idle: Duration::from_millis(100),
+        idle_timeout: Duration::from_millis(100),
         ..Limits::default()
     };
     let near = Bare::start(KEY, limits.clone()).await;
@@ -304,7 +312,7 @@
     near.link.send(far.link.addr(), note(1)).expect("queued");
     assert_eq!(far.next().await, 1);
     until("closed", || {
-        near.link.routes() == 0 && far.link.routes() == 0
+        near.link.route_count() == 0 && far.link.route_count() == 0
     })
     .await;
     near.link.send(far.link.addr(), note(2)).expect("queued");
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 use wire::auth::Key;
-use wire::frame::{HeadAsk, Status};
+use wire::frame::{HeadRequest, Status};
 use wire::limits::Limits;
 use wire::peer::{Inbound, Link, Setup};
 
@@ -170,7 +170,7 @@
                     ..Status::default()
                 });
             }
-            Inbound::Unreached(addr) => {
+            Inbound::ConnectFailed(addr) => {
                 let id = self
                     .group
                     .roster()
@@ -224,11 +224,11 @@
     }
 
     async fn fetch(&self, head: Head, addr: SocketAddr) -> Option<Event> {
-        let ask = HeadAsk {
+        let ask = HeadRequest {
             number: head.number,
             have: 0,
         };
-        let bytes = self.link.head(addr, ask).await.ok()??;
+        let bytes = self.link.request_head(addr, ask).await.ok()??;
         let number = u64::from_le_bytes(bytes.try_into().ok()?);
         (number == head.number).then_some(Event::Head(head))
     }
