--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -90,7 +90,7 @@
                             same file again to learn it";
                 return Err(failed(e.wrap_err(told)));
             }
-            Err(_) => tokio::time::sleep(backoff.failed(None)).await,
+            Err(_) => tokio::time::sleep(backoff.record_failure(None)).await,
         }
     }
 }
@@ -115,7 +115,7 @@
     match tail.log.append(STREAM, body).await {
         Ok(offset) => Event::Appended(offset),
         Err(e) => {
-            tokio::time::sleep(backoff.failed(e.retry_after())).await;
+            tokio::time::sleep(backoff.record_failure(e.retry_after())).await;
             Event::Failed { unsure: e.unsure() }
         }
     }
@@ -126,7 +126,7 @@
     match tail.page(WAIT).await {
         Ok(end) => Event::Read { end },
         Err(e) => {
-            tokio::time::sleep(backoff.failed(e.retry_after())).await;
+            tokio::time::sleep(backoff.record_failure(e.retry_after())).await;
             Event::Failed { unsure: false }
         }
     }
--- a/crates/ctl/src/tail.rs
+++ b/crates/ctl/src/tail.rs
@@ -46,11 +46,11 @@
         loop {
             match self.page(Duration::ZERO).await {
                 Ok(true) => return Ok(()),
-                Ok(false) => backoff.succeeded(),
+                Ok(false) => backoff.record_success(),
                 Err(e) if backoff.failures() + 1 >= MAX_FAILURES => {
                     return Err(failed(Err::<(), _>(e).wrap_err("log").unwrap_err()));
                 }
-                Err(e) => tokio::time::sleep(backoff.failed(e.retry_after())).await,
+                Err(e) => tokio::time::sleep(backoff.record_failure(e.retry_after())).await,
             }
         }
     }
--- a/crates/node/src/control/publish.rs
+++ b/crates/node/src/control/publish.rs
@@ -29,7 +29,7 @@
             Action::Done(outcome) => return log_outcome(&outcome),
             Action::Read { failures } => {
                 if failures > 0 {
-                    tokio::time::sleep(backoff.failed(None)).await;
+                    tokio::time::sleep(backoff.record_failure(None)).await;
                 }
                 read(&log, &mut fold).await
             }
--- a/crates/node/src/control/tail.rs
+++ b/crates/node/src/control/tail.rs
@@ -30,7 +30,7 @@
     loop {
         match log.read(BUNDLE_STREAM, from, READ_WAIT).await {
             Ok(page) => {
-                backoff.succeeded();
+                backoff.record_success();
                 let (next_tx, next_rx) = oneshot::channel();
                 if inputs.send(Input::Page(page, next_tx)).await.is_err() {
                     return;
@@ -39,7 +39,7 @@
                 from = next;
             }
             Err(error) => {
-                let wait = backoff.failed(error.retry_after());
+                let wait = backoff.record_failure(error.retry_after());
                 if inputs.send(Input::LogReadFailed(error)).await.is_err() {
                     return;
                 }
@@ -73,13 +73,13 @@
     loop {
         let wait = match list.instances().await {
             Ok(instances) => {
-                backoff.succeeded();
+                backoff.record_success();
                 if inputs.send(Input::Instances(instances)).await.is_err() {
                     return;
                 }
                 LIST_POLL_INTERVAL
             }
-            Err(error) => backoff.failed(error.retry_after()),
+            Err(error) => backoff.record_failure(error.retry_after()),
         };
         tokio::time::sleep(wait).await;
     }
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -229,8 +229,13 @@
     let weights = section.optional("weights", addr, findings);
     let retention = section.value_or("retention", DEFAULT_RETENTION, nonzero_time, findings);
     let limits = platform::Limits {
-        connect: section.value_or("connect_time", defaults.connect, nonzero_time, findings),
-        call: section.value_or("call_time", defaults.call, nonzero_time, findings),
+        connect_timeout: section.value_or(
+            "connect_time",
+            defaults.connect_timeout,
+            nonzero_time,
+            findings,
+        ),
+        call_timeout: section.value_or("call_time", defaults.call_timeout, nonzero_time, findings),
         ..defaults
     };
     section.finish(findings);
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -13,33 +13,33 @@
 /// nodes that saw the same outage begin would all come back in the same moment.
 #[derive(Debug)]
 pub struct Backoff {
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
     failures: u32,
     random: StdRng,
 }
 
 impl Backoff {
-    /// Waits from `least` to `most`; nodes pass different seeds.
-    pub fn new(least: Duration, most: Duration, seed: u64) -> Self {
+    /// Waits from `min` to `max`; nodes pass different seeds.
+    pub fn new(min: Duration, max: Duration, seed: u64) -> Self {
         Self {
-            least,
-            most: most.max(least),
+            min,
+            max: max.max(min),
             failures: 0,
             random: StdRng::seed_from_u64(seed),
         }
     }
 
     /// The wait after one more failure; `after` is what the service asked for, if it did.
-    pub fn failed(&mut self, after: Option<Duration>) -> Duration {
+    pub fn record_failure(&mut self, after: Option<Duration>) -> Duration {
         let step = self.step();
         self.failures = self.failures.saturating_add(1);
         let wait = step.mul_f64(self.random.random_range(0.5..=1.0));
-        wait.max(after.unwrap_or_default()).min(self.most)
+        wait.max(after.unwrap_or_default()).min(self.max)
     }
 
-    /// A call succeeded: the next wait is the least again.
-    pub fn succeeded(&mut self) {
+    /// A call succeeded: the next wait is the min again.
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
@@ -50,6 +50,6 @@
 
     fn step(&self) -> Duration {
         let factor = 1 << self.failures.min(MAX_DOUBLINGS);
-        self.least.saturating_mul(factor).min(self.most)
+        self.min.saturating_mul(factor).min(self.max)
     }
 }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -16,11 +16,11 @@
     /// The connection broke, or what came was no HTTP.
     Broken,
     /// The service is over its rate and says when to come back, if it does.
-    Limited(Option<Duration>),
+    RateLimited(Option<Duration>),
     /// The service answered with another status than success.
     Status(u16),
     /// A body over its bound, in bytes.
-    Large(usize),
+    TooLarge(usize),
     /// The answer can't be decoded; the text says where.
     Decode(String),
     /// The request can't be built, such as for a stream name that no path can hold.
@@ -52,20 +52,20 @@
     /// A refusal (429, any other 4xx, 503) is the service's word that nothing was appended. Any
     /// other end after sending leaves it open, and only reading the stream back settles it.
     pub fn unsure(&self) -> bool {
-        self.sent && !self.refused()
+        self.sent && !self.is_refused()
     }
 
     /// When the service asked to be called again.
     pub fn retry_after(&self) -> Option<Duration> {
         match self.cause {
-            Cause::Limited(after) => after,
+            Cause::RateLimited(after) => after,
             _ => None,
         }
     }
 
-    fn refused(&self) -> bool {
+    fn is_refused(&self) -> bool {
         match self.cause {
-            Cause::Limited(_) => true,
+            Cause::RateLimited(_) => true,
             Cause::Status(code) => (400..500).contains(&code) || code == 503,
             _ => false,
         }
@@ -78,9 +78,9 @@
             Self::Connect => f.write_str("no connection"),
             Self::Timeout => f.write_str("time limit passed"),
             Self::Broken => f.write_str("connection broke"),
-            Self::Limited(_) => f.write_str("over the service's rate"),
+            Self::RateLimited(_) => f.write_str("over the service's rate"),
             Self::Status(code) => write!(f, "status {code}"),
-            Self::Large(bytes) => write!(f, "body over {bytes} bytes"),
+            Self::TooLarge(bytes) => write!(f, "body over {bytes} bytes"),
             Self::Decode(text) => write!(f, "undecodable answer: {text}"),
             Self::Invalid(text) => write!(f, "invalid request: {text}"),
         }
--- a/crates/platform/src/format.rs
+++ b/crates/platform/src/format.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 
 /// Largest page a decoder accepts, in bytes, whatever the client's own bound.
-const MAX_PAGE: usize = 16 << 20;
+const MAX_PAGE_BYTES: usize = 16 << 20;
 /// Longest stream name.
-const MAX_STREAM: usize = 64;
+const MAX_STREAM_NAME_BYTES: usize = 64;
 
 /// Answer to an append, JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,20 +71,23 @@
 }
 
 /// Path of the records of a stream.
-pub fn records(stream: &str) -> Result<String, Cause> {
-    if stream.is_empty() || stream.len() > MAX_STREAM || !stream.bytes().all(plain) {
+pub fn records_path(stream: &str) -> Result<String, Cause> {
+    if stream.is_empty()
+        || stream.len() > MAX_STREAM_NAME_BYTES
+        || !stream.bytes().all(is_name_byte)
+    {
         return Err(Cause::Invalid(format!("stream name {stream:?}")));
     }
     Ok(format!("/v1/streams/{stream}/records"))
 }
 
 /// Path of the instance list.
-pub const INSTANCES: &str = "/v1/instances";
+pub const INSTANCES_PATH: &str = "/v1/instances";
 /// Path of the weight store's rate.
-pub const RATE: &str = "/v1/rate";
+pub const RATE_PATH: &str = "/v1/rate";
 
 /// Decodes JSON.
-pub fn json<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Cause> {
+pub fn decode_json<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Cause> {
     serde_json::from_slice(bytes).map_err(|e| Cause::Decode(e.to_string()))
 }
 
@@ -96,7 +99,7 @@
 
     /// Decodes a page.
     pub fn decode(bytes: &[u8]) -> Result<Self, Cause> {
-        let config = bincode::config::standard().with_limit::<MAX_PAGE>();
+        let config = bincode::config::standard().with_limit::<MAX_PAGE_BYTES>();
         let (page, used) = bincode::serde::decode_from_slice(bytes, config)
             .map_err(|e| Cause::Decode(e.to_string()))?;
         match used == bytes.len() {
@@ -217,6 +220,6 @@
     }
 }
 
-fn plain(byte: u8) -> bool {
+fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_'
 }
--- a/crates/platform/src/http/client.rs
+++ b/crates/platform/src/http/client.rs
@@ -13,9 +13,9 @@
 use tokio::time::timeout;
 
 /// How long an idle connection is kept.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Idle connections kept.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 type Inner = legacy::Client<HttpConnector, Full<Bytes>>;
 
@@ -60,15 +60,15 @@
         body: Bytes,
         wait: Duration,
     ) -> Result<Bytes> {
-        let answer = self.ask(method, path, headers, body, wait).await?;
+        let answer = self.send(method, path, headers, body, wait).await?;
         match answer.status().is_success() {
             true => Ok(answer.into_body()),
-            false => Err(Error::sent(refusal(&answer))),
+            false => Err(Error::sent(cause_of_status(&answer))),
         }
     }
 
     /// The same, with the whole answer whatever its status.
-    pub async fn ask(
+    pub async fn send(
         &self,
         method: Method,
         path: &str,
@@ -76,23 +76,35 @@
         body: Bytes,
         wait: Duration,
     ) -> Result<Response<Bytes>> {
-        if body.len() > self.limits.send {
-            return Err(Error::unsent(Cause::Large(self.limits.send)));
+        if body.len() > self.limits.max_request_bytes {
+            return Err(Error::unsent(Cause::TooLarge(
+                self.limits.max_request_bytes,
+            )));
         }
-        let mut request = self.request(method, path, body)?;
+        let mut request = self.build_request(method, path, body)?;
         request.headers_mut().extend(headers);
-        let inner = self.current();
-        let limit = self.limits.call.saturating_add(wait);
-        match timeout(limit, exchange(inner, request, self.limits.take)).await {
+        let inner = self.client();
+        let limit = self.limits.call_timeout.saturating_add(wait);
+        match timeout(
+            limit,
+            exchange(inner, request, self.limits.max_response_bytes),
+        )
+        .await
+        {
             Ok(result) => result,
             Err(_) => {
-                self.renew();
+                self.replace_pool();
                 Err(Error::sent(Cause::Timeout))
             }
         }
     }
 
-    fn request(&self, method: Method, path: &str, body: Bytes) -> Result<Request<Full<Bytes>>> {
+    fn build_request(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<Request<Full<Bytes>>> {
         let invalid = |e: http::Error| Error::unsent(Cause::Invalid(e.to_string()));
         let uri = Uri::builder()
             .scheme("http")
@@ -107,7 +119,7 @@
             .map_err(invalid)
     }
 
-    fn current(&self) -> Inner {
+    fn client(&self) -> Inner {
         self.inner
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -116,46 +128,46 @@
 
     /// Leaves all pooled connections behind: one that went silent tells nothing by itself, and
     /// its neighbours in the pool went the same way; only new connections are known to work.
-    fn renew(&self) {
+    fn replace_pool(&self) {
         *self.inner.lock().unwrap_or_else(PoisonError::into_inner) = build(&self.limits);
     }
 }
 
 fn build(limits: &Limits) -> Inner {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(limits.connect));
+    connector.set_connect_timeout(Some(limits.connect_timeout));
     connector.set_nodelay(true);
     legacy::Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(IDLE)
-        .pool_max_idle_per_host(MAX_IDLE)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .build(connector)
 }
 
 async fn exchange(
     inner: Inner,
     request: Request<Full<Bytes>>,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Response<Bytes>> {
-    let response = inner.request(request).await.map_err(failed)?;
+    let response = inner.request(request).await.map_err(transport_error)?;
     let (head, body) = response.into_parts();
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
         // The status alone tells what became of a call that was refused.
         Err(_) if !head.status.is_success() => Ok(Response::from_parts(head, Bytes::new())),
-        Err(e) if e.is::<LengthLimitError>() => Err(Error::sent(Cause::Large(most))),
+        Err(e) if e.is::<LengthLimitError>() => Err(Error::sent(Cause::TooLarge(max_bytes))),
         Err(_) => Err(Error::sent(Cause::Broken)),
     }
 }
 
-fn failed(error: legacy::Error) -> Error {
+fn transport_error(error: legacy::Error) -> Error {
     match error.is_connect() {
         true => Error::unsent(Cause::Connect),
         false => Error::sent(Cause::Broken),
     }
 }
 
-fn refusal<B>(response: &Response<B>) -> Cause {
+fn cause_of_status<B>(response: &Response<B>) -> Cause {
     if response.status() != StatusCode::TOO_MANY_REQUESTS {
         return Cause::Status(response.status().as_u16());
     }
@@ -163,5 +175,5 @@
     let seconds = after
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.trim().parse().ok());
-    Cause::Limited(seconds.map(Duration::from_secs))
+    Cause::RateLimited(seconds.map(Duration::from_secs))
 }
--- a/crates/platform/src/http/list.rs
+++ b/crates/platform/src/http/list.rs
@@ -28,11 +28,14 @@
 
 impl list::List for List {
     async fn instances(&self) -> Result<Vec<Instance>> {
-        let call = self
-            .client
-            .call(Method::GET, format::INSTANCES, Bytes::new(), Duration::ZERO);
+        let call = self.client.call(
+            Method::GET,
+            format::INSTANCES_PATH,
+            Bytes::new(),
+            Duration::ZERO,
+        );
         let answer = call.await?;
-        let raw: Instances = format::json(&answer).map_err(Error::sent)?;
+        let raw: Instances = format::decode_json(&answer).map_err(Error::sent)?;
         let checked: std::result::Result<Vec<_>, _> =
             raw.instances.into_iter().map(Instance::try_from).collect();
         checked.map_err(Error::sent)
--- a/crates/platform/src/http/log.rs
+++ b/crates/platform/src/http/log.rs
@@ -27,17 +27,17 @@
 
 impl log::Log for Log {
     async fn append(&self, stream: &str, body: Bytes) -> Result<Offset> {
-        let path = format::records(stream).map_err(Error::unsent)?;
+        let path = format::records_path(stream).map_err(Error::unsent)?;
         let answer = self
             .client
             .call(Method::POST, &path, body, Duration::ZERO)
             .await?;
-        let appended: Appended = format::json(&answer).map_err(Error::sent)?;
+        let appended: Appended = format::decode_json(&answer).map_err(Error::sent)?;
         Ok(appended.offset)
     }
 
     async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Page> {
-        let path = format::records(stream).map_err(Error::unsent)?;
+        let path = format::records_path(stream).map_err(Error::unsent)?;
         let path = format!("{path}?from={from}&wait={}", wait.as_millis());
         let answer = self
             .client
--- a/crates/platform/src/http/weights.rs
+++ b/crates/platform/src/http/weights.rs
@@ -29,9 +29,9 @@
     async fn rate(&self) -> Result<Rate> {
         let call = self
             .client
-            .call(Method::GET, format::RATE, Bytes::new(), Duration::ZERO);
+            .call(Method::GET, format::RATE_PATH, Bytes::new(), Duration::ZERO);
         let answer = call.await?;
-        let allowed: Allowed = format::json(&answer).map_err(Error::sent)?;
+        let allowed: Allowed = format::decode_json(&answer).map_err(Error::sent)?;
         Ok(allowed.into())
     }
 }
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest time to make a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Longest time for a whole call; a read that waits gets its wait on top.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Largest body to send, in bytes.
-    pub send: usize,
+    pub max_request_bytes: usize,
     /// Largest body to take, in bytes.
-    pub take: usize,
+    pub max_response_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            call: Duration::from_secs(3),
-            send: 4 << 20,
-            take: 8 << 20,
+            connect_timeout: Duration::from_secs(1),
+            call_timeout: Duration::from_secs(3),
+            max_request_bytes: 4 << 20,
+            max_response_bytes: 8 << 20,
         }
     }
 }
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -31,7 +31,7 @@
 
 impl Page {
     /// Whether a reader that asked from `from` has lost records to retention.
-    pub fn gap(&self, from: Offset) -> bool {
+    pub fn has_gap(&self, from: Offset) -> bool {
         self.first > from
     }
 }
--- a/crates/platform/tests/backoff.rs
+++ b/crates/platform/tests/backoff.rs
@@ -3,15 +3,15 @@
 use platform::backoff::Backoff;
 use std::time::Duration;
 
-const LEAST: Duration = Duration::from_millis(100);
-const MOST: Duration = Duration::from_secs(5);
+const MIN: Duration = Duration::from_millis(100);
+const MAX: Duration = Duration::from_secs(5);
 
 #[test]
 fn waits_double_within_jitter_up_to_the_bound() {
-    let mut backoff = Backoff::new(LEAST, MOST, 1);
+    let mut backoff = Backoff::new(MIN, MAX, 1);
     for failures in 0..200u32 {
-        let step = LEAST.saturating_mul(1 << failures.min(10)).min(MOST);
-        let wait = backoff.failed(None);
+        let step = MIN.saturating_mul(1 << failures.min(10)).min(MAX);
+        let wait = backoff.record_failure(None);
         assert!(
             wait >= step / 2 && wait <= step,
             "{wait:?} after {failures}"
@@ -21,21 +21,25 @@
 
 #[test]
 fn a_success_starts_over_and_seeds_differ() {
-    let mut a = Backoff::new(LEAST, MOST, 1);
-    let mut b = Backoff::new(LEAST, MOST, 2);
-    let waits = |backoff: &mut Backoff| (0..8).map(|_| backoff.failed(None)).collect::<Vec<_>>();
+    let mut a = Backoff::new(MIN, MAX, 1);
+    let mut b = Backoff::new(MIN, MAX, 2);
+    let waits = |backoff: &mut Backoff| {
+        (0..8)
+            .map(|_| backoff.record_failure(None))
+            .collect::<Vec<_>>()
+    };
     assert_ne!(waits(&mut a), waits(&mut b));
-    a.succeeded();
-    assert!(a.failed(None) <= LEAST);
+    a.record_success();
+    assert!(a.record_failure(None) <= MIN);
     assert_eq!(a.failures(), 1);
 }
 
 #[test]
 fn the_service_may_ask_for_longer_within_the_bound() {
-    let mut backoff = Backoff::new(LEAST, MOST, 1);
+    let mut backoff = Backoff::new(MIN, MAX, 1);
     assert_eq!(
-        backoff.failed(Some(Duration::from_secs(2))),
+        backoff.record_failure(Some(Duration::from_secs(2))),
         Duration::from_secs(2)
     );
-    assert_eq!(backoff.failed(Some(Duration::from_secs(3600))), MOST);
+    assert_eq!(backoff.record_failure(Some(Duration::from_secs(3600))), MAX);
 }
--- a/crates/platform/tests/format.rs
+++ b/crates/platform/tests/format.rs
@@ -1,7 +1,7 @@
 //! Decoders of platform answers fed with seeded garbage and mutated good input.
 
 use bytes::Bytes;
-use platform::format::{Allowed, Appended, Instances, Item, Page, json};
+use platform::format::{Allowed, Appended, Instances, Item, Page, decode_json};
 use platform::instance::{Instance, State};
 use platform::log;
 use rand::rngs::StdRng;
@@ -41,7 +41,7 @@
 }
 
 /// What a checked page promises to a reader: no hole, and `next` right after the last record.
-fn whole(page: &log::Page) -> bool {
+fn is_consistent(page: &log::Page) -> bool {
     let mut offsets = page.records.iter().map(|r| r.offset);
     let first = offsets.next();
     let last = first.map(|f| offsets.fold(f, |last, o| if o == last + 1 { o } else { u64::MAX }));
@@ -71,7 +71,7 @@
         let Ok(page) = Page::decode(&bytes).and_then(log::Page::try_from) else {
             continue;
         };
-        assert!(whole(&page), "{page:?}");
+        assert!(is_consistent(&page), "{page:?}");
         accepted += 1;
     }
     // Mutations within a body are as good as any other body.
@@ -116,13 +116,13 @@
         } else {
             garbage(&mut random)
         };
-        if let Ok(list) = json::<Instances>(&bytes) {
+        if let Ok(list) = decode_json::<Instances>(&bytes) {
             list.instances
                 .into_iter()
                 .map(Instance::try_from)
                 .for_each(|r| drop(r.ok()));
         }
-        let _ = json::<Appended>(&bytes);
-        let _ = json::<Allowed>(&bytes);
+        let _ = decode_json::<Appended>(&bytes);
+        let _ = decode_json::<Allowed>(&bytes);
     }
 }
--- a/crates/slopes/src/platform.rs
+++ b/crates/slopes/src/platform.rs
@@ -41,7 +41,7 @@
 }
 
 fn decode(body: &[u8]) -> Vec<Instance> {
-    let raw: Instances = format::json(body).expect("decodes");
+    let raw: Instances = format::decode_json(body).expect("decodes");
     let checked = raw.instances.into_iter().map(Instance::try_from);
     checked.map(|i| i.expect("sound")).collect()
 }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -3,7 +3,7 @@
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
 use http::{Request, StatusCode};
-use platform::format::{INSTANCES, Instances, Item};
+use platform::format::{INSTANCES_PATH, Instances, Item};
 use platform::instance::Instance;
 use std::io;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 
 impl Service for Store {
     async fn answer(&self, request: Request<Bytes>) -> Answer {
-        if request.uri().path() != INSTANCES {
+        if request.uri().path() != INSTANCES_PATH {
             return Answer::new(StatusCode::NOT_FOUND, "");
         }
         let mut state = lock(&self.state);
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -3,7 +3,7 @@
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
 use http::{Request, StatusCode};
-use platform::format::{Allowed, RATE};
+use platform::format::{Allowed, RATE_PATH};
 use platform::weights::Rate;
 use std::io;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 
 impl Service for Store {
     async fn answer(&self, request: Request<Bytes>) -> Answer {
-        if request.uri().path() != RATE {
+        if request.uri().path() != RATE_PATH {
             return Answer::new(StatusCode::NOT_FOUND, "");
         }
         let rate = *lock(&self.rate);
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -19,7 +19,7 @@
 
 fn limits() -> Limits {
     Limits {
-        call: Duration::from_secs(5),
+        call_timeout: Duration::from_secs(5),
         ..Limits::default()
     }
 }
@@ -97,7 +97,7 @@
 async fn silence_ends_at_the_time_limit() {
     let log = log::Log::start(any()).await.unwrap();
     let short = Limits {
-        call: Duration::from_millis(200),
+        call_timeout: Duration::from_millis(200),
         ..Limits::default()
     };
     let client = http::Log::new(log.addr, short);
@@ -145,7 +145,7 @@
     }
     log.trim("a", 3);
     let page = client.read("a", 1, LONG).await.unwrap();
-    assert!(page.gap(1));
+    assert!(page.has_gap(1));
     assert_eq!((page.first, page.next, page.records.len()), (3, 5, 2));
     log.trim("a", 5);
     let empty = client.read("a", 1, LONG).await.unwrap();
@@ -156,20 +156,20 @@
 async fn bodies_over_their_bounds_are_refused() {
     let log = log::Log::start(any()).await.unwrap();
     let small = Limits {
-        send: 4,
-        take: 64,
+        max_request_bytes: 4,
+        max_response_bytes: 64,
         ..limits()
     };
     let client = http::Log::new(log.addr, small);
     let error = client.append("a", body("12345")).await.unwrap_err();
     assert_eq!(
         (error.cause.clone(), error.unsure()),
-        (Cause::Large(4), false)
+        (Cause::TooLarge(4), false)
     );
     log.append("a", Bytes::from(vec![0; 100]));
     assert_eq!(
         client.read("a", 0, NOW).await.unwrap_err().cause,
-        Cause::Large(64)
+        Cause::TooLarge(64)
     );
     assert!(!client.append("../b", body("x")).await.unwrap_err().unsure());
 }
