--- a/crates/engine/src/chain.rs
+++ b/crates/engine/src/chain.rs
@@ -6,7 +6,7 @@
 
 mod drive;
 mod hops;
-mod ledger;
+mod layer_check;
 mod open;
 
 use crate::pool::Pool;
@@ -53,11 +53,11 @@
     /// Tokens that earlier attempts made; the answer goes on after them.
     pub tokens: Vec<Token>,
     /// Most tokens of the whole answer, those of earlier attempts included.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Seed of the draws.
     pub seed: u64,
     /// Rank of the priority; 0 is the most urgent.
-    pub priority_rank: u32,
+    pub priority: u32,
     /// The stages; their ranges cover the model's layers once, in order.
     pub hops: Vec<Hop>,
 }
--- a/crates/engine/src/chain/drive.rs
+++ b/crates/engine/src/chain/drive.rs
@@ -1,25 +1,25 @@
 //! The steps of an attempt.
 
 use super::hops::{Failure, Hops, Result, place};
-use super::ledger::Ledger;
+use super::layer_check::LayerCheck;
 use super::{Cause, Event, Hop, Job, Stop, Token, open};
 use crate::frame::{self, Call, Input, Reply, Step};
 use crate::pool::{Counters, Pool};
 use bytes::{Bytes, BytesMut};
 
 /// A piece of payload up to this length is copied behind its head, to leave in one write.
-const JOIN_LIMIT: usize = 4 << 10;
+const MAX_JOINED_BYTES: usize = 4 << 10;
 /// Bytes of a payload relayed between two reports of progress.
-const REPORT_BYTES: usize = 1 << 20;
+const PROGRESS_INTERVAL_BYTES: usize = 1 << 20;
 
 /// Runs the attempt and reports its end.
 pub(super) async fn drive(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) {
     let mut sent = false;
-    let mut watch = |event: Event| {
+    let mut record = |event: Event| {
         sent |= event == Event::Sent;
         out(event);
     };
-    let ended = attempt(pool, job, &mut watch).await;
+    let ended = run_attempt(pool, job, &mut record).await;
     if let Err(Failure {
         hop,
         cause,
@@ -35,10 +35,10 @@
     }
 }
 
-async fn attempt(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<()> {
-    let layers = check(&job.hops)?;
-    let had = job.tokens.len() as u32;
-    if had >= job.most {
+async fn run_attempt(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<()> {
+    let layers = layer_count(&job.hops)?;
+    let earlier_tokens = job.tokens.len() as u32;
+    if earlier_tokens >= job.max_tokens {
         out(Event::Finished {
             stop: Stop::Length,
             prompt_tokens: 0,
@@ -50,26 +50,26 @@
         links,
         counters: pool.counters(),
     };
-    let ledger = Ledger::new(job.request, job.attempt, layers);
-    let mut pass = Pass {
+    let layer_check = LayerCheck::new(job.request, job.attempt, layers);
+    let mut attempt = Attempt {
         job,
         hops,
-        ledger,
+        layer_check,
         step: 0,
         prompt_tokens: 0,
     };
     out(Event::Sent);
-    let stop = pass.steps(had, out).await?;
+    let stop = attempt.run_steps(earlier_tokens, out).await?;
     out(Event::Finished {
         stop,
-        prompt_tokens: pass.prompt_tokens,
+        prompt_tokens: attempt.prompt_tokens,
     });
-    pass.hops.close().await;
+    attempt.hops.close().await;
     Ok(())
 }
 
 /// The model's layers, if the hops cover them once and in order.
-fn check(hops: &[Hop]) -> Result<u16> {
+fn layer_count(hops: &[Hop]) -> Result<u16> {
     let mut next = 0;
     for (i, hop) in hops.iter().enumerate() {
         if hop.from != next || hop.to <= hop.from || i > usize::from(u8::MAX) {
@@ -85,28 +85,32 @@
 }
 
 /// What the last stage made.
-struct Made {
+struct Generated {
     token: Token,
     end: bool,
 }
 
-struct Pass<'a> {
+struct Attempt<'a> {
     job: &'a Job,
     hops: Hops<'a>,
-    ledger: Ledger,
+    layer_check: LayerCheck,
     step: u32,
     prompt_tokens: u32,
 }
 
-impl Pass<'_> {
+impl Attempt<'_> {
     /// Runs steps until the answer ends.
-    async fn steps(&mut self, had: u32, out: &mut impl FnMut(Event)) -> Result<Stop> {
+    async fn run_steps(
+        &mut self,
+        earlier_tokens: u32,
+        out: &mut impl FnMut(Event),
+    ) -> Result<Stop> {
         let ids = self.job.tokens.iter().map(|token| token.id).collect();
         let mut input = Input::Prompt(ids);
         let mut payload = self.job.prompt.clone();
-        let mut count = had;
+        let mut count = earlier_tokens;
         loop {
-            let made = self.step(input, payload, out).await?;
+            let made = self.run_step(input, payload, out).await?;
             count += 1;
             input = Input::Token(made.token.id);
             payload = Bytes::new();
@@ -114,24 +118,24 @@
             if made.end {
                 return Ok(Stop::End);
             }
-            if count >= self.job.most {
+            if count >= self.job.max_tokens {
                 return Ok(Stop::Length);
             }
         }
     }
 
     /// Runs one step through all stages.
-    async fn step(
+    async fn run_step(
         &mut self,
         input: Input,
         payload: Bytes,
         out: &mut impl FnMut(Event),
-    ) -> Result<Made> {
+    ) -> Result<Generated> {
         self.step += 1;
         let last = self.job.hops.len() - 1;
         let mut buf = BytesMut::new();
-        self.head(0, input, payload.len(), &mut buf)?;
-        if payload.len() <= JOIN_LIMIT {
+        self.encode_head(0, input, payload.len(), &mut buf)?;
+        if payload.len() <= MAX_JOINED_BYTES {
             buf.extend_from_slice(&payload);
             self.hops.send(0, buf.freeze()).await?;
         } else {
@@ -139,11 +143,11 @@
             self.hops.send(0, payload).await?;
         }
         for at in 0..last {
-            let length = self.done(at, out).await?;
+            let length = self.wait_done(at, out).await?;
             self.relay(at, length, out).await?;
         }
-        let made = self.token(last, out).await?;
-        if !self.ledger.close() {
+        let made = self.wait_token(last, out).await?;
+        if !self.layer_check.finish_step() {
             return Err(Failure::new(last, Cause::Protocol));
         }
         Counters::add(&self.hops.counters.steps, 1);
@@ -151,7 +155,13 @@
     }
 
     /// Encodes the head of this step for hop `at`.
-    fn head(&self, at: usize, input: Input, payload: usize, buf: &mut BytesMut) -> Result<()> {
+    fn encode_head(
+        &self,
+        at: usize,
+        input: Input,
+        payload: usize,
+        buf: &mut BytesMut,
+    ) -> Result<()> {
         let Job {
             request,
             attempt,
@@ -169,13 +179,13 @@
     }
 
     /// Waits until hop `at`, not the last one, ran its layers; the length of its activations.
-    async fn done(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<u32> {
-        match self.reply(at, out).await? {
+    async fn wait_done(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<u32> {
+        match self.next_reply(at, out).await? {
             Reply::Done {
                 place,
                 prompt_tokens,
                 payload,
-            } if self.ledger.enter(&place) => {
+            } if self.layer_check.record(&place) => {
                 if at == 0 {
                     self.prompt_tokens = self.prompt_tokens.max(prompt_tokens);
                 }
@@ -186,19 +196,19 @@
     }
 
     /// Waits until the last hop made a token.
-    async fn token(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Made> {
-        match self.reply(at, out).await? {
+    async fn wait_token(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Generated> {
+        match self.next_reply(at, out).await? {
             Reply::Token {
                 place,
                 prompt_tokens,
                 id,
                 text,
                 end,
-            } if self.ledger.enter(&place) => {
+            } if self.layer_check.record(&place) => {
                 if at == 0 {
                     self.prompt_tokens = self.prompt_tokens.max(prompt_tokens);
                 }
-                Ok(Made {
+                Ok(Generated {
                     token: Token { id, text },
                     end,
                 })
@@ -208,7 +218,7 @@
     }
 
     /// The reply that ends hop `at`'s part of the step, checked to be of exactly this place.
-    async fn reply(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Reply> {
+    async fn next_reply(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Reply> {
         let Job {
             request,
             attempt,
@@ -217,7 +227,7 @@
         } = self.job;
         let expected = place(*request, *attempt, self.step, &hops[at]);
         loop {
-            let reply = self.hops.head(at).await?;
+            let reply = self.hops.next_head(at).await?;
             let place = match &reply {
                 Reply::Working(place) | Reply::Failed(place) => *place,
                 Reply::Done { place, .. } | Reply::Token { place, .. } => *place,
@@ -254,21 +264,21 @@
     async fn relay(&mut self, at: usize, length: u32, out: &mut impl FnMut(Event)) -> Result<()> {
         let mut missing = length as usize;
         let mut buf = BytesMut::new();
-        self.head(at + 1, Input::Activations, missing, &mut buf)?;
+        self.encode_head(at + 1, Input::Activations, missing, &mut buf)?;
         let mut reported = missing;
         while missing > 0 {
-            let piece = self.hops.piece(at).await?;
+            let piece = self.hops.next_payload(at).await?;
             missing -= piece.len();
             if buf.is_empty() {
                 self.hops.send(at + 1, piece).await?;
-            } else if piece.len() <= JOIN_LIMIT {
+            } else if piece.len() <= MAX_JOINED_BYTES {
                 buf.extend_from_slice(&piece);
                 self.hops.send(at + 1, buf.split().freeze()).await?;
             } else {
                 self.hops.send(at + 1, buf.split().freeze()).await?;
                 self.hops.send(at + 1, piece).await?;
             }
-            if reported - missing >= REPORT_BYTES {
+            if reported - missing >= PROGRESS_INTERVAL_BYTES {
                 reported = missing;
                 out(Event::Progress {
                     hop: at as u8,
--- a/crates/engine/src/chain/hops.rs
+++ b/crates/engine/src/chain/hops.rs
@@ -3,7 +3,7 @@
 use super::Cause;
 use crate::frame::{Item, Place, Reply};
 use crate::pool::{Counters, Error};
-use crate::stream::{Got, Stream};
+use crate::stream::{Received, Stream};
 use bytes::Bytes;
 use std::future::poll_fn;
 use std::task::{Context, Poll};
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 /// Longest wait for the stages to end their sides after a whole answer.
-const LINGER: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What went wrong, and where.
 #[derive(Clone, Copy, Debug)]
@@ -68,7 +68,7 @@
     request: u128,
     attempt: u32,
     /// Whether the payload that comes belongs to a dropped frame.
-    is_stale: bool,
+    drops_payload: bool,
 }
 
 impl Link {
@@ -77,7 +77,7 @@
             stream,
             request,
             attempt,
-            is_stale: false,
+            drops_payload: false,
         }
     }
 
@@ -93,10 +93,12 @@
                 Poll::Ready(got) => got,
             };
             let item = match got {
-                Ok(Got::Item(item)) => item,
-                Ok(Got::End | Got::Bad) => return Poll::Ready(Err(Cause::Protocol.into())),
-                Ok(Got::Status(status, wait)) => {
-                    let cause = refusal(status.as_u16());
+                Ok(Received::Item(item)) => item,
+                Ok(Received::End | Received::Invalid) => {
+                    return Poll::Ready(Err(Cause::Protocol.into()));
+                }
+                Ok(Received::Status(status, wait)) => {
+                    let cause = cause_of_status(status.as_u16());
                     return Poll::Ready(Err(Fault {
                         cause,
                         retry_after: wait,
@@ -104,7 +106,7 @@
                 }
                 Err(_) => return Poll::Ready(Err(Cause::Reset.into())),
             };
-            if !self.drops(&item) {
+            if !self.is_stale(&item) {
                 return Poll::Ready(Ok(item));
             }
             Counters::add(&counters.stale_frames, 1);
@@ -114,9 +116,9 @@
     /// Whether the item is a late one of an ended attempt. Such frames can't be part of this
     /// attempt's answer, so that dropping them is enough; anything else that doesn't fit is an
     /// error.
-    fn drops(&mut self, item: &Item<Reply>) -> bool {
+    fn is_stale(&mut self, item: &Item<Reply>) -> bool {
         let Item::Head(head) = item else {
-            return self.is_stale;
+            return self.drops_payload;
         };
         let (request, attempt) = match head {
             Reply::Opened(request, attempt) => (*request, *attempt),
@@ -126,8 +128,8 @@
                 (place.request, place.attempt)
             }
         };
-        self.is_stale = request == self.request && attempt < self.attempt;
-        self.is_stale
+        self.drops_payload = request == self.request && attempt < self.attempt;
+        self.drops_payload
     }
 
     pub(super) async fn send(&mut self, bytes: Bytes) -> std::result::Result<(), Error> {
@@ -135,7 +137,7 @@
     }
 }
 
-fn refusal(status: u16) -> Cause {
+fn cause_of_status(status: u16) -> Cause {
     match status {
         404 | 422 => Cause::Unfit,
         429 | 503 => Cause::Busy,
@@ -153,16 +155,16 @@
 
 impl Hops<'_> {
     /// The next head from hop `at`.
-    pub(super) async fn head(&mut self, at: usize) -> Result<Reply> {
-        match self.item(at).await? {
+    pub(super) async fn next_head(&mut self, at: usize) -> Result<Reply> {
+        match self.next_item(at).await? {
             Item::Head(head) => Ok(head),
             Item::Payload(_) => Err(Failure::new(at, Cause::Protocol)),
         }
     }
 
     /// The next piece of payload from hop `at`.
-    pub(super) async fn piece(&mut self, at: usize) -> Result<Bytes> {
-        match self.item(at).await? {
+    pub(super) async fn next_payload(&mut self, at: usize) -> Result<Bytes> {
+        match self.next_item(at).await? {
             Item::Payload(piece) => Ok(piece),
             Item::Head(_) => Err(Failure::new(at, Cause::Protocol)),
         }
@@ -178,7 +180,7 @@
 
     /// The next item from hop `at`. The other hops are watched meanwhile: a stage that dies while
     /// another one works is then known at once, and not when its turn comes.
-    async fn item(&mut self, at: usize) -> Result<Item<Reply>> {
+    async fn next_item(&mut self, at: usize) -> Result<Item<Reply>> {
         poll_fn(|cx| {
             if let Poll::Ready(got) = self.links[at].poll_item(cx, self.counters) {
                 return Poll::Ready(got.map_err(|fault| fault.at(at)));
@@ -206,7 +208,7 @@
             .links
             .iter_mut()
             .map(|link| poll_fn(|cx| link.poll_item(cx, self.counters).map(|_| ())));
-        let _ = timeout(LINGER, futures::future::join_all(ends)).await;
+        let _ = timeout(CLOSE_TIMEOUT, futures::future::join_all(ends)).await;
     }
 }
 
--- a/crates/engine/src/chain/ledger.rs
+++ b/crates/engine/src/chain/layer_check.rs
@@ -4,7 +4,7 @@
 
 /// Checks, apart from the driver's own plan, that each step's ranges join from layer 0 to the last.
 #[derive(Debug)]
-pub(super) struct Ledger {
+pub(super) struct LayerCheck {
     request: u128,
     attempt: u32,
     layers: u16,
@@ -12,7 +12,7 @@
     next: u16,
 }
 
-impl Ledger {
+impl LayerCheck {
     /// The account of an attempt over a model of `layers` layers, before step 1.
     pub(super) fn new(request: u128, attempt: u32, layers: u16) -> Self {
         Self {
@@ -25,7 +25,7 @@
     }
 
     /// Enters that a stage ran its range; false if it isn't the one that follows.
-    pub(super) fn enter(&mut self, place: &Place) -> bool {
+    pub(super) fn record(&mut self, place: &Place) -> bool {
         let is_next = place.request == self.request
             && place.attempt == self.attempt
             && place.step == self.step
@@ -39,10 +39,10 @@
     }
 
     /// Closes the step; false if a layer is missing.
-    pub(super) fn close(&mut self) -> bool {
-        let is_whole = self.next == self.layers;
+    pub(super) fn finish_step(&mut self) -> bool {
+        let is_complete = self.next == self.layers;
         self.next = 0;
         self.step += 1;
-        is_whole
+        is_complete
     }
 }
--- a/crates/engine/src/chain/open.rs
+++ b/crates/engine/src/chain/open.rs
@@ -15,9 +15,9 @@
 /// Opens all stages at once; the first failure ends it, and the opened ones are reset.
 pub(super) async fn open(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<Vec<Link>> {
     let version = job.version.as_str();
-    let prefix = prefix::chain(&job.model, version, job.adapter.as_deref(), &job.prompt);
+    let prefix = prefix::block_hashes(&job.model, version, job.adapter.as_deref(), &job.prompt);
     let mut pending: FuturesUnordered<_> = (0..job.hops.len())
-        .map(|hop| stage(pool, job, &prefix, hop))
+        .map(|hop| open_stage(pool, job, &prefix, hop))
         .collect();
     let mut links: Vec<Option<Link>> = job.hops.iter().map(|_| None).collect();
     // Reported in order, so that the hop after the last one reported is the one that is missing.
@@ -36,29 +36,35 @@
 
 /// Opens one stage. A kept connection may be gone without a sign; as an open runs nothing, it is
 /// safe to send it once more on a fresh one.
-async fn stage(pool: &Pool, job: &Job, prefix: &[u64], hop: usize) -> Result<(usize, Link)> {
-    let first = shake(pool, job, prefix, hop, false).await;
+async fn open_stage(pool: &Pool, job: &Job, prefix: &[u64], hop: usize) -> Result<(usize, Link)> {
+    let first = handshake(pool, job, prefix, hop, false).await;
     let is_gone = matches!(&first.link, Err(failure) if failure.cause == Cause::Reset);
     if !(first.reused && is_gone) {
         return first.link.map(|link| (hop, link));
     }
     Counters::add(&pool.counters().reopens, 1);
-    let second = shake(pool, job, prefix, hop, true).await;
+    let second = handshake(pool, job, prefix, hop, true).await;
     second.link.map(|link| (hop, link))
 }
 
 /// A try to open a stage, and whether it was made on a kept connection.
-struct Shake {
+struct Handshake {
     reused: bool,
     link: Result<Link>,
 }
 
-async fn shake(pool: &Pool, job: &Job, prefix: &[u64], hop: usize, fresh: bool) -> Shake {
-    let opened = match pool.open(job.hops[hop].addr, PATH, fresh).await {
+async fn handshake(
+    pool: &Pool,
+    job: &Job,
+    prefix: &[u64],
+    hop: usize,
+    new_connection: bool,
+) -> Handshake {
+    let opened = match pool.open(job.hops[hop].addr, PATH, new_connection).await {
         Ok(opened) => opened,
         Err(error) => {
-            let link = Err(Failure::new(hop, cause(error)));
-            return Shake {
+            let link = Err(Failure::new(hop, cause_of_error(error)));
+            return Handshake {
                 reused: false,
                 link,
             };
@@ -66,9 +72,9 @@
     };
     let reused = opened.reused;
     let mut link = Link::new(opened.stream, job.request, job.attempt);
-    let accepted = accept(pool, &mut link, &call(job, prefix, hop)).await;
+    let accepted = accept(pool, &mut link, &open_frame(job, prefix, hop)).await;
     let link = accepted.map(|()| link).map_err(|fault| fault.at(hop));
-    Shake { reused, link }
+    Handshake { reused, link }
 }
 
 async fn accept(pool: &Pool, link: &mut Link, open: &Open) -> std::result::Result<(), Fault> {
@@ -82,14 +88,14 @@
             Ok(())
         }
         Item::Head(Reply::Refused(reason, wait)) => Err(Fault {
-            cause: refused(reason),
+            cause: cause_of_refusal(reason),
             retry_after: wait,
         }),
         _ => Err(Cause::Protocol.into()),
     }
 }
 
-fn call(job: &Job, prefix: &[u64], hop: usize) -> Open {
+fn open_frame(job: &Job, prefix: &[u64], hop: usize) -> Open {
     Open {
         request: job.request,
         attempt: job.attempt,
@@ -98,23 +104,23 @@
         adapter: job.adapter.clone(),
         from: job.hops[hop].from,
         to: job.hops[hop].to,
-        most: job.most,
+        max_tokens: job.max_tokens,
         seed: job.seed,
-        rank: job.priority_rank,
+        priority: job.priority,
         prefix: prefix.to_vec(),
     }
 }
 
-fn cause(error: Error) -> Cause {
+fn cause_of_error(error: Error) -> Cause {
     match error {
         Error::Connect => Cause::Connect,
         Error::Full => Cause::Busy,
-        Error::Reset | Error::Late => Cause::Reset,
+        Error::Reset | Error::Timeout => Cause::Reset,
         Error::Status(_) | Error::Format => Cause::Protocol,
     }
 }
 
-fn refused(reason: Reason) -> Cause {
+fn cause_of_refusal(reason: Reason) -> Cause {
     match reason {
         Reason::Busy => Cause::Busy,
         Reason::Leaving => Cause::Leaving,
--- a/crates/engine/src/frame.rs
+++ b/crates/engine/src/frame.rs
@@ -17,13 +17,13 @@
 use std::time::Duration;
 
 /// Longest head in bytes.
-pub const HEAD_LIMIT: usize = 1 << 20;
+pub const MAX_HEAD_BYTES: usize = 1 << 20;
 /// Longest payload in bytes.
-pub const PAYLOAD_LIMIT: u32 = 1 << 30;
+pub const MAX_PAYLOAD_BYTES: u32 = 1 << 30;
 /// Longest name of a model, version or adapter in bytes.
-pub const NAME_LIMIT: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// Longest text of a token in bytes.
-pub const TEXT_LIMIT: usize = 1024;
+pub const MAX_TEXT_BYTES: usize = 1024;
 
 const LENGTH_BYTES: usize = 4;
 
@@ -73,12 +73,12 @@
     /// One past the last layer.
     pub to: u16,
     /// Most tokens the answer may have.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Seed of the draws.
     pub seed: u64,
     /// Rank of the priority; 0 is the most urgent.
-    pub rank: u32,
-    /// Chained hashes of the prompt's blocks, as [`crate::prefix::chain`] gives them.
+    pub priority: u32,
+    /// Chained hashes of the prompt's blocks, as [`crate::prefix::block_hashes`] gives them.
     pub prefix: Vec<u64>,
 }
 
@@ -193,20 +193,20 @@
 /// Why bytes are no frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The head is longer than [`HEAD_LIMIT`].
-    Long(usize),
+    /// The head is longer than [`MAX_HEAD_BYTES`].
+    HeadTooLong(usize),
     /// The head's bytes are no bincode of its type, or some are left over.
-    Code,
+    Malformed,
     /// A field is out of its range; names the field.
-    Field(&'static str),
+    FieldOutOfRange(&'static str),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Long(n) => write!(f, "head of {n} bytes is over {HEAD_LIMIT}"),
-            Self::Code => f.write_str("head is not of its type"),
-            Self::Field(name) => write!(f, "field {name} is out of range"),
+            Self::HeadTooLong(n) => write!(f, "head of {n} bytes is over {MAX_HEAD_BYTES}"),
+            Self::Malformed => f.write_str("head is not of its type"),
+            Self::FieldOutOfRange(name) => write!(f, "field {name} is out of range"),
         }
     }
 }
@@ -223,11 +223,11 @@
     let wire = H::Wire::from(head);
     let config = bincode::config::standard();
     bincode::serde::encode_into_std_write(&wire, &mut buf.writer(), config)
-        .map_err(|_| Error::Code)?;
+        .map_err(|_| Error::Malformed)?;
     let length = buf.len() - start - LENGTH_BYTES;
-    if length > HEAD_LIMIT {
+    if length > MAX_HEAD_BYTES {
         buf.truncate(start);
-        return Err(Error::Long(length));
+        return Err(Error::HeadTooLong(length));
     }
     let prefix = (length as u32).to_be_bytes();
     buf[start..start + LENGTH_BYTES].copy_from_slice(&prefix);
--- a/crates/engine/src/frame/reader.rs
+++ b/crates/engine/src/frame/reader.rs
@@ -1,6 +1,6 @@
 //! Reads frames from a byte stream.
 
-use super::{Error, HEAD_LIMIT, Head, LENGTH_BYTES, Result};
+use super::{Error, Head, LENGTH_BYTES, MAX_HEAD_BYTES, Result};
 use bytes::{Bytes, BytesMut};
 use std::marker::PhantomData;
 
@@ -16,16 +16,16 @@
 /// Cuts a byte stream into heads and pieces of payload.
 #[derive(Debug)]
 pub struct Reader<H> {
-    rest: Bytes,
-    payload: usize,
+    buffered: Bytes,
+    remaining: usize,
     head: PhantomData<H>,
 }
 
 impl<H> Default for Reader<H> {
     fn default() -> Self {
         Self {
-            rest: Bytes::new(),
-            payload: 0,
+            buffered: Bytes::new(),
+            remaining: 0,
             head: PhantomData,
         }
     }
@@ -35,65 +35,67 @@
     /// Adds bytes as they came. All items are to be taken before the next bytes are added: then at
     /// most one unfinished head is held.
     pub fn push(&mut self, chunk: Bytes) {
-        if self.rest.is_empty() {
-            self.rest = chunk;
+        if self.buffered.is_empty() {
+            self.buffered = chunk;
             return;
         }
-        let rest = std::mem::take(&mut self.rest);
+        let rest = std::mem::take(&mut self.buffered);
         let mut joined = rest
             .try_into_mut()
             .unwrap_or_else(|rest| BytesMut::from(&rest[..]));
         joined.extend_from_slice(&chunk);
-        self.rest = joined.freeze();
+        self.buffered = joined.freeze();
     }
 
     /// The next item, or `None` when more bytes are needed.
     pub fn read(&mut self) -> Result<Option<Item<H>>> {
-        if self.payload > 0 {
-            return Ok(self.piece().map(Item::Payload));
+        if self.remaining > 0 {
+            return Ok(self.take_payload().map(Item::Payload));
         }
-        let Some(prefix) = self.rest.first_chunk::<LENGTH_BYTES>() else {
+        let Some(prefix) = self.buffered.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*prefix) as usize;
-        if length > HEAD_LIMIT {
-            return Err(Error::Long(length));
+        if length > MAX_HEAD_BYTES {
+            return Err(Error::HeadTooLong(length));
         }
-        let Some(bytes) = self.rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+        let Some(bytes) = self.buffered.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
         let head = decode::<H>(bytes)?;
-        self.payload = head.payload() as usize;
-        self.rest = self.rest.slice(LENGTH_BYTES + length..);
+        self.remaining = head.payload() as usize;
+        self.buffered = self.buffered.slice(LENGTH_BYTES + length..);
         Ok(Some(Item::Head(head)))
     }
 
     /// Whether the bytes so far end where a frame ends.
-    pub fn is_between(&self) -> bool {
-        self.rest.is_empty() && self.payload == 0
+    pub fn is_at_frame_end(&self) -> bool {
+        self.buffered.is_empty() && self.remaining == 0
     }
 
     /// Bytes of the current payload that were not given out yet.
-    pub fn missing(&self) -> usize {
-        self.payload
+    pub fn remaining_payload(&self) -> usize {
+        self.remaining
     }
 
-    fn piece(&mut self) -> Option<Bytes> {
-        if self.rest.is_empty() {
+    fn take_payload(&mut self) -> Option<Bytes> {
+        if self.buffered.is_empty() {
             return None;
         }
-        let piece = self.rest.split_to(self.payload.min(self.rest.len()));
-        self.payload -= piece.len();
+        let piece = self
+            .buffered
+            .split_to(self.remaining.min(self.buffered.len()));
+        self.remaining -= piece.len();
         Some(piece)
     }
 }
 
 fn decode<H: Head>(bytes: &[u8]) -> Result<H> {
-    let config = bincode::config::standard().with_limit::<HEAD_LIMIT>();
-    let (wire, used) =
-        bincode::serde::decode_from_slice::<H::Wire, _>(bytes, config).map_err(|_| Error::Code)?;
+    let config = bincode::config::standard().with_limit::<MAX_HEAD_BYTES>();
+    let (wire, used) = bincode::serde::decode_from_slice::<H::Wire, _>(bytes, config)
+        .map_err(|_| Error::Malformed)?;
     if used != bytes.len() {
-        return Err(Error::Code);
+        return Err(Error::Malformed);
     }
     wire.try_into()
 }
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -50,7 +50,7 @@
 pub struct CacheEvent {
     /// Its number, one more than the event before.
     pub number: u64,
-    /// The block, named as by [`crate::prefix::chain`].
+    /// The block, named as by [`crate::prefix::block_hashes`].
     pub block: u64,
     /// Whether the block came in; otherwise it went out.
     pub stored: bool,
@@ -58,7 +58,7 @@
 
 /// Asks an engine for its load.
 pub async fn fetch(pool: &Pool, addr: SocketAddr) -> Result<Report> {
-    let answer = pool.ask(Method::GET, addr, "/load", Bytes::new()).await?;
+    let answer = pool.call(Method::GET, addr, "/load", Bytes::new()).await?;
     if answer.status() != StatusCode::OK {
         return Err(Error::Status(answer.status()));
     }
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -12,12 +12,13 @@
     /// Fencing number of the sender's lease.
     pub fence: u64,
     /// What to do; doing it twice is doing it once.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub command: Command,
 }
 
 /// What an engine can be ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum Command {
     /// Hold this range of a model's layers.
     Load {
         /// Model.
@@ -59,7 +60,7 @@
 pub async fn send(pool: &Pool, addr: SocketAddr, order: Order) -> Result<Answer> {
     let body = serde_json::to_vec(&order).map_err(|_| Error::Format)?;
     let answer = pool
-        .ask(Method::POST, addr, "/orders", Bytes::from(body))
+        .call(Method::POST, addr, "/orders", Bytes::from(body))
         .await?;
     if answer.status() != StatusCode::OK {
         return Err(Error::Status(answer.status()));
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -22,28 +22,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest time to make a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Streams on one connection.
-    pub streams: u32,
+    pub max_streams: u32,
     /// Connections to one endpoint.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes that one stream may have under way to this node.
-    pub window: u32,
+    pub stream_window: u32,
     /// Longest time for an answer to a load question or an order.
-    pub answer: Duration,
+    pub response_timeout: Duration,
     /// A connection without streams is closed after one to two times this.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            streams: 256,
-            connections: 8,
-            window: 256 << 10,
-            answer: Duration::from_secs(2),
-            idle: Duration::from_secs(60),
+            connect_timeout: Duration::from_secs(1),
+            max_streams: 256,
+            max_connections: 8,
+            stream_window: 256 << 10,
+            response_timeout: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -58,7 +58,7 @@
     /// The connection or stream broke.
     Reset,
     /// No answer within the time limit.
-    Late,
+    Timeout,
     /// The answer's status.
     Status(StatusCode),
     /// The answer is too long or not of its format.
@@ -71,7 +71,7 @@
             Self::Connect => f.write_str("no connection"),
             Self::Full => f.write_str("no free stream"),
             Self::Reset => f.write_str("connection broke"),
-            Self::Late => f.write_str("no answer in time"),
+            Self::Timeout => f.write_str("no answer in time"),
             Self::Status(status) => write!(f, "status {status}"),
             Self::Format => f.write_str("answer is not of its format"),
         }
@@ -92,22 +92,22 @@
 #[derive(Debug)]
 struct Inner {
     limits: Limits,
-    hosts: Mutex<HashMap<SocketAddr, Arc<Host>>>,
-    idle: crate::service::Idle,
+    endpoints: Mutex<HashMap<SocketAddr, Arc<Endpoint>>>,
+    idle: crate::service::IdleConnections,
     counters: Counters,
 }
 
 /// Connections to one endpoint.
 #[derive(Debug, Default)]
-struct Host {
+struct Endpoint {
     connections: Mutex<Vec<Connection>>,
     /// Held while a connection is made, so that a burst of requests makes one and not one each.
-    dial: tokio::sync::Mutex<()>,
+    connecting: tokio::sync::Mutex<()>,
     /// Connections that could not be made.
     failures: AtomicU64,
 }
 
-impl Host {
+impl Endpoint {
     fn lock(&self) -> MutexGuard<'_, Vec<Connection>> {
         self.connections
             .lock()
@@ -125,10 +125,16 @@
 impl fmt::Display for Pool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.inner.counters)?;
-        let hosts: BTreeMap<_, _> = self.hosts().iter().map(|(a, h)| (*a, h.clone())).collect();
-        for (addr, host) in hosts {
-            let connections = host.lock();
-            let running = connections.iter().map(|c| c.running(&self.inner.limits));
+        let endpoints: BTreeMap<_, _> = self
+            .endpoints()
+            .iter()
+            .map(|(a, h)| (*a, h.clone()))
+            .collect();
+        for (addr, endpoint) in endpoints {
+            let connections = endpoint.lock();
+            let running = connections
+                .iter()
+                .map(|c| c.active_streams(&self.inner.limits));
             let (open, streams) = (connections.len(), running.sum::<usize>());
             writeln!(f, "endpoint {addr} connections {open} streams {streams}")?;
         }
@@ -148,8 +154,8 @@
     pub fn new(limits: Limits) -> Self {
         let inner = Inner {
             limits,
-            hosts: Mutex::default(),
-            idle: crate::service::Idle::default(),
+            endpoints: Mutex::default(),
+            idle: crate::service::IdleConnections::default(),
             counters: Counters::default(),
         };
         Self {
@@ -167,14 +173,14 @@
         &self.inner.counters
     }
 
-    pub(crate) fn idle(&self) -> &crate::service::Idle {
+    pub(crate) fn idle(&self) -> &crate::service::IdleConnections {
         &self.inner.idle
     }
 
     /// Drops the connections to an endpoint: they went silent. Streams on them end as reset.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.hosts().remove(&addr);
-        self.inner.idle.forget(addr);
+    pub fn drop_connections(&self, addr: SocketAddr) {
+        self.endpoints().remove(&addr);
+        self.inner.idle.drop_connections(addr);
     }
 
     /// Whether the endpoint answers `GET /health` with success on a new connection.
@@ -185,22 +191,29 @@
     }
 
     /// Connections kept to an endpoint.
-    pub fn connections(&self, addr: SocketAddr) -> usize {
-        let host = self.hosts().get(&addr).cloned();
-        host.map_or(0, |host| host.lock().iter().filter(|c| c.is_open()).count())
+    pub fn connection_count(&self, addr: SocketAddr) -> usize {
+        let endpoint = self.endpoints().get(&addr).cloned();
+        endpoint.map_or(0, |endpoint| {
+            endpoint.lock().iter().filter(|c| c.is_open()).count()
+        })
     }
 
     /// Opens a stream with a request whose body is still to be sent.
-    pub(crate) async fn open(&self, addr: SocketAddr, path: &str, fresh: bool) -> Result<Opened> {
+    pub(crate) async fn open(
+        &self,
+        addr: SocketAddr,
+        path: &str,
+        new_connection: bool,
+    ) -> Result<Opened> {
         let request = request(Method::POST, addr, path)?;
-        let (connection, reused) = self.connection(addr, fresh).await?;
+        let (connection, reused) = self.connection(addr, new_connection).await?;
         let stream = connection.start(request, false)?;
         Counters::add(&self.inner.counters.streams, 1);
         Ok(Opened { stream, reused })
     }
 
     /// Makes a request whose answer is short.
-    pub(crate) async fn ask(
+    pub(crate) async fn call(
         &self,
         method: Method,
         addr: SocketAddr,
@@ -209,32 +222,36 @@
     ) -> Result<Response<Bytes>> {
         let request = request(method, addr, path)?;
         let (connection, _) = self.connection(addr, false).await?;
-        let answer = unary::ask(connection, request, body);
-        timeout(self.inner.limits.answer, answer)
+        let answer = unary::call(connection, request, body);
+        timeout(self.inner.limits.response_timeout, answer)
             .await
-            .map_err(|_| Error::Late)?
+            .map_err(|_| Error::Timeout)?
     }
 
     /// A connection with a free stream, and whether it was kept from earlier.
-    async fn connection(&self, addr: SocketAddr, fresh: bool) -> Result<(Connection, bool)> {
-        let host = self.hosts().entry(addr).or_default().clone();
-        if !fresh && let Some(found) = host.find() {
+    async fn connection(
+        &self,
+        addr: SocketAddr,
+        new_connection: bool,
+    ) -> Result<(Connection, bool)> {
+        let endpoint = self.endpoints().entry(addr).or_default().clone();
+        if !new_connection && let Some(found) = endpoint.reserve_stream() {
             return Ok((found, true));
         }
-        let failures = host.failures.load(Ordering::Relaxed);
-        let _dial = host.dial.lock().await;
+        let failures = endpoint.failures.load(Ordering::Relaxed);
+        let _connecting = endpoint.connecting.lock().await;
         // Those that waited for a connection share its failure; each trying in turn would make the
         // last one wait for all their time limits.
-        if host.failures.load(Ordering::Relaxed) != failures {
+        if endpoint.failures.load(Ordering::Relaxed) != failures {
             return Err(Error::Connect);
         }
-        if !fresh && let Some(found) = host.find() {
+        if !new_connection && let Some(found) = endpoint.reserve_stream() {
             return Ok((found, true));
         }
-        if host.lock().len() >= self.inner.limits.connections {
+        if endpoint.lock().len() >= self.inner.limits.max_connections {
             return Err(Error::Full);
         }
-        let made = Connection::make(addr, &self.inner.limits).await;
+        let made = Connection::connect(addr, &self.inner.limits).await;
         let counters = &self.inner.counters;
         let count = if made.is_ok() {
             &counters.connects
@@ -243,25 +260,25 @@
         };
         Counters::add(count, 1);
         if made.is_err() {
-            Counters::add(&host.failures, 1);
+            Counters::add(&endpoint.failures, 1);
         }
         let made = made?;
-        let taken = made.reserve().ok_or(Error::Full)?;
-        host.lock().push(made);
-        Ok((taken, false))
+        let reserved = made.reserve().ok_or(Error::Full)?;
+        endpoint.lock().push(made);
+        Ok((reserved, false))
     }
 
-    fn hosts(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Host>>> {
+    fn endpoints(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Endpoint>>> {
         self.inner
-            .hosts
+            .endpoints
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Host {
+impl Endpoint {
     /// Reserves a stream on an open connection; drops the ones that ended.
-    fn find(&self) -> Option<Connection> {
+    fn reserve_stream(&self) -> Option<Connection> {
         let mut connections = self.lock();
         connections.retain(|c| !c.is_finished());
         connections.iter().find_map(Connection::reserve)
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -16,9 +16,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Longest DATA frame taken: one token's activations and their head fit into one.
-const FRAME: u32 = 64 << 10;
+const MAX_FRAME_BYTES: u32 = 64 << 10;
 /// Largest window that HTTP/2 allows.
-const WINDOW_LIMIT: u32 = (1 << 31) - 1;
+const MAX_WINDOW: u32 = (1 << 31) - 1;
 
 /// A connection; clones share it. One with a permit may start one stream.
 #[derive(Debug)]
@@ -43,8 +43,8 @@
 
 impl Connection {
     /// Connects within the time limit.
-    pub(crate) async fn make(addr: SocketAddr, limits: &Limits) -> Result<Self> {
-        let socket = timeout(limits.connect, TcpStream::connect(addr))
+    pub(crate) async fn connect(addr: SocketAddr, limits: &Limits) -> Result<Self> {
+        let socket = timeout(limits.connect_timeout, TcpStream::connect(addr))
             .await
             .map_err(|_| Error::Connect)?
             .map_err(|_| Error::Connect)?;
@@ -52,25 +52,25 @@
         // As large as those of all streams together: streams whose next stage doesn't take their
         // activations leave theirs unread, and would otherwise hold up the others.
         let window = limits
-            .window
-            .saturating_mul(limits.streams)
-            .min(WINDOW_LIMIT);
+            .stream_window
+            .saturating_mul(limits.max_streams)
+            .min(MAX_WINDOW);
         let (sender, connection) = h2::client::Builder::new()
-            .initial_window_size(limits.window)
+            .initial_window_size(limits.stream_window)
             .initial_connection_window_size(window)
-            .max_send_buffer_size(limits.window as usize)
-            .max_frame_size(FRAME)
+            .max_send_buffer_size(limits.stream_window as usize)
+            .max_frame_size(MAX_FRAME_BYTES)
             .enable_push(false)
             .handshake(socket)
             .await
             .map_err(|_| Error::Connect)?;
-        let free = Arc::new(Semaphore::new(limits.streams as usize));
+        let free = Arc::new(Semaphore::new(limits.max_streams as usize));
         let used = Arc::new(AtomicBool::new(true));
-        let unused = unused(free.clone(), used.clone(), *limits);
+        let idle = wait_until_idle(free.clone(), used.clone(), *limits);
         let task = tokio::spawn(async move {
             tokio::select! {
                 _ = connection => {}
-                () = unused => {}
+                () = idle => {}
             }
         });
         Ok(Self {
@@ -99,8 +99,8 @@
     }
 
     /// Streams that run.
-    pub(super) fn running(&self, limits: &Limits) -> usize {
-        (limits.streams as usize).saturating_sub(self.free.available_permits())
+    pub(super) fn active_streams(&self, limits: &Limits) -> usize {
+        (limits.max_streams as usize).saturating_sub(self.free.available_permits())
     }
 
     /// Whether new streams can start.
@@ -127,13 +127,13 @@
 
 /// Waits until no stream ran for a while. All permits are taken then, so that none can start while
 /// the connection closes.
-async fn unused(free: Arc<Semaphore>, used: Arc<AtomicBool>, limits: Limits) {
+async fn wait_until_idle(free: Arc<Semaphore>, used: Arc<AtomicBool>, limits: Limits) {
     loop {
-        sleep(limits.idle).await;
+        sleep(limits.idle_timeout).await;
         if used.swap(false, Ordering::Relaxed) {
             continue;
         }
-        if let Ok(all) = free.try_acquire_many(limits.streams) {
+        if let Ok(all) = free.try_acquire_many(limits.max_streams) {
             all.forget();
             return;
         }
--- a/crates/engine/src/service.rs
+++ b/crates/engine/src/service.rs
@@ -7,7 +7,7 @@
 mod idle;
 
 pub use body::Body;
-pub(crate) use idle::Idle;
+pub(crate) use idle::IdleConnections;
 
 use crate::pool::{Limits, Pool};
 use bytes::Bytes;
@@ -65,12 +65,12 @@
 
 /// How to make a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct CallOptions {
     /// Longest wait for the head of the answer.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Whether to use a fresh connection even if one is kept. A kept one may be gone without a
     /// sign; a call that may not be repeated would then be lost with its outcome unknown.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 /// A connection ready for a call.
@@ -87,37 +87,37 @@
     pool: &Pool,
     addr: SocketAddr,
     request: Request<Bytes>,
-    limit: Limit,
+    options: CallOptions,
     sent: &AtomicBool,
 ) -> Result<Response<Body>> {
     let request = prepare(addr, request)?;
-    let kept = if limit.fresh {
+    let kept = if options.new_connection {
         None
     } else {
         pool.idle().take(addr)
     };
     let Some(kept) = kept else {
-        let fresh = connect(addr, pool.limits()).await?;
-        return attempt(pool, fresh, request, limit, sent)
+        let connection = connect(addr, pool.limits()).await?;
+        return attempt(pool, connection, request, options, sent)
             .await
-            .map_err(|lost| lost.failure);
+            .map_err(|error| error.failure);
     };
-    let lost = match attempt(pool, kept, request, limit, sent).await {
+    let error = match attempt(pool, kept, request, options, sent).await {
         Ok(response) => return Ok(response),
-        Err(lost) => lost,
+        Err(error) => error,
     };
     // Handed back: not a byte of it was written, so that this is no second call.
-    let Some(request) = lost.request else {
-        return Err(lost.failure);
+    let Some(request) = error.request else {
+        return Err(error.failure);
     };
-    let fresh = connect(addr, pool.limits()).await?;
-    attempt(pool, fresh, *request, limit, sent)
+    let connection = connect(addr, pool.limits()).await?;
+    attempt(pool, connection, *request, options, sent)
         .await
-        .map_err(|lost| lost.failure)
+        .map_err(|error| error.failure)
 }
 
 /// A call that failed, with its request if none of it was written.
-struct Lost {
+struct AttemptError {
     failure: Failure,
     request: Option<Box<Request<Full<Bytes>>>>,
 }
@@ -126,15 +126,19 @@
     pool: &Pool,
     mut connection: Connection,
     request: Request<Full<Bytes>>,
-    limit: Limit,
+    options: CallOptions,
     sent: &AtomicBool,
-) -> std::result::Result<Response<Body>, Lost> {
+) -> std::result::Result<Response<Body>, AttemptError> {
     sent.store(true, Ordering::SeqCst);
-    let answer = timeout(limit.head, connection.sender.try_send_request(request)).await;
+    let answer = timeout(
+        options.head_timeout,
+        connection.sender.try_send_request(request),
+    )
+    .await;
     let cause = match answer {
         Ok(Ok(response)) => {
             let accepted = accept(pool, connection, response);
-            return accepted.map_err(|failure| Lost {
+            return accepted.map_err(|failure| AttemptError {
                 failure,
                 request: None,
             });
@@ -146,7 +150,7 @@
                     cause: Cause::Reset,
                     sent: false,
                 };
-                return Err(Lost {
+                return Err(AttemptError {
                     failure,
                     request: Some(Box::new(request)),
                 });
@@ -156,7 +160,7 @@
         Err(_) => Cause::Silent,
     };
     connection.task.abort();
-    Err(Lost {
+    Err(AttemptError {
         failure: Failure { cause, sent: true },
         request: None,
     })
@@ -167,15 +171,15 @@
     let Ok(request) = Request::get("/health").body(Bytes::new()) else {
         return false;
     };
-    let limit = Limit {
-        head: Duration::MAX,
-        fresh: true,
+    let options = CallOptions {
+        head_timeout: Duration::MAX,
+        new_connection: true,
     };
     let answer = call(
         &Pool::default(),
         addr,
         request,
-        limit,
+        options,
         &AtomicBool::new(false),
     )
     .await;
@@ -184,36 +188,36 @@
 
 /// The request as HTTP/1.1 wants it: path only, a host, a known length.
 fn prepare(addr: SocketAddr, request: Request<Bytes>) -> Result<Request<Full<Bytes>>> {
-    let refused = Failure {
+    let failure = Failure {
         cause: Cause::Protocol,
         sent: false,
     };
     let (mut parts, body) = request.into_parts();
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    parts.uri = path.parse::<Uri>().map_err(|_| refused)?;
+    parts.uri = path.parse::<Uri>().map_err(|_| failure)?;
     parts.version = Version::HTTP_11;
     parts.headers.remove(TRANSFER_ENCODING);
     parts.headers.remove(CONTENT_LENGTH);
     if !parts.headers.contains_key(HOST) {
-        let host = HeaderValue::from_str(&addr.to_string()).map_err(|_| refused)?;
+        let host = HeaderValue::from_str(&addr.to_string()).map_err(|_| failure)?;
         parts.headers.insert(HOST, host);
     }
     Ok(Request::from_parts(parts, Full::new(body)))
 }
 
 async fn connect(addr: SocketAddr, limits: &Limits) -> Result<Connection> {
-    let refused = Failure {
+    let failure = Failure {
         cause: Cause::Connect,
         sent: false,
     };
-    let socket = timeout(limits.connect, TcpStream::connect(addr))
+    let socket = timeout(limits.connect_timeout, TcpStream::connect(addr))
         .await
-        .map_err(|_| refused)?
-        .map_err(|_| refused)?;
-    socket.set_nodelay(true).map_err(|_| refused)?;
+        .map_err(|_| failure)?
+        .map_err(|_| failure)?;
+    socket.set_nodelay(true).map_err(|_| failure)?;
     let (sender, connection) = http1::handshake(TokioIo::new(socket))
         .await
-        .map_err(|_| refused)?;
+        .map_err(|_| failure)?;
     let task = tokio::spawn(connection.map(|_| ())).abort_handle();
     Ok(Connection { sender, task, addr })
 }
--- a/crates/engine/src/service/body.rs
+++ b/crates/engine/src/service/body.rs
@@ -25,13 +25,13 @@
             incoming,
         };
         if body.incoming.is_end_stream() {
-            body.keep();
+            body.release_connection();
         }
         body
     }
 
     /// Gives the connection back for another call, once it is ready.
-    fn keep(&mut self) {
+    fn release_connection(&mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
         };
@@ -67,7 +67,7 @@
                 })))
             }
             None => {
-                self.keep();
+                self.release_connection();
                 Poll::Ready(None)
             }
         }
--- a/crates/engine/src/service/idle.rs
+++ b/crates/engine/src/service/idle.rs
@@ -7,22 +7,22 @@
 use std::time::{Duration, Instant};
 
 /// Longest time a connection is kept; servers commonly close theirs after five seconds.
-const KEEP: Duration = Duration::from_secs(2);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Most connections kept to one service endpoint.
-const KEPT: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 
 /// Kept connections, the last one used first.
 #[derive(Debug, Default)]
-pub(crate) struct Idle {
+pub(crate) struct IdleConnections {
     kept: Mutex<HashMap<SocketAddr, Vec<(Instant, Connection)>>>,
 }
 
-impl Idle {
+impl IdleConnections {
     /// A kept connection that is still open, as far as this side knows.
     pub(super) fn take(&self, addr: SocketAddr) -> Option<Connection> {
         let mut kept = self.lock();
         let list = kept.get_mut(&addr)?;
-        list.retain(|(since, c)| since.elapsed() < KEEP && c.sender.is_ready());
+        list.retain(|(since, c)| since.elapsed() < MAX_IDLE_TIME && c.sender.is_ready());
         list.pop().map(|(_, connection)| connection)
     }
 
@@ -30,14 +30,14 @@
     pub(super) fn put(&self, connection: Connection) {
         let mut kept = self.lock();
         let list = kept.entry(connection.addr).or_default();
-        list.retain(|(since, c)| since.elapsed() < KEEP && c.sender.is_ready());
-        if list.len() < KEPT && connection.sender.is_ready() {
+        list.retain(|(since, c)| since.elapsed() < MAX_IDLE_TIME && c.sender.is_ready());
+        if list.len() < MAX_CONNECTIONS && connection.sender.is_ready() {
             list.push((Instant::now(), connection));
         }
     }
 
     /// Drops the connections to an endpoint.
-    pub(crate) fn forget(&self, addr: SocketAddr) {
+    pub(crate) fn drop_connections(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
--- a/crates/engine/src/stream.rs
+++ b/crates/engine/src/stream.rs
@@ -30,7 +30,7 @@
 
 /// What the endpoint did.
 #[derive(Debug)]
-pub(crate) enum Got {
+pub(crate) enum Received {
     /// A head or a piece of payload.
     Item(Item<Reply>),
     /// It ended the stream.
@@ -38,7 +38,7 @@
     /// It refused the stream with this status, before any frame.
     Status(StatusCode, Option<Duration>),
     /// What came is no frame.
-    Bad,
+    Invalid,
 }
 
 impl Stream {
@@ -60,8 +60,8 @@
     pub(crate) async fn send(&mut self, mut bytes: Bytes, end: bool) -> Result<()> {
         while !bytes.is_empty() {
             self.sender.reserve_capacity(bytes.len());
-            let room = self.room().await?.min(bytes.len());
-            let part = bytes.split_to(room);
+            let available = self.available_window().await?.min(bytes.len());
+            let part = bytes.split_to(available);
             let is_last = end && bytes.is_empty();
             self.sender
                 .send_data(part, is_last)
@@ -71,7 +71,7 @@
     }
 
     /// Bytes that may be sent now; waits until it is at least one.
-    async fn room(&mut self) -> Result<usize> {
+    async fn available_window(&mut self) -> Result<usize> {
         if self.sender.capacity() > 0 {
             return Ok(self.sender.capacity());
         }
@@ -79,7 +79,7 @@
             loop {
                 match ready!(self.sender.poll_capacity(cx)) {
                     Some(Ok(0)) => {}
-                    Some(Ok(room)) => return Poll::Ready(Ok(room)),
+                    Some(Ok(available)) => return Poll::Ready(Ok(available)),
                     Some(Err(_)) | None => return Poll::Ready(Err(Error::Reset)),
                 }
             }
@@ -94,17 +94,19 @@
     }
 
     /// What the endpoint did next.
-    pub(crate) fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Got>> {
+    pub(crate) fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Received>> {
         loop {
             match self.reader.read() {
-                Ok(Some(item)) => return Poll::Ready(Ok(Got::Item(item))),
+                Ok(Some(item)) => return Poll::Ready(Ok(Received::Item(item))),
                 Ok(None) => {}
-                Err(_) => return Poll::Ready(Ok(Got::Bad)),
+                Err(_) => return Poll::Ready(Ok(Received::Invalid)),
             }
             match ready!(self.poll_chunk(cx)) {
                 Ok(Ok(Some(chunk))) => self.reader.push(chunk),
-                Ok(Ok(None)) if self.reader.is_between() => return Poll::Ready(Ok(Got::End)),
-                Ok(Ok(None)) => return Poll::Ready(Ok(Got::Bad)),
+                Ok(Ok(None)) if self.reader.is_at_frame_end() => {
+                    return Poll::Ready(Ok(Received::End));
+                }
+                Ok(Ok(None)) => return Poll::Ready(Ok(Received::Invalid)),
                 Ok(Err(status)) => return Poll::Ready(Ok(status)),
                 Err(error) => return Poll::Ready(Err(error)),
             }
@@ -114,14 +116,14 @@
     fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Result<std::result::Result<Option<Bytes>, Got>>> {
+    ) -> Poll<Result<std::result::Result<Option<Bytes>, Received>>> {
         loop {
             match &mut self.answer {
                 Answer::Head(response) => {
                     let response = ready!(Pin::new(response).poll(cx)).map_err(reset)?;
                     if response.status() != StatusCode::OK {
                         let wait = retry_after(&response);
-                        return Poll::Ready(Ok(Err(Got::Status(response.status(), wait))));
+                        return Poll::Ready(Ok(Err(Received::Status(response.status(), wait))));
                     }
                     self.answer = Answer::Body(response.into_body());
                 }
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -6,7 +6,7 @@
 pub use call::{Call, Input, Open};
 pub use reply::{Reason, Reply};
 
-use crate::frame::{self, Error, NAME_LIMIT};
+use crate::frame::{self, Error, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
 /// Place of a step.
@@ -63,13 +63,13 @@
 }
 
 fn is_name(name: &str) -> bool {
-    (1..=NAME_LIMIT).contains(&name.len())
+    (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
 fn check(fits: bool, field: &'static str) -> Result<(), Error> {
     if fits {
         Ok(())
     } else {
-        Err(Error::Field(field))
+        Err(Error::FieldOutOfRange(field))
     }
 }
--- a/crates/engine/src/wire/call.rs
+++ b/crates/engine/src/wire/call.rs
@@ -1,7 +1,7 @@
 //! Heads to a stage.
 
 use super::{Place, check, is_name};
-use crate::frame::{self, Error, PAYLOAD_LIMIT};
+use crate::frame::{self, Error, MAX_PAYLOAD_BYTES};
 use serde::{Deserialize, Serialize};
 
 /// See [`frame::Open`].
@@ -14,9 +14,11 @@
     adapter: Option<String>,
     from: u16,
     to: u16,
-    most: u32,
+    #[serde(rename = "most")]
+    max_tokens: u32,
     seed: u64,
-    rank: u32,
+    #[serde(rename = "rank")]
+    priority: u32,
     prefix: Vec<u64>,
 }
 
@@ -50,9 +52,9 @@
             adapter: open.adapter.clone(),
             from: open.from,
             to: open.to,
-            most: open.most,
+            max_tokens: open.max_tokens,
             seed: open.seed,
-            rank: open.rank,
+            priority: open.priority,
             prefix: open.prefix.clone(),
         }
     }
@@ -75,9 +77,9 @@
             adapter: open.adapter,
             from: open.from,
             to: open.to,
-            most: open.most,
+            max_tokens: open.max_tokens,
             seed: open.seed,
-            rank: open.rank,
+            priority: open.priority,
             prefix: open.prefix,
         })
     }
@@ -129,9 +131,9 @@
     let place = frame::Place::try_from(place)?;
     let input = frame::Input::from(input);
     let fits = match input {
-        frame::Input::Prompt(_) => payload <= PAYLOAD_LIMIT,
+        frame::Input::Prompt(_) => payload <= MAX_PAYLOAD_BYTES,
         frame::Input::Token(_) => payload == 0,
-        frame::Input::Activations => (1..=PAYLOAD_LIMIT).contains(&payload),
+        frame::Input::Activations => (1..=MAX_PAYLOAD_BYTES).contains(&payload),
     };
     check(fits, "payload")?;
     let is_first = !matches!(input, frame::Input::Activations);
--- a/crates/engine/src/wire/reply.rs
+++ b/crates/engine/src/wire/reply.rs
@@ -1,12 +1,12 @@
 //! Heads from a stage.
 
 use super::{Place, check};
-use crate::frame::{self, Error, PAYLOAD_LIMIT, TEXT_LIMIT};
+use crate::frame::{self, Error, MAX_PAYLOAD_BYTES, MAX_TEXT_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// Longest wait a refusal can ask for.
-const WAIT_LIMIT: Duration = Duration::from_secs(3600);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
 
 /// See [`frame::Reason`].
 #[derive(Debug, Serialize, Deserialize)]
@@ -88,12 +88,12 @@
         Ok(match reply {
             Reply::Opened(request, attempt) => Self::Opened(request, attempt),
             Reply::Refused(reason, wait) => {
-                let wait = wait.map(|w| Duration::from_millis(w).min(WAIT_LIMIT));
+                let wait = wait.map(|w| Duration::from_millis(w).min(MAX_RETRY_AFTER));
                 Self::Refused(reason.into(), wait)
             }
             Reply::Working(place) => Self::Working(place.try_into()?),
             Reply::Done(place, prompt_tokens, payload) => {
-                check((1..=PAYLOAD_LIMIT).contains(&payload), "payload")?;
+                check((1..=MAX_PAYLOAD_BYTES).contains(&payload), "payload")?;
                 Self::Done {
                     place: place.try_into()?,
                     prompt_tokens,
@@ -101,7 +101,7 @@
                 }
             }
             Reply::Token(place, prompt_tokens, id, text, end) => {
-                check(text.len() <= TEXT_LIMIT, "text")?;
+                check(text.len() <= MAX_TEXT_BYTES, "text")?;
                 Self::Token {
                     place: place.try_into()?,
                     prompt_tokens,
--- a/crates/engine/tests/frame.rs
+++ b/crates/engine/tests/frame.rs
@@ -4,7 +4,8 @@
 use arbtest::arbtest;
 use bytes::{Bytes, BytesMut};
 use engine::frame::{
-    Call, Error, HEAD_LIMIT, Head, Input, Item, Open, Place, Reader, Reason, Reply, Step, encode,
+    Call, Error, Head, Input, Item, MAX_HEAD_BYTES, Open, Place, Reader, Reason, Reply, Step,
+    encode,
 };
 use std::cell::Cell;
 use std::fmt::Debug;
@@ -61,9 +62,9 @@
         adapter: if u.arbitrary()? { Some(name(u)?) } else { None },
         from,
         to,
-        most: u.arbitrary()?,
+        max_tokens: u.arbitrary()?,
         seed: u.arbitrary()?,
-        rank: u.arbitrary()?,
+        priority: u.arbitrary()?,
         prefix: u.arbitrary()?,
     })
 }
@@ -155,7 +156,7 @@
             }
         }
     }
-    assert!(reader.is_between());
+    assert!(reader.is_at_frame_end());
     assert_eq!(read, heads);
     assert_eq!(
         payload,
@@ -229,9 +230,12 @@
 fn a_length_over_the_limit_is_refused_before_its_bytes_come() {
     // Otherwise a peer could make a node hold as much memory as four bytes can name.
     let mut reader = Reader::<Reply>::default();
-    let length = HEAD_LIMIT as u32 + 1;
+    let length = MAX_HEAD_BYTES as u32 + 1;
     reader.push(Bytes::copy_from_slice(&length.to_be_bytes()));
-    assert_eq!(reader.read().err(), Some(Error::Long(HEAD_LIMIT + 1)));
+    assert_eq!(
+        reader.read().err(),
+        Some(Error::HeadTooLong(MAX_HEAD_BYTES + 1))
+    );
 }
 
 #[test]
@@ -245,8 +249,8 @@
     encode(&Call::Step(step), &mut bytes).expect("encodes");
     let head = &bytes[4..];
     assert_eq!(refusal(head), None);
-    assert_eq!(refusal(&head[..head.len() - 1]), Some(Error::Code));
-    assert_eq!(refusal(&[head, &[0]].concat()), Some(Error::Code));
+    assert_eq!(refusal(&head[..head.len() - 1]), Some(Error::Malformed));
+    assert_eq!(refusal(&[head, &[0]].concat()), Some(Error::Malformed));
 }
 
 const PLACE: Place = Place {
@@ -300,6 +304,6 @@
         ),
     ];
     for (field, found) in cases {
-        assert_eq!(found, Some(Error::Field(field)));
+        assert_eq!(found, Some(Error::FieldOutOfRange(field)));
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -55,7 +55,7 @@
     /// Receives the chunks of the answer. A full channel applies backpressure to the service.
     pub chunks: mpsc::Sender<Bytes>,
     /// Time limit of the call and choice of its connection.
-    pub limit: service::Limit,
+    pub options: service::CallOptions,
 }
 
 /// The work of a request.
@@ -123,9 +123,9 @@
         adapter: prompt.adapter.clone(),
         prompt: prompt.text.clone(),
         tokens: generated,
-        most: prompt.max_tokens,
+        max_tokens: prompt.max_tokens,
         seed: prompt.seed,
-        priority_rank: prompt.priority_rank,
+        priority: prompt.priority_rank,
         hops: stages.iter().map(hop).collect(),
     };
     let mut forward = |event| {
@@ -161,7 +161,7 @@
 async fn relay(cx: &Context, call: Call, addr: SocketAddr) -> CallEvent {
     let request = http::Request::from_parts((*call.head).clone(), call.body);
     let sent = AtomicBool::new(false);
-    let response = match service::call(&cx.pool, addr, request, call.limit, &sent).await {
+    let response = match service::call(&cx.pool, addr, request, call.options, &sent).await {
         Ok(response) => response,
         Err(failure) => return CallEvent::Failed(failure),
     };
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -311,7 +311,7 @@
             Action::Probe(endpoint) => self.probe(endpoint),
             Action::Disconnect(endpoint) => {
                 if let Some(stage) = self.stage(&endpoint_hop(endpoint)) {
-                    self.pool.forget(stage.addr);
+                    self.pool.drop_connections(stage.addr);
                 }
             }
             Action::Observe(observation) => self.observe(observation),
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -78,17 +78,17 @@
     };
     let claim = super::key::claim(&header, bundle, &request)?;
     let id = request.id;
-    let limit = engine::service::Limit {
-        head: request.deadline.saturating_sub(state.start.elapsed()),
-        fresh: !repeatable,
+    let options = engine::service::CallOptions {
+        head_timeout: request.deadline.saturating_sub(state.start.elapsed()),
+        new_connection: !repeatable,
     };
     let work = Call {
         head: Arc::new(head),
         body: body.clone(),
         chunks: chunk_tx,
-        limit,
+        options,
     };
-    let time_left = limit.head;
+    let time_left = options.head_timeout;
     let answer = submit(state, request, work, claim, chunk_rx).await;
     let answer = original.or_forward(state, answer, body, time_left).await;
     with_request_id(answer, id)
--- a/crates/entry/src/handler/forward.rs
+++ b/crates/entry/src/handler/forward.rs
@@ -8,7 +8,7 @@
 use crate::api::error::Result;
 use crate::api::header::HOP;
 use bytes::Bytes;
-use engine::service::{Limit, call};
+use engine::service::{CallOptions, call};
 use http::header::{CONNECTION, CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
 use http::{HeaderMap, Method, Uri};
 use std::net::SocketAddr;
@@ -73,12 +73,14 @@
         *request.method_mut() = self.method;
         *request.uri_mut() = self.uri;
         *request.headers_mut() = self.headers;
-        let limit = Limit {
-            head: time_left,
-            fresh: false,
+        let options = CallOptions {
+            head_timeout: time_left,
+            new_connection: false,
         };
         let sent = AtomicBool::new(false);
-        let response = call(&state.pool, addr, request, limit, &sent).await.ok()?;
+        let response = call(&state.pool, addr, request, options, &sent)
+            .await
+            .ok()?;
         state.metrics.forwarded.add(1, &[]);
         let (mut parts, body) = response.into_parts();
         parts.headers.remove(CONNECTION);
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -9,7 +9,7 @@
 use bundle::Bundle;
 use bundle::id::{EndpointId, ZoneId};
 use bytes::Bytes;
-use engine::order::{Answer, What};
+use engine::order::{Answer, Command};
 use engine::pool::Pool;
 use lease::Owner;
 use lease::group_lease::{self, Candidacy, Event, Group, STREAM, Table, group};
@@ -249,7 +249,7 @@
         let (name, addr) = (row.name.clone(), row.addr);
         let order = engine::order::Order {
             fence,
-            what: to_engine_order(order),
+            command: to_engine_order(order),
         };
         let pool = self.pool.clone();
         let inputs = self.inputs.clone();
@@ -301,7 +301,7 @@
 }
 
 /// Converts an order to the form that is sent to the engine.
-fn to_engine_order(order: &Order) -> What {
+fn to_engine_order(order: &Order) -> Command {
     match order {
         Order::Load {
             model,
@@ -310,7 +310,7 @@
             adapters,
             from,
             to,
-        } => What::Load {
+        } => Command::Load {
             model: model.clone(),
             version: version.clone(),
             layers: *layers,
@@ -318,7 +318,7 @@
             from: *from,
             to: *to,
         },
-        Order::Unload { model, version } => What::Unload {
+        Order::Unload { model, version } => Command::Unload {
             model: model.clone(),
             version: version.clone(),
         },
--- a/crates/rig/examples/added.rs
+++ b/crates/rig/examples/added.rs
@@ -126,9 +126,9 @@
         adapter: None,
         prompt: format!("direct {number}").into(),
         tokens: Vec::new(),
-        most: TOKENS,
+        max_tokens: TOKENS,
         seed: 1,
-        priority_rank: 10,
+        priority: 10,
         hops: hops.collect(),
     };
     let start = Instant::now();
--- a/crates/rig/examples/throughput.rs
+++ b/crates/rig/examples/throughput.rs
@@ -157,9 +157,9 @@
                 adapter: None,
                 prompt: format!("direct {} {request}", self.number).into(),
                 tokens: Vec::new(),
-                most: TOKENS,
+                max_tokens: TOKENS,
                 seed: 1,
-                priority_rank: 10,
+                priority: 10,
                 hops: self.hops.clone(),
             };
             let made = self.made.clone();
--- a/crates/standin/examples/relay.rs
+++ b/crates/standin/examples/relay.rs
@@ -90,9 +90,9 @@
         adapter: None,
         prompt: format!("menu of week {request}").into(),
         tokens: Vec::new(),
-        most,
+        max_tokens: most,
         seed: request as u64,
-        priority_rank: 0,
+        priority: 0,
         hops: hops.to_vec(),
     }
 }
@@ -197,7 +197,7 @@
     println!("memory of the driver's process, streams that wait for a stage (three stages each)");
     println!("{:>12} {:>12} {:>14}", "streams", "KiB", "bytes/stream");
     let pool = Pool::new(Limits {
-        streams: 4096,
+        max_streams: 4096,
         ..Limits::default()
     });
     let cancel = CancellationToken::new();
--- a/crates/standin/examples/relay/direct.rs
+++ b/crates/standin/examples/relay/direct.rs
@@ -76,9 +76,9 @@
             adapter: None,
             from: hop.from,
             to: hop.to,
-            most: job.most,
+            max_tokens: job.max_tokens,
             seed: job.seed,
-            rank: 0,
+            priority: 0,
             prefix: Vec::new(),
         };
         let mut buf = BytesMut::new();
@@ -121,7 +121,7 @@
     let mut input = Input::Prompt(Vec::new());
     let mut payload = job.prompt.to_vec();
     let mut last = None;
-    for number in 1..=job.most {
+    for number in 1..=job.max_tokens {
         for (stage, hop) in stages.iter_mut().zip(&job.hops) {
             let (request, attempt) = (job.request, job.attempt);
             let place = Place {
--- a/crates/standin/src/engine/stage/io.rs
+++ b/crates/standin/src/engine/stage/io.rs
@@ -60,7 +60,7 @@
                 return Ok(Some(item));
             }
             let Some(chunk) = self.body.data().await else {
-                return if self.reader.is_between() {
+                return if self.reader.is_at_frame_end() {
                     Ok(None)
                 } else {
                     Err(Gone)
--- a/crates/standin/src/engine/stage/work.rs
+++ b/crates/standin/src/engine/stage/work.rs
@@ -126,7 +126,7 @@
         let lanes = self.state.lanes.clone();
         let mut hold = self.state.fault.hold.subscribe();
         let is_held = *hold.borrow();
-        let rank = self.open.rank;
+        let rank = self.open.priority;
         let work = async move {
             if !cost.is_zero() {
                 lanes.run(rank, cost).await;
@@ -162,7 +162,7 @@
         }
         self.last = Some(Instant::now());
         let hits = lock(&state.cache).touch(&self.open.prefix);
-        let cached = hits * prefix::BLOCK / 4;
+        let cached = hits * prefix::BLOCK_BYTES / 4;
         let fresh = positions.saturating_sub(cached).max(1) as u32;
         (config.prefill_time * layers * fresh).mul_f64(slow)
     }
--- a/crates/standin/src/engine/status.rs
+++ b/crates/standin/src/engine/status.rs
@@ -5,7 +5,7 @@
 use super::state::{Held, Snapshot, State, lock};
 use bytes::{Bytes, BytesMut};
 use engine::load::{Loaded, Report};
-use engine::order::{Answer, Order, What};
+use engine::order::{Answer, Command, Order};
 use h2::RecvStream;
 use h2::server::SendResponse;
 use http::{Response, StatusCode};
@@ -99,8 +99,8 @@
         return Answer::OldFence;
     }
     Counters::add(&state.counters.orders);
-    match order.what {
-        What::Load {
+    match order.command {
+        Command::Load {
             model,
             version,
             layers,
@@ -121,13 +121,13 @@
                 },
             )
         }
-        What::Unload { model, version } => {
+        Command::Unload { model, version } => {
             let is_other =
                 |held: &Held| (&held.span.model, &held.span.version) != (&model, &version);
             lock(&state.held).retain(is_other);
             Answer::Done
         }
-        What::Serve(on) => {
+        Command::Serve(on) => {
             state.fault.leaving.store(!on, Ordering::SeqCst);
             Answer::Done
         }
--- a/crates/standin/tests/driver/common.rs
+++ b/crates/standin/tests/driver/common.rs
@@ -50,9 +50,9 @@
         adapter: None,
         prompt: prompt.to_owned().into(),
         tokens: Vec::new(),
-        most,
+        max_tokens: most,
         seed: request as u64,
-        priority_rank: 0,
+        priority: 0,
         hops: hops(engines),
     }
 }
@@ -66,7 +66,7 @@
         layers: LAYERS,
         prompt: &job.prompt,
         seed: job.seed,
-        most: job.most,
+        most: job.max_tokens,
     })
 }
 
--- a/crates/standin/tests/driver/crossed.rs
+++ b/crates/standin/tests/driver/crossed.rs
@@ -158,7 +158,7 @@
         let job = job(100, &[engines[0].clone(), other], &prompt, 4);
         assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
         assert_eq!(engines[0].connections(), 1);
-        pool.forget(engines[1].addr);
+        pool.drop_connections(engines[1].addr);
     };
     let (ends, ()) = tokio::join!(stalled, well);
     for events in ends {
@@ -177,7 +177,7 @@
 async fn a_pool_shows_its_connections_and_closes_the_unused() {
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let limits = Limits {
-        idle: Duration::from_millis(20),
+        idle_timeout: Duration::from_millis(20),
         ..Limits::default()
     };
     let pool = Pool::new(limits);
@@ -197,7 +197,7 @@
     until(|| {
         engines
             .iter()
-            .all(|engine| pool.connections(engine.addr) == 0)
+            .all(|engine| pool.connection_count(engine.addr) == 0)
     })
     .await;
     assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
--- a/crates/standin/tests/driver/died.rs
+++ b/crates/standin/tests/driver/died.rs
@@ -9,7 +9,7 @@
 
 /// The same request on another chain, after the tokens it already has.
 fn resumed(job: &Job, engines: &[Handle], had: Vec<Token>) -> Job {
-    let mut next = crate::common::job(job.request, engines, "", job.most);
+    let mut next = crate::common::job(job.request, engines, "", job.max_tokens);
     next.prompt = job.prompt.clone();
     next.attempt = job.attempt + 1;
     next.tokens = had;
--- a/crates/standin/tests/driver/random.rs
+++ b/crates/standin/tests/driver/random.rs
@@ -82,7 +82,9 @@
         }
         cancel.cancel();
         // What a router does once a probe on a new connection has answered.
-        job.hops.iter().for_each(|hop| pool.forget(hop.addr));
+        job.hops
+            .iter()
+            .for_each(|hop| pool.drop_connections(hop.addr));
         std::future::pending::<()>().await;
     };
     tokio::select! {
--- a/crates/standin/tests/driver/refused.rs
+++ b/crates/standin/tests/driver/refused.rs
@@ -196,7 +196,7 @@
     }
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
     let pool = Pool::new(Limits {
-        connect: Duration::from_millis(300),
+        connect_timeout: Duration::from_millis(300),
         ..Limits::default()
     });
     let mut dead = job(1, &engines, "soup", 4);
--- a/crates/standin/tests/driver/silent.rs
+++ b/crates/standin/tests/driver/silent.rs
@@ -29,7 +29,7 @@
     let router = async {
         until(|| Counters::get(&engines[0].counters().steps) == 3).await;
         probed.set(Some(prober.probe(addr, LIMIT).await));
-        prober.forget(addr);
+        prober.drop_connections(addr);
     };
     let (events, ()) = tokio::join!(attempt, router);
     assert_eq!(probed.get(), Some(true));
@@ -66,7 +66,7 @@
     assert!(!events.contains(&Event::Sent));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
     assert_eq!(Counters::get(&engines[1].counters().opened), 1);
-    pool.forget(engines[1].addr);
+    pool.drop_connections(engines[1].addr);
     assert_eq!(tokens(&run(&pool, &second).await), expected(&second));
 }
 
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use engine::pool::Pool;
-use engine::service::{self, Body, Cause, Failure, Limit};
+use engine::service::{self, Body, CallOptions, Cause, Failure};
 use http::{Request, Response};
 use http_body_util::BodyExt;
 use standin::service::{Config, Handle, KEY, Moment, Service, answer};
@@ -13,13 +13,13 @@
 use tokio::net::TcpListener;
 
 /// Generous: no test depends on how fast it is.
-const LIMIT: Limit = Limit {
-    head: Duration::from_secs(30),
-    fresh: false,
+const OPTIONS: CallOptions = CallOptions {
+    head_timeout: Duration::from_secs(30),
+    new_connection: false,
 };
-const FRESH: Limit = Limit {
-    fresh: true,
-    ..LIMIT
+const NEW_CONNECTION: CallOptions = CallOptions {
+    new_connection: true,
+    ..OPTIONS
 };
 
 fn post(key: &str, body: &str) -> Request<Bytes> {
@@ -33,10 +33,10 @@
     pool: &Pool,
     addr: SocketAddr,
     key: &str,
-    limit: Limit,
+    options: CallOptions,
 ) -> service::Result<Response<Body>> {
     let sent = AtomicBool::new(false);
-    let answer = service::call(pool, addr, post(key, "lock it"), limit, &sent).await;
+    let answer = service::call(pool, addr, post(key, "lock it"), options, &sent).await;
     let is_sent = answer
         .as_ref()
         .map_or_else(|failure| failure.sent, |_| true);
@@ -73,14 +73,14 @@
         let pool = Pool::default();
         for call_number in 0..5 {
             let key = call_number.to_string();
-            let response = call(&pool, service.addr, &key, LIMIT)
+            let response = call(&pool, service.addr, &key, OPTIONS)
                 .await
                 .expect("answers");
             assert_eq!(text(response).await, Ok(whole(&config)));
             assert_eq!(service.effects(&key), 1);
         }
         assert_eq!(service.connections(), 1);
-        call(&pool, service.addr, "5", FRESH)
+        call(&pool, service.addr, "5", NEW_CONNECTION)
             .await
             .expect("answers");
         assert_eq!(service.connections(), 2);
@@ -91,7 +91,7 @@
 async fn a_service_that_cannot_be_reached_was_not_sent_the_call() {
     let (service, _) = start(1).await;
     service.die();
-    let failure = call(&Pool::default(), service.addr, "1", LIMIT)
+    let failure = call(&Pool::default(), service.addr, "1", OPTIONS)
         .await
         .expect_err("dead");
     assert_eq!(
@@ -110,10 +110,10 @@
     for (moment, effects) in [(Moment::Before, 0), (Moment::After, 1)] {
         let (service, _) = start(1).await;
         let pool = Pool::default();
-        for limit in [LIMIT, FRESH] {
+        for limit in [OPTIONS, NEW_CONNECTION] {
             service.die_at(Some(moment));
             let calls = service.calls();
-            let key = format!("{moment:?} {}", limit.fresh);
+            let key = format!("{moment:?} {}", limit.new_connection);
             let failure = call(&pool, service.addr, &key, limit)
                 .await
                 .expect_err("died");
@@ -138,7 +138,7 @@
     for pieces in [1, 4] {
         let (service, _) = start(pieces).await;
         service.halve(true);
-        let response = call(&Pool::default(), service.addr, "1", LIMIT).await;
+        let response = call(&Pool::default(), service.addr, "1", OPTIONS).await;
         let failure = match response {
             Ok(response) => text(response).await.expect_err("cut off"),
             Err(failure) => failure,
@@ -165,7 +165,7 @@
         let _ = socket.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf a sen").await;
     };
     let pool = Pool::default();
-    let (answer, ()) = tokio::join!(call(&pool, addr, "1", LIMIT), server);
+    let (answer, ()) = tokio::join!(call(&pool, addr, "1", OPTIONS), server);
     let failure = answer.expect_err("refused");
     assert_eq!(
         failure,
@@ -180,11 +180,11 @@
 async fn a_silent_service_is_given_up_with_its_outcome_open() {
     let (service, _) = start(1).await;
     service.silence(true);
-    let limit = Limit {
-        head: Duration::from_millis(100),
-        fresh: true,
+    let options = CallOptions {
+        head_timeout: Duration::from_millis(100),
+        new_connection: true,
     };
-    let failure = call(&Pool::default(), service.addr, "1", limit)
+    let failure = call(&Pool::default(), service.addr, "1", options)
         .await
         .expect_err("silent");
     assert_eq!(
@@ -203,7 +203,7 @@
     let (service, config) = start(1).await;
     let pool = Pool::default();
     for round in 0..6 {
-        let kept = call(&pool, service.addr, "kept", FRESH)
+        let kept = call(&pool, service.addr, "kept", NEW_CONNECTION)
             .await
             .expect("answers");
         text(kept).await.expect("whole");
@@ -214,7 +214,7 @@
             service.restart().await.expect("restarts");
         }
         let key = round.to_string();
-        let response = call(&pool, service.addr, &key, FRESH)
+        let response = call(&pool, service.addr, &key, NEW_CONNECTION)
             .await
             .expect("answers");
         assert_eq!(text(response).await, Ok(whole(&config)));
@@ -231,7 +231,7 @@
     let pool = Pool::default();
     for round in 0..40 {
         let key = round.to_string();
-        let outcome = match call(&pool, service.addr, &key, LIMIT).await {
+        let outcome = match call(&pool, service.addr, &key, OPTIONS).await {
             Ok(response) => text(response).await.map(|_| ()),
             Err(failure) => Err(failure),
         };
@@ -250,27 +250,27 @@
 async fn a_probe_reaches_a_service_and_a_forgotten_connection_is_gone() {
     let (service, _) = start(1).await;
     let pool = Pool::default();
-    assert!(pool.probe(service.addr, LIMIT.head).await);
-    let response = call(&pool, service.addr, "1", LIMIT)
+    assert!(pool.probe(service.addr, OPTIONS.head_timeout).await);
+    let response = call(&pool, service.addr, "1", OPTIONS)
         .await
         .expect("answers");
     text(response).await.expect("whole");
     service.silence_open();
-    assert!(pool.probe(service.addr, LIMIT.head).await);
-    pool.forget(service.addr);
-    let response = call(&pool, service.addr, "2", LIMIT)
+    assert!(pool.probe(service.addr, OPTIONS.head_timeout).await);
+    pool.drop_connections(service.addr);
+    let response = call(&pool, service.addr, "2", OPTIONS)
         .await
         .expect("answers");
     text(response).await.expect("whole");
     service.die();
-    assert!(!pool.probe(service.addr, LIMIT.head).await);
+    assert!(!pool.probe(service.addr, OPTIONS.head_timeout).await);
 }
 
 #[tokio::test]
 async fn a_busy_service_answers_without_an_effect() {
     let (service, _) = start(1).await;
     service.busy(true);
-    let response = call(&Pool::default(), service.addr, "1", LIMIT)
+    let response = call(&Pool::default(), service.addr, "1", OPTIONS)
         .await
         .expect("answers");
     assert_eq!(response.status(), 503);
@@ -298,7 +298,7 @@
     };
     let pool = Pool::default();
     tokio::select! {
-        lives = pool.probe(addr, LIMIT.head) => assert!(lives),
+        lives = pool.probe(addr, OPTIONS.head_timeout) => assert!(lives),
         () = server => {}
     }
 }
@@ -309,11 +309,11 @@
     // to the next call, so that the connection isn't kept.
     let (service, config) = start(4).await;
     let pool = Pool::default();
-    let first = call(&pool, service.addr, "1", LIMIT)
+    let first = call(&pool, service.addr, "1", OPTIONS)
         .await
         .expect("answers");
     drop(first);
-    let second = call(&pool, service.addr, "2", LIMIT)
+    let second = call(&pool, service.addr, "2", OPTIONS)
         .await
         .expect("answers");
     assert_eq!(text(second).await, Ok(whole(&config)));
--- a/crates/standin/tests/status.rs
+++ b/crates/standin/tests/status.rs
@@ -7,7 +7,7 @@
     LAYERS, LIMIT, MODEL, VERSION, expected, job, pipeline, run, run_with, tokens, until,
 };
 use engine::chain::{Cause, Event};
-use engine::order::{self, Answer, Order, What};
+use engine::order::{self, Answer, Command, Order};
 use engine::pool::{Error, Pool};
 use engine::{load, prefix};
 use standin::engine::{Config, Engine, Span};
@@ -15,7 +15,7 @@
 
 fn load_order(fence: u64, version: &str, from: u16, to: u16) -> Order {
     let (model, version) = (MODEL.to_owned(), version.to_owned());
-    let what = What::Load {
+    let command = Command::Load {
         model,
         version,
         layers: LAYERS,
@@ -23,7 +23,7 @@
         from,
         to,
     };
-    Order { fence, what }
+    Order { fence, command }
 }
 
 #[tokio::test]
@@ -52,7 +52,7 @@
         })
     ));
 
-    let unload = What::Unload {
+    let unload = Command::Unload {
         model: MODEL.into(),
         version: VERSION.into(),
     };
@@ -61,7 +61,7 @@
         engine.addr,
         Order {
             fence: 3,
-            what: unload,
+            command: unload,
         },
     )
     .await;
@@ -96,7 +96,7 @@
     let pool = Pool::default();
     let stop = Order {
         fence: 1,
-        what: What::Serve(false),
+        command: Command::Serve(false),
     };
     assert_eq!(
         order::send(&pool, engines[0].addr, stop).await,
@@ -127,7 +127,7 @@
     let job = job(1, &engines, &prompt, 2);
     run(&pool, &job).await;
     let report = load::fetch(&pool, engines[0].addr).await.expect("reports");
-    let blocks = prefix::chain(MODEL, VERSION, None, prompt.as_bytes());
+    let blocks = prefix::block_hashes(MODEL, VERSION, None, prompt.as_bytes());
     assert_eq!(blocks.len(), 4);
     let seen: Vec<_> = report
         .cache
@@ -174,7 +174,7 @@
     let done = std::cell::Cell::new(false);
     let low = (1..=8).map(|request| {
         let mut job = job(request, &engines, &format!("menu {request}"), 1000);
-        job.priority_rank = 5;
+        job.priority = 5;
         let (pool, done) = (&pool, &done);
         async move {
             let mut count = 0;
