--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -191,9 +191,10 @@
         }
     }
 
-    /// Replies with the cached answer of the request `of`, or with an error if it is not available.
-    fn answer(&mut self, request: Id, outcome: lease::Outcome, of: Option<Id>) {
-        let answer = of.and_then(|of| self.answers.get(&of));
+    /// Replies with the cached answer of the request `source`, or with an error if it is not
+    /// available.
+    fn answer(&mut self, request: Id, outcome: lease::Outcome, source: Option<Id>) {
+        let answer = source.and_then(|source| self.answers.get(&source));
         let verdict = match answer {
             Some(answer) => Verdict::Replay(answer.clone()),
             None => Verdict::Error(Box::new(answer_unavailable(from_lease(outcome)))),
@@ -265,8 +266,8 @@
     }
 }
 
-/// Returns the error for a key that another node owns. It has the URL of that node if the node is
-/// alive.
+/// Returns the error for a key that another node owns. The error has the URL of that node if the
+/// node is alive; otherwise the answer is treated as unavailable.
 fn owned_elsewhere(url: Option<String>, outcome: Option<lease::Outcome>) -> Error {
     let outcome = outcome.map_or(Outcome::Unknown, from_lease);
     let mut error = match url {
--- a/crates/node/src/control/demand.rs
+++ b/crates/node/src/control/demand.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Returns the part of the node's shares that one worker may use. `key`
-    /// decides which nodes round their slots up, see `member::share::slots`.
+    /// Returns the part of the node's shares that one worker may use. `key` decides which nodes
+    /// round their slots up, see [`member::share::slots`].
     pub fn worker_shares(&self, worker: usize, shares: &[Share], key: u64) -> Vec<view::Share> {
         let worker_share = |(team, share): (usize, &Share)| {
             let total = self.team_demand(team);
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub enum Input {
     /// A page of the bundle stream. The reply is the offset to read next.
-    Page(Page, oneshot::Sender<Offset>),
+    BundlePage(Page, oneshot::Sender<Offset>),
     /// Reading the bundle stream failed.
     LogReadFailed(platform::Error),
     /// The current instances of the instance list.
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -206,7 +206,7 @@
             }
             group_lease::Action::Lost(group) => {
                 let name = self.groups.get(&group).map_or("?", String::as_str);
-                log::info!("lost the lease of group {name}");
+                log::info!("no longer holding the lease of group {name}");
                 self.rolls.remove(&group);
             }
         }
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -181,7 +181,7 @@
     /// Handles an input, and publishes new snapshots if it changed the view.
     pub fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Page(page, reply) => {
+            Input::BundlePage(page, reply) => {
                 let next = self.fold_page(page);
                 let _ = reply.send(next);
             }
@@ -234,8 +234,8 @@
         self.handle_lease_event(lease::group_lease::Event::Tick);
         if self.last_step.elapsed() >= STEP_INTERVAL {
             self.last_step = Instant::now();
-            self.step();
-            self.follow_claims();
+            self.step_teams();
+            self.follow_claim_shards();
             self.step_rolls();
             self.checkpoint_if_due();
         }
@@ -256,7 +256,7 @@
 
     /// Computes this node's shares of the teams' limits, and publishes its demand and load to the
     /// peers.
-    fn step(&mut self) {
+    fn step_teams(&mut self) {
         let Some(bundle) = self.fold.head().cloned() else {
             return;
         };
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -81,7 +81,7 @@
         self.endpoints.retain(&bundle);
         self.handle_group_event(Event::Head(head));
         self.update_listed_nodes();
-        self.step();
+        self.step_teams();
     }
 
     /// Requests from a peer the records that lead to its newer head.
--- a/crates/node/src/control/state/claims.rs
+++ b/crates/node/src/control/state/claims.rs
@@ -56,7 +56,7 @@
     }
 
     /// Follows the shards of keys whose home is this node.
-    pub(super) fn follow_claims(&mut self) {
+    pub(super) fn follow_claim_shards(&mut self) {
         let rows = self.group.roster().iter();
         let up = rows.filter(|p| p.state == PeerState::Up && !p.leaving);
         let nodes: Vec<u64> = up.map(|p| p.id).collect();
--- a/crates/node/src/control/state/peers.rs
+++ b/crates/node/src/control/state/peers.rs
@@ -51,7 +51,7 @@
                 log::info!("node {name} is {state:?}{run}");
             }
             // Demand and load of peers change constantly and do not require a new snapshot at once.
-            // `step` reads them once a second.
+            // `step_teams` reads them once a second.
             Action::Learned(item) => {
                 self.dirty |=
                     !matches!(item.body, Observation::Demand { .. } | Observation::Load(_));
--- a/crates/node/src/control/tail.rs
+++ b/crates/node/src/control/tail.rs
@@ -32,7 +32,7 @@
             Ok(page) => {
                 backoff.record_success();
                 let (next_tx, next_rx) = oneshot::channel();
-                if inputs.send(Input::Page(page, next_tx)).await.is_err() {
+                if inputs.send(Input::BundlePage(page, next_tx)).await.is_err() {
                     return;
                 }
                 let Ok(next) = next_rx.await else { return };
