--- a/crates/bundle/examples/fold_cost.rs
+++ b/crates/bundle/examples/fold_cost.rs
@@ -83,7 +83,7 @@
     t.push_str("[priority alarm]\nrank = 0\nurgent = yes\n");
     t.push_str("[priority normal]\nrank = 10\nweight = 4\n");
     for n in 0..size.teams {
-        let key = sign::bearer(&format!("key-{n}"));
+        let key = sign::bearer_digest(&format!("key-{n}"));
         let rate = if n == 0 { rate } else { 30 };
         let _ = writeln!(
             t,
@@ -134,18 +134,18 @@
 
 /// Median time of folding one more version onto a folded one, with the size of both records.
 fn fold(size: Size) -> (Duration, Vec<u8>, usize, Duration) {
-    let key = sign::key([7; 32]);
+    let key = sign::key_from_seed([7; 32]);
     let public = *key.verifying_key().as_bytes();
     let trusted = Signer {
         name: "mira".into(),
         key: public,
         revoked: false,
     };
-    let first = sign::version(None, &text(size, 30), "mira", &key).expect("sound");
+    let first = sign::sign_text(None, &text(size, 30), "mira", &key).expect("sound");
     let mut start = Fold::new(vec![trusted.clone()]);
     assert!(matches!(start.apply(0, &first), Verdict::Accepted(_)));
     let head = start.head().expect("a head").clone();
-    let next = sign::version(Some(&head), &text(size, 31), "mira", &key).expect("sound");
+    let next = sign::sign_text(Some(&head), &text(size, 31), "mira", &key).expect("sound");
     let delta = median(|| {
         let mut fold = start.clone();
         assert!(matches!(fold.apply(1, &next), Verdict::Accepted(_)));
--- a/crates/bundle/src/answer.rs
+++ b/crates/bundle/src/answer.rs
@@ -11,7 +11,7 @@
 /// How it ended, in one word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum OutcomeKind {
     /// The version is in force.
     Accepted,
     /// Another version came first.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// How it ended.
-    pub outcome: Word,
+    pub outcome: OutcomeKind,
     /// Number of the version accepted, or of the one that won; 0 for none.
     #[serde(default)]
     pub number: Number,
@@ -45,7 +45,7 @@
 
 impl Answer {
     /// An answer that names no version.
-    fn plain(outcome: Word, message: String) -> Self {
+    fn without_version(outcome: OutcomeKind, message: String) -> Self {
         Self {
             outcome,
             number: 0,
@@ -58,13 +58,13 @@
 
 impl From<&Outcome> for Answer {
     fn from(outcome: &Outcome) -> Self {
-        let mut answer = Self::plain(word(outcome), outcome.to_string());
+        let mut answer = Self::without_version(outcome_kind(outcome), outcome.to_string());
         match outcome {
             Outcome::Accepted(entry) | Outcome::Lost(entry) => {
                 answer.number = entry.number;
                 answer.signer.clone_from(&entry.signer);
             }
-            Outcome::Past(number) | Outcome::Parent(number) => answer.number = *number,
+            Outcome::Superseded(number) | Outcome::UnknownParent(number) => answer.number = *number,
             Outcome::Refused(Reason::Bundle(findings)) => {
                 answer.findings = findings.rows().to_vec();
             }
@@ -77,7 +77,7 @@
 /// A body that is no version at all.
 impl From<&record::Error> for Answer {
     fn from(error: &record::Error) -> Self {
-        let mut answer = Self::plain(Word::Refused, error.to_string());
+        let mut answer = Self::without_version(OutcomeKind::Refused, error.to_string());
         if let record::Error::Text(findings) = error {
             answer.findings = findings.rows().to_vec();
         }
@@ -86,13 +86,13 @@
 }
 
 /// The word of an outcome.
-fn word(outcome: &Outcome) -> Word {
+fn outcome_kind(outcome: &Outcome) -> OutcomeKind {
     match outcome {
-        Outcome::Accepted(_) => Word::Accepted,
-        Outcome::Lost(_) | Outcome::Past(_) => Word::Lost,
-        Outcome::Refused(_) | Outcome::Parent(_) => Word::Refused,
-        Outcome::Gap | Outcome::Failed => Word::Failed,
-        Outcome::Unsure => Word::Unsure,
+        Outcome::Accepted(_) => OutcomeKind::Accepted,
+        Outcome::Lost(_) | Outcome::Superseded(_) => OutcomeKind::Lost,
+        Outcome::Refused(_) | Outcome::UnknownParent(_) => OutcomeKind::Refused,
+        Outcome::Gap | Outcome::Failed => OutcomeKind::Failed,
+        Outcome::Unsure => OutcomeKind::Unsure,
     }
 }
 
--- a/crates/bundle/src/bundle.rs
+++ b/crates/bundle/src/bundle.rs
@@ -78,7 +78,7 @@
     }
 
     /// The team that holds the bearer key with digest `key`.
-    pub fn holder(&self, key: &Digest) -> Option<TeamId> {
+    pub fn team_by_key(&self, key: &Digest) -> Option<TeamId> {
         position(&self.teams, |t| t.keys.contains(key))
     }
 }
--- a/crates/bundle/src/checkpoint.rs
+++ b/crates/bundle/src/checkpoint.rs
@@ -22,10 +22,10 @@
 pub type Now = Duration;
 
 /// Longest window when a checkpoint is needed soon.
-const SOON: Duration = Duration::from_secs(120);
+const MAX_URGENT_WINDOW: Duration = Duration::from_secs(120);
 
 /// A writer's clock may be this much ahead before its stamp is ignored.
-const MAX_AHEAD: Duration = Duration::from_secs(60);
+const MAX_CLOCK_LEAD: Duration = Duration::from_secs(60);
 
 /// Settings of the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     pub retention: Duration,
     /// Versions after which a checkpoint is written whatever its age: bounds what a new reader
     /// has to judge.
-    pub versions: u64,
+    pub max_versions: u64,
 }
 
 /// Why a checkpoint is needed.
@@ -43,7 +43,7 @@
     /// The last one gets old.
     Age,
     /// There is none that a new reader could use, or too many versions came since.
-    Soon,
+    Urgent,
 }
 
 /// What the drawn moment is based on; it is drawn again when this changes.
@@ -76,7 +76,7 @@
     /// Whether to append [`Fold::checkpoint`] now. `wall` is the time since the Unix epoch,
     /// `first` the first retained offset. To be asked every second or so.
     pub fn poll(&mut self, now: Now, wall: Duration, first: u64, fold: &Fold) -> bool {
-        if fold.in_gap() || fold.logged().is_none() {
+        if fold.in_gap() || fold.log_head().is_none() {
             self.basis = None;
             return false;
         }
@@ -86,47 +86,47 @@
         };
         if self.basis != Some(basis) {
             self.basis = Some(basis);
-            self.due = now + self.draw(wall, basis);
+            self.due = now + self.draw_delay(wall, basis);
         }
         if now < self.due {
             return false;
         }
         // Until the new checkpoint is read back, try again at the pace of the short window.
-        self.due = now + self.jitter(self.soon());
+        self.due = now + self.jitter(self.urgent_window());
         true
     }
 
     /// Why the next checkpoint is needed.
     fn need(&self, first: u64, fold: &Fold) -> Need {
         let Some(last) = fold.last_checkpoint() else {
-            return Need::Soon;
+            return Need::Urgent;
         };
-        let number = fold.logged().map_or(0, |b| b.number);
-        let many = number.saturating_sub(last.number) >= self.settings.versions;
-        if last.next < first || many {
-            Need::Soon
+        let number = fold.log_head().map_or(0, |b| b.number);
+        let too_many = number.saturating_sub(last.number) >= self.settings.max_versions;
+        if last.next < first || too_many {
+            Need::Urgent
         } else {
             Need::Age
         }
     }
 
     /// Time until the drawn moment.
-    fn draw(&mut self, wall: Duration, basis: Basis) -> Duration {
+    fn draw_delay(&mut self, wall: Duration, basis: Basis) -> Duration {
         match basis.last {
             Some(last) if basis.need == Need::Age => {
                 let window = self.settings.retention / 4;
                 window.saturating_sub(age(last, wall, window)) + self.jitter(window)
             }
             _ => {
-                let window = self.soon();
+                let window = self.urgent_window();
                 self.jitter(window)
             }
         }
     }
 
     /// The short window.
-    fn soon(&self) -> Duration {
-        SOON.min(self.settings.retention / 16)
+    fn urgent_window(&self) -> Duration {
+        MAX_URGENT_WINDOW.min(self.settings.retention / 16)
     }
 
     /// A random part of `window`.
@@ -137,7 +137,7 @@
 
 /// Age of a checkpoint; `window` if its stamp can't be right, so that the window is open.
 fn age(last: Location, wall: Duration, window: Duration) -> Duration {
-    if last.written > wall + MAX_AHEAD {
+    if last.written > wall + MAX_CLOCK_LEAD {
         return window;
     }
     wall.saturating_sub(last.written)
--- a/crates/bundle/src/finding.rs
+++ b/crates/bundle/src/finding.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Most findings that one check keeps; the rest are only counted.
-pub const MOST: usize = 1_000;
+pub const MAX_FINDINGS: usize = 1_000;
 
 /// How bad a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -65,9 +65,9 @@
 }
 
 impl Findings {
-    /// Adds a finding; past [`MOST`] it is only counted, which bounds memory for hostile text.
+    /// Adds a finding; past [`MAX_FINDINGS`] it is only counted, which bounds memory for hostile text.
     pub fn push(&mut self, finding: Finding) {
-        if self.rows.len() < MOST {
+        if self.rows.len() < MAX_FINDINGS {
             self.rows.push(finding);
         } else {
             self.dropped += 1;
@@ -85,18 +85,18 @@
     }
 
     /// Whether one of them is an error.
-    pub fn failed(&self) -> bool {
+    pub fn has_errors(&self) -> bool {
         self.dropped > 0 || self.rows.iter().any(|f| f.level == Level::Error)
     }
 
     /// Orders the findings by line, then section and key.
     pub fn sort(&mut self) {
-        self.rows.sort_by(|a, b| place(a).cmp(&place(b)));
+        self.rows.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
     }
 }
 
 /// Sort key of a finding.
-fn place(f: &Finding) -> (u32, &str, &str) {
+fn sort_key(f: &Finding) -> (u32, &str, &str) {
     (f.line, &f.section, &f.key)
 }
 
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -42,11 +42,11 @@
 mod branch;
 mod counters;
 mod dump;
-mod flaw;
 mod history;
+mod invariant;
 mod judge;
-mod known;
-mod standing;
+mod signed_bundle;
+mod status;
 mod verdict;
 
 use crate::bundle::Bundle;
@@ -55,15 +55,15 @@
 use crate::signed::{Location, Version};
 use crate::signer::Signer;
 use branch::Branch;
-use known::Known;
+use signed_bundle::SignedBundle;
 use std::sync::Arc;
 use std::time::Duration;
 
 pub use counters::Counters;
-pub use flaw::Flaw;
 pub use history::Entry;
-pub use known::checked;
-pub use standing::Standing;
+pub use invariant::Violation;
+pub use signed_bundle::build_bundle;
+pub use status::Status;
 pub use verdict::{Reason, Verdict};
 
 /// The fold of the log's stream of bundles.
@@ -81,10 +81,10 @@
     gap: Option<u64>,
     /// After going back to an earlier offset: where reading had got to. Records from there on
     /// are passed over until an earlier one shows that the reader did go back.
-    rewound: Option<u64>,
+    rewound_from: Option<u64>,
     /// Highest number ever in force.
-    highest: Number,
-    last: Option<Location>,
+    highest_number: Number,
+    last_checkpoint: Option<Location>,
     counters: Counters,
 }
 
@@ -97,21 +97,21 @@
             ahead: Branch::default(),
             next: 0,
             gap: None,
-            rewound: None,
-            highest: 0,
-            last: None,
+            rewound_from: None,
+            highest_number: 0,
+            last_checkpoint: None,
             counters: Counters::default(),
         }
     }
 
     /// The bundle in force, if one is known.
     pub fn head(&self) -> Option<&Arc<Bundle>> {
-        self.shown().map(|k| &k.bundle)
+        self.current().map(|k| &k.bundle)
     }
 
     /// The head of the log as folded so far; a peer's head may be past it.
-    pub fn logged(&self) -> Option<&Arc<Bundle>> {
-        self.base.known.as_ref().map(|k| &k.bundle)
+    pub fn log_head(&self) -> Option<&Arc<Bundle>> {
+        self.base.head.as_ref().map(|k| &k.bundle)
     }
 
     /// Offset to read the log from.
@@ -128,7 +128,7 @@
     /// The last checkpoint that was read and agreed with, or that a peer knew of when it gave its
     /// head.
     pub fn last_checkpoint(&self) -> Option<Location> {
-        self.last
+        self.last_checkpoint
     }
 
     /// What was counted.
@@ -142,12 +142,12 @@
     }
 
     /// Applies a page of the log: its first retained offset, then its records in order.
-    pub fn page<'a>(
+    pub fn apply_page<'a>(
         &mut self,
         first: u64,
         records: impl IntoIterator<Item = (u64, &'a [u8])>,
     ) -> Vec<(u64, Verdict)> {
-        self.gap(first);
+        self.set_first_retained(first);
         let verdicts = records.into_iter().map(|(o, b)| (o, self.apply(o, b)));
         verdicts.collect()
     }
@@ -155,13 +155,13 @@
     /// Applies the record at `offset`. Records come in the log's order, from
     /// [`Fold::next_offset`] on.
     pub fn apply(&mut self, offset: u64, body: &[u8]) -> Verdict {
-        if self.rewound.is_some_and(|limit| offset >= limit) {
-            return Verdict::Unread;
+        if self.rewound_from.is_some_and(|limit| offset >= limit) {
+            return Verdict::Skipped;
         }
         if offset < self.next {
-            return Verdict::Old;
+            return Verdict::Stale;
         }
-        self.rewound = None;
+        self.rewound_from = None;
         self.next = offset.saturating_add(1);
         let verdict = match Record::decode(body) {
             Ok(Record::Version(version)) => self.apply_version(offset, version, body),
@@ -169,7 +169,7 @@
             Err(e) => Verdict::Refused(Reason::Record(e)),
         };
         self.counters.count(&verdict);
-        self.settle();
+        self.finish_update();
         verdict
     }
 
@@ -180,8 +180,8 @@
         if self.in_gap() {
             return None;
         }
-        let base = self.base.known.as_ref()?;
-        Some(Record::Checkpoint(base.head(self.next, wall, None)).encode())
+        let base = self.base.head.as_ref()?;
+        Some(Record::Checkpoint(base.to_head(self.next, wall, None)).encode())
     }
 
     /// Judges a version of the log.
@@ -189,36 +189,36 @@
         if self.in_gap() {
             return Verdict::Unjudged;
         }
-        if self.base.history.has(&version.envelope.header.id()) {
+        if self.base.history.contains(&version.envelope.header.id()) {
             return Verdict::Repeated;
         }
-        let bundle = match self.bundle_of(self.base.known.as_ref(), &version) {
+        let bundle = match self.child_bundle(self.base.head.as_ref(), &version) {
             Ok(bundle) => Arc::new(bundle),
             Err(verdict) => return verdict,
         };
-        let known = Known::new(bundle.clone(), version.envelope, self.next);
-        self.base.push(known, Some(offset), Some(body));
+        let signed = SignedBundle::new(bundle.clone(), version.envelope, self.next);
+        self.base.push(signed, Some(offset), Some(body));
         Verdict::Accepted(bundle)
     }
 
     /// The known state with the highest number.
-    fn shown(&self) -> Option<&Known> {
-        self.ahead.known.as_ref().or(self.base.known.as_ref())
+    fn current(&self) -> Option<&SignedBundle> {
+        self.ahead.head.as_ref().or(self.base.head.as_ref())
     }
 
     /// Drops what is overtaken, and checks what must hold.
-    fn settle(&mut self) {
+    fn finish_update(&mut self) {
         self.drop_overtaken();
-        let number = self.shown().map_or(0, |k| k.bundle.number);
+        let number = self.current().map_or(0, |k| k.bundle.number);
         // The promise to callers and operators alike: never back to an older version.
-        assert!(number >= self.highest, "head went back to {number}");
-        self.highest = number;
+        assert!(number >= self.highest_number, "head went back to {number}");
+        self.highest_number = number;
         debug_assert!(self.check().is_empty(), "{:?}", self.check());
     }
 
     /// Drops the head of a peer once the fold of the log has got as far.
     fn drop_overtaken(&mut self) {
-        let (Some(base), Some(ahead)) = (&self.base.known, &self.ahead.known) else {
+        let (Some(base), Some(ahead)) = (&self.base.head, &self.ahead.head) else {
             return;
         };
         if ahead.bundle.number > base.bundle.number {
@@ -232,10 +232,10 @@
     }
 
     /// Offset of the log below which the state in force accounts for all records.
-    fn accounted(&self) -> u64 {
-        if self.ahead.known.is_none() && !self.in_gap() {
+    fn covered_below(&self) -> u64 {
+        if self.ahead.head.is_none() && !self.in_gap() {
             return self.next;
         }
-        self.shown().map_or(0, |k| k.next)
+        self.current().map_or(0, |k| k.next)
     }
 }
--- a/crates/bundle/src/fold/adopt.rs
+++ b/crates/bundle/src/fold/adopt.rs
@@ -1,7 +1,7 @@
 //! States from checkpoints and peers.
 
 use super::Fold;
-use super::known::{Known, checked};
+use super::signed_bundle::{SignedBundle, build_bundle};
 use super::verdict::{Reason, Verdict};
 use crate::bundle::Bundle;
 use crate::id::Number;
@@ -14,21 +14,21 @@
 impl Fold {
     /// Tells the first offset that the log retains, before the records of a page are applied.
     /// Returns whether there is a gap now.
-    pub fn gap(&mut self, first: u64) -> bool {
+    pub fn set_first_retained(&mut self, first: u64) -> bool {
         if first <= self.next {
             return self.in_gap();
         }
         if !self.in_gap() {
             self.counters.gaps += 1;
-            if let Some(base) = &mut self.base.known {
+            if let Some(base) = &mut self.base.head {
                 base.next = self.next;
             }
         }
         self.gap = Some(first);
         self.next = first;
-        self.rewound = None;
-        self.close_by_ahead();
-        self.settle();
+        self.rewound_from = None;
+        self.close_gap_by_peer();
+        self.finish_update();
         self.in_gap()
     }
 
@@ -41,125 +41,125 @@
             Err(e) => Verdict::Refused(Reason::Record(e)),
         };
         self.counters.count(&verdict);
-        self.settle();
+        self.finish_update();
         verdict
     }
 
     /// What to send to a peer whose head is version `after`: the versions since, or the full
     /// head if these aren't kept any more. Nothing if it isn't behind.
-    pub fn offer(&self, after: Number) -> Vec<Arc<[u8]>> {
-        let Some(known) = self.shown() else {
+    pub fn records_since(&self, after: Number) -> Vec<Arc<[u8]>> {
+        let Some(signed) = self.current() else {
             return Vec::new();
         };
-        let number = known.bundle.number;
+        let number = signed.bundle.number;
         if number <= after {
             return Vec::new();
         }
-        if let Some(versions) = self.versions(after, number) {
+        if let Some(versions) = self.recent_versions(after, number) {
             return versions;
         }
-        self.full().into_iter().map(Arc::from).collect()
+        self.encode_head().into_iter().map(Arc::from).collect()
     }
 
     /// The head in force as a full record, for a peer or an operator.
-    pub fn full(&self) -> Option<Vec<u8>> {
-        let known = self.shown()?;
-        let head = known.head(self.accounted(), Duration::ZERO, self.last);
+    pub fn encode_head(&self) -> Option<Vec<u8>> {
+        let signed = self.current()?;
+        let head = signed.to_head(self.covered_below(), Duration::ZERO, self.last_checkpoint);
         Some(Record::Checkpoint(head).encode())
     }
 
     /// Records of the versions after `after` up to `to`, if all are kept.
-    fn versions(&self, after: Number, to: Number) -> Option<Vec<Arc<[u8]>>> {
+    fn recent_versions(&self, after: Number, to: Number) -> Option<Vec<Arc<[u8]>>> {
         let base = self.base.number();
-        let told = self.ahead.history.recent().filter(|r| r.number > base);
-        let all = self.base.history.recent().chain(told);
+        let from_peers = self.ahead.history.recent().filter(|r| r.number > base);
+        let all = self.base.history.recent().chain(from_peers);
         let wanted = all.filter(|r| r.number > after);
         let numbers = wanted.clone().map(|r| r.number);
-        let whole = numbers.eq(after + 1..=to);
-        whole.then(|| wanted.map(|r| r.body.clone()).collect())
+        let complete = numbers.eq(after + 1..=to);
+        complete.then(|| wanted.map(|r| r.body.clone()).collect())
     }
 
     /// Takes a version from a peer.
     fn adopt_version(&mut self, version: Version, body: &[u8]) -> Verdict {
-        let shown = self.shown();
-        if shown.is_some_and(|k| k.bundle.number >= version.envelope.header.number) {
-            return Verdict::Old;
+        let current = self.current();
+        if current.is_some_and(|k| k.bundle.number >= version.envelope.header.number) {
+            return Verdict::Stale;
         }
-        let bundle = match self.bundle_of(shown, &version) {
+        let bundle = match self.child_bundle(current, &version) {
             Ok(bundle) => Arc::new(bundle),
             Err(verdict) => return verdict,
         };
-        let known = Known::new(bundle.clone(), version.envelope, self.accounted());
-        self.ahead.push(known, None, Some(body));
+        let signed = SignedBundle::new(bundle.clone(), version.envelope, self.covered_below());
+        self.ahead.push(signed, None, Some(body));
         Verdict::Adopted(bundle)
     }
 
     /// Takes a full head from a peer.
     fn adopt_head(&mut self, head: Head) -> Verdict {
-        let shown = self
-            .shown()
+        let current = self
+            .current()
             .map(|k| (k.bundle.number, k.envelope.header.id()));
-        if shown.is_some_and(|(_, id)| id == head.envelope.header.id()) {
-            return self.confirm(head.next);
+        if current.is_some_and(|(_, id)| id == head.envelope.header.id()) {
+            return self.confirm_head(head.next);
         }
         let number = head.envelope.header.number;
-        if shown.is_some_and(|(known, _)| known == number) {
+        if current.is_some_and(|(number_in_force, _)| number_in_force == number) {
             return Verdict::Refused(Reason::Conflict(number));
         }
-        if shown.is_some_and(|(known, _)| known > number) {
-            return Verdict::Old;
+        if current.is_some_and(|(number_in_force, _)| number_in_force > number) {
+            return Verdict::Stale;
         }
         let checkpoint = head.checkpoint;
-        let known = match self.known_of(head) {
-            Ok(known) => known,
+        let signed = match self.verify_head(head) {
+            Ok(signed) => signed,
             Err(reason) => return Verdict::Refused(reason),
         };
-        let bundle = known.bundle.clone();
-        self.ahead.push(known, None, None);
-        self.last = self.last.or(checkpoint);
-        self.close_by_ahead();
+        let bundle = signed.bundle.clone();
+        self.ahead.push(signed, None, None);
+        self.last_checkpoint = self.last_checkpoint.or(checkpoint);
+        self.close_gap_by_peer();
         Verdict::Adopted(bundle)
     }
 
     /// A peer has the same head and accounts with it for the log below `next`: this may close a
     /// gap, in which then no version was accepted.
-    fn confirm(&mut self, next: u64) -> Verdict {
+    fn confirm_head(&mut self, next: u64) -> Verdict {
         let Some(gap) = self.gap else {
-            return Verdict::Old;
+            return Verdict::Stale;
         };
         if next < gap {
-            return Verdict::Old;
+            return Verdict::Stale;
         }
-        if self.ahead.known.is_some() {
+        if self.ahead.head.is_some() {
             self.base.append(&mut self.ahead);
         }
-        let Some(known) = &mut self.base.known else {
-            return Verdict::Old;
+        let Some(signed) = &mut self.base.head else {
+            return Verdict::Stale;
         };
-        known.next = next;
-        let bundle = known.bundle.clone();
-        self.restart(next);
+        signed.next = next;
+        let bundle = signed.bundle.clone();
+        self.resume_at(next);
         Verdict::Adopted(bundle)
     }
 
     /// Uses the peer's head as the base if it accounts for all that a gap hides.
-    pub(super) fn close_by_ahead(&mut self) {
+    pub(super) fn close_gap_by_peer(&mut self) {
         let Some(gap) = self.gap else { return };
-        let Some(known) = &self.ahead.known else {
+        let Some(signed) = &self.ahead.head else {
             return;
         };
-        let next = known.next;
+        let next = signed.next;
         if next >= gap {
             self.base.append(&mut self.ahead);
-            self.restart(next);
+            self.resume_at(next);
         }
     }
 
     /// Closes the gap: the base accounts for all records below `next`, so read on from there.
-    fn restart(&mut self, next: u64) {
+    fn resume_at(&mut self, next: u64) {
         self.gap = None;
         if next < self.next {
-            self.rewound = Some(self.next);
+            self.rewound_from = Some(self.next);
         }
         self.next = next;
     }
@@ -167,16 +167,16 @@
     /// Takes a checkpoint of the log.
     pub(super) fn apply_checkpoint(&mut self, offset: u64, head: Head) -> Verdict {
         if head.next > offset {
-            return Verdict::Refused(Reason::Future);
+            return Verdict::Refused(Reason::FutureOffset);
         }
         match self.gap {
-            Some(gap) => self.close_by_checkpoint(gap, offset, head),
-            None => self.compare(offset, head),
+            Some(gap) => self.close_gap_by_checkpoint(gap, offset, head),
+            None => self.compare_checkpoint(offset, head),
         }
     }
 
     /// Closes a gap by a checkpoint that accounts for all that the gap hides.
-    fn close_by_checkpoint(&mut self, gap: u64, offset: u64, head: Head) -> Verdict {
+    fn close_gap_by_checkpoint(&mut self, gap: u64, offset: u64, head: Head) -> Verdict {
         if head.next < gap {
             return Verdict::Unjudged;
         }
@@ -185,26 +185,26 @@
             return Verdict::Refused(Reason::Conflict(number));
         }
         let location = location(offset, &head);
-        let known = match self.known_of(head) {
-            Ok(known) => known,
+        let signed = match self.verify_head(head) {
+            Ok(signed) => signed,
             Err(reason) => return Verdict::Refused(reason),
         };
-        let bundle = known.bundle.clone();
+        let bundle = signed.bundle.clone();
         // A checkpoint that accounts for all before itself needn't be read a second time.
-        let next = if known.next == offset {
+        let next = if signed.next == offset {
             self.next
         } else {
-            known.next
+            signed.next
         };
-        self.last = Some(location);
-        self.base.push(known, None, None);
-        self.restart(next);
+        self.last_checkpoint = Some(location);
+        self.base.push(signed, None, None);
+        self.resume_at(next);
         Verdict::Adopted(bundle)
     }
 
     /// Whether the log before the gap came to something that can't precede `head`.
     fn contradicts(&self, head: &Head) -> bool {
-        let Some(base) = &self.base.known else {
+        let Some(base) = &self.base.head else {
             return false;
         };
         let header = &head.envelope.header;
@@ -214,7 +214,7 @@
 
     /// Compares a checkpoint with what was folded without a gap. It needs no signature check:
     /// only one whose header the fold has accepted itself agrees.
-    fn compare(&mut self, offset: u64, head: Head) -> Verdict {
+    fn compare_checkpoint(&mut self, offset: u64, head: Head) -> Verdict {
         let header = &head.envelope.header;
         let number = header.number;
         if number > self.base.number() {
@@ -222,28 +222,32 @@
         }
         match self.base.history.get(number) {
             Some(entry) if entry.id == header.id() => {
-                self.last = Some(location(offset, &head));
+                self.last_checkpoint = Some(location(offset, &head));
                 Verdict::Agreed
             }
             Some(_) => Verdict::Refused(Reason::Conflict(number)),
-            None => Verdict::Old,
+            None => Verdict::Stale,
         }
     }
 
     /// The checked state of a head whose signature is trusted.
-    fn known_of(&self, head: Head) -> Result<Known, Reason> {
+    fn verify_head(&self, head: Head) -> Result<SignedBundle, Reason> {
         let none = Bundle::default();
-        let shown = self.shown().map_or(&none, |k| &*k.bundle);
-        let trust = head.envelope.check(&self.trusted, &shown.signers);
-        trust.map_err(Reason::Distrust)?;
-        let bundle = checked(&head.sections, &head.envelope.header)?;
-        if bundle.number >= shown.number {
-            let findings = verify::step(shown, &bundle);
-            if findings.failed() {
+        let current = self.current().map_or(&none, |k| &*k.bundle);
+        let trust = head.envelope.check(&self.trusted, &current.signers);
+        trust.map_err(Reason::Signature)?;
+        let bundle = build_bundle(&head.sections, &head.envelope.header)?;
+        if bundle.number >= current.number {
+            let findings = verify::verify_successor(current, &bundle);
+            if findings.has_errors() {
                 return Err(Reason::Bundle(findings));
             }
         }
-        Ok(Known::new(Arc::new(bundle), head.envelope, head.next))
+        Ok(SignedBundle::new(
+            Arc::new(bundle),
+            head.envelope,
+            head.next,
+        ))
     }
 }
 
--- a/crates/bundle/src/fold/branch.rs
+++ b/crates/bundle/src/fold/branch.rs
@@ -1,14 +1,14 @@
 //! A line of versions: the fold's own, or what peers told beyond it.
 
 use super::history::{Entry, History};
-use super::known::Known;
+use super::signed_bundle::SignedBundle;
 use crate::id::Number;
 
 /// A line of versions with its head.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Branch {
     /// Its head.
-    pub known: Option<Known>,
+    pub head: Option<SignedBundle>,
     /// Its versions.
     pub history: History,
 }
@@ -16,24 +16,24 @@
 impl Branch {
     /// Number of its head; 0 without one.
     pub fn number(&self) -> Number {
-        self.known.as_ref().map_or(0, |k| k.bundle.number)
+        self.head.as_ref().map_or(0, |k| k.bundle.number)
     }
 
     /// Sets the head; `offset` is that of its record, `body` the record if it is a version.
-    pub fn push(&mut self, known: Known, offset: Option<u64>, body: Option<&[u8]>) {
-        let number = known.bundle.number;
-        self.history.push(known.entry(offset));
+    pub fn push(&mut self, signed: SignedBundle, offset: Option<u64>, body: Option<&[u8]>) {
+        let number = signed.bundle.number;
+        self.history.push(signed.entry(offset));
         if let Some(body) = body {
-            self.history.keep(number, body);
+            self.history.push_record(number, body);
         }
-        self.known = Some(known);
+        self.head = Some(signed);
     }
 
     /// Moves all of `other` to the end of this one.
     pub fn append(&mut self, other: &mut Self) {
         let other = std::mem::take(other);
         self.history.append(other.history);
-        self.known = other.known;
+        self.head = other.head;
     }
 
     /// Entries with a number above `number`, oldest first.
--- a/crates/bundle/src/fold/counters.rs
+++ b/crates/bundle/src/fold/counters.rs
@@ -1,7 +1,7 @@
 //! Counters of the fold.
 
 use super::verdict::{Reason, Verdict};
-use crate::signed::Distrust;
+use crate::signed::SignatureError;
 
 /// What the fold has counted since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -63,7 +63,7 @@
             Verdict::Unjudged => &mut self.unjudged,
             Verdict::Adopted(_) => &mut self.adopted,
             Verdict::Agreed => &mut self.agreed,
-            Verdict::Old | Verdict::Unread => return,
+            Verdict::Stale | Verdict::Skipped => return,
             Verdict::Refused(reason) => self.refused(reason),
         };
         *counter += 1;
@@ -72,9 +72,9 @@
     /// The counter of a reason.
     fn refused(&mut self, reason: &Reason) -> &mut u64 {
         match reason {
-            Reason::Distrust(Distrust::Unknown) => &mut self.unknown_signer,
-            Reason::Distrust(Distrust::Revoked) => &mut self.revoked_signer,
-            Reason::Distrust(Distrust::Signature) => &mut self.wrong_signature,
+            Reason::Signature(SignatureError::UnknownSigner) => &mut self.unknown_signer,
+            Reason::Signature(SignatureError::RevokedSigner) => &mut self.revoked_signer,
+            Reason::Signature(SignatureError::WrongSignature) => &mut self.wrong_signature,
             Reason::Record(_) => &mut self.unreadable,
             Reason::Conflict(_) => &mut self.conflicts,
             _ => &mut self.invalid,
--- a/crates/bundle/src/fold/dump.rs
+++ b/crates/bundle/src/fold/dump.rs
@@ -13,12 +13,12 @@
             )?,
             None => writeln!(f, "no version")?,
         }
-        let logged = self.logged().map_or(0, |b| b.number);
+        let logged = self.log_head().map_or(0, |b| b.number);
         writeln!(f, "folded to version {logged}, next offset {}", self.next)?;
         if let Some(first) = self.gap {
             writeln!(f, "gap: the log starts at offset {first}")?;
         }
-        if let Some(last) = self.last {
+        if let Some(last) = self.last_checkpoint {
             let (offset, number) = (last.offset, last.number);
             writeln!(f, "checkpoint of version {number} at offset {offset}")?;
         }
--- a/crates/bundle/src/fold/history.rs
+++ b/crates/bundle/src/fold/history.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 /// Most entries kept: at 16,000 versions a day an hour and a half, about 200 bytes each.
-const MOST: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// Most bytes of recent version records kept for peers that are a few versions behind.
-const MOST_BYTES: usize = 256 << 10;
+const MAX_RECENT_BYTES: usize = 256 << 10;
 
 /// A version that was in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
 /// An encoded version record.
 #[derive(Clone, Debug)]
-pub(super) struct Recent {
+pub(super) struct RecentRecord {
     /// Its number.
     pub number: Number,
     /// The record.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
     entries: VecDeque<Entry>,
-    recent: VecDeque<Recent>,
+    recent: VecDeque<RecentRecord>,
     bytes: usize,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Whether a version with identity `id` is in it.
-    pub fn has(&self, id: &Digest) -> bool {
+    pub fn contains(&self, id: &Digest) -> bool {
         self.entries.iter().any(|e| e.id == *id)
     }
 
@@ -75,31 +75,31 @@
     /// Adds an entry. Entries with the same or a higher number are dropped: reading started
     /// again from an earlier checkpoint.
     pub fn push(&mut self, entry: Entry) {
-        let overruled = |e: &Entry| e.number >= entry.number;
-        while self.entries.back().is_some_and(overruled) {
+        let replaced = |e: &Entry| e.number >= entry.number;
+        while self.entries.back().is_some_and(replaced) {
             self.entries.pop_back();
         }
         self.entries.push_back(entry);
-        if self.entries.len() > MOST {
+        if self.entries.len() > MAX_ENTRIES {
             self.entries.pop_front();
         }
     }
 
     /// Keeps the record of a version for peers.
-    pub fn keep(&mut self, number: Number, body: &[u8]) {
-        let overruled = |r: &Recent| r.number >= number;
-        while self.recent.back().is_some_and(overruled) {
-            let gone = self.recent.pop_back();
-            self.bytes -= gone.map_or(0, |r| r.body.len());
+    pub fn push_record(&mut self, number: Number, body: &[u8]) {
+        let replaced = |r: &RecentRecord| r.number >= number;
+        while self.recent.back().is_some_and(replaced) {
+            let dropped = self.recent.pop_back();
+            self.bytes -= dropped.map_or(0, |r| r.body.len());
         }
         self.bytes += body.len();
-        self.recent.push_back(Recent {
+        self.recent.push_back(RecentRecord {
             number,
             body: body.into(),
         });
-        while self.bytes > MOST_BYTES {
-            let gone = self.recent.pop_front();
-            self.bytes -= gone.map_or(0, |r| r.body.len());
+        while self.bytes > MAX_RECENT_BYTES {
+            let dropped = self.recent.pop_front();
+            self.bytes -= dropped.map_or(0, |r| r.body.len());
         }
     }
 
@@ -109,12 +109,12 @@
             self.push(entry);
         }
         for recent in other.recent {
-            self.keep(recent.number, &recent.body);
+            self.push_record(recent.number, &recent.body);
         }
     }
 
     /// Version records that are kept, oldest first.
-    pub fn recent(&self) -> impl Iterator<Item = &Recent> + Clone {
+    pub fn recent(&self) -> impl Iterator<Item = &RecentRecord> + Clone {
         self.recent.iter()
     }
 }
--- a/crates/bundle/src/fold/flaw.rs
+++ b/crates/bundle/src/fold/invariant.rs
@@ -6,13 +6,13 @@
 
 /// Something that must not be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum Violation {
     /// A peer's head is kept though the fold of the log has got as far.
     Overtaken(Number),
     /// The numbers of the history don't rise after this one.
-    History(Number),
+    HistoryOrder(Number),
     /// The last entry of the history isn't the head.
-    Last(Number),
+    HistoryEnd(Number),
     /// The sections in force don't have the digest in force.
     Digest(Number),
     /// The sections in force aren't a valid bundle.
@@ -25,47 +25,47 @@
 
 impl Fold {
     /// Everything that is wrong with the state; empty if all is well. Cheap.
-    pub fn check(&self) -> Vec<Flaw> {
-        let mut flaws = Vec::new();
-        self.check_numbers(&mut flaws);
-        if let Some(limit) = self.rewound.filter(|limit| *limit <= self.next) {
-            flaws.push(Flaw::Rewound(limit));
+    pub fn check(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        self.check_numbers(&mut violations);
+        if let Some(limit) = self.rewound_from.filter(|limit| *limit <= self.next) {
+            violations.push(Violation::Rewound(limit));
         }
         if let Some(gap) = self.gap.filter(|gap| *gap > self.next) {
-            flaws.push(Flaw::Gap(gap));
+            violations.push(Violation::Gap(gap));
         }
-        flaws
+        violations
     }
 
     /// As [`Fold::check`], and recomputes the digest and checks of the bundle in force.
-    pub fn check_all(&self) -> Vec<Flaw> {
-        let mut flaws = self.check();
+    pub fn check_all(&self) -> Vec<Violation> {
+        let mut violations = self.check();
         let Some(head) = self.head() else {
-            return flaws;
+            return violations;
         };
         if head.sections.digest() != head.digest {
-            flaws.push(Flaw::Digest(head.number));
+            violations.push(Violation::Digest(head.number));
         }
-        if verify::verify(&head.sections).findings.failed() {
-            flaws.push(Flaw::Invalid(head.number));
+        if verify::verify(&head.sections).findings.has_errors() {
+            violations.push(Violation::Invalid(head.number));
         }
-        flaws
+        violations
     }
 
     /// Checks the order of numbers.
-    fn check_numbers(&self, flaws: &mut Vec<Flaw>) {
-        if let (Some(base), Some(ahead)) = (&self.base.known, &self.ahead.known)
+    fn check_numbers(&self, violations: &mut Vec<Violation>) {
+        if let (Some(base), Some(ahead)) = (&self.base.head, &self.ahead.head)
             && ahead.bundle.number <= base.bundle.number
         {
-            flaws.push(Flaw::Overtaken(ahead.bundle.number));
+            violations.push(Violation::Overtaken(ahead.bundle.number));
         }
         let numbers: Vec<Number> = self.history().map(|e| e.number).collect();
         let falling = numbers.windows(2).filter(|w| w[0] >= w[1]);
-        flaws.extend(falling.map(|w| Flaw::History(w[0])));
+        violations.extend(falling.map(|w| Violation::HistoryOrder(w[0])));
         if let Some(head) = self.head()
             && numbers.last() != Some(&head.number)
         {
-            flaws.push(Flaw::Last(head.number));
+            violations.push(Violation::HistoryEnd(head.number));
         }
     }
 }
--- a/crates/bundle/src/fold/judge.rs
+++ b/crates/bundle/src/fold/judge.rs
@@ -1,8 +1,8 @@
 //! Whether a version is a valid child of a head.
 
-use super::known::{self, Known};
+use super::signed_bundle::{self, SignedBundle};
 use super::verdict::{Reason, Verdict};
-use super::{Fold, Standing};
+use super::{Fold, Status};
 use crate::bundle::Bundle;
 use crate::signed::Version;
 use crate::verify;
@@ -11,26 +11,26 @@
 impl Fold {
     /// Judges `version` as if it came next, without effect.
     pub fn judge(&self, version: &Version) -> Verdict {
-        if let Standing::Accepted(_) = self.standing(&version.envelope.header) {
+        if let Status::Accepted(_) = self.status(&version.envelope.header) {
             return Verdict::Repeated;
         }
-        match self.bundle_of(self.shown(), version) {
+        match self.child_bundle(self.current(), version) {
             Ok(bundle) => Verdict::Accepted(Arc::new(bundle)),
             Err(verdict) => verdict,
         }
     }
 
     /// The bundle that `version` makes of `head`, or why it makes none.
-    pub(super) fn bundle_of(
+    pub(super) fn child_bundle(
         &self,
-        head: Option<&Known>,
+        head: Option<&SignedBundle>,
         version: &Version,
     ) -> Result<Bundle, Verdict> {
         let header = &version.envelope.header;
         let none = Bundle::default();
         let parent = head.map_or(&none, |k| &*k.bundle);
         let trust = version.envelope.check(&self.trusted, &parent.signers);
-        trust.map_err(|e| Verdict::Refused(Reason::Distrust(e)))?;
+        trust.map_err(|e| Verdict::Refused(Reason::Signature(e)))?;
         let follows =
             header.parent == parent.digest && parent.number.checked_add(1) == Some(header.number);
         if !follows {
@@ -51,9 +51,9 @@
     if sections.digest() != header.result {
         return Err(Reason::Digest);
     }
-    let bundle = known::checked(&sections, header)?;
-    let findings = verify::step(parent, &bundle);
-    if findings.failed() {
+    let bundle = signed_bundle::build_bundle(&sections, header)?;
+    let findings = verify::verify_successor(parent, &bundle);
+    if findings.has_errors() {
         return Err(Reason::Bundle(findings));
     }
     Ok(bundle)
--- a/crates/bundle/src/fold/known.rs
+++ b/crates/bundle/src/fold/signed_bundle.rs
@@ -11,7 +11,7 @@
 
 /// A known state.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct SignedBundle {
     /// The bundle.
     pub bundle: Arc<Bundle>,
     /// Header and signature.
@@ -20,7 +20,7 @@
     pub next: u64,
 }
 
-impl Known {
+impl SignedBundle {
     /// A state whose signature was checked.
     pub fn new(bundle: Arc<Bundle>, envelope: Envelope, next: u64) -> Self {
         let envelope = Arc::new(envelope);
@@ -45,7 +45,7 @@
     }
 
     /// As a record that accounts for the log below `next`, written at `written`.
-    pub fn head(&self, next: u64, written: Duration, checkpoint: Option<Location>) -> Head {
+    pub fn to_head(&self, next: u64, written: Duration, checkpoint: Option<Location>) -> Head {
         Head {
             envelope: (*self.envelope).clone(),
             next,
@@ -57,9 +57,9 @@
 }
 
 /// The checked bundle of `sections`, whose digest is the one in `header`.
-pub fn checked(sections: &Sections, header: &Header) -> Result<Bundle, Reason> {
-    if sections.len() > sections::MOST {
-        return Err(Reason::Size(sections.len()));
+pub fn build_bundle(sections: &Sections, header: &Header) -> Result<Bundle, Reason> {
+    if sections.len() > sections::MAX_SECTIONS {
+        return Err(Reason::TooManySections(sections.len()));
     }
     let report = verify::verify(sections);
     let mut bundle = report.bundle.ok_or(Reason::Bundle(report.findings))?;
--- a/crates/bundle/src/fold/verdict.rs
+++ b/crates/bundle/src/fold/verdict.rs
@@ -5,7 +5,7 @@
 use crate::finding::Findings;
 use crate::id::Number;
 use crate::record;
-use crate::signed::Distrust;
+use crate::signed::SignatureError;
 use std::fmt;
 use std::sync::Arc;
 
@@ -31,9 +31,9 @@
     /// A checkpoint that agrees with what was folded.
     Agreed,
     /// A record or state that is older than what is known; it changed nothing.
-    Old,
+    Stale,
     /// A record that was passed over, since reading goes on from an earlier offset.
-    Unread,
+    Skipped,
 }
 
 /// Why a record doesn't count.
@@ -42,17 +42,17 @@
     /// It can't be read.
     Record(record::Error),
     /// The signer isn't trusted.
-    Distrust(Distrust),
+    Signature(SignatureError),
     /// The delta doesn't fit the parent.
     Delta(Mismatch),
     /// The result doesn't have the digest that was signed.
     Digest,
     /// So many sections that it is over the bound.
-    Size(usize),
+    TooManySections(usize),
     /// The bundle is wrong.
     Bundle(Findings),
     /// A checkpoint that accounts for records after itself.
-    Future,
+    FutureOffset,
     /// A checkpoint with a version that the log didn't come to, or a peer's head that isn't the
     /// one known under its number.
     Conflict(Number),
@@ -62,12 +62,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Record(e) => write!(f, "{e}"),
-            Self::Distrust(e) => write!(f, "{e}"),
+            Self::Signature(e) => write!(f, "{e}"),
             Self::Delta(e) => write!(f, "delta {e}"),
             Self::Digest => f.write_str("result doesn't have the digest that was signed"),
-            Self::Size(len) => write!(f, "{len} sections are too many"),
+            Self::TooManySections(len) => write!(f, "{len} sections are too many"),
             Self::Bundle(findings) => write!(f, "{findings}"),
-            Self::Future => f.write_str("checkpoint accounts for records after itself"),
+            Self::FutureOffset => f.write_str("checkpoint accounts for records after itself"),
             Self::Conflict(number) => {
                 write!(f, "another version {number} is known")
             }
@@ -98,8 +98,8 @@
             Self::Unjudged => f.write_str("unjudged"),
             Self::Adopted(bundle) => write!(f, "adopted: version {}", bundle.number),
             Self::Agreed => f.write_str("agreed"),
-            Self::Old => f.write_str("old"),
-            Self::Unread => f.write_str("unread"),
+            Self::Stale => f.write_str("old"),
+            Self::Skipped => f.write_str("unread"),
         }
     }
 }
--- a/crates/bundle/src/publish.rs
+++ b/crates/bundle/src/publish.rs
@@ -10,7 +10,7 @@
 //! comes first is accepted and the other one is a repetition. So no version is in force twice,
 //! and the answer is the fold's, never a guess.
 
-use crate::fold::{Entry, Fold, Reason, Standing, Verdict};
+use crate::fold::{Entry, Fold, Reason, Status, Verdict};
 use crate::id::Number;
 use crate::record::{self, Record};
 use crate::signed::Version;
@@ -28,7 +28,7 @@
         /// Failed calls so far.
         failures: u32,
     },
-    /// Append [`Publish::body`].
+    /// Append [`Publisher::body`].
     Append,
     /// Nothing more; this is the end.
     Done(Outcome),
@@ -59,11 +59,11 @@
     /// Another version came first; this one will never be in force.
     Lost(Entry),
     /// The head is past this number, and nobody remembers which version had it.
-    Past(Number),
+    Superseded(Number),
     /// The version doesn't count on any node. It was not appended.
     Refused(Reason),
     /// Its parent was never the head, as far as the log was read. It was not appended.
-    Parent(Number),
+    UnknownParent(Number),
     /// The log can't be judged from here for a gap. It was not appended.
     Gap,
     /// The log couldn't be reached; nothing was appended.
@@ -88,7 +88,7 @@
 
 /// The publishing of one version.
 #[derive(Debug)]
-pub struct Publish {
+pub struct Publisher {
     version: Version,
     body: Vec<u8>,
     state: State,
@@ -97,7 +97,7 @@
     appended: bool,
 }
 
-impl Publish {
+impl Publisher {
     /// Publishes the version in the record `body`.
     pub fn new(body: Vec<u8>) -> record::Result<Self> {
         let version = match Record::decode(&body)? {
@@ -146,7 +146,7 @@
 
     /// At the end of the log: appends if the version can win, else ends.
     fn decide(&mut self, fold: &Fold) -> Action {
-        if let Some(outcome) = self.settled(fold) {
+        if let Some(outcome) = self.race_outcome(fold) {
             return self.end(outcome);
         }
         if fold.in_gap() {
@@ -165,14 +165,14 @@
             Verdict::Refused(reason) => self.end(Outcome::Refused(reason)),
             _ => {
                 let number = fold.head().map_or(0, |b| b.number);
-                self.end(Outcome::Parent(number))
+                self.end(Outcome::UnknownParent(number))
             }
         }
     }
 
     /// After an append that got an offset.
     fn read_back(&mut self, fold: &Fold, offset: u64, end: bool) -> Action {
-        if let Some(outcome) = self.settled(fold) {
+        if let Some(outcome) = self.race_outcome(fold) {
             return self.end(outcome);
         }
         if fold.next_offset() <= offset {
@@ -184,15 +184,15 @@
     }
 
     /// The outcome, if the race is over.
-    fn settled(&self, fold: &Fold) -> Option<Outcome> {
-        match fold.standing(&self.version.envelope.header) {
-            Standing::Accepted(entry) => Some(Outcome::Accepted(entry)),
-            Standing::Lost(entry) => Some(Outcome::Lost(entry)),
-            Standing::Past => {
+    fn race_outcome(&self, fold: &Fold) -> Option<Outcome> {
+        match fold.status(&self.version.envelope.header) {
+            Status::Accepted(entry) => Some(Outcome::Accepted(entry)),
+            Status::Lost(entry) => Some(Outcome::Lost(entry)),
+            Status::Superseded => {
                 let number = fold.head().map_or(0, |b| b.number);
-                Some(Outcome::Past(number))
+                Some(Outcome::Superseded(number))
             }
-            Standing::Open | Standing::Unknown => None,
+            Status::Acceptable | Status::UnknownParent => None,
         }
     }
 
@@ -237,9 +237,9 @@
                 "lost the race: version {} is by {} ({})",
                 entry.number, entry.signer, entry.digest
             ),
-            Self::Past(number) => write!(f, "lost: the head is version {number} already"),
+            Self::Superseded(number) => write!(f, "lost: the head is version {number} already"),
             Self::Refused(reason) => write!(f, "refused: {reason}"),
-            Self::Parent(number) => {
+            Self::UnknownParent(number) => {
                 write!(
                     f,
                     "refused: its parent is not the head, which is version {number}"
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Longest record, in bytes; a longer one is refused before it is read.
-pub const MAX_RECORD: usize = 4 << 20;
+pub const MAX_RECORD_LEN: usize = 4 << 20;
 
 /// A record of the stream.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 /// Why bytes are no record.
 #[derive(Debug)]
 pub enum Error {
-    /// Longer than [`MAX_RECORD`].
+    /// Longer than [`MAX_RECORD_LEN`].
     Size(usize),
     /// Not JSON of the expected shape.
     Shape(serde_json::Error),
@@ -42,7 +42,7 @@
     Text(Findings),
     /// The delta or the sections are not those that the header names.
     Digest,
-    /// A delta of more than [`sections::MOST`] sections.
+    /// A delta of more than [`sections::MAX_SECTIONS`] sections.
     Sections,
     /// A checkpoint where a version is expected.
     Kind,
@@ -54,11 +54,11 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Size(len) => write!(f, "{len} bytes, over {MAX_RECORD}"),
+            Self::Size(len) => write!(f, "{len} bytes, over {MAX_RECORD_LEN}"),
             Self::Shape(e) => write!(f, "not a record: {e}"),
             Self::Text(findings) => write!(f, "sections can't be read: {findings}"),
             Self::Digest => f.write_str("content doesn't have the digest in the header"),
-            Self::Sections => write!(f, "over {} sections", sections::MOST),
+            Self::Sections => write!(f, "over {} sections", sections::MAX_SECTIONS),
             Self::Kind => f.write_str("a checkpoint, not a version"),
         }
     }
@@ -144,7 +144,7 @@
 impl Record {
     /// Reads a record. Its content has the digests of its header; the signature is not checked.
     pub fn decode(body: &[u8]) -> Result<Self> {
-        if body.len() > MAX_RECORD {
+        if body.len() > MAX_RECORD_LEN {
             return Err(Error::Size(body.len()));
         }
         let raw = serde_json::from_slice(body).map_err(Error::Shape)?;
@@ -165,7 +165,7 @@
     }
 
     /// All sections, of a checkpoint or of a first version.
-    pub fn whole(&self) -> Result<Sections, Mismatch> {
+    pub fn sections(&self) -> Result<Sections, Mismatch> {
         match self {
             Self::Version(version) => version.delta.apply(&Sections::default()),
             Self::Checkpoint(head) => Ok(head.sections.clone()),
@@ -249,13 +249,13 @@
 
     fn try_from(raw: RawVersion) -> Result<Self> {
         // A bound on memory that holds before anybody has checked a signature.
-        if raw.set.len() + raw.removed.len() > sections::MOST {
+        if raw.set.len() + raw.removed.len() > sections::MAX_SECTIONS {
             return Err(Error::Sections);
         }
         let mut findings = Findings::default();
         let mut delta = Delta::default();
         for (header, body) in &raw.set {
-            let section: Option<Section> = text::section(header, body, 0, &mut findings);
+            let section: Option<Section> = text::parse_section(header, body, 0, &mut findings);
             let Some(section) = section else { continue };
             delta.set.insert(section.key().clone(), Arc::new(section));
         }
@@ -267,7 +267,7 @@
                 Err(message) => findings.push(text::error(0, header, message)),
             }
         }
-        if findings.failed() {
+        if findings.has_errors() {
             return Err(Error::Text(findings));
         }
         let envelope = Envelope::from(raw.envelope);
--- a/crates/bundle/src/section.rs
+++ b/crates/bundle/src/section.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 /// Longest name of a section, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
 /// Kinds of sections, in canonical order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -45,7 +45,7 @@
     ];
 
     /// Its word in a header.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Zone => "zone",
             Self::Kind => "kind",
@@ -96,7 +96,7 @@
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.kind.word(), self.name)
+        write!(f, "{} {}", self.kind.as_str(), self.name)
     }
 }
 
@@ -106,7 +106,7 @@
     fn from_str(header: &str) -> Result<Self, String> {
         let mut words = header.split_whitespace();
         let word = words.next().ok_or("empty section header")?;
-        let kind = Kind::ALL.into_iter().find(|k| k.word() == word);
+        let kind = Kind::ALL.into_iter().find(|k| k.as_str() == word);
         let kind = kind.ok_or_else(|| unknown_kind(word))?;
         let mut names: Vec<&str> = words.collect();
         let expected = if kind == Kind::Link { 2 } else { 1 };
@@ -118,7 +118,7 @@
         }
         if let Some(bad) = names.iter().find(|n| !is_name(n)) {
             return Err(format!(
-                "`{bad:.80}` is no name: 1 to {MAX_NAME} of a-z A-Z 0-9 . _ -"
+                "`{bad:.80}` is no name: 1 to {MAX_NAME_LEN} of a-z A-Z 0-9 . _ -"
             ));
         }
         names.sort_unstable();
@@ -129,7 +129,7 @@
 
 /// Message for a header that starts with an unknown word.
 fn unknown_kind(word: &str) -> String {
-    let known = Kind::ALL.into_iter().map(Kind::word);
+    let known = Kind::ALL.into_iter().map(Kind::as_str);
     match crate::nearest::nearest(word, known) {
         Some(near) => format!("unknown section `{word:.80}`; `{near}` is near"),
         None => format!("unknown section `{word:.80}`"),
@@ -139,7 +139,7 @@
 /// Whether `text` can name a section.
 pub fn is_name(text: &str) -> bool {
     let ok = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
-    !text.is_empty() && text.len() <= MAX_NAME && text.bytes().all(ok)
+    !text.is_empty() && text.len() <= MAX_NAME_LEN && text.bytes().all(ok)
 }
 
 /// A key of a section with its value.
--- a/crates/bundle/src/sections.rs
+++ b/crates/bundle/src/sections.rs
@@ -10,7 +10,7 @@
 const DOMAIN: &[u8] = b"wigeonshelf bundle 1\n";
 
 /// Most sections of a bundle; a bound on memory, far above the size to design for.
-pub const MOST: usize = 65_536;
+pub const MAX_SECTIONS: usize = 65_536;
 
 /// The sections of one bundle, in canonical order. A clone shares the map until one of both is
 /// changed, and the sections also then.
@@ -39,7 +39,7 @@
     }
 
     /// The sections of one kind, by name.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = &Arc<Section>> {
+    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Arc<Section>> {
         let first = Key {
             kind,
             name: String::new(),
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -21,9 +21,9 @@
     /// The bundle is wrong.
     Bundle(Findings),
     /// The bundle says what its parent does.
-    Same,
+    Unchanged,
     /// The signer's name can't be one.
-    Name,
+    InvalidName,
     /// The private key can't be read or written.
     Key(ed25519_dalek::pkcs8::Error),
 }
@@ -35,8 +35,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bundle(findings) => write!(f, "{findings}"),
-            Self::Same => f.write_str("the bundle is the same as its parent"),
-            Self::Name => f.write_str("the signer's name is none"),
+            Self::Unchanged => f.write_str("the bundle is the same as its parent"),
+            Self::InvalidName => f.write_str("the signer's name is none"),
             Self::Key(e) => write!(f, "private key: {e}"),
         }
     }
@@ -45,7 +45,7 @@
 impl std::error::Error for Error {}
 
 /// The key made of `seed`, 32 secret bytes from the operating system's generator.
-pub fn key(seed: [u8; 32]) -> SigningKey {
+pub fn key_from_seed(seed: [u8; 32]) -> SigningKey {
     SigningKey::from_bytes(&seed)
 }
 
@@ -61,42 +61,42 @@
 }
 
 /// The public key in hex, as settings and `[signer NAME]` hold it.
-pub fn public(key: &SigningKey) -> String {
+pub fn public_key_hex(key: &SigningKey) -> String {
     hex::encode(key.verifying_key().as_bytes())
 }
 
 /// Checks `text`, signs it as the child of `parent` (`None` for the first version) and gives the
 /// record to append.
-pub fn version(
+pub fn sign_text(
     parent: Option<&Bundle>,
     text: &str,
     signer: &str,
     key: &SigningKey,
 ) -> Result<Vec<u8>> {
     let child: Bundle = text.parse().map_err(Error::Bundle)?;
-    let version = child_of(parent, &child, signer, key)?;
+    let version = sign_bundle(parent, &child, signer, key)?;
     Ok(Record::Version(version).encode())
 }
 
 /// Signs the checked bundle `child` as the version after `parent`.
-pub fn child_of(
+pub fn sign_bundle(
     parent: Option<&Bundle>,
     child: &Bundle,
     signer: &str,
     key: &SigningKey,
 ) -> Result<Version> {
     if !is_name(signer) {
-        return Err(Error::Name);
+        return Err(Error::InvalidName);
     }
     let none = Bundle::default();
     let parent = parent.unwrap_or(&none);
-    let findings = verify::step(parent, child);
-    if findings.failed() {
+    let findings = verify::verify_successor(parent, child);
+    if findings.has_errors() {
         return Err(Error::Bundle(findings));
     }
     let delta = Delta::between(&parent.sections, &child.sections);
     if delta.is_empty() {
-        return Err(Error::Same);
+        return Err(Error::Unchanged);
     }
     let header = Header {
         signer: signer.into(),
@@ -105,17 +105,17 @@
         result: child.digest,
         delta: delta.digest(),
     };
-    let envelope = envelope(header, key);
+    let envelope = sign_header(header, key);
     Ok(Version { envelope, delta })
 }
 
 /// Signs a header.
-pub fn envelope(header: Header, key: &SigningKey) -> Envelope {
+pub fn sign_header(header: Header, key: &SigningKey) -> Envelope {
     let signature = key.sign(&header.message()).to_bytes();
     Envelope { header, signature }
 }
 
 /// Digest of a caller's bearer key, as `[team NAME]` holds it.
-pub fn bearer(key: &str) -> Digest {
+pub fn bearer_digest(key: &str) -> Digest {
     Digest::of(key.as_bytes())
 }
--- a/crates/bundle/src/signed.rs
+++ b/crates/bundle/src/signed.rs
@@ -54,21 +54,21 @@
 
 /// Why a signature doesn't count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Distrust {
+pub enum SignatureError {
     /// No trusted signer has the name.
-    Unknown,
+    UnknownSigner,
     /// The signer's key is revoked.
-    Revoked,
+    RevokedSigner,
     /// The signature is not that of the trusted key on these bytes.
-    Signature,
+    WrongSignature,
 }
 
-impl fmt::Display for Distrust {
+impl fmt::Display for SignatureError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Unknown => "unknown signer",
-            Self::Revoked => "revoked signer",
-            Self::Signature => "signature doesn't match the signer's key",
+            Self::UnknownSigner => "unknown signer",
+            Self::RevokedSigner => "revoked signer",
+            Self::WrongSignature => "signature doesn't match the signer's key",
         })
     }
 }
@@ -85,17 +85,17 @@
 impl Envelope {
     /// Checks the signature against the `trusted` keys of the settings; `revoked` are the
     /// signers of the bundle in force, of which only revocations count.
-    pub fn check(&self, trusted: &[Signer], revoked: &[Signer]) -> Result<(), Distrust> {
+    pub fn check(&self, trusted: &[Signer], revoked: &[Signer]) -> Result<(), SignatureError> {
         let named = trusted.iter().filter(|s| s.name == self.header.signer);
-        let mut last = Distrust::Unknown;
+        let mut last = SignatureError::UnknownSigner;
         for signer in named {
             let listed = revoked.iter().any(|s| s.revoked && s.key == signer.key);
             if signer.revoked || listed {
-                last = Distrust::Revoked;
+                last = SignatureError::RevokedSigner;
             } else if self.signed_by(&signer.key) {
                 return Ok(());
             } else {
-                last = Distrust::Signature;
+                last = SignatureError::WrongSignature;
             }
         }
         Err(last)
--- a/crates/bundle/src/signer.rs
+++ b/crates/bundle/src/signer.rs
@@ -14,7 +14,7 @@
 }
 
 /// Reads a public key in hex; one that is no point of the curve, or of small order, is none.
-pub fn key(text: &str) -> Option<[u8; 32]> {
+pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let mut key = [0; 32];
     hex::decode_to_slice(text, &mut key).ok()?;
     let point = VerifyingKey::from_bytes(&key).ok()?;
--- a/crates/bundle/src/team.rs
+++ b/crates/bundle/src/team.rs
@@ -17,9 +17,9 @@
     /// Requests in flight across all nodes.
     pub in_flight: u32,
     /// The most urgent priority it may ask for.
-    pub top: PriorityId,
+    pub highest_priority: PriorityId,
     /// The priority of a request that names none.
-    pub usual: PriorityId,
+    pub default_priority: PriorityId,
     /// Models it may use; empty means all.
     pub models: Vec<ModelId>,
 }
--- a/crates/bundle/src/text.rs
+++ b/crates/bundle/src/text.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 
 /// Longest text that is read, in bytes.
-pub const MAX_TEXT: usize = 16 << 20;
+pub const MAX_TEXT_LEN: usize = 16 << 20;
 
 /// Values are plain: no quotes, escapes or values over several lines, so that one line is one
 /// key and the canonical text reads back as itself.
-const PLAIN: ParseOption = ParseOption {
+const PARSE_OPTIONS: ParseOption = ParseOption {
     enabled_quote: false,
     enabled_escape: false,
     enabled_indented_mutiline_value: false,
@@ -35,13 +35,14 @@
 /// Reads bundle text; all findings are collected.
 pub fn parse(text: &str) -> Result<Sections, Findings> {
     let mut findings = Findings::default();
-    if text.len() > MAX_TEXT {
-        findings.push(error(0, "", format!("longer than {MAX_TEXT} bytes")));
+    if text.len() > MAX_TEXT_LEN {
+        findings.push(error(0, "", format!("longer than {MAX_TEXT_LEN} bytes")));
         return Err(findings);
     }
     let mut all = Sections::default();
     for chunk in chunks(text, &mut findings) {
-        let Some(section) = section(chunk.header, chunk.body, chunk.line, &mut findings) else {
+        let Some(section) = parse_section(chunk.header, chunk.body, chunk.line, &mut findings)
+        else {
             continue;
         };
         let line = section.line();
@@ -50,17 +51,17 @@
             let message = format!("defined twice, first in line {}", first.line());
             findings.push(error(line, &header, message));
         }
-        if all.len() > sections::MOST {
+        if all.len() > sections::MAX_SECTIONS {
             findings.push(error(
                 line,
                 &header,
-                format!("over {} sections", sections::MOST),
+                format!("over {} sections", sections::MAX_SECTIONS),
             ));
             break;
         }
     }
     findings.sort();
-    if findings.failed() {
+    if findings.has_errors() {
         Err(findings)
     } else {
         Ok(all)
@@ -68,7 +69,12 @@
 }
 
 /// Reads one section from its header (without brackets) and the lines below it.
-pub fn section(header: &str, body: &str, line: u32, findings: &mut Findings) -> Option<Section> {
+pub fn parse_section(
+    header: &str,
+    body: &str,
+    line: u32,
+    findings: &mut Findings,
+) -> Option<Section> {
     let key: Key = match header.parse() {
         Ok(key) => key,
         Err(message) => {
@@ -78,9 +84,9 @@
         }
     };
     let header = key.to_string();
-    let body = well_formed(body, line, &header, findings);
+    let body = blank_malformed(body, line, &header, findings);
     let lines = key_lines(&body);
-    let ini = match Ini::load_from_str_opt(&body, PLAIN) {
+    let ini = match Ini::load_from_str_opt(&body, PARSE_OPTIONS) {
         Ok(ini) => ini,
         Err(e) => {
             let at = line + u32::try_from(e.line).unwrap_or(0);
@@ -100,7 +106,7 @@
             findings.push(at_key(line, &header, known, "set twice".into()));
             continue;
         }
-        let value = normal(value);
+        let value = normalize(value);
         pairs.push(Pair {
             key: known,
             value,
@@ -143,19 +149,19 @@
 
 /// The lines below a header, those that are no INI blanked after a finding each: rust-ini would
 /// stop at the first and name the line after it.
-fn well_formed<'a>(
+fn blank_malformed<'a>(
     body: &'a str,
     line: u32,
     header: &str,
     findings: &mut Findings,
 ) -> Cow<'a, str> {
-    let odd = |l: &str| is_pair(l.trim()) && !l.contains(['=', ':']);
-    if !body.lines().any(odd) {
+    let malformed = |l: &str| is_pair(l.trim()) && !l.contains(['=', ':']);
+    if !body.lines().any(malformed) {
         return body.into();
     }
     let mut good = String::new();
     for (i, text) in (1..).zip(body.lines()) {
-        if odd(text) {
+        if malformed(text) {
             let message = format!("`{:.80}` is not `key = value`", text.trim());
             findings.push(error(line + i, header, message));
         } else {
@@ -194,7 +200,7 @@
 }
 
 /// Single spaces, none around commas but one after each.
-fn normal(value: &str) -> Box<str> {
+fn normalize(value: &str) -> Box<str> {
     let parts = value.split(',').map(|part| {
         let words: Vec<&str> = part.split_whitespace().collect();
         words.join(" ")
--- a/crates/bundle/src/verify.rs
+++ b/crates/bundle/src/verify.rs
@@ -14,7 +14,7 @@
 mod priority;
 mod service;
 mod signer;
-mod step;
+mod successor;
 mod team;
 mod zone;
 
@@ -23,7 +23,7 @@
 use crate::sections::Sections;
 use names::Names;
 
-pub use step::step;
+pub use successor::verify_successor;
 
 /// What a check gives.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     let mut findings = Findings::default();
     let bundle = tables(sections, &mut findings);
     findings.sort();
-    let bundle = (!findings.failed()).then_some(bundle);
+    let bundle = (!findings.has_errors()).then_some(bundle);
     Report { bundle, findings }
 }
 
--- a/crates/bundle/src/verify/endpoint.rs
+++ b/crates/bundle/src/verify/endpoint.rs
@@ -12,10 +12,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Most requests one endpoint may run at once; beyond it a typing mistake is likelier.
-const MOST_SLOTS: u32 = 65_536;
+const MAX_SLOTS: u32 = 65_536;
 
 /// Stands for an address that couldn't be read.
-const NO_ADDR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const UNREADABLE_ADDR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Builds the table.
 pub(super) fn table(
@@ -26,10 +26,10 @@
 ) -> Vec<Endpoint> {
     let mut rows = Vec::new();
     let mut addrs: BTreeMap<SocketAddr, String> = BTreeMap::new();
-    for section in sections.of(Kind::Endpoint) {
+    for section in sections.of_kind(Kind::Endpoint) {
         let mut fields = Fields::new(section, findings);
         let row = row(&mut fields, names, models);
-        if row.addr != NO_ADDR
+        if row.addr != UNREADABLE_ADDR
             && let Some(other) = addrs.insert(row.addr, row.name.clone())
         {
             fields.error("addr", format_args!("is the address of `{other}` too"));
@@ -59,7 +59,7 @@
 /// The address; one that nothing can listen on is an error.
 fn addr(fields: &mut Fields<'_>) -> SocketAddr {
     let addr = fields.read("addr", "an IP address with a port");
-    let addr = addr.unwrap_or(NO_ADDR);
+    let addr = addr.unwrap_or(UNREADABLE_ADDR);
     if fields
         .optional("addr")
         .is_some_and(|t| t.parse() == Ok(addr))
@@ -94,8 +94,8 @@
 
 /// Checks of the row as a whole.
 fn check(fields: &mut Fields<'_>, row: &Endpoint) {
-    if row.slots > MOST_SLOTS {
-        fields.error("slots", format_args!("is over {MOST_SLOTS}"));
+    if row.slots > MAX_SLOTS {
+        fields.error("slots", format_args!("is over {MAX_SLOTS}"));
     }
     if !row.spans.is_empty() && fields.optional("kind").is_none() {
         fields.error("kind", "is missing, but the endpoint serves layers");
--- a/crates/bundle/src/verify/fields.rs
+++ b/crates/bundle/src/verify/fields.rs
@@ -94,15 +94,15 @@
         value
     }
 
-    /// `yes` or `no`; `usual` if it isn't set.
-    pub fn flag(&mut self, key: &str, usual: bool) -> bool {
+    /// `yes` or `no`; `default` if it isn't set.
+    pub fn flag(&mut self, key: &str, default: bool) -> bool {
         match self.optional(key) {
-            None => usual,
+            None => default,
             Some("yes") => true,
             Some("no") => false,
             Some(other) => {
                 self.error(key, format_args!("`{other:.80}` is neither yes nor no"));
-                usual
+                default
             }
         }
     }
@@ -162,7 +162,7 @@
             let near = near.map_or_else(String::new, |n| format!("; `{n}` is near"));
             self.error(
                 key,
-                format_args!("unknown {} `{name:.80}`{near}", index.word()),
+                format_args!("unknown {} `{name:.80}`{near}", index.kind_name()),
             );
         }
         id
--- a/crates/bundle/src/verify/kind.rs
+++ b/crates/bundle/src/verify/kind.rs
@@ -8,7 +8,7 @@
 
 /// Builds the table.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<kind::Kind> {
-    let rows = sections.of(Kind::Kind).map(|section| {
+    let rows = sections.of_kind(Kind::Kind).map(|section| {
         let mut fields = Fields::new(section, findings);
         kind::Kind {
             name: fields.name(),
--- a/crates/bundle/src/verify/link.rs
+++ b/crates/bundle/src/verify/link.rs
@@ -10,7 +10,7 @@
 /// Builds the table.
 pub(super) fn table(sections: &Sections, names: &Names<'_>, findings: &mut Findings) -> Vec<Link> {
     let mut rows = Vec::new();
-    for section in sections.of(Kind::Link) {
+    for section in sections.of_kind(Kind::Link) {
         let mut fields = Fields::new(section, findings);
         let (a, b) = section.key().name.split_once(' ').unwrap_or_default();
         let a = fields.lookup("", a, &names.zones);
--- a/crates/bundle/src/verify/model.rs
+++ b/crates/bundle/src/verify/model.rs
@@ -12,7 +12,7 @@
 /// Builds the table.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Model> {
     let mut rows = Vec::new();
-    for section in sections.of(Kind::Model) {
+    for section in sections.of_kind(Kind::Model) {
         let mut fields = Fields::new(section, findings);
         let adapters = fields.list("adapters");
         for bad in adapters.iter().filter(|a| !is_name(a)) {
@@ -43,25 +43,25 @@
             ranges.insert((*from, *to));
         }
     }
-    for (i, section) in sections.of(Kind::Model).enumerate() {
+    for (i, section) in sections.of_kind(Kind::Model).enumerate() {
         let (Some(model), Some(ranges)) = (models.get(i), spans.get(i)) else {
             return;
         };
         let mut fields = Fields::new(section, findings);
-        match gap(model, ranges) {
+        match coverage_gap(model, ranges) {
             Some(message) => fields.error("layers", message),
-            None => warn_idle(&mut fields, model, ranges),
+            None => warn_unusable(&mut fields, model, ranges),
         }
     }
 }
 
 /// Says where the chains from layer 0 end, if none reaches the last layer.
-fn gap(model: &Model, ranges: &BTreeSet<(Layer, Layer)>) -> Option<String> {
+fn coverage_gap(model: &Model, ranges: &BTreeSet<(Layer, Layer)>) -> Option<String> {
     let layers = model.layers;
     if ranges.is_empty() {
         return Some("no endpoint serves any layer of it".into());
     }
-    let reached = reach(ranges);
+    let reached = reachable_ends(ranges);
     if layers == 0 || reached.contains(&layers) {
         return None;
     }
@@ -77,18 +77,18 @@
 }
 
 /// Warns of spans that no whole chain can use: the accelerators behind them would stay idle.
-fn warn_idle(fields: &mut Fields<'_>, model: &Model, ranges: &BTreeSet<(Layer, Layer)>) {
-    let reached = reach(ranges);
+fn warn_unusable(fields: &mut Fields<'_>, model: &Model, ranges: &BTreeSet<(Layer, Layer)>) {
+    let reached = reachable_ends(ranges);
     let mut useful = BTreeSet::from([model.layers]);
-    let mut idle = Vec::new();
+    let mut unusable = Vec::new();
     for (from, to) in ranges.iter().rev() {
         if useful.contains(to) && reached.contains(from) {
             useful.insert(*from);
         } else {
-            idle.push((from, to));
+            unusable.push((from, to));
         }
     }
-    for (from, to) in idle.into_iter().rev() {
+    for (from, to) in unusable.into_iter().rev() {
         fields.warn(
             "layers",
             format_args!("no whole chain can use the span {from}..{to}"),
@@ -97,7 +97,7 @@
 }
 
 /// Layers at which a chain of spans from layer 0 can end; spans come sorted by their start.
-fn reach(ranges: &BTreeSet<(Layer, Layer)>) -> BTreeSet<Layer> {
+fn reachable_ends(ranges: &BTreeSet<(Layer, Layer)>) -> BTreeSet<Layer> {
     let mut reached = BTreeSet::from([0]);
     for (from, to) in ranges {
         if reached.contains(from) {
@@ -113,10 +113,12 @@
     models: &[Model],
     id: impl Fn(&str) -> Option<ModelId>,
 ) -> Result<Span, Option<String>> {
-    let (name, range) = text.split_once(' ').ok_or_else(|| Some(shape(text)))?;
-    let (from, to) = range.split_once("..").ok_or_else(|| Some(shape(text)))?;
-    let from = from.trim().parse().map_err(|_| Some(shape(text)))?;
-    let to = to.trim().parse().map_err(|_| Some(shape(text)))?;
+    let (name, range) = text.split_once(' ').ok_or_else(|| Some(not_a_span(text)))?;
+    let (from, to) = range
+        .split_once("..")
+        .ok_or_else(|| Some(not_a_span(text)))?;
+    let from = from.trim().parse().map_err(|_| Some(not_a_span(text)))?;
+    let to = to.trim().parse().map_err(|_| Some(not_a_span(text)))?;
     let model = id(name).ok_or(None)?;
     if from >= to {
         return Err(Some(format!("`{text:.80}` holds no layer")));
@@ -131,6 +133,6 @@
 }
 
 /// Message for a span that can't be read.
-fn shape(text: &str) -> String {
+fn not_a_span(text: &str) -> String {
     format!("`{text:.80}` is not a span such as `menu 0..16`")
 }
--- a/crates/bundle/src/verify/names.rs
+++ b/crates/bundle/src/verify/names.rs
@@ -10,7 +10,7 @@
 
 /// Most unknown names for which a near one is looked for: it costs a pass over the table, and a
 /// hostile text could ask for it a million times.
-const MOST_NEAREST: u32 = 64;
+const MAX_NEAREST_SEARCHES: u32 = 64;
 
 /// A row's id.
 pub(super) trait Id: Copy + TryFrom<usize> {}
@@ -53,7 +53,7 @@
 
     /// The known name most like `name`.
     pub fn nearest(&self, name: &str) -> Option<&'a str> {
-        if self.searches.get() >= MOST_NEAREST {
+        if self.searches.get() >= MAX_NEAREST_SEARCHES {
             return None;
         }
         self.searches.set(self.searches.get() + 1);
@@ -61,8 +61,8 @@
     }
 
     /// Word for one row of the table.
-    pub fn word(&self) -> &'static str {
-        self.kind.word()
+    pub fn kind_name(&self) -> &'static str {
+        self.kind.as_str()
     }
 }
 
@@ -91,17 +91,17 @@
 
 /// The index of a table that is sorted by name.
 fn index<'a, I: Id>(sections: &'a Sections, kind: Kind, findings: &mut Findings) -> Index<'a, I> {
-    let names = sections.of(kind).map(|s| s.key().name.as_str());
+    let names = sections.of_kind(kind).map(|s| s.key().name.as_str());
     Index::new(kind, names, findings)
 }
 
 /// A finding for a table that outgrew its id type.
-fn too_many(kind: Kind, most: usize) -> Finding {
+fn too_many(kind: Kind, max_rows: usize) -> Finding {
     Finding {
         level: Level::Error,
         line: 0,
-        section: kind.word().into(),
+        section: kind.as_str().into(),
         key: String::new(),
-        message: format!("more than {most} of this kind"),
+        message: format!("more than {max_rows} of this kind"),
     }
 }
--- a/crates/bundle/src/verify/priority.rs
+++ b/crates/bundle/src/verify/priority.rs
@@ -10,7 +10,7 @@
 
 /// Names by rank, most urgent first; one without a readable rank goes last.
 pub(super) fn ranked(sections: &Sections) -> Vec<&str> {
-    let mut rows: Vec<(u32, &str)> = sections.of(Kind::Priority).map(|s| rank(s)).collect();
+    let mut rows: Vec<(u32, &str)> = sections.of_kind(Kind::Priority).map(|s| rank(s)).collect();
     rows.sort_unstable();
     rows.into_iter().map(|(_, name)| name).collect()
 }
@@ -29,7 +29,7 @@
 ) -> Vec<Priority> {
     let mut rows: Vec<Priority> = Vec::new();
     let mut ranks: BTreeMap<u32, String> = BTreeMap::new();
-    for section in sections.of(Kind::Priority) {
+    for section in sections.of_kind(Kind::Priority) {
         let mut fields = Fields::new(section, findings);
         let row = row(&mut fields);
         if let Some(other) = ranks.insert(row.rank, row.name.clone()) {
@@ -38,7 +38,7 @@
         rows.push(row);
     }
     if rows.is_empty() {
-        findings.push(none());
+        findings.push(no_priority());
     }
     rows.sort_by_key(|r| names.priorities.get(&r.name));
     check_urgent_first(sections, &rows, findings);
@@ -62,11 +62,11 @@
 
 /// Urgent ones must have the lowest ranks: strict order and ranks would contradict each other.
 fn check_urgent_first(sections: &Sections, rows: &[Priority], findings: &mut Findings) {
-    let mut usual = rows.iter().skip_while(|r| r.urgent);
-    let Some(first) = usual.next() else { return };
-    for late in usual.filter(|r| r.urgent) {
-        let mut all = sections.of(Kind::Priority);
-        if let Some(section) = all.find(|s| s.key().name == late.name) {
+    let mut rest = rows.iter().skip_while(|r| r.urgent);
+    let Some(first) = rest.next() else { return };
+    for misplaced in rest.filter(|r| r.urgent) {
+        let mut all = sections.of_kind(Kind::Priority);
+        if let Some(section) = all.find(|s| s.key().name == misplaced.name) {
             let message = format!("urgent, but ranked after `{}`, which is not", first.name);
             Fields::new(section, findings).error("rank", message);
         }
@@ -74,7 +74,7 @@
 }
 
 /// The finding for a bundle without priorities.
-fn none() -> crate::finding::Finding {
+fn no_priority() -> crate::finding::Finding {
     crate::finding::Finding {
         level: crate::finding::Level::Error,
         line: 0,
--- a/crates/bundle/src/verify/service.rs
+++ b/crates/bundle/src/verify/service.rs
@@ -18,7 +18,7 @@
     let served = endpoints.iter().flat_map(|e| e.services.iter().copied());
     let served: BTreeSet<ServiceId> = served.collect();
     let mut rows = Vec::new();
-    for (i, section) in sections.of(Kind::Service).enumerate() {
+    for (i, section) in sections.of_kind(Kind::Service).enumerate() {
         let mut fields = Fields::new(section, findings);
         let id = ServiceId::try_from(i).unwrap_or(ServiceId::MAX);
         if !served.contains(&id) {
--- a/crates/bundle/src/verify/signer.rs
+++ b/crates/bundle/src/verify/signer.rs
@@ -11,7 +11,7 @@
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Signer> {
     let mut rows: Vec<Signer> = Vec::new();
     let mut holders: BTreeMap<[u8; 32], String> = BTreeMap::new();
-    for section in sections.of(Kind::Signer) {
+    for section in sections.of_kind(Kind::Signer) {
         let mut fields = Fields::new(section, findings);
         let key = key(&mut fields);
         if let Some(other) = key.and_then(|k| holders.insert(k, fields.name())) {
@@ -24,7 +24,7 @@
         });
     }
     if !rows.is_empty() && rows.iter().all(|r| r.revoked) {
-        findings.push(none_left());
+        findings.push(all_revoked());
     }
     rows
 }
@@ -32,7 +32,7 @@
 /// The public key.
 fn key(fields: &mut Fields<'_>) -> Option<[u8; 32]> {
     let text = fields.text("key")?;
-    let key = signer::key(text);
+    let key = signer::parse_key(text);
     if key.is_none() {
         fields.error(
             "key",
@@ -43,7 +43,7 @@
 }
 
 /// The finding for a bundle after which nobody listed could sign the next.
-fn none_left() -> Finding {
+fn all_revoked() -> Finding {
     Finding {
         level: Level::Error,
         line: 0,
--- a/crates/bundle/src/verify/step.rs
+++ b/crates/bundle/src/verify/successor.rs
@@ -10,7 +10,7 @@
 ///
 /// Without this, whoever holds a revoked key only needs one careless edit by somebody else (an
 /// old file signed again) to be trusted again. A person may come back with a new key.
-pub fn step(parent: &Bundle, child: &Bundle) -> Findings {
+pub fn verify_successor(parent: &Bundle, child: &Bundle) -> Findings {
     let mut findings = Findings::default();
     let revoked = parent.signers.iter().filter(|s| s.revoked);
     for signer in revoked {
--- a/crates/bundle/src/verify/team.rs
+++ b/crates/bundle/src/verify/team.rs
@@ -21,7 +21,7 @@
 ) -> Vec<Team> {
     let mut rows = Vec::new();
     let mut holders: BTreeMap<Digest, String> = BTreeMap::new();
-    for section in sections.of(Kind::Team) {
+    for section in sections.of_kind(Kind::Team) {
         let mut fields = Fields::new(section, findings);
         let row = row(&mut fields, names, priorities);
         for key in &row.keys {
@@ -37,11 +37,11 @@
 /// Reads one row.
 fn row(fields: &mut Fields<'_>, names: &Names<'_>, priorities: &[Priority]) -> Team {
     let top = fields.id("top", &names.priorities).unwrap_or_default();
-    let usual = match fields.optional("usual") {
-        None => usual(top, priorities),
+    let default_priority = match fields.optional("usual") {
+        None => first_not_urgent(top, priorities),
         Some(_) => fields.id("usual", &names.priorities).unwrap_or(top),
     };
-    if usual < top {
+    if default_priority < top {
         fields.error("usual", "is more urgent than the team's top priority");
     }
     Team {
@@ -50,14 +50,14 @@
         weight: fields.count("weight"),
         rate: fields.rate("rate"),
         in_flight: fields.count("in_flight"),
-        top,
-        usual,
+        highest_priority: top,
+        default_priority,
         models: fields.ids("models", &names.models),
     }
 }
 
 /// The first priority that isn't urgent, but none above `top`: urgency must be asked for.
-fn usual(top: PriorityId, priorities: &[Priority]) -> PriorityId {
+fn first_not_urgent(top: PriorityId, priorities: &[Priority]) -> PriorityId {
     let first = priorities.iter().position(|p| !p.urgent);
     let first = first.and_then(|i| PriorityId::try_from(i).ok());
     first.unwrap_or(top).max(top)
@@ -87,7 +87,7 @@
     findings: &mut Findings,
 ) {
     let slots: u64 = endpoints.iter().map(|e| u64::from(e.slots)).sum();
-    for (section, team) in sections.of(Kind::Team).zip(teams) {
+    for (section, team) in sections.of_kind(Kind::Team).zip(teams) {
         if u64::from(team.in_flight) > slots {
             let message = format!("is over the {slots} slots of all endpoints together");
             Fields::new(section, findings).warn("in_flight", message);
--- a/crates/bundle/src/verify/zone.rs
+++ b/crates/bundle/src/verify/zone.rs
@@ -8,7 +8,7 @@
 
 /// Builds the table.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Zone> {
-    let rows = sections.of(Kind::Zone).map(|section| {
+    let rows = sections.of_kind(Kind::Zone).map(|section| {
         let mut fields = Fields::new(section, findings);
         Zone {
             name: fields.name(),
--- a/crates/bundle/tests/checkpoint.rs
+++ b/crates/bundle/tests/checkpoint.rs
@@ -22,7 +22,7 @@
 
 impl Fleet {
     fn new(nodes: usize) -> Self {
-        let first = sign::version(None, text(), "mira", &mira()).unwrap();
+        let first = sign::sign_text(None, text(), "mira", &mira()).unwrap();
         let mut fleet = Self {
             log: vec![(0, first)],
             nodes: Vec::new(),
@@ -38,7 +38,7 @@
         let policy = Policy::new(
             Settings {
                 retention,
-                versions: 4_096,
+                max_versions: 4_096,
             },
             self.seeds,
         );
@@ -60,7 +60,7 @@
             let from = (fold.next_offset() as usize).max(first);
             let page = (from..known).map(|i| (i as u64, self.log[i].1.as_slice()));
             if up {
-                fold.page(first as u64, page);
+                fold.apply_page(first as u64, page);
             }
             let wall = Duration::from_secs(now);
             if policy.poll(wall, wall, first as u64, fold) {
@@ -131,7 +131,7 @@
     for now in 1..6 * RETENTION {
         if now > RETENTION && now % 120 == 0 {
             let old = now as usize / 120 % 8;
-            let head = fleet.nodes[(old + 1) % 8].0.full().unwrap();
+            let head = fleet.nodes[(old + 1) % 8].0.encode_head().unwrap();
             fleet.nodes[old] = fleet.node();
             fleet.nodes[old].0.adopt(&head);
         }
--- a/crates/bundle/tests/common.rs
+++ b/crates/bundle/tests/common.rs
@@ -11,12 +11,12 @@
 
 /// Key of the first operator.
 pub fn mira() -> SigningKey {
-    sign::key([1; 32])
+    sign::key_from_seed([1; 32])
 }
 
 /// Key of the second operator.
 pub fn tuya() -> SigningKey {
-    sign::key([2; 32])
+    sign::key_from_seed([2; 32])
 }
 
 /// A trusted signer.
--- a/crates/bundle/tests/decode.rs
+++ b/crates/bundle/tests/decode.rs
@@ -5,7 +5,7 @@
 
 use bundle::Bundle;
 use bundle::fold::Fold;
-use bundle::record::{MAX_RECORD, Record};
+use bundle::record::{MAX_RECORD_LEN, Record};
 use bundle::{finding, section, sign, text};
 use common::{mira, signers, text};
 use rand::{Rng, RngExt, SeedableRng};
@@ -62,7 +62,7 @@
 
 /// Good records: a version and a checkpoint.
 fn records() -> [Vec<u8>; 2] {
-    let version = sign::version(None, text(), "mira", &mira()).unwrap();
+    let version = sign::sign_text(None, text(), "mira", &mira()).unwrap();
     let mut fold = Fold::new(signers());
     fold.apply(0, &version);
     let checkpoint = fold.checkpoint(Duration::from_secs(5)).unwrap();
@@ -89,8 +89,8 @@
                 assert_eq!(again.endpoints, bundle.endpoints);
             }
             Err(findings) => {
-                assert!(findings.failed());
-                assert!(findings.rows().len() <= finding::MOST);
+                assert!(findings.has_errors());
+                assert!(findings.rows().len() <= finding::MAX_FINDINGS);
                 let long = findings.rows().iter().find(|f| f.message.len() > 1_000);
                 assert_eq!(long, None);
             }
@@ -119,7 +119,7 @@
         fold.apply(fold.next_offset(), &bytes);
         fold.adopt(&bytes);
         if run % 100 == 0 {
-            fold.gap(fold.next_offset() + 1);
+            fold.set_first_retained(fold.next_offset() + 1);
         }
         assert!(fold.check().is_empty());
     }
@@ -129,20 +129,20 @@
 /// with an unknown name in every row, yields a bounded report in bounded time.
 #[test]
 fn large_inputs() {
-    let long = vec![b' '; MAX_RECORD + 1];
+    let long = vec![b' '; MAX_RECORD_LEN + 1];
     assert!(Record::decode(&long).is_err());
-    assert!(text::parse(&" ".repeat(text::MAX_TEXT + 1)).is_err());
+    assert!(text::parse(&" ".repeat(text::MAX_TEXT_LEN + 1)).is_err());
     let many: String = (0..50_000).map(|i| format!("[x{i}]\n")).collect();
     let findings = text::parse(&many).unwrap_err();
-    assert_eq!(findings.rows().len(), finding::MOST);
+    assert_eq!(findings.rows().len(), finding::MAX_FINDINGS);
     let rows = (0..20_000).map(|i| format!("[endpoint e{i}]\nzone = nowhere{i}\n"));
     let zones = (0..20_000).map(|i| format!("[zone somewhere{i}]\nregion = r\n"));
     let unknown: String = rows.chain(zones).collect();
     let findings = unknown.parse::<Bundle>().unwrap_err();
-    assert_eq!(findings.rows().len(), finding::MOST);
+    assert_eq!(findings.rows().len(), finding::MAX_FINDINGS);
     let deep = "[".repeat(200_000);
     assert!(Record::decode(deep.as_bytes()).is_err());
-    assert!(!section::is_name(&"n".repeat(section::MAX_NAME + 1)));
+    assert!(!section::is_name(&"n".repeat(section::MAX_NAME_LEN + 1)));
 }
 
 #[test]
--- a/crates/bundle/tests/delta.rs
+++ b/crates/bundle/tests/delta.rs
@@ -60,7 +60,7 @@
             result: to.digest(),
             delta: delta.digest(),
         };
-        let envelope = sign::envelope(header, &mira());
+        let envelope = sign::sign_header(header, &mira());
         let record = Record::Version(Version { envelope, delta });
         assert_eq!(Record::decode(&record.encode()).unwrap(), record);
         Ok(())
--- a/crates/bundle/tests/example.rs
+++ b/crates/bundle/tests/example.rs
@@ -14,7 +14,7 @@
     let bundle = report.bundle.unwrap();
     assert_eq!(bundle.endpoints.len(), 7);
     assert_eq!(bundle.priorities[0].name, "alarm");
-    let team = bundle.holder(&bundle::sign::bearer("menu-demo-key"));
+    let team = bundle.team_by_key(&bundle::sign::bearer_digest("menu-demo-key"));
     assert_eq!(team, bundle.team("kitchens"));
 }
 
@@ -30,13 +30,13 @@
 #[test]
 fn signed_versions_become_the_head() {
     let mut fold = Fold::new(signers());
-    let first = bundle::sign::version(None, text(), "mira", &mira()).unwrap();
+    let first = bundle::sign::sign_text(None, text(), "mira", &mira()).unwrap();
     assert!(matches!(fold.apply(0, &first), Verdict::Accepted(_)));
     let head = fold.head().unwrap().clone();
     assert_eq!((head.number, head.signer.as_str()), (1, "mira"));
 
     let next = text().replace("rate = 20", "rate = 25");
-    let second = bundle::sign::version(Some(&head), &next, "mira", &mira()).unwrap();
+    let second = bundle::sign::sign_text(Some(&head), &next, "mira", &mira()).unwrap();
     assert!(second.len() < 1_024, "a delta is small");
     assert!(matches!(fold.apply(1, &second), Verdict::Accepted(_)));
     assert!(matches!(fold.apply(2, &second), Verdict::Repeated));
--- a/crates/bundle/tests/fold.rs
+++ b/crates/bundle/tests/fold.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use bundle::Bundle;
-use bundle::fold::{Fold, Reason, Standing, Verdict};
+use bundle::fold::{Fold, Reason, Status, Verdict};
 use bundle::record::Record;
 use bundle::sign::{self, SigningKey};
-use bundle::signed::Distrust;
+use bundle::signed::SignatureError;
 use common::{mira, signer, signers, text, tuya};
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 /// The version after `fold`'s head with another limit.
 fn next(fold: &Fold, limit: u32, name: &str, key: &SigningKey) -> Vec<u8> {
-    sign::version(fold.head().map(|b| &**b), &rate(limit), name, key).unwrap()
+    sign::sign_text(fold.head().map(|b| &**b), &rate(limit), name, key).unwrap()
 }
 
 /// A fold with `count` versions and their records.
@@ -62,7 +62,7 @@
     };
     assert_eq!((head.number, head.signer.as_str()), (2, "tuya"));
     let header = Record::decode(&a).unwrap().envelope().header.clone();
-    let Standing::Lost(winner) = fold.standing(&header) else {
+    let Status::Lost(winner) = fold.status(&header) else {
         panic!("a lost version doesn't stand");
     };
     assert_eq!((winner.signer.as_str(), winner.offset), ("tuya", Some(1)));
@@ -92,24 +92,33 @@
 #[test]
 fn distrusted_signers_are_refused() {
     let (mut fold, _) = folded(1);
-    let unknown = next(&fold, 7, "bat", &sign::key([9; 32]));
-    let wrong = next(&fold, 7, "mira", &sign::key([9; 32]));
-    assert!(refused(&fold.apply(1, &unknown), Distrust::Unknown));
-    assert!(refused(&fold.apply(2, &wrong), Distrust::Signature));
+    let unknown = next(&fold, 7, "bat", &sign::key_from_seed([9; 32]));
+    let wrong = next(&fold, 7, "mira", &sign::key_from_seed([9; 32]));
+    assert!(refused(
+        &fold.apply(1, &unknown),
+        SignatureError::UnknownSigner
+    ));
+    assert!(refused(
+        &fold.apply(2, &wrong),
+        SignatureError::WrongSignature
+    ));
     let counters = fold.counters();
     assert_eq!((counters.unknown_signer, counters.wrong_signature), (1, 1));
 
     let mut trusted = signers();
     trusted[0].revoked = true;
     let mut strict = Fold::new(trusted);
-    let first = sign::version(None, text(), "mira", &mira()).unwrap();
-    assert!(refused(&strict.apply(0, &first), Distrust::Revoked));
+    let first = sign::sign_text(None, text(), "mira", &mira()).unwrap();
+    assert!(refused(
+        &strict.apply(0, &first),
+        SignatureError::RevokedSigner
+    ));
     assert_eq!(strict.counters().revoked_signer, 1);
     assert!(strict.head().is_none());
 }
 
-fn refused(verdict: &Verdict, distrust: Distrust) -> bool {
-    matches!(verdict, Verdict::Refused(Reason::Distrust(d)) if *d == distrust)
+fn refused(verdict: &Verdict, expected: SignatureError) -> bool {
+    matches!(verdict, Verdict::Refused(Reason::Signature(d)) if *d == expected)
 }
 
 /// A record without a signature, or without a signer, is unreadable: nothing falls back to a
@@ -136,7 +145,7 @@
 fn a_revoked_key_stays_revoked() {
     let (mut fold, _) = folded(1);
     let list = |mira_revoked: &str| {
-        let key = |k: &SigningKey| sign::public(k);
+        let key = |k: &SigningKey| sign::public_key_hex(k);
         format!(
             "{}\n[signer mira]\nkey = {}\nrevoked = {mira_revoked}\n[signer tuya]\nkey = {}\n",
             text(),
@@ -154,7 +163,10 @@
     );
     let more = list("yes").replace("rate = 20", "rate = 9");
     let by_revoked = signed(&head(&fold), &more, "mira", &mira()).unwrap();
-    assert!(refused(&fold.apply(2, &by_revoked), Distrust::Revoked));
+    assert!(refused(
+        &fold.apply(2, &by_revoked),
+        SignatureError::RevokedSigner
+    ));
     let undone = signed(&head(&fold), &list("no"), "tuya", &tuya());
     assert!(matches!(undone, Err(sign::Error::Bundle(_))));
 
@@ -164,7 +176,7 @@
     child.number = 3;
     let mut blank = Bundle::clone(&parent);
     blank.signers.clear();
-    let version = sign::child_of(Some(&blank), &child, "tuya", &tuya()).unwrap();
+    let version = sign::sign_bundle(Some(&blank), &child, "tuya", &tuya()).unwrap();
     let verdict = fold.apply(3, &Record::Version(version).encode());
     assert!(
         matches!(verdict, Verdict::Refused(Reason::Bundle(_))),
@@ -174,7 +186,7 @@
 
 /// Signs `text` on `head`.
 fn signed(head: &Bundle, text: &str, name: &str, key: &SigningKey) -> sign::Result<Vec<u8>> {
-    sign::version(Some(head), text, name, key)
+    sign::sign_text(Some(head), text, name, key)
 }
 
 /// Somebody on the way changes any byte of a version. It must never be accepted as another one:
@@ -213,18 +225,18 @@
         log.push(body);
     }
     // Records 0..=4 are gone; 5 is version 6, 6 the checkpoint, 7 and 8 versions 7 and 8.
-    let verdicts = old.page(5, records(&log, 5));
+    let verdicts = old.apply_page(5, records(&log, 5));
     assert!(matches!(verdicts[0].1, Verdict::Unjudged));
     assert!(matches!(verdicts[1].1, Verdict::Adopted(_)));
     assert_eq!(number(&old), 8);
     let mut fresh = Fold::new(signers());
-    fresh.page(5, records(&log[..6], 5));
+    fresh.apply_page(5, records(&log[..6], 5));
     assert!(fresh.in_gap() && fresh.head().is_none());
     assert!(
         fresh.checkpoint(Duration::ZERO).is_none(),
         "who has a gap vouches for nothing"
     );
-    fresh.page(5, records(&log, 6));
+    fresh.apply_page(5, records(&log, 6));
     assert_eq!(number(&fresh), 8);
 }
 
@@ -240,14 +252,14 @@
     log.push(body);
     log.push(late);
     let mut fresh = Fold::new(signers());
-    let verdicts = fresh.page(1, records(&log, 1));
+    let verdicts = fresh.apply_page(1, records(&log, 1));
     assert!(matches!(verdicts[3].1, Verdict::Adopted(_)));
     assert_eq!((number(&fresh), fresh.next_offset()), (3, 3));
-    fresh.page(1, records(&log, 3));
+    fresh.apply_page(1, records(&log, 3));
     assert_eq!(number(&fresh), 4);
     // Once the version is dropped, the checkpoint doesn't tell all and isn't used.
     let mut later = Fold::new(signers());
-    later.page(4, records(&log, 4));
+    later.apply_page(4, records(&log, 4));
     assert!(later.in_gap() && later.head().is_none());
 }
 
@@ -266,7 +278,7 @@
     first.apply(3, &body);
     log.push(body);
     assert_eq!(
-        first.offer(3),
+        first.records_since(3),
         vec![Arc::<[u8]>::from(&log[3][..])],
         "a delta is enough"
     );
@@ -276,14 +288,14 @@
         third.apply(offset, body);
         assert_eq!(number(&third), 4);
     }
-    assert_eq!(third.logged(), third.head());
+    assert_eq!(third.log_head(), third.head());
     assert_eq!(third.counters().conflicts, 0);
     assert!(third.check_all().is_empty());
 }
 
 fn spread(from: &Fold, to: &mut Fold) {
     let number = to.head().map_or(0, |b| b.number);
-    for body in from.offer(number) {
+    for body in from.records_since(number) {
         to.adopt(&body);
     }
 }
@@ -300,7 +312,7 @@
     let mut peer = fold.clone();
     assert!(matches!(fold.apply(1, &winner), Verdict::Accepted(_)));
     assert_eq!(fold.head().unwrap().signer, "mira");
-    let contradiction = peer.adopt(&fold.full().unwrap());
+    let contradiction = peer.adopt(&fold.encode_head().unwrap());
     assert!(matches!(
         contradiction,
         Verdict::Refused(Reason::Conflict(2))
@@ -315,16 +327,19 @@
 fn useless_heads_of_peers_change_nothing() {
     let (old, log) = folded(2);
     let (mut fold, _) = folded(4);
-    assert!(matches!(fold.adopt(&checkpoint(&old)), Verdict::Old));
-    assert!(matches!(fold.adopt(&log[1]), Verdict::Old));
-    let forger = sign::key([9; 32]);
+    assert!(matches!(fold.adopt(&checkpoint(&old)), Verdict::Stale));
+    assert!(matches!(fold.adopt(&log[1]), Verdict::Stale));
+    let forger = sign::key_from_seed([9; 32]);
     let mut theirs = Fold::new(vec![signer("mira", &forger)]);
     for i in 0..6 {
         let body = next(&theirs, i + 1, "mira", &forger);
         theirs.apply(u64::from(i), &body);
     }
     let verdict = fold.adopt(&checkpoint(&theirs));
-    assert!(refused(&verdict, Distrust::Signature), "{verdict}");
+    assert!(
+        refused(&verdict, SignatureError::WrongSignature),
+        "{verdict}"
+    );
     assert!(matches!(
         fold.adopt(b"{}"),
         Verdict::Refused(Reason::Record(_))
@@ -361,10 +376,10 @@
     for offset in 3..10 {
         peer.apply(offset, b"junk");
     }
-    fold.gap(9);
+    fold.set_first_retained(9);
     assert!(fold.in_gap());
     assert!(
-        matches!(fold.adopt(&peer.offer(0)[0]), Verdict::Old),
+        matches!(fold.adopt(&peer.records_since(0)[0]), Verdict::Stale),
         "versions tell nothing"
     );
     assert!(matches!(
--- a/crates/bundle/tests/publish.rs
+++ b/crates/bundle/tests/publish.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bundle::fold::Fold;
-use bundle::publish::{Action, Event, MAX_FAILURES, Outcome, Publish};
+use bundle::publish::{Action, Event, MAX_FAILURES, Outcome, Publisher};
 use bundle::sign;
 use common::{mira, signers, text, tuya};
 
@@ -29,11 +29,11 @@
 /// A first version with a limit of its own.
 fn version(rate: u32) -> Vec<u8> {
     let text = text().replace("rate = 20", &format!("rate = {rate}"));
-    sign::version(None, &text, "mira", &mira()).unwrap()
+    sign::sign_text(None, &text, "mira", &mira()).unwrap()
 }
 
 /// Runs to the first append.
-fn to_append(publish: &mut Publish, fold: &mut Fold, log: &Log) {
+fn to_append(publish: &mut Publisher, fold: &mut Fold, log: &Log) {
     assert!(matches!(publish.start(), Action::Read { failures: 0 }));
     let read = log.read(fold);
     assert!(matches!(publish.step(fold, read), Action::Append));
@@ -44,7 +44,7 @@
 #[test]
 fn a_lost_answer_is_settled_by_reading() {
     let (mut fold, mut log) = (Fold::new(signers()), Log::default());
-    let mut publish = Publish::new(version(1)).unwrap();
+    let mut publish = Publisher::new(version(1)).unwrap();
     to_append(&mut publish, &mut fold, &log);
     log.append(publish.body());
     let action = publish.step(&fold, Event::Failed { unsure: true });
@@ -61,7 +61,7 @@
 #[test]
 fn a_late_effect_is_no_second_version() {
     let (mut fold, mut log) = (Fold::new(signers()), Log::default());
-    let mut publish = Publish::new(version(1)).unwrap();
+    let mut publish = Publisher::new(version(1)).unwrap();
     to_append(&mut publish, &mut fold, &log);
     publish.step(&fold, Event::Failed { unsure: true });
     let read = log.read(&mut fold);
@@ -83,9 +83,9 @@
 #[test]
 fn a_race_names_the_winner() {
     let (mut fold, mut log) = (Fold::new(signers()), Log::default());
-    let mut publish = Publish::new(version(1)).unwrap();
+    let mut publish = Publisher::new(version(1)).unwrap();
     to_append(&mut publish, &mut fold, &log);
-    let other = sign::version(None, text(), "tuya", &tuya()).unwrap();
+    let other = sign::sign_text(None, text(), "tuya", &tuya()).unwrap();
     log.append(&other);
     let appended = log.append(publish.body());
     publish.step(&fold, appended);
@@ -101,18 +101,18 @@
 #[test]
 fn an_outage_ends_honestly() {
     let (mut fold, log) = (Fold::new(signers()), Log::default());
-    let mut publish = Publish::new(version(1)).unwrap();
+    let mut publish = Publisher::new(version(1)).unwrap();
     publish.start();
     assert!(matches!(fail(&mut publish, &fold), Outcome::Failed));
 
-    let mut publish = Publish::new(version(1)).unwrap();
+    let mut publish = Publisher::new(version(1)).unwrap();
     to_append(&mut publish, &mut fold, &log);
     publish.step(&fold, Event::Failed { unsure: true });
     assert!(matches!(fail(&mut publish, &fold), Outcome::Unsure));
 }
 
 /// Fails every call until the end.
-fn fail(publish: &mut Publish, fold: &Fold) -> Outcome {
+fn fail(publish: &mut Publisher, fold: &Fold) -> Outcome {
     for _ in 0..MAX_FAILURES {
         if let Action::Done(outcome) = publish.step(fold, Event::Failed { unsure: false }) {
             return outcome;
@@ -127,7 +127,7 @@
 fn hopeless_versions_are_not_appended() {
     let log = Log::default();
     let refused = |fold: &mut Fold, body: Vec<u8>| {
-        let mut publish = Publish::new(body).unwrap();
+        let mut publish = Publisher::new(body).unwrap();
         publish.start();
         let read = log.read(fold);
         match publish.step(fold, read) {
@@ -135,20 +135,23 @@
             other => panic!("{other:?}"),
         }
     };
-    let forged = sign::version(None, text(), "mira", &tuya()).unwrap();
+    let forged = sign::sign_text(None, text(), "mira", &tuya()).unwrap();
     let mut fold = Fold::new(signers());
     assert!(matches!(refused(&mut fold, forged), Outcome::Refused(_)));
 
     let mut ahead = Fold::new(signers());
     ahead.apply(0, &version(1));
-    let child = sign::version(ahead.head().map(|b| &**b), text(), "mira", &mira()).unwrap();
-    assert!(matches!(refused(&mut fold, child), Outcome::Parent(0)));
+    let child = sign::sign_text(ahead.head().map(|b| &**b), text(), "mira", &mira()).unwrap();
+    assert!(matches!(
+        refused(&mut fold, child),
+        Outcome::UnknownParent(0)
+    ));
 
-    fold.gap(10);
+    fold.set_first_retained(10);
     assert!(matches!(refused(&mut fold, version(1)), Outcome::Gap));
-    let checkpoint = ahead.full().unwrap();
+    let checkpoint = ahead.encode_head().unwrap();
     assert!(
-        Publish::new(checkpoint).is_err(),
+        Publisher::new(checkpoint).is_err(),
         "a checkpoint is no version"
     );
 }
--- a/crates/bundle/tests/world.rs
+++ b/crates/bundle/tests/world.rs
@@ -8,7 +8,7 @@
 use bundle::checkpoint::{Policy, Settings};
 use bundle::digest::Digest;
 use bundle::fold::{Fold, Verdict};
-use bundle::publish::{Action, Event, Outcome, Publish};
+use bundle::publish::{Action, Event, Outcome, Publisher};
 use bundle::sign;
 use common::{mira, signers, text, tuya};
 use rand::{RngExt, SeedableRng};
@@ -71,7 +71,7 @@
         let page: Vec<_> = page.map(|(i, r)| (i as u64, r.1.as_slice())).collect();
         let end = page.is_empty();
         let page = if self.swapped { swap(page) } else { page };
-        fold.page(first, page);
+        fold.apply_page(first, page);
         end
     }
 }
@@ -120,7 +120,7 @@
     name: &'static str,
     key: sign::SigningKey,
     fold: Fold,
-    work: Option<(Publish, Action)>,
+    work: Option<(Publisher, Action)>,
 }
 
 /// A run.
@@ -221,7 +221,7 @@
         if self.chance(30) {
             let peer = self.random.random_range(0..NODES);
             let number = self.nodes[i].0.head().map_or(0, |b| b.number);
-            for body in self.nodes[peer].0.offer(number) {
+            for body in self.nodes[peer].0.records_since(number) {
                 self.nodes[i].0.adopt(&body);
             }
         }
@@ -284,9 +284,9 @@
         let operator = &mut self.operators[i];
         while !self.log.read(&mut operator.fold, 100, first) {}
         let head = operator.fold.head().cloned();
-        let signed = sign::version(head.as_deref(), &text, operator.name, &operator.key);
+        let signed = sign::sign_text(head.as_deref(), &text, operator.name, &operator.key);
         if let Ok(body) = signed {
-            let mut publish = Publish::new(body).unwrap();
+            let mut publish = Publisher::new(body).unwrap();
             let action = publish.start();
             operator.work = Some((publish, action));
         }
@@ -321,8 +321,8 @@
         let wrong = |(id, outcome): &(Digest, Outcome)| match (accepted.contains(id), outcome) {
             (true, Outcome::Accepted(_) | Outcome::Unsure) => None,
             (false, Outcome::Lost(winner)) if accepted.contains(&winner.id) => None,
-            (false, Outcome::Past(_) | Outcome::Unsure | Outcome::Failed) => None,
-            (false, Outcome::Parent(_) | Outcome::Gap) => None,
+            (false, Outcome::Superseded(_) | Outcome::Unsure | Outcome::Failed) => None,
+            (false, Outcome::UnknownParent(_) | Outcome::Gap) => None,
             (_, outcome) => Some(format!("told: {outcome}")),
         };
         self.outcomes.iter().filter_map(wrong).collect()
@@ -332,7 +332,7 @@
 fn node(random: &mut ChaCha8Rng) -> (Fold, Policy) {
     let settings = Settings {
         retention: Duration::from_secs(RETENTION),
-        versions: 64,
+        max_versions: 64,
     };
     (Fold::new(signers()), Policy::new(settings, random.random()))
 }
--- a/crates/ctl/examples/in_force.rs
+++ b/crates/ctl/examples/in_force.rs
@@ -91,9 +91,9 @@
 
 /// The next version's record; the fleet remembers it as published.
 fn sign(fleet: &mut Fleet, text: &str) -> Option<Vec<u8>> {
-    let key = bundle::sign::key(rig::plan::SIGNER_SEED);
+    let key = bundle::sign::key_from_seed(rig::plan::SIGNER_SEED);
     let parent = fleet.bundle.take();
-    let record = bundle::sign::version(parent.as_ref(), text, rig::plan::SIGNER, &key).ok()?;
+    let record = bundle::sign::sign_text(parent.as_ref(), text, rig::plan::SIGNER, &key).ok()?;
     let mut child: bundle::Bundle = text.parse().ok()?;
     child.number = parent.map_or(1, |b| b.number + 1);
     fleet.bundle = Some(child);
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -55,7 +55,7 @@
     if !files::bytes(path)?.trim_ascii_start().starts_with(b"{") {
         return files::sections(path);
     }
-    let whole = files::record(path)?.whole();
+    let whole = files::record(path)?.sections();
     whole.map_err(|e| input(eyre::eyre!("not a whole bundle: it {e}")))
 }
 
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -22,7 +22,7 @@
 pub fn bytes(path: &Path) -> Result<Vec<u8>> {
     let at = || path.display().to_string();
     let size = fs::metadata(path).wrap_err_with(at).map_err(input)?.len();
-    if size > bundle::text::MAX_TEXT as u64 {
+    if size > bundle::text::MAX_TEXT_LEN as u64 {
         return Err(input(eyre!("{}: {size} bytes are too many", at())));
     }
     fs::read(path).wrap_err_with(at).map_err(input)
@@ -84,7 +84,7 @@
 
 /// One trusted key.
 fn signer(name: &str, key: &str) -> eyre::Result<Signer> {
-    let key = bundle::signer::key(key);
+    let key = bundle::signer::parse_key(key);
     let key = key.ok_or_else(|| eyre!("[trust] {name}: not an ed25519 public key in hex"))?;
     Ok(Signer {
         name: name.into(),
--- a/crates/ctl/src/keygen.rs
+++ b/crates/ctl/src/keygen.rs
@@ -40,10 +40,10 @@
     let mut seed = [0; 32];
     let drawn = SysRng.try_fill_bytes(&mut seed);
     drawn.wrap_err("random numbers").map_err(failed)?;
-    let key = sign::key(seed);
+    let key = sign::key_from_seed(seed);
     let pem = sign::to_pem(&key).map_err(failed)?;
     write_new(files::path(args, "key"), &pem)?;
-    let public = sign::public(&key);
+    let public = sign::public_key_hex(&key);
     output.show(&Key { name, public });
     Ok(())
 }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -7,8 +7,8 @@
 use crate::source;
 use crate::tail::{STREAM, Tail, backoff};
 use crate::wait;
-use bundle::answer::{Answer, Word};
-use bundle::publish::{Action, Event, Publish};
+use bundle::answer::{Answer, OutcomeKind};
+use bundle::publish::{Action, Event, Publisher};
 use bytes::Bytes;
 use clap::ArgMatches;
 use eyre::{WrapErr, eyre};
@@ -30,7 +30,7 @@
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let body = files::bytes(files::path(args, "file"))?;
     let body = body.trim_ascii().to_vec();
-    let publish = Publish::new(body)
+    let publish = Publisher::new(body)
         .wrap_err("signed version")
         .map_err(input)?;
     let answer = match args.get_one::<SocketAddr>("admin") {
@@ -53,8 +53,8 @@
 fn finish(answer: &Answer) -> Result {
     let told = eyre!("{}", answer.message);
     match answer.outcome {
-        Word::Accepted => Ok(()),
-        Word::Refused => {
+        OutcomeKind::Accepted => Ok(()),
+        OutcomeKind::Refused => {
             let mut findings = bundle::finding::Findings::default();
             answer
                 .findings
@@ -66,14 +66,14 @@
                 Err(Failure::Findings(findings))
             }
         }
-        Word::Lost => {
+        OutcomeKind::Lost => {
             let told = match answer.signer.as_str() {
                 "" => told,
                 signer => eyre!("lost to version {} by {signer}", answer.number),
             };
             Err(failed(told))
         }
-        Word::Failed | Word::Unsure => Err(failed(told)),
+        OutcomeKind::Failed | OutcomeKind::Unsure => Err(failed(told)),
     }
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Publishes into the log.
-async fn by_log(mut tail: Tail, mut publish: Publish) -> Answer {
+async fn by_log(mut tail: Tail, mut publish: Publisher) -> Answer {
     let mut backoff = backoff();
     let mut action = publish.start();
     loop {
@@ -110,7 +110,7 @@
 }
 
 /// Appends once; waits after a failure.
-async fn append(tail: &Tail, publish: &Publish, backoff: &mut Backoff) -> Event {
+async fn append(tail: &Tail, publish: &Publisher, backoff: &mut Backoff) -> Event {
     let body = Bytes::copy_from_slice(publish.body());
     match tail.log.append(STREAM, body).await {
         Ok(offset) => Event::Appended(offset),
--- a/crates/ctl/src/sign.rs
+++ b/crates/ctl/src/sign.rs
@@ -49,7 +49,7 @@
     let key = files::key(files::path(args, "key"))?;
     let child = files::bundle(files::path(args, "file"))?;
     let parent = source::head(args).await?;
-    let version = sign::child_of(parent.as_ref(), &child, name, &key).map_err(failure)?;
+    let version = sign::sign_bundle(parent.as_ref(), &child, name, &key).map_err(failure)?;
     let header = &version.envelope.header;
     let signed = Signed {
         number: header.number,
--- a/crates/ctl/src/source.rs
+++ b/crates/ctl/src/source.rs
@@ -49,8 +49,8 @@
 /// The bundle of a record. Its signature isn't checked: the new version is signed with the whole
 /// text that the operator gives, and a wrong parent only makes it lose.
 fn of_record(record: &Record) -> Result<Bundle> {
-    let whole = record.whole();
+    let whole = record.sections();
     let sections = whole.map_err(|e| input(eyre!("parent is not a whole bundle: it {e}")))?;
-    let bundle = fold::checked(&sections, &record.envelope().header);
+    let bundle = fold::build_bundle(&sections, &record.envelope().header);
     bundle.map_err(|e| input(eyre!("parent: {e}")))
 }
--- a/crates/ctl/src/tail.rs
+++ b/crates/ctl/src/tail.rs
@@ -36,7 +36,7 @@
         let from = self.fold.next_offset();
         let page = self.log.read(STREAM, from, wait).await?;
         let records = page.records.iter().map(|r| (r.offset, &r.body[..]));
-        self.fold.page(page.first, records);
+        self.fold.apply_page(page.first, records);
         Ok(page.records.is_empty())
     }
 
--- a/crates/ctl/tests/admin.rs
+++ b/crates/ctl/tests/admin.rs
@@ -5,7 +5,7 @@
 use bundle::answer::Answer;
 use bundle::fleet::{Fleet, Node};
 use bundle::fold::Fold;
-use bundle::publish::{Action, Event, Publish};
+use bundle::publish::{Action, Event, Publisher};
 use common::{Workdir, json, ok};
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -35,7 +35,7 @@
 impl Fake {
     /// Publishes as a node does.
     fn publish(&mut self, body: Vec<u8>) -> Answer {
-        let mut publish = match Publish::new(body) {
+        let mut publish = match Publisher::new(body) {
             Ok(publish) => publish,
             Err(e) => return Answer::from(&e),
         };
@@ -104,7 +104,7 @@
             let history = bundle::history::History::from(&fake.fold);
             json(serde_json::to_value(history).unwrap())
         }
-        "/admin/v1/head" => fake.fold.full().unwrap_or_default().into(),
+        "/admin/v1/head" => fake.fold.encode_head().unwrap_or_default().into(),
         "/dump" => Bytes::from(format!("dump {}", parts.uri.query().unwrap_or_default())),
         _ => {
             let mut response = Response::new(Full::new(Bytes::from("no such path")));
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -197,7 +197,7 @@
 fn head(version: &str, trust: &str) -> String {
     let mut fold = bundle::fold::Fold::new(common::trusted(trust));
     fold.apply(0, version.as_bytes());
-    String::from_utf8(fold.full().unwrap()).unwrap()
+    String::from_utf8(fold.encode_head().unwrap()).unwrap()
 }
 
 /// Wrong input ends with exit code 2 and every finding with its line, and a key is never
--- a/crates/ctl/tests/common.rs
+++ b/crates/ctl/tests/common.rs
@@ -87,7 +87,7 @@
     let lines = text.lines().filter_map(|l| l.split_once(" = "));
     let signers = lines.map(|(name, key)| Signer {
         name: name.into(),
-        key: bundle::signer::key(key).unwrap(),
+        key: bundle::signer::parse_key(key).unwrap(),
         revoked: false,
     });
     signers.collect()
--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -23,9 +23,9 @@
     }
     fleet.relist();
     let dir = Workdir::new(name);
-    let key = sign::key(SIGNER_SEED);
+    let key = sign::key_from_seed(SIGNER_SEED);
     dir.write("key.pem", &sign::to_pem(&key).unwrap());
-    let trust = format!("[trust]\n{SIGNER} = {}\n", sign::public(&key));
+    let trust = format!("[trust]\n{SIGNER} = {}\n", sign::public_key_hex(&key));
     dir.write("trust.ini", &trust);
     dir.write("bundle.ini", &fleet.text());
     (fleet, dir)
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -8,7 +8,7 @@
 use crate::limits::Limits;
 use crate::request_body;
 use crate::response::{json, with_content_type};
-use bundle::answer::{Answer, Word};
+use bundle::answer::{Answer, OutcomeKind};
 use bytes::Bytes;
 use http::StatusCode;
 use prometheus::{Encoder, Registry, TextEncoder};
@@ -274,11 +274,11 @@
     .await?;
     let mut response = json(&answer);
     *response.status_mut() = match answer.outcome {
-        Word::Accepted => StatusCode::OK,
-        Word::Lost => StatusCode::CONFLICT,
-        Word::Refused => StatusCode::UNPROCESSABLE_ENTITY,
-        Word::Failed => StatusCode::SERVICE_UNAVAILABLE,
-        Word::Unsure => StatusCode::GATEWAY_TIMEOUT,
+        OutcomeKind::Accepted => StatusCode::OK,
+        OutcomeKind::Lost => StatusCode::CONFLICT,
+        OutcomeKind::Refused => StatusCode::UNPROCESSABLE_ENTITY,
+        OutcomeKind::Failed => StatusCode::SERVICE_UNAVAILABLE,
+        OutcomeKind::Unsure => StatusCode::GATEWAY_TIMEOUT,
     };
     Ok(response)
 }
--- a/crates/entry/src/api/header.rs
+++ b/crates/entry/src/api/header.rs
@@ -86,19 +86,19 @@
     }
     let digest = bundle::digest::Digest::of(key.trim().as_bytes());
     bundle
-        .holder(&digest)
+        .team_by_key(&digest)
         .ok_or_else(|| unauthorized("no team has this key"))
 }
 
 fn priority(headers: &HeaderMap, bundle: &Bundle, team: TeamId) -> Result<PriorityId> {
     let team = &bundle.teams[usize::from(team)];
     let Some(name) = text(headers, &PRIORITY)? else {
-        return Ok(team.usual);
+        return Ok(team.default_priority);
     };
     let priority = bundle.priority(name).ok_or_else(|| {
         Error::invalid_value(PRIORITY.as_str(), format!("no priority is called {name}"))
     })?;
-    if priority < team.top {
+    if priority < team.highest_priority {
         let message = format!("team {} may not ask for priority {name}", team.name);
         return Err(Error::new(
             StatusCode::FORBIDDEN,
--- a/crates/entry/tests/common.rs
+++ b/crates/entry/tests/common.rs
@@ -20,8 +20,8 @@
          [endpoint e]\ninstance = e\naddr = 127.0.0.1:9\nzone = zone-0\nkind = any\nspans = menu 0..4\nslots = 4\nfenced = yes\n\
          [team kitchens]\nkeys = {}\nweight = 1\nrate = 10\nin_flight = 10\ntop = normal\nusual = normal\n\
          [team duty]\nkeys = {}\nweight = 1\nrate = 10\nin_flight = 10\ntop = alarm\nusual = normal\n",
-        sign::bearer(KITCHENS_KEY),
-        sign::bearer(DUTY_KEY)
+        sign::bearer_digest(KITCHENS_KEY),
+        sign::bearer_digest(DUTY_KEY)
     );
     text.parse().unwrap_or_else(|e| panic!("{e}"))
 });
--- a/crates/node/src/control/publish.rs
+++ b/crates/node/src/control/publish.rs
@@ -3,7 +3,7 @@
 use super::tail::BUNDLE_STREAM;
 use bundle::answer::Answer;
 use bundle::fold::Fold;
-use bundle::publish::{Action, Event, Outcome, Publish};
+use bundle::publish::{Action, Event, Outcome, Publisher};
 use bytes::Bytes;
 use platform::backoff::Backoff;
 use platform::http::Log as Client;
@@ -18,7 +18,7 @@
 /// Publishes the version in `body` and returns the outcome. `fold` is a copy of the node's fold. It
 /// is advanced here by separate reads of the log, so that the answer does not depend on control.
 pub async fn publish_version(log: Client, mut fold: Fold, body: Bytes, seed: u64) -> Answer {
-    let mut publish = match Publish::new(body.to_vec()) {
+    let mut publish = match Publisher::new(body.to_vec()) {
         Ok(publish) => publish,
         Err(error) => return Answer::from(&error),
     };
@@ -64,7 +64,7 @@
 
 fn apply(fold: &mut Fold, page: &Page) {
     let records = page.records.iter().map(|r| (r.offset, r.body.as_ref()));
-    fold.page(page.first, records);
+    fold.apply_page(page.first, records);
 }
 
 /// Appends the version to the bundle stream.
--- a/crates/node/src/control/state.rs
+++ b/crates/node/src/control/state.rs
@@ -216,7 +216,7 @@
             }
             ControlRequest::Fleet(reply) => self.collect_fleet(reply),
             ControlRequest::Head(reply) => {
-                let _ = reply.send(self.fold.full());
+                let _ = reply.send(self.fold.encode_head());
             }
             ControlRequest::Publish(body, reply) => self.publish_version(body, reply),
             ControlRequest::Dump(reply) => {
@@ -372,7 +372,7 @@
 fn checkpoint_settings(settings: &Settings) -> checkpoint::Settings {
     checkpoint::Settings {
         retention: settings.platform.retention,
-        versions: CHECKPOINT_VERSION_INTERVAL,
+        max_versions: CHECKPOINT_VERSION_INTERVAL,
     }
 }
 
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -17,7 +17,7 @@
     pub(super) fn fold_page(&mut self, page: Page) -> Offset {
         self.first_offset = page.first;
         let records = page.records.iter().map(|r| (r.offset, r.body.as_ref()));
-        let verdicts = self.fold.page(page.first, records);
+        let verdicts = self.fold.apply_page(page.first, records);
         for (offset, verdict) in &verdicts {
             log_verdict(*offset, verdict);
         }
@@ -120,7 +120,7 @@
 
     /// Returns the records that a peer has requested, encoded in one body.
     pub(super) fn records_since(&self, ask: HeadRequest) -> Option<Vec<u8>> {
-        records::encode(&self.fold.offer(ask.have))
+        records::encode(&self.fold.records_since(ask.have))
     }
 }
 
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -248,8 +248,8 @@
 
     /// Signs `text` as the next version and appends it to the log.
     pub async fn publish(&mut self, text: &str) -> Result<()> {
-        let key = sign::key(SIGNER_SEED);
-        let record = sign::version(self.bundle.as_ref(), text, SIGNER, &key)
+        let key = sign::key_from_seed(SIGNER_SEED);
+        let record = sign::sign_text(self.bundle.as_ref(), text, SIGNER, &key)
             .map_err(|e| eyre!("the rig's bundle is wrong: {e}"))?;
         let client = platform::http::Log::new(self.log.addr, platform::Limits::default());
         let body = Bytes::from(record);
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -191,7 +191,7 @@
                 text,
                 "[team {}]\nkeys = {}\nweight = {}\nrate = {}\nin_flight = {}\ntop = {}\nusual = normal\n",
                 team.name,
-                sign::bearer(team.key),
+                sign::bearer_digest(team.key),
                 team.weight,
                 team.rate,
                 team.in_flight,
@@ -206,7 +206,7 @@
         let zone = self.zone(index);
         let workers = self.workers;
         let (drain, ttl) = (self.drain.as_millis(), self.address_ttl.as_millis());
-        let public = sign::public(&sign::key(SIGNER_SEED));
+        let public = sign::public_key_hex(&sign::key_from_seed(SIGNER_SEED));
         let (callers, roll) = (&self.callers, &self.roll);
         let Platform { log, list, weights } = platform;
         format!(
--- a/crates/route/tests/support/fixture.rs
+++ b/crates/route/tests/support/fixture.rs
@@ -79,8 +79,8 @@
         weight,
         rate: 1e6,
         in_flight: 1_000_000,
-        top: 0,
-        usual: 1,
+        highest_priority: 0,
+        default_priority: 1,
         models: Vec::new(),
     }
 }
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -34,7 +34,7 @@
     t.push_str("[priority alarm]\nrank = 0\nurgent = yes\n");
     t.push_str("[priority normal]\nrank = 10\nweight = 4\n");
     for n in 0..size.teams {
-        let key = sign::bearer(&format!("key-{n}"));
+        let key = sign::bearer_digest(&format!("key-{n}"));
         let rate = if n == 0 { rate } else { 30 };
         let _ = writeln!(
             t,
--- a/crates/slopes/src/versions.rs
+++ b/crates/slopes/src/versions.rs
@@ -53,18 +53,18 @@
 
 impl World {
     fn new(size: Size) -> Self {
-        let key = sign::key([7; 32]);
+        let key = sign::key_from_seed([7; 32]);
         let trusted = Signer {
             name: "mira".into(),
             key: *key.verifying_key().as_bytes(),
             revoked: false,
         };
-        let first = sign::version(None, &fleet::text(size, 30), "mira", &key).expect("sound");
+        let first = sign::sign_text(None, &fleet::text(size, 30), "mira", &key).expect("sound");
         let mut start = Fold::new(vec![trusted.clone()]);
         assert!(matches!(start.apply(0, &first), Verdict::Accepted(_)));
         let head = start.head().expect("a head").clone();
         let text = fleet::text(size, 31);
-        let next = sign::version(Some(&head), &text, "mira", &key).expect("sound");
+        let next = sign::sign_text(Some(&head), &text, "mira", &key).expect("sound");
         let checkpoint = start.checkpoint(Duration::ZERO).expect("a state");
         Self {
             trusted,
