--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -344,7 +344,7 @@
     let mut forms = Vec::new();
     for n in first..first + 64 {
         let text = match tickets {
-            true => table.issue(now).to_string(),
+            true => table.issue_ticket(now).to_string(),
             false => format!("{}-{n}", START.as_secs()),
         };
         let Ok(form) = Key::parse("desk", &text) else {
--- a/crates/lease/src/claim/append.rs
+++ b/crates/lease/src/claim/append.rs
@@ -7,7 +7,7 @@
 use crate::outcome::Outcome;
 use rand_chacha::ChaCha8Rng;
 
-/// Number of queued items from which on no more claims are accepted.
+/// Number of queued items at which the queue accepts no more claims.
 pub const MAX_QUEUED_ITEMS: usize = 16 * MAX_ITEMS;
 
 /// Queue of the items that one shard has to append.
--- a/crates/lease/src/claim/home.rs
+++ b/crates/lease/src/claim/home.rs
@@ -8,8 +8,8 @@
 /// highest hash of node and shard. A node that joins or leaves moves only its own shards.
 ///
 /// Requests with the same key that arrive at the same node share its appends and answers. If nodes
-/// disagree on the home, this costs appends but never leads to a second run, which the log rules
-/// out.
+/// disagree on the home, this costs appends but never leads to a second run, since the log
+/// decides who owns a key.
 pub fn home(shard: Shard, nodes: &[NodeId]) -> Option<NodeId> {
     nodes
         .iter()
--- a/crates/lease/src/claim/replay.rs
+++ b/crates/lease/src/claim/replay.rs
@@ -50,7 +50,7 @@
     /// Keys dated before this may have been evicted from `entries`.
     evicted_bound: WallTime,
     caught_up: bool,
-    read_at: WallTime,
+    last_read_at: WallTime,
     entries: BTreeMap<Hash, Entry>,
     order: VecDeque<Hash>,
 }
@@ -67,8 +67,8 @@
     }
 
     /// Time at which the last record was read.
-    pub fn read_at(&self) -> WallTime {
-        self.read_at
+    pub fn last_read_at(&self) -> WallTime {
+        self.last_read_at
     }
 
     /// Date before which keys may have claims that this node doesn't know.
@@ -125,7 +125,7 @@
         }
         for record in unread {
             self.next = record.offset + 1;
-            self.read_at = wall;
+            self.last_read_at = wall;
             counters.records += 1;
             match Batch::decode(&record.body) {
                 Ok(batch) if batch.upto <= record.offset => {
@@ -170,7 +170,7 @@
         self.caught_up = false;
         self.start = Some(first);
         self.next = first;
-        self.read_at = wall;
+        self.last_read_at = wall;
         self.unread_bound = match first {
             0 => WallTime::ZERO,
             _ => wall + settings.max_clock_error * MAX_CLOCK_ERRORS,
@@ -226,7 +226,7 @@
     }
 
     /// Makes the claim the owner of the key if the key is free. Ignores claims of owned keys and of
-    /// keys that are older than the evicted ones.
+    /// keys so old that they may have been evicted.
     fn claim(&mut self, hash: Hash, entry: Entry) -> Option<Change> {
         if entry.date < self.evicted_bound || self.entries.contains_key(&hash) {
             return None;
--- a/crates/lease/src/claim/table.rs
+++ b/crates/lease/src/claim/table.rs
@@ -99,7 +99,7 @@
     }
 
     /// Issues a ticket that only this table accepts.
-    pub fn issue(&mut self, now: Now) -> Ticket {
+    pub fn issue_ticket(&mut self, now: Now) -> Ticket {
         let issued = Duration::from_millis(u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
         let ticket = Ticket {
             owner: self.me,
@@ -117,7 +117,7 @@
     }
 
     /// Number of keys with an owner in all followed shards.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.shards.values().map(|stream| stream.replay.len()).sum()
     }
 
@@ -233,7 +233,7 @@
     fn flush(&mut self, now: Now, actions: &mut Vec<Action>) {
         for (shard, stream) in &mut self.shards {
             if let Some(items) = stream.appends.take_due(now, self.batch, &self.settings) {
-                let (upto, at) = (stream.replay.next(), stream.replay.read_at());
+                let (upto, at) = (stream.replay.next(), stream.replay.last_read_at());
                 let body = Body {
                     owner: self.me,
                     upto,
--- a/crates/lease/src/group_lease/state.rs
+++ b/crates/lease/src/group_lease/state.rs
@@ -44,7 +44,7 @@
     /// Lease that this node holds, if any.
     pub tenure: Option<Tenure>,
     /// Highest number of a bundle whose roll was stopped, or 0.
-    pub stop: id::Number,
+    pub stopped_bundle: id::Number,
     /// Time at which this node sent a record that has not failed and has not been read back.
     pub unconfirmed_since: Option<Now>,
     /// Whether the next record must be sent before renewal is due.
--- a/crates/lease/src/group_lease/table.rs
+++ b/crates/lease/src/group_lease/table.rs
@@ -99,7 +99,9 @@
 
     /// Returns the highest number of a bundle whose roll was stopped in the group, or 0.
     pub fn stopped_bundle(&self, group: Group) -> id::Number {
-        self.groups.get(&group).map_or(0, |state| state.stop)
+        self.groups
+            .get(&group)
+            .map_or(0, |state| state.stopped_bundle)
     }
 
     /// Returns the owner of the group's lease, as far as this node knows. The lease may have expired.
@@ -148,8 +150,8 @@
         let Some(state) = self.groups.get_mut(&group) else {
             return;
         };
-        if state.tenure_at(now).is_some() && number > state.stop {
-            state.stop = number;
+        if state.tenure_at(now).is_some() && number > state.stopped_bundle {
+            state.stopped_bundle = number;
             state.urgent = true;
         }
     }
@@ -250,7 +252,7 @@
                 group,
                 number,
                 upto,
-                stop: state.stop,
+                stop: state.stopped_bundle,
             });
         }
         if items.is_empty() {
@@ -292,7 +294,7 @@
             if let Some(tenure) = state.tenure {
                 write!(f, " held fence {} until {:?}", tenure.fence, tenure.expiry)?;
             }
-            match state.stop {
+            match state.stopped_bundle {
                 0 => writeln!(f)?,
                 stop => writeln!(f, " stopped {stop}")?,
             }
--- a/crates/lease/src/group_lease/table/read.rs
+++ b/crates/lease/src/group_lease/table/read.rs
@@ -72,7 +72,7 @@
                 } => {
                     let start = self.start.unwrap_or_default();
                     let state = self.group_mut(group);
-                    state.stop = state.stop.max(stop);
+                    state.stopped_bundle = state.stopped_bundle.max(stop);
                     let verdict = state.validate(offset, upto, start);
                     self.apply_acquisition(
                         now,
--- a/crates/lease/src/roll/check.rs
+++ b/crates/lease/src/roll/check.rs
@@ -20,7 +20,7 @@
                     "{name}: the last sending of the order is before the first"
                 ));
             }
-            if pending.number > view.bundle.number {
+            if pending.bundle_number > view.bundle.number {
                 findings.push(format!(
                     "{name}: the order is of a bundle that is not in force yet"
                 ));
--- a/crates/lease/src/roll/plan.rs
+++ b/crates/lease/src/roll/plan.rs
@@ -19,7 +19,7 @@
     /// The order.
     pub order: Order,
     /// Number of the bundle that the order belongs to.
-    pub number: Number,
+    pub bundle_number: Number,
     /// Time at which the order was first sent.
     pub first_sent: Now,
     /// Time at which the order was last sent.
@@ -52,7 +52,7 @@
     /// Times at which the watched new replicas became ready, by name of the endpoint.
     pub(super) watched: BTreeMap<String, Now>,
     pub(super) covered: BTreeMap<String, Covered>,
-    pub(super) number: Number,
+    pub(super) bundle_number: Number,
     pub(super) failures: Vec<Failure>,
     pub(super) zone: Option<ZoneId>,
     /// Earliest time of the next fetch that the rate of the weight store allows.
@@ -74,7 +74,7 @@
             pending: BTreeMap::new(),
             watched: BTreeMap::new(),
             covered: BTreeMap::new(),
-            number: 0,
+            bundle_number: 0,
             failures: Vec::new(),
             zone: None,
             next_fetch: None,
@@ -88,8 +88,8 @@
     /// Updates the state from the view and appends the resulting actions to `actions`. Must be called
     /// about once a second, and only while this node holds the group's lease.
     pub fn step(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
-        if view.bundle.number > self.number {
-            self.number = view.bundle.number;
+        if view.bundle.number > self.bundle_number {
+            self.bundle_number = view.bundle.number;
             self.failures.clear();
         }
         let failure_window = self.settings.failure_window;
@@ -113,11 +113,11 @@
 
     /// Handles the refusal of an order by its endpoint. Must not be called for an order that was
     /// refused because of an old fencing number.
-    pub fn refused(&mut self, now: Now, endpoint: &str) {
+    pub fn record_refusal(&mut self, now: Now, endpoint: &str) {
         let Some(pending) = self.pending.remove(endpoint) else {
             return;
         };
-        if pending.number == self.number && pending.order.fetches_weights() {
+        if pending.bundle_number == self.bundle_number && pending.order.fetches_weights() {
             self.record_failure(now, endpoint, Cause::Refused);
         }
     }
@@ -142,13 +142,13 @@
     }
 
     fn decide(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) -> Phase {
-        let stopped = Phase::Stopped(self.number);
-        if view.stopped >= self.number && self.number > 0 {
+        let stopped = Phase::Stopped(self.bundle_number);
+        if view.stopped >= self.bundle_number && self.bundle_number > 0 {
             return stopped;
         }
         if self.failures.len() >= self.settings.max_failures {
             if self.phase != stopped {
-                actions.push(Action::Stop(self.number, self.failures.clone()));
+                actions.push(Action::Stop(self.bundle_number, self.failures.clone()));
             }
             return stopped;
         }
@@ -158,7 +158,7 @@
 
 impl fmt::Display for Roll {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "roll of bundle {}: {}", self.number, self.phase)?;
+        write!(f, "roll of bundle {}: {}", self.bundle_number, self.phase)?;
         writeln!(
             f,
             " orders {} failed {} broken {}",
--- a/crates/lease/src/roll/plan/next.rs
+++ b/crates/lease/src/roll/plan/next.rs
@@ -65,7 +65,7 @@
             let Some(endpoint) = view.bundle.endpoint(name) else {
                 continue;
             };
-            let current = pending.number == self.number;
+            let current = pending.bundle_number == self.bundle_number;
             if !current
                 || now < pending.last_sent + self.settings.resend_interval
                 || has_begun(view, endpoint, &pending.order)
@@ -171,7 +171,7 @@
         let ordered = self
             .pending
             .get(name)
-            .is_some_and(|p| p.number == self.number);
+            .is_some_and(|p| p.bundle_number == self.bundle_number);
         if !ordered && has_begun(view, endpoint, order) {
             let pending = self.new_pending(now, view, endpoint, order.clone());
             self.pending.insert(
@@ -286,10 +286,10 @@
     fn new_pending(&self, now: Now, view: &View, endpoint: EndpointId, order: Order) -> Pending {
         let zone = view.zone(endpoint);
         let repair = self.is_repair(now, view, endpoint, &order);
-        let number = self.number;
+        let bundle_number = self.bundle_number;
         Pending {
             order,
-            number,
+            bundle_number,
             first_sent: now,
             last_sent: now,
             zone,
--- a/crates/lease/src/roll/plan/settle.rs
+++ b/crates/lease/src/roll/plan/settle.rs
@@ -40,9 +40,9 @@
     /// start requests only on that version.
     pub(super) fn update_coverage(&mut self, now: Now, view: &View) {
         let mut covered = BTreeMap::new();
-        let cover = Coverage::new(view, |_| false);
+        let coverage = Coverage::new(view, |_| false);
         for model in &view.bundle.models {
-            if !cover.is_complete_in(&model.name, &model.version) {
+            if !coverage.is_complete_in(&model.name, &model.version) {
                 continue;
             }
             let before = self
@@ -73,7 +73,7 @@
         }
         let late = now >= pending.first_sent + self.settings.load_timeout;
         // An order of an older bundle stays pending while its load may still be in progress.
-        let lost = pending.number != self.number
+        let lost = pending.bundle_number != self.bundle_number
             && now >= pending.last_sent + self.settings.resend_interval
             && !has_begun(view, endpoint, &pending.order);
         (late || lost).then_some(End::Failed(Cause::Late))
@@ -81,7 +81,7 @@
 
     /// Returns whether the order loads a new replica of the current bundle.
     fn is_new_replica(&self, pending: &Pending) -> bool {
-        pending.number == self.number && pending.order.fetches_weights()
+        pending.bundle_number == self.bundle_number && pending.order.fetches_weights()
     }
 
     /// Records a failure for each watched replica whose endpoint went down, and ends the watch of
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -292,7 +292,7 @@
     node.request(at(10), 1, dated_key(0, "a"));
     let (batch, _) = node.appends.remove(0);
     node.deliver(at(100), Event::AppendFailed(batch));
-    let ticket = node.table.issue(at(200));
+    let ticket = node.table.issue_ticket(at(200));
     let key = Key::parse("desk", &ticket.to_string()).unwrap();
     node.request(at(210), 2, key);
     node.request(at(210), 3, key);
@@ -513,7 +513,7 @@
         node.append(now, &mut log);
         node.read(now, &log);
     }
-    let text = node.table.issue(at(200)).to_string();
+    let text = node.table.issue_ticket(at(200)).to_string();
     let ticket = Key::parse("desk", &text).unwrap();
     node.request(at(201), 3, ticket);
     node.deliver(at(202), Event::Cancelled(3));
@@ -528,7 +528,7 @@
 fn tickets_are_run_by_their_issuer_only_and_within_the_window() {
     let log = Log::default();
     let (mut a, mut b) = (Node::ready(1, at(0), &log), Node::ready(2, at(0), &log));
-    let ticket = a.table.issue(at(5));
+    let ticket = a.table.issue_ticket(at(5));
     let key = Key::parse("desk", &ticket.to_string()).unwrap();
     b.request(at(10), 1, key);
     assert_eq!(
@@ -563,7 +563,7 @@
     let log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let tickets: Vec<String> = (0..3)
-        .map(|_| node.table.issue(at(1)).to_string())
+        .map(|_| node.table.issue_ticket(at(1)).to_string())
         .collect();
     let keys: Vec<Key> = tickets
         .iter()
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -112,7 +112,7 @@
     pub complete: u32,
     pub unknown: u32,
     pub not_run: u32,
-    pub pointed: u32,
+    pub redirected: u32,
     pub expired: u32,
     pub gaps: u64,
     pub released: u64,
@@ -210,7 +210,7 @@
 
     fn issue(&mut self, n: usize) {
         let now = self.local(n);
-        let text = self.nodes[n].table.issue(now).to_string();
+        let text = self.nodes[n].table.issue_ticket(now).to_string();
         self.schedule_sends(self.now, n, Key::parse(TEAM, &text).unwrap());
     }
 
@@ -541,7 +541,7 @@
     /// Forwards the request to the owner once. If the owner is dead or the request was already
     /// forwarded, replies with the known outcome.
     fn redirect(&mut self, request: RequestId, owner: Owner, outcome: Option<Outcome>) {
-        self.totals.pointed += 1;
+        self.totals.redirected += 1;
         let Some(sent) = self.sends_by_request.get_mut(&request) else {
             return;
         };
--- a/crates/node/src/control/claims.rs
+++ b/crates/node/src/control/claims.rs
@@ -141,7 +141,7 @@
 
     /// Issues a ticket, an idempotency key that only this run of the node accepts.
     pub fn issue_ticket(&mut self, now: Duration) -> String {
-        self.table.issue(now).to_string()
+        self.table.issue_ticket(now).to_string()
     }
 
     /// Follows the shards of keys whose home, among `nodes`, is this node.
--- a/crates/node/src/control/rolls.rs
+++ b/crates/node/src/control/rolls.rs
@@ -172,7 +172,7 @@
             Some(Answer::Refused) => {
                 log::warn!("endpoint {} refused its order", result.endpoint);
                 if let Some(roll) = self.rolls.get_mut(&result.group) {
-                    roll.refused(now, &result.endpoint);
+                    roll.record_refusal(now, &result.endpoint);
                 }
             }
             Some(Answer::OldFence) => {
