--- a/crates/wire/src/raw.rs
+++ b/crates/wire/src/raw.rs
@@ -2,8 +2,8 @@
 //!
 //! Ids, hashes and runs are bytes, since as variable-length numbers they would be longer.
 
-mod from;
-mod into;
+mod decode;
+mod encode;
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -21,26 +21,35 @@
 
 #[derive(Serialize, Deserialize)]
 enum Kind {
-    Send,
-    Ask(u64),
-    Answer(u64),
+    #[serde(rename = "Send")]
+    OneWay,
+    #[serde(rename = "Ask")]
+    Request(u64),
+    #[serde(rename = "Answer")]
+    Response(u64),
 }
 
 #[derive(Serialize, Deserialize)]
 enum Body {
     Member(Message),
-    HeadAsk {
+    #[serde(rename = "HeadAsk")]
+    HeadRequest {
         number: u64,
         have: u64,
     },
-    HeadGive(Option<Vec<u8>>),
-    CopyAsk {
+    #[serde(rename = "HeadGive")]
+    HeadResponse(Option<Vec<u8>>),
+    #[serde(rename = "CopyAsk")]
+    CopyRequest {
         table: u8,
         from: u64,
     },
-    CopyGive(Option<Vec<u8>>),
-    StatusAsk,
-    StatusGive {
+    #[serde(rename = "CopyGive")]
+    CopyResponse(Option<Vec<u8>>),
+    #[serde(rename = "StatusAsk")]
+    StatusRequest,
+    #[serde(rename = "StatusGive")]
+    StatusResponse {
         number: u64,
         digest: Digest,
         incarnation: u64,
@@ -53,19 +62,34 @@
     from: Id,
     incarnation: Id,
     head: Option<(u64, Digest)>,
-    news: Vec<News>,
-    body: Matter,
+    #[serde(rename = "news")]
+    updates: Vec<Update>,
+    body: MemberBody,
 }
 
 #[derive(Serialize, Deserialize)]
-enum Matter {
-    Ping { seq: u32, to: Id },
-    Ack { seq: u32, of: Id },
-    Relay { seq: u32, to: Id, addr: SocketAddr },
-    Who,
+enum MemberBody {
+    Ping {
+        seq: u32,
+        to: Id,
+    },
+    Ack {
+        seq: u32,
+        of: Id,
+    },
+    #[serde(rename = "Relay")]
+    IndirectPing {
+        seq: u32,
+        to: Id,
+        addr: SocketAddr,
+    },
+    #[serde(rename = "Who")]
+    Identify,
     Rows(Vec<Row>),
-    Note,
-    Rumour(Vec<Item>),
+    #[serde(rename = "Note")]
+    Empty,
+    #[serde(rename = "Rumour")]
+    Items(Vec<Item>),
     Digest(Vec<Summary>),
     Delta(Delta),
 }
@@ -77,11 +101,12 @@
     zone: String,
     region: String,
     incarnation: Id,
-    turn: u32,
+    #[serde(rename = "turn")]
+    refutations: u32,
 }
 
 #[derive(Serialize, Deserialize)]
-enum News {
+enum Update {
     Join(Row),
     Suspect(Run),
     Alive(Run),
@@ -92,7 +117,8 @@
 struct Run {
     id: Id,
     incarnation: Id,
-    turn: u32,
+    #[serde(rename = "turn")]
+    refutations: u32,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -103,14 +129,16 @@
 
 #[derive(Serialize, Deserialize)]
 struct Delta {
-    groups: Vec<Group>,
+    groups: Vec<BucketItems>,
     rows: Vec<Row>,
-    whole: Vec<u8>,
-    wants: Vec<Want>,
+    #[serde(rename = "whole")]
+    complete: Vec<u8>,
+    #[serde(rename = "wants")]
+    requests: Vec<Request>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Group {
+struct BucketItems {
     bucket: u8,
     hash: Hash,
     batches: Vec<Batch>,
@@ -118,27 +146,32 @@
 
 #[derive(Serialize, Deserialize)]
 struct Batch {
-    place: u8,
-    upto: u32,
-    prints: Vec<Print>,
+    #[serde(rename = "place")]
+    row: u8,
+    #[serde(rename = "upto")]
+    up_to: u32,
+    #[serde(rename = "prints")]
+    publications: Vec<Publication>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Print {
+struct Publication {
     version: u32,
     items: Vec<Observation>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Want {
+struct Request {
     bucket: u8,
     hash: Hash,
-    gaps: Vec<Gap>,
+    #[serde(rename = "gaps")]
+    known: Vec<KnownVersion>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Gap {
-    place: u8,
+struct KnownVersion {
+    #[serde(rename = "place")]
+    row: u8,
     version: u32,
 }
 
@@ -181,7 +214,8 @@
         fingerprint: Id,
         ttl: u32,
     },
-    Moving {
+    #[serde(rename = "Moving")]
+    Releasing {
         name: String,
         ttl: u32,
     },
--- a/crates/wire/src/raw/into.rs
+++ b/crates/wire/src/raw/decode.rs
@@ -10,40 +10,41 @@
 use member::{identity, item, message};
 use std::time::Duration;
 
-/// Bytes of a name at most.
-const NAME: usize = 255;
-/// News of one message at most.
-const NEWS: usize = 64;
-/// Rows of one message at most.
-const ROWS: usize = 4_096;
-/// Urgent items of one message at most.
-const ITEMS: usize = 1_024;
-/// Rows of one bucket at most.
-const PLACES: usize = 256;
-
-/// Converts each of at most `most` values.
-fn all<R, T: TryFrom<R, Error = Error>>(
+/// Longest name.
+const MAX_NAME_BYTES: usize = 255;
+/// Maximum number of membership updates in one message.
+const MAX_UPDATES: usize = 64;
+/// Maximum number of member rows in one message.
+const MAX_ROWS: usize = 4_096;
+/// Maximum number of items in one message, and of publications or observations in one list.
+const MAX_ITEMS: usize = 1_024;
+/// Maximum number of member rows in one bucket; an index of a row is a `u8`.
+const MAX_BUCKET_ROWS: usize = 256;
+
+/// Converts a list and refuses it as out of bounds under the name `field` if it has more than
+/// `max_len` values.
+fn convert_all<R, T: TryFrom<R, Error = Error>>(
     rows: Vec<R>,
-    most: usize,
-    what: &'static str,
+    max_len: usize,
+    field: &'static str,
 ) -> Result<Vec<T>> {
-    if rows.len() > most {
-        return Err(Error::InvalidField(what));
+    if rows.len() > max_len {
+        return Err(Error::InvalidField(field));
     }
     rows.into_iter().map(T::try_from).collect()
 }
 
-fn name(text: String, what: &'static str) -> Result<String> {
-    let fits = !text.is_empty() && text.len() <= NAME && !text.contains(char::is_control);
-    fits.then_some(text).ok_or(Error::InvalidField(what))
+fn check_name(text: String, field: &'static str) -> Result<String> {
+    let fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.contains(char::is_control);
+    fits.then_some(text).ok_or(Error::InvalidField(field))
 }
 
-fn bucket(index: u8) -> Result<u8> {
+fn check_bucket(index: u8) -> Result<u8> {
     let fits = usize::from(index) < BUCKETS;
     fits.then_some(index).ok_or(Error::InvalidField("bucket"))
 }
 
-fn ttl(seconds: u32) -> Result<Duration> {
+fn check_ttl(seconds: u32) -> Result<Duration> {
     let ttl = Duration::from_secs(seconds.into());
     (ttl <= MAX_TTL)
         .then_some(ttl)
@@ -55,9 +56,9 @@
 
     fn try_from(raw: Frame) -> Result<Self> {
         let kind = match raw.kind {
-            Kind::Send => frame::Kind::OneWay,
-            Kind::Ask(call) => frame::Kind::Request(call),
-            Kind::Answer(call) => frame::Kind::Response(call),
+            Kind::OneWay => frame::Kind::OneWay,
+            Kind::Request(call) => frame::Kind::Request(call),
+            Kind::Response(call) => frame::Kind::Response(call),
         };
         let body = frame::Body::try_from(raw.body)?;
         match (kind, &body) {
@@ -76,14 +77,16 @@
     fn try_from(raw: Body) -> Result<Self> {
         Ok(match raw {
             Body::Member(message) => Self::Member(message.try_into()?),
-            Body::HeadAsk { number, have } => {
+            Body::HeadRequest { number, have } => {
                 Self::HeadRequest(frame::HeadRequest { number, have })
             }
-            Body::HeadGive(bytes) => Self::HeadResponse(bytes),
-            Body::CopyAsk { table, from } => Self::CopyRequest(frame::CopyRequest { table, from }),
-            Body::CopyGive(bytes) => Self::CopyResponse(bytes),
-            Body::StatusAsk => Self::StatusRequest,
-            Body::StatusGive {
+            Body::HeadResponse(bytes) => Self::HeadResponse(bytes),
+            Body::CopyRequest { table, from } => {
+                Self::CopyRequest(frame::CopyRequest { table, from })
+            }
+            Body::CopyResponse(bytes) => Self::CopyResponse(bytes),
+            Body::StatusRequest => Self::StatusRequest,
+            Body::StatusResponse {
                 number,
                 digest,
                 incarnation,
@@ -106,36 +109,38 @@
             from: u64::from_le_bytes(raw.from),
             incarnation: u64::from_le_bytes(raw.incarnation),
             head: raw.head.map(|(number, digest)| Head { number, digest }),
-            updates: all(raw.news, NEWS, "news")?,
+            updates: convert_all(raw.updates, MAX_UPDATES, "news")?,
             body: raw.body.try_into()?,
         })
     }
 }
 
-impl TryFrom<Matter> for message::Body {
+impl TryFrom<MemberBody> for message::Body {
     type Error = Error;
 
-    fn try_from(raw: Matter) -> Result<Self> {
+    fn try_from(raw: MemberBody) -> Result<Self> {
         Ok(match raw {
-            Matter::Ping { seq, to } => Self::Ping {
+            MemberBody::Ping { seq, to } => Self::Ping {
                 seq,
                 to: u64::from_le_bytes(to),
             },
-            Matter::Ack { seq, of } => Self::Ack {
+            MemberBody::Ack { seq, of } => Self::Ack {
                 seq,
                 of: u64::from_le_bytes(of),
             },
-            Matter::Relay { seq, to, addr } => Self::IndirectPing {
+            MemberBody::IndirectPing { seq, to, addr } => Self::IndirectPing {
                 seq,
                 to: u64::from_le_bytes(to),
                 addr,
             },
-            Matter::Who => Self::Identify,
-            Matter::Rows(rows) => Self::Rows(all(rows, ROWS, "rows")?),
-            Matter::Note => Self::Empty,
-            Matter::Rumour(items) => Self::Items(all(items, ITEMS, "items")?),
-            Matter::Digest(summaries) => Self::Digest(all(summaries, BUCKETS, "digest")?),
-            Matter::Delta(delta) => Self::Delta(delta.try_into()?),
+            MemberBody::Identify => Self::Identify,
+            MemberBody::Rows(rows) => Self::Rows(convert_all(rows, MAX_ROWS, "rows")?),
+            MemberBody::Empty => Self::Empty,
+            MemberBody::Items(items) => Self::Items(convert_all(items, MAX_ITEMS, "items")?),
+            MemberBody::Digest(summaries) => {
+                Self::Digest(convert_all(summaries, BUCKETS, "digest")?)
+            }
+            MemberBody::Delta(delta) => Self::Delta(delta.try_into()?),
         })
     }
 }
@@ -145,28 +150,28 @@
 
     fn try_from(raw: Row) -> Result<Self> {
         let identity = identity::Identity {
-            name: name(raw.name, "name")?,
+            name: check_name(raw.name, "name")?,
             addr: raw.addr,
-            zone: name(raw.zone, "zone")?,
-            region: name(raw.region, "region")?,
+            zone: check_name(raw.zone, "zone")?,
+            region: check_name(raw.region, "region")?,
             incarnation: u64::from_le_bytes(raw.incarnation),
         };
         Ok(Self {
             identity,
-            refutations: raw.turn,
+            refutations: raw.refutations,
         })
     }
 }
 
-impl TryFrom<News> for message::Update {
+impl TryFrom<Update> for message::Update {
     type Error = Error;
 
-    fn try_from(raw: News) -> Result<Self> {
+    fn try_from(raw: Update) -> Result<Self> {
         Ok(match raw {
-            News::Join(row) => Self::Join(row.try_into()?),
-            News::Suspect(run) => Self::Suspect(run.into()),
-            News::Alive(run) => Self::Alive(run.into()),
-            News::Left(run) => Self::Left(run.into()),
+            Update::Join(row) => Self::Join(row.try_into()?),
+            Update::Suspect(run) => Self::Suspect(run.into()),
+            Update::Alive(run) => Self::Alive(run.into()),
+            Update::Left(run) => Self::Left(run.into()),
         })
     }
 }
@@ -180,7 +185,7 @@
         Self {
             id,
             incarnation,
-            refutations: raw.turn,
+            refutations: raw.refutations,
         }
     }
 }
@@ -189,7 +194,7 @@
     type Error = Error;
 
     fn try_from(raw: Summary) -> Result<Self> {
-        if raw.versions.len() > PLACES {
+        if raw.versions.len() > MAX_BUCKET_ROWS {
             return Err(Error::InvalidField("versions"));
         }
         Ok(Self {
@@ -203,26 +208,30 @@
     type Error = Error;
 
     fn try_from(raw: Delta) -> Result<Self> {
-        if raw.whole.len() > BUCKETS {
+        if raw.complete.len() > BUCKETS {
             return Err(Error::InvalidField("whole"));
         }
         Ok(Self {
-            items: all(raw.groups, BUCKETS, "groups")?,
-            rows: all(raw.rows, ROWS, "rows")?,
-            complete: raw.whole.into_iter().map(bucket).collect::<Result<_>>()?,
-            requests: all(raw.wants, BUCKETS, "wants")?,
+            items: convert_all(raw.groups, BUCKETS, "groups")?,
+            rows: convert_all(raw.rows, MAX_ROWS, "rows")?,
+            complete: raw
+                .complete
+                .into_iter()
+                .map(check_bucket)
+                .collect::<Result<_>>()?,
+            requests: convert_all(raw.requests, BUCKETS, "wants")?,
         })
     }
 }
 
-impl TryFrom<Group> for message::BucketItems {
+impl TryFrom<BucketItems> for message::BucketItems {
     type Error = Error;
 
-    fn try_from(raw: Group) -> Result<Self> {
+    fn try_from(raw: BucketItems) -> Result<Self> {
         Ok(Self {
-            bucket: bucket(raw.bucket)?,
+            bucket: check_bucket(raw.bucket)?,
             hash: u32::from_le_bytes(raw.hash),
-            batches: all(raw.batches, PLACES, "batches")?,
+            batches: convert_all(raw.batches, MAX_BUCKET_ROWS, "batches")?,
         })
     }
 }
@@ -231,47 +240,48 @@
     type Error = Error;
 
     fn try_from(raw: Batch) -> Result<Self> {
-        let prints: Vec<message::Publication> = all(raw.prints, ITEMS, "prints")?;
-        let ascending = prints.windows(2).all(|w| w[0].version < w[1].version);
-        let covered = prints.last().is_none_or(|p| p.version <= raw.upto);
+        let publications: Vec<message::Publication> =
+            convert_all(raw.publications, MAX_ITEMS, "prints")?;
+        let ascending = publications.windows(2).all(|w| w[0].version < w[1].version);
+        let covered = publications.last().is_none_or(|p| p.version <= raw.up_to);
         if !ascending || !covered {
             return Err(Error::InvalidField("prints"));
         }
         Ok(Self {
-            row: raw.place,
-            up_to: raw.upto,
-            publications: prints,
+            row: raw.row,
+            up_to: raw.up_to,
+            publications,
         })
     }
 }
 
-impl TryFrom<Print> for message::Publication {
+impl TryFrom<Publication> for message::Publication {
     type Error = Error;
 
-    fn try_from(raw: Print) -> Result<Self> {
+    fn try_from(raw: Publication) -> Result<Self> {
         Ok(Self {
             version: raw.version,
-            observations: all(raw.items, ITEMS, "items")?,
+            observations: convert_all(raw.items, MAX_ITEMS, "items")?,
         })
     }
 }
 
-impl TryFrom<Want> for message::Request {
+impl TryFrom<Request> for message::Request {
     type Error = Error;
 
-    fn try_from(raw: Want) -> Result<Self> {
-        if raw.gaps.len() > PLACES {
+    fn try_from(raw: Request) -> Result<Self> {
+        if raw.known.len() > MAX_BUCKET_ROWS {
             return Err(Error::InvalidField("gaps"));
         }
-        let gap = |g: Gap| message::KnownVersion {
-            row: g.place,
-            version: g.version,
+        let known_version = |known: KnownVersion| message::KnownVersion {
+            row: known.row,
+            version: known.version,
         };
-        let gaps = raw.gaps.into_iter().map(gap).collect();
+        let known = raw.known.into_iter().map(known_version).collect();
         Ok(Self {
-            bucket: bucket(raw.bucket)?,
+            bucket: check_bucket(raw.bucket)?,
             hash: u32::from_le_bytes(raw.hash),
-            known: gaps,
+            known,
         })
     }
 }
@@ -297,42 +307,26 @@
             Observation::Leaving => Self::Leaving,
             Observation::Load(level) => Self::Load(Level(level)),
             Observation::Callers { addr, tls } => Self::Callers { addr, tls },
-            Observation::Endpoint {
-                name: text,
-                ejected,
-                ttl: left,
-            } => Self::Endpoint {
-                name: name(text, "endpoint")?,
+            Observation::Endpoint { name, ejected, ttl } => Self::Endpoint {
+                name: check_name(name, "endpoint")?,
                 ejected,
-                ttl: ttl(left)?,
+                ttl: check_ttl(ttl)?,
             },
-            Observation::Moving {
-                name: text,
-                ttl: left,
-            } => Self::Releasing {
-                name: name(text, "endpoint")?,
-                ttl: ttl(left)?,
+            Observation::Releasing { name, ttl } => Self::Releasing {
+                name: check_name(name, "endpoint")?,
+                ttl: check_ttl(ttl)?,
             },
-            Observation::Suspect {
-                fingerprint,
-                ttl: left,
-            } => Self::Suspect {
+            Observation::Suspect { fingerprint, ttl } => Self::Suspect {
                 fingerprint: u64::from_le_bytes(fingerprint),
-                ttl: ttl(left)?,
+                ttl: check_ttl(ttl)?,
             },
-            Observation::Pending {
-                fingerprint,
-                ttl: left,
-            } => Self::Pending {
+            Observation::Pending { fingerprint, ttl } => Self::Pending {
                 fingerprint: u64::from_le_bytes(fingerprint),
-                ttl: ttl(left)?,
+                ttl: check_ttl(ttl)?,
             },
-            Observation::Condemned {
-                fingerprint,
-                ttl: left,
-            } => Self::Condemned {
+            Observation::Condemned { fingerprint, ttl } => Self::Condemned {
                 fingerprint: u64::from_le_bytes(fingerprint),
-                ttl: ttl(left)?,
+                ttl: check_ttl(ttl)?,
             },
             Observation::Demand {
                 team,
--- a/crates/wire/src/raw/from.rs
+++ b/crates/wire/src/raw/encode.rs
@@ -17,9 +17,9 @@
 impl From<frame::Kind> for Kind {
     fn from(kind: frame::Kind) -> Self {
         match kind {
-            frame::Kind::OneWay => Self::Send,
-            frame::Kind::Request(call) => Self::Ask(call),
-            frame::Kind::Response(call) => Self::Answer(call),
+            frame::Kind::OneWay => Self::OneWay,
+            frame::Kind::Request(call) => Self::Request(call),
+            frame::Kind::Response(call) => Self::Response(call),
         }
     }
 }
@@ -28,18 +28,18 @@
     fn from(body: &frame::Body) -> Self {
         match body {
             frame::Body::Member(message) => Self::Member(message.into()),
-            frame::Body::HeadRequest(ask) => Self::HeadAsk {
-                number: ask.number,
-                have: ask.have,
+            frame::Body::HeadRequest(request) => Self::HeadRequest {
+                number: request.number,
+                have: request.have,
             },
-            frame::Body::HeadResponse(bytes) => Self::HeadGive(bytes.clone()),
-            frame::Body::CopyRequest(ask) => Self::CopyAsk {
-                table: ask.table,
-                from: ask.from,
+            frame::Body::HeadResponse(bytes) => Self::HeadResponse(bytes.clone()),
+            frame::Body::CopyRequest(request) => Self::CopyRequest {
+                table: request.table,
+                from: request.from,
             },
-            frame::Body::CopyResponse(bytes) => Self::CopyGive(bytes.clone()),
-            frame::Body::StatusRequest => Self::StatusAsk,
-            frame::Body::StatusResponse(status) => Self::StatusGive {
+            frame::Body::CopyResponse(bytes) => Self::CopyResponse(bytes.clone()),
+            frame::Body::StatusRequest => Self::StatusRequest,
+            frame::Body::StatusResponse(status) => Self::StatusResponse {
                 number: status.number,
                 digest: status.digest,
                 incarnation: status.incarnation,
@@ -55,13 +55,13 @@
             from: message.from.to_le_bytes(),
             incarnation: message.incarnation.to_le_bytes(),
             head: message.head.map(|h| (h.number, h.digest)),
-            news: message.updates.iter().map(News::from).collect(),
+            updates: message.updates.iter().map(Update::from).collect(),
             body: (&message.body).into(),
         }
     }
 }
 
-impl From<&message::Body> for Matter {
+impl From<&message::Body> for MemberBody {
     fn from(body: &message::Body) -> Self {
         match body {
             message::Body::Ping { seq, to } => Self::Ping {
@@ -72,15 +72,15 @@
                 seq: *seq,
                 of: of.to_le_bytes(),
             },
-            message::Body::IndirectPing { seq, to, addr } => Self::Relay {
+            message::Body::IndirectPing { seq, to, addr } => Self::IndirectPing {
                 seq: *seq,
                 to: to.to_le_bytes(),
                 addr: *addr,
             },
-            message::Body::Identify => Self::Who,
+            message::Body::Identify => Self::Identify,
             message::Body::Rows(rows) => Self::Rows(rows.iter().map(Row::from).collect()),
-            message::Body::Empty => Self::Note,
-            message::Body::Items(items) => Self::Rumour(items.iter().map(Item::from).collect()),
+            message::Body::Empty => Self::Empty,
+            message::Body::Items(items) => Self::Items(items.iter().map(Item::from).collect()),
             message::Body::Digest(all) => Self::Digest(all.iter().map(Summary::from).collect()),
             message::Body::Delta(delta) => Self::Delta(delta.into()),
         }
@@ -103,14 +103,14 @@
             zone,
             region,
             incarnation,
-            turn: row.refutations,
+            refutations: row.refutations,
         }
     }
 }
 
-impl From<&message::Update> for News {
-    fn from(news: &message::Update) -> Self {
-        match news {
+impl From<&message::Update> for Update {
+    fn from(update: &message::Update) -> Self {
+        match update {
             message::Update::Join(row) => Self::Join(row.into()),
             message::Update::Suspect(run) => Self::Suspect(run.into()),
             message::Update::Alive(run) => Self::Alive(run.into()),
@@ -125,7 +125,7 @@
         Self {
             id,
             incarnation,
-            turn: run.refutations,
+            refutations: run.refutations,
         }
     }
 }
@@ -142,56 +142,60 @@
 impl From<&message::Delta> for Delta {
     fn from(delta: &message::Delta) -> Self {
         Self {
-            groups: delta.items.iter().map(Group::from).collect(),
+            groups: delta.items.iter().map(BucketItems::from).collect(),
             rows: delta.rows.iter().map(Row::from).collect(),
-            whole: delta.complete.clone(),
-            wants: delta.requests.iter().map(Want::from).collect(),
+            complete: delta.complete.clone(),
+            requests: delta.requests.iter().map(Request::from).collect(),
         }
     }
 }
 
-impl From<&message::BucketItems> for Group {
-    fn from(group: &message::BucketItems) -> Self {
+impl From<&message::BucketItems> for BucketItems {
+    fn from(bucket: &message::BucketItems) -> Self {
         Self {
-            bucket: group.bucket,
-            hash: group.hash.to_le_bytes(),
-            batches: group.batches.iter().map(Batch::from).collect(),
+            bucket: bucket.bucket,
+            hash: bucket.hash.to_le_bytes(),
+            batches: bucket.batches.iter().map(Batch::from).collect(),
         }
     }
 }
 
 impl From<&message::Batch> for Batch {
     fn from(batch: &message::Batch) -> Self {
-        let prints = batch.publications.iter().map(Print::from).collect();
+        let publications = batch.publications.iter().map(Publication::from).collect();
         Self {
-            place: batch.row,
-            upto: batch.up_to,
-            prints,
+            row: batch.row,
+            up_to: batch.up_to,
+            publications,
         }
     }
 }
 
-impl From<&message::Publication> for Print {
-    fn from(print: &message::Publication) -> Self {
-        let items = print.observations.iter().map(Observation::from).collect();
+impl From<&message::Publication> for Publication {
+    fn from(publication: &message::Publication) -> Self {
+        let items = publication
+            .observations
+            .iter()
+            .map(Observation::from)
+            .collect();
         Self {
-            version: print.version,
+            version: publication.version,
             items,
         }
     }
 }
 
-impl From<&message::Request> for Want {
-    fn from(want: &message::Request) -> Self {
-        let gap = |g: &message::KnownVersion| Gap {
-            place: g.row,
-            version: g.version,
+impl From<&message::Request> for Request {
+    fn from(request: &message::Request) -> Self {
+        let known_version = |known: &message::KnownVersion| KnownVersion {
+            row: known.row,
+            version: known.version,
         };
-        let gaps = want.known.iter().map(gap).collect();
+        let known = request.known.iter().map(known_version).collect();
         Self {
-            bucket: want.bucket,
-            hash: want.hash.to_le_bytes(),
-            gaps,
+            bucket: request.bucket,
+            hash: request.hash.to_le_bytes(),
+            known,
         }
     }
 }
@@ -219,23 +223,23 @@
             item::Observation::Endpoint { name, ejected, ttl } => Self::Endpoint {
                 name: name.clone(),
                 ejected: *ejected,
-                ttl: seconds(*ttl),
+                ttl: ceil_seconds(*ttl),
             },
-            item::Observation::Releasing { name, ttl } => Self::Moving {
+            item::Observation::Releasing { name, ttl } => Self::Releasing {
                 name: name.clone(),
-                ttl: seconds(*ttl),
+                ttl: ceil_seconds(*ttl),
             },
             item::Observation::Suspect { fingerprint, ttl } => Self::Suspect {
                 fingerprint: fingerprint.to_le_bytes(),
-                ttl: seconds(*ttl),
+                ttl: ceil_seconds(*ttl),
             },
             item::Observation::Pending { fingerprint, ttl } => Self::Pending {
                 fingerprint: fingerprint.to_le_bytes(),
-                ttl: seconds(*ttl),
+                ttl: ceil_seconds(*ttl),
             },
             item::Observation::Condemned { fingerprint, ttl } => Self::Condemned {
                 fingerprint: fingerprint.to_le_bytes(),
-                ttl: seconds(*ttl),
+                ttl: ceil_seconds(*ttl),
             },
             item::Observation::Demand {
                 team,
@@ -250,7 +254,7 @@
     }
 }
 
-fn seconds(ttl: Duration) -> u32 {
+fn ceil_seconds(ttl: Duration) -> u32 {
     ttl.as_millis()
         .div_ceil(1000)
         .try_into()
