--- a/crates/wire/examples/frame_cost.rs
+++ b/crates/wire/examples/frame_cost.rs
@@ -8,7 +8,7 @@
 #[path = "../tests/support/proxy.rs"]
 mod proxy;
 
-use bare::{Bare, note, until};
+use bare::{BareLink, numbered_message, wait_until};
 use member::message::{Body, Message, Summary};
 use node::KEY;
 use proxy::Proxy;
@@ -27,15 +27,15 @@
     };
     Message {
         body: Body::Digest(vec![summary; 16]),
-        ..note(number)
+        ..numbered_message(number)
     }
 }
 
 async fn measure(versions: usize) {
-    let mut far = Bare::start(KEY, Limits::default()).await;
+    let mut far = BareLink::start(KEY, Limits::default()).await;
     let (_target, watch) = tokio::sync::watch::channel(far.link.addr());
     let proxy = Proxy::start(watch).await;
-    let near = Bare::start(KEY, Limits::default()).await;
+    let near = BareLink::start(KEY, Limits::default()).await;
     let bytes = || proxy.bytes.load(Ordering::Relaxed);
     let settle = || tokio::time::sleep(Duration::from_millis(100));
     near.link
@@ -50,7 +50,7 @@
             .expect("queued");
         far.next().await;
         let confirmed = || near.link.counters().sent.get() > number;
-        until("sent", confirmed).await;
+        wait_until("sent", confirmed).await;
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     settle().await;
@@ -70,12 +70,12 @@
     let frame = Frame::send(digest(1, 24));
     let bytes = frame.encode().expect("encodes");
     let rounds = 20_000u32;
-    let begun = Instant::now();
+    let started = Instant::now();
     (0..rounds).for_each(|_| drop(std::hint::black_box(frame.encode())));
-    let encode = begun.elapsed() / rounds;
-    let begun = Instant::now();
+    let encode = started.elapsed() / rounds;
+    let started = Instant::now();
     (0..rounds).for_each(|_| drop(std::hint::black_box(Frame::decode(&bytes))));
-    let decode = begun.elapsed() / rounds;
+    let decode = started.elapsed() / rounds;
     println!(
         "\nA digest frame of {} bytes: encode {encode:?}, decode and check {decode:?}",
         bytes.len()
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -98,7 +98,7 @@
 #[derive(Clone)]
 pub struct Channel {
     mac: Hasher,
-    count: u64,
+    sequence: u64,
 }
 
 impl Channel {
@@ -110,20 +110,20 @@
         mac.update(server);
         let derived = mac.finalize().into_bytes();
         let mac = Hasher::new_from_slice(&derived).map_err(|_| Error::InvalidKey)?;
-        Ok(Self { mac, count: 0 })
+        Ok(Self { mac, sequence: 0 })
     }
 
-    fn next(&mut self, payload: &[u8]) -> Hasher {
+    fn next_mac(&mut self, payload: &[u8]) -> Hasher {
         let mut mac = self.mac.clone();
-        mac.update(&self.count.to_le_bytes());
+        mac.update(&self.sequence.to_le_bytes());
         mac.update(payload);
-        self.count += 1;
+        self.sequence += 1;
         mac
     }
 
     /// The MAC of the next frame to send.
     pub fn seal(&mut self, payload: &[u8]) -> [u8; TAG_LEN] {
-        let full = self.next(payload).finalize().into_bytes();
+        let full = self.next_mac(payload).finalize().into_bytes();
         let mut tag = [0; TAG_LEN];
         tag.copy_from_slice(&full[..TAG_LEN]);
         tag
@@ -133,7 +133,7 @@
     pub fn open<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8]> {
         let at = frame.len().checked_sub(TAG_LEN).ok_or(Error::InvalidMac)?;
         let (payload, tag) = frame.split_at(at);
-        self.next(payload)
+        self.next_mac(payload)
             .verify_truncated_left(tag)
             .map_err(|_| Error::InvalidMac)?;
         Ok(payload)
@@ -151,16 +151,16 @@
 impl Session {
     /// The session of the side `side`, from the bytes of both hellos.
     pub fn new(key: &Key, side: Side, client: &[u8], server: &[u8]) -> Result<Self> {
-        let up = Channel::new(key, b"wigeonshelf peer client", client, server)?;
-        let down = Channel::new(key, b"wigeonshelf peer server", client, server)?;
+        let to_server = Channel::new(key, b"wigeonshelf peer client", client, server)?;
+        let to_client = Channel::new(key, b"wigeonshelf peer server", client, server)?;
         Ok(match side {
             Side::Client => Self {
-                send: up,
-                recv: down,
+                send: to_server,
+                recv: to_client,
             },
             Side::Server => Self {
-                send: down,
-                recv: up,
+                send: to_client,
+                recv: to_server,
             },
         })
     }
--- a/crates/wire/src/conn.rs
+++ b/crates/wire/src/conn.rs
@@ -20,39 +20,39 @@
 use tokio_util::sync::CancellationToken;
 
 /// Frames kept until a pong shows that those before arrived.
-const UNCONFIRMED: usize = 32;
+const MAX_UNCONFIRMED_FRAMES: usize = 32;
 
 /// A frame that may not have arrived.
-pub(crate) type Unsent = Outgoing;
+pub(crate) type Unconfirmed = Outgoing;
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum CloseReason {
     /// Nothing was sent or received for a while, or the node stops.
     Idle,
     /// The other side closed it, or it broke.
     Closed,
     /// It is open and nothing comes back.
-    Silent,
+    Unresponsive,
     /// The other side broke the protocol.
-    Refused,
+    ProtocolError,
 }
 
-impl From<&Error> for End {
+impl From<&Error> for CloseReason {
     fn from(error: &Error) -> Self {
         match error {
-            Error::Unresponsive => Self::Silent,
+            Error::Unresponsive => Self::Unresponsive,
             Error::InvalidMac
             | Error::FrameTooLong(_)
             | Error::Codec(_)
-            | Error::InvalidField(_) => Self::Refused,
+            | Error::InvalidField(_) => Self::ProtocolError,
             _ => Self::Closed,
         }
     }
 }
 
 /// The two halves of a stream with their buffers.
-pub(crate) struct Pipe {
+pub(crate) struct FrameStream {
     pub(crate) send: SendStream<Bytes>,
     pub(crate) recv: RecvStream,
     pub(crate) ping: PingPong,
@@ -60,15 +60,15 @@
     pub(crate) buffer: BytesMut,
 }
 
-/// The codec that cuts a stream into frames of at most `most` bytes.
-pub(crate) fn codec(most: usize) -> LengthDelimitedCodec {
+/// The codec that cuts a stream into frames of at most `max_len` bytes.
+pub(crate) fn codec(max_len: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(4)
-        .max_frame_length(most)
+        .max_frame_length(max_len)
         .new_codec()
 }
 
-impl Pipe {
+impl FrameStream {
     pub(crate) fn new(send: SendStream<Bytes>, recv: RecvStream, ping: PingPong) -> Self {
         Self {
             send,
@@ -81,22 +81,22 @@
 }
 
 /// Sends bytes as the other side's window allows.
-pub(crate) async fn write(send: &mut SendStream<Bytes>, mut data: Bytes) -> Result<()> {
+pub(crate) async fn write_all(send: &mut SendStream<Bytes>, mut data: Bytes) -> Result<()> {
     while !data.is_empty() {
         send.reserve_capacity(data.len());
-        let room = match send.capacity() {
+        let capacity = match send.capacity() {
             0 => poll_fn(|cx| send.poll_capacity(cx))
                 .await
                 .ok_or(Error::Closed)??,
-            room => room,
+            capacity => capacity,
         };
-        send.send_data(data.split_to(room.min(data.len())), false)?;
+        send.send_data(data.split_to(capacity.min(data.len())), false)?;
     }
     Ok(())
 }
 
 /// Reads the next whole frame.
-pub(crate) async fn read(
+pub(crate) async fn read_frame(
     recv: &mut RecvStream,
     codec: &mut LengthDelimitedCodec,
     buffer: &mut BytesMut,
@@ -115,7 +115,7 @@
 }
 
 /// A frame with its length.
-pub(crate) fn pack(codec: &mut LengthDelimitedCodec, frame: Bytes) -> Result<Bytes> {
+pub(crate) fn add_length_prefix(codec: &mut LengthDelimitedCodec, frame: Bytes) -> Result<Bytes> {
     let mut out = BytesMut::with_capacity(frame.len() + 4);
     codec
         .encode(frame, &mut out)
@@ -126,67 +126,72 @@
 /// A connection after both hellos.
 pub(crate) struct Conn {
     pub(crate) peer: SocketAddr,
-    pipe: Pipe,
+    stream: FrameStream,
     session: Session,
-    first: Option<Frame>,
+    first_frame: Option<Frame>,
 }
 
 impl Conn {
-    /// Takes a pipe whose hellos were exchanged.
-    pub(crate) fn new(link: &Link, mut pipe: Pipe, session: Session, peer: SocketAddr) -> Self {
-        pipe.codec = codec(link.shared.limits.max_frame_len + TAG_LEN);
+    /// Takes a stream whose hellos were exchanged.
+    pub(crate) fn new(
+        link: &Link,
+        mut stream: FrameStream,
+        session: Session,
+        peer: SocketAddr,
+    ) -> Self {
+        stream.codec = codec(link.shared.limits.max_frame_len + TAG_LEN);
         Self {
             peer,
-            pipe,
+            stream,
             session,
-            first: None,
+            first_frame: None,
         }
     }
 
     /// Waits for a first frame with a right MAC, which proves that the other side knows the key.
-    pub(crate) async fn prove(&mut self, link: &Link) -> Result<()> {
-        let Pipe {
+    pub(crate) async fn authenticate(&mut self, link: &Link) -> Result<()> {
+        let FrameStream {
             recv,
             codec,
             buffer,
             ..
-        } = &mut self.pipe;
-        let bytes = read(recv, codec, buffer).await?;
-        self.first = Some(check(link, &mut self.session.recv, &bytes)?);
+        } = &mut self.stream;
+        let bytes = read_frame(recv, codec, buffer).await?;
+        self.first_frame = Some(verify(link, &mut self.session.recv, &bytes)?);
         Ok(())
     }
 
-    /// Sends `unsent`, then what comes from `queue`, and delivers what is received. Gives back
+    /// Sends `unconfirmed`, then what comes from `queue`, and delivers what is received. Gives back
     /// how it ended and the frames that may not have arrived.
     pub(crate) async fn run(
         self,
         link: &Link,
         queue: &mut mpsc::Receiver<Outgoing>,
-        unsent: VecDeque<Unsent>,
+        unconfirmed: VecDeque<Unconfirmed>,
         stop: &CancellationToken,
-    ) -> (End, VecDeque<Unsent>) {
+    ) -> (CloseReason, VecDeque<Unconfirmed>) {
         let Self {
             peer,
-            pipe,
+            stream,
             session,
-            first,
+            first_frame,
         } = self;
-        let Pipe {
+        let FrameStream {
             send,
             recv,
             ping,
-            codec: cutter,
+            codec: reader_codec,
             buffer,
-        } = pipe;
-        let heard = Arc::new(Heard::new());
+        } = stream;
+        let last_received = Arc::new(LastReceived::new());
         let mut reader = Reader {
             link,
             peer,
             recv,
-            codec: cutter,
+            codec: reader_codec,
             buffer,
             channel: session.recv,
-            heard: heard.clone(),
+            last_received: last_received.clone(),
         };
         let codec = codec(link.shared.limits.max_frame_len + TAG_LEN);
         let mut writer = Writer {
@@ -195,26 +200,29 @@
             ping,
             codec,
             channel: session.send,
-            heard,
-            unsent,
-            pinged: None,
-            used: Instant::now(),
+            last_received,
+            unconfirmed,
+            ping_sent_at: None,
+            last_sent: Instant::now(),
         };
         let result = tokio::select! {
-            result = reader.run(first) => result,
+            result = reader.run(first_frame) => result,
             result = writer.run(queue) => result,
             () = stop.cancelled() => Ok(()),
             () = link.shared.cancel.cancelled() => Ok(()),
         };
-        let end = result.as_ref().err().map_or(End::Idle, End::from);
-        count(link, result.as_ref().err());
-        writer.finish(end);
-        (end, writer.unsent)
+        let reason = result
+            .as_ref()
+            .err()
+            .map_or(CloseReason::Idle, CloseReason::from);
+        count_failure(link, result.as_ref().err());
+        writer.finish(reason);
+        (reason, writer.unconfirmed)
     }
 }
 
 /// Counts why a connection was closed.
-pub(crate) fn count(link: &Link, error: Option<&Error>) {
+pub(crate) fn count_failure(link: &Link, error: Option<&Error>) {
     let counters = &link.shared.counters;
     match error {
         Some(Error::InvalidMac) => counters.bad_mac.add(1),
@@ -231,7 +239,7 @@
     }
 }
 
-fn check(link: &Link, channel: &mut Channel, bytes: &[u8]) -> Result<Frame> {
+fn verify(link: &Link, channel: &mut Channel, bytes: &[u8]) -> Result<Frame> {
     let frame = Frame::decode(channel.open(bytes)?)?;
     link.shared.counters.received.add(1);
     link.shared
@@ -242,26 +250,26 @@
 }
 
 /// When something last came, in milliseconds since the connection began.
-struct Heard {
-    begun: Instant,
-    last: AtomicU64,
+struct LastReceived {
+    started: Instant,
+    elapsed_ms: AtomicU64,
 }
 
-impl Heard {
+impl LastReceived {
     fn new() -> Self {
         Self {
-            begun: Instant::now(),
-            last: AtomicU64::new(0),
+            started: Instant::now(),
+            elapsed_ms: AtomicU64::new(0),
         }
     }
 
-    fn note(&self) {
-        let ms = self.begun.elapsed().as_millis() as u64;
-        self.last.store(ms, Ordering::Relaxed);
+    fn record(&self) {
+        let ms = self.started.elapsed().as_millis() as u64;
+        self.elapsed_ms.store(ms, Ordering::Relaxed);
     }
 
-    fn last(&self) -> Instant {
-        self.begun + Duration::from_millis(self.last.load(Ordering::Relaxed))
+    fn get(&self) -> Instant {
+        self.started + Duration::from_millis(self.elapsed_ms.load(Ordering::Relaxed))
     }
 }
 
@@ -272,18 +280,18 @@
     codec: LengthDelimitedCodec,
     buffer: BytesMut,
     channel: Channel,
-    heard: Arc<Heard>,
+    last_received: Arc<LastReceived>,
 }
 
 impl Reader<'_> {
-    async fn run(&mut self, first: Option<Frame>) -> Result<()> {
-        if let Some(frame) = first {
+    async fn run(&mut self, first_frame: Option<Frame>) -> Result<()> {
+        if let Some(frame) = first_frame {
             self.link.deliver(self.peer, frame).await;
         }
         loop {
-            let bytes = read(&mut self.recv, &mut self.codec, &mut self.buffer).await?;
-            self.heard.note();
-            let frame = check(self.link, &mut self.channel, &bytes)?;
+            let bytes = read_frame(&mut self.recv, &mut self.codec, &mut self.buffer).await?;
+            self.last_received.record();
+            let frame = verify(self.link, &mut self.channel, &bytes)?;
             self.link.deliver(self.peer, frame).await;
         }
     }
@@ -295,96 +303,102 @@
     ping: PingPong,
     codec: LengthDelimitedCodec,
     channel: Channel,
-    heard: Arc<Heard>,
-    unsent: VecDeque<Unsent>,
-    pinged: Option<Instant>,
-    used: Instant,
+    last_received: Arc<LastReceived>,
+    unconfirmed: VecDeque<Unconfirmed>,
+    ping_sent_at: Option<Instant>,
+    last_sent: Instant,
 }
 
 impl Writer<'_> {
     async fn run(&mut self, queue: &mut mpsc::Receiver<Outgoing>) -> Result<()> {
-        let again: Vec<Unsent> = self.unsent.drain(..).collect();
-        for frame in again {
-            self.put(frame).await?;
+        let resent: Vec<Unconfirmed> = self.unconfirmed.drain(..).collect();
+        for frame in resent {
+            self.send_frame(frame).await?;
         }
         loop {
             let limits = &self.link.shared.limits;
-            let silent = self.pinged.map(|p| p + limits.confirm_timeout);
-            let idle = self.used.max(self.heard.last()) + limits.idle_timeout;
+            let pong_deadline = self.ping_sent_at.map(|sent| sent + limits.confirm_timeout);
+            let idle_deadline = self.last_sent.max(self.last_received.get()) + limits.idle_timeout;
             tokio::select! {
                 frame = queue.recv() => match frame {
-                    Some(frame) => self.put(frame).await?,
+                    Some(frame) => self.send_frame(frame).await?,
                     None => return Ok(()),
                 },
-                pong = poll_fn(|cx| self.ping.poll_pong(cx)), if self.pinged.is_some() => {
+                pong = poll_fn(|cx| self.ping.poll_pong(cx)), if self.ping_sent_at.is_some() => {
                     pong?;
-                    self.confirm();
+                    self.handle_pong();
                 }
-                () = sleep_until(silent.unwrap_or(idle)) => match silent {
+                () = sleep_until(pong_deadline.unwrap_or(idle_deadline)) => match pong_deadline {
                     // Something between the two ends may have lost track of this connection.
                     // The peer is judged by a new one.
                     Some(_) => return Err(Error::Unresponsive),
-                    None if self.idle(idle) => return Ok(()),
+                    None if self.is_idle(idle_deadline) => return Ok(()),
                     None => {}
                 },
             }
         }
     }
 
-    fn idle(&self, planned: Instant) -> bool {
-        let now = self.used.max(self.heard.last()) + self.link.shared.limits.idle_timeout;
-        now <= planned
+    fn is_idle(&self, deadline: Instant) -> bool {
+        let current =
+            self.last_sent.max(self.last_received.get()) + self.link.shared.limits.idle_timeout;
+        current <= deadline
     }
 
-    async fn put(&mut self, mut frame: Outgoing) -> Result<()> {
+    async fn send_frame(&mut self, mut frame: Outgoing) -> Result<()> {
         let bytes = frame.bytes.clone();
-        frame.tries += 1;
-        self.unsent.push_back(frame);
-        if self.unsent.len() > UNCONFIRMED {
-            self.unsent.pop_front();
+        frame.attempts += 1;
+        self.unconfirmed.push_back(frame);
+        if self.unconfirmed.len() > MAX_UNCONFIRMED_FRAMES {
+            self.unconfirmed.pop_front();
         }
         let tag = self.channel.seal(&bytes);
         let mut sealed = BytesMut::with_capacity(bytes.len() + TAG_LEN);
         sealed.extend_from_slice(&bytes);
         sealed.extend_from_slice(&tag);
-        let packed = pack(&mut self.codec, sealed.freeze())?;
-        let len = packed.len() as u64;
-        let silent = self.link.shared.limits.confirm_timeout;
-        let written = timeout(silent, write(&mut self.send, packed)).await;
+        let prefixed = add_length_prefix(&mut self.codec, sealed.freeze())?;
+        let len = prefixed.len() as u64;
+        let limit = self.link.shared.limits.confirm_timeout;
+        let written = timeout(limit, write_all(&mut self.send, prefixed)).await;
         written.map_err(|_| Error::Unresponsive)??;
         self.link.shared.counters.sent.add(1);
         self.link.shared.counters.sent_bytes.add(len);
-        self.used = Instant::now();
-        self.probe()
+        self.last_sent = Instant::now();
+        self.ping()
     }
 
     /// A pong shows that all before the ping arrived. One ping at a time.
-    fn probe(&mut self) -> Result<()> {
-        if self.pinged.is_some() {
+    fn ping(&mut self) -> Result<()> {
+        if self.ping_sent_at.is_some() {
             return Ok(());
         }
         self.ping.send_ping(Ping::opaque())?;
-        self.pinged = Some(Instant::now());
-        self.unsent.iter_mut().for_each(|f| f.tries |= PINGED);
+        self.ping_sent_at = Some(Instant::now());
+        self.unconfirmed
+            .iter_mut()
+            .for_each(|f| f.attempts |= PING_COVERS_FRAME);
         Ok(())
     }
 
-    fn confirm(&mut self) {
-        self.pinged = None;
-        self.unsent.retain(|f| f.tries & PINGED == 0);
-        if !self.unsent.is_empty() {
-            let _ = self.probe();
+    fn handle_pong(&mut self) {
+        self.ping_sent_at = None;
+        self.unconfirmed
+            .retain(|f| f.attempts & PING_COVERS_FRAME == 0);
+        if !self.unconfirmed.is_empty() {
+            let _ = self.ping();
         }
     }
 
-    fn finish(&mut self, end: End) {
-        self.unsent.iter_mut().for_each(|f| f.tries &= !PINGED);
-        if end == End::Idle {
+    fn finish(&mut self, reason: CloseReason) {
+        self.unconfirmed
+            .iter_mut()
+            .for_each(|f| f.attempts &= !PING_COVERS_FRAME);
+        if reason == CloseReason::Idle {
             let _ = self.send.send_data(Bytes::new(), true);
-            self.unsent.clear();
+            self.unconfirmed.clear();
         }
     }
 }
 
 /// Marks a frame that was sent before the open ping.
-const PINGED: u8 = 0x80;
+const PING_COVERS_FRAME: u8 = 0x80;
--- a/crates/wire/src/dial.rs
+++ b/crates/wire/src/dial.rs
@@ -1,7 +1,7 @@
 //! Opening a connection to a peer.
 
 use crate::auth::{Hello, Session, Side};
-use crate::conn::{Conn, Pipe, count, pack, read, write};
+use crate::conn::{Conn, FrameStream, add_length_prefix, count_failure, read_frame, write_all};
 use crate::error::{Error, Result};
 use crate::peer::Link;
 use bytes::Bytes;
@@ -12,9 +12,9 @@
 use tokio_util::sync::CancellationToken;
 
 /// Path of the stream.
-pub(crate) const PATH: &str = "/peer";
+pub(crate) const PEER_PATH: &str = "/peer";
 /// Bytes that a peer may send before they are read.
-pub(crate) const WINDOW: u32 = 256 << 10;
+pub(crate) const WINDOW_BYTES: u32 = 256 << 10;
 
 /// Connects and exchanges hellos.
 pub(crate) async fn dial(link: &Link, addr: SocketAddr, stop: &CancellationToken) -> Result<Conn> {
@@ -24,7 +24,7 @@
         () = stop.cancelled() => return Err(Error::Closed),
     };
     let result = result.unwrap_or(Err(Error::Timeout(addr)));
-    count(link, result.as_ref().err());
+    count_failure(link, result.as_ref().err());
     result
 }
 
@@ -33,8 +33,8 @@
     stream.set_nodelay(true)?;
     let mut builder = h2::client::Builder::new();
     builder
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW);
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES);
     builder.enable_push(false);
     let (client, mut connection) = builder.handshake::<_, Bytes>(stream).await?;
     let ping = connection.ping_pong().ok_or(Error::Closed)?;
@@ -45,32 +45,32 @@
             () = cancel.cancelled() => {}
         }
     });
-    let request = Request::post(format!("http://{addr}{PATH}")).body(());
+    let request = Request::post(format!("http://{addr}{PEER_PATH}")).body(());
     let request = request.map_err(|_| Error::InvalidField("address"))?;
     let (answer, send) = client.ready().await?.send_request(request, false)?;
     link.shared.counters.dialed.add(1);
-    let hello = Hello::new(link.shared.addr).encode()?;
-    greet(link, addr, hello, answer, send, ping).await
+    let client_hello = Hello::new(link.shared.addr).encode()?;
+    exchange_hellos(link, addr, client_hello, answer, send, ping).await
 }
 
-async fn greet(
+async fn exchange_hellos(
     link: &Link,
     addr: SocketAddr,
-    hello: Vec<u8>,
+    client_hello: Vec<u8>,
     answer: h2::client::ResponseFuture,
     mut send: h2::SendStream<Bytes>,
     ping: h2::PingPong,
 ) -> Result<Conn> {
     let mut codec = crate::conn::codec(crate::limits::MAX_HELLO_LEN);
-    let packed = pack(&mut codec, Bytes::copy_from_slice(&hello))?;
-    write(&mut send, packed).await?;
+    let prefixed = add_length_prefix(&mut codec, Bytes::copy_from_slice(&client_hello))?;
+    write_all(&mut send, prefixed).await?;
     let response = answer.await?;
     if !response.status().is_success() {
         return Err(Error::Closed);
     }
-    let mut pipe = Pipe::new(send, response.into_body(), ping);
-    let theirs = read(&mut pipe.recv, &mut pipe.codec, &mut pipe.buffer).await?;
-    Hello::decode(&theirs)?;
-    let session = Session::new(&link.shared.key, Side::Client, &hello, &theirs)?;
-    Ok(Conn::new(link, pipe, session, addr))
+    let mut stream = FrameStream::new(send, response.into_body(), ping);
+    let server_hello = read_frame(&mut stream.recv, &mut stream.codec, &mut stream.buffer).await?;
+    Hello::decode(&server_hello)?;
+    let session = Session::new(&link.shared.key, Side::Client, &client_hello, &server_hello)?;
+    Ok(Conn::new(link, stream, session, addr))
 }
--- a/crates/wire/src/listen.rs
+++ b/crates/wire/src/listen.rs
@@ -1,8 +1,8 @@
 //! Accepting connections of peers.
 
 use crate::auth::{Hello, Session, Side};
-use crate::conn::{Conn, Pipe, count, pack, read, write};
-use crate::dial::{PATH, WINDOW};
+use crate::conn::{Conn, FrameStream, add_length_prefix, count_failure, read_frame, write_all};
+use crate::dial::{PEER_PATH, WINDOW_BYTES};
 use crate::error::{Error, Result};
 use crate::peer::Link;
 use bytes::Bytes;
@@ -15,25 +15,25 @@
 use tokio::time::{sleep, timeout};
 
 /// How long to wait after the listener failed, for instance for want of file descriptors.
-const BREATHE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Streams of one connection.
-const STREAMS: u32 = 1;
+const MAX_STREAMS: u32 = 1;
 /// Bytes of a request's headers.
-const HEADERS: u32 = 4 << 10;
+const MAX_HEADER_BYTES: u32 = 4 << 10;
 
 /// Accepts until the link is cancelled.
 pub(crate) async fn run(link: Link, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(link.shared.limits.max_inbound_connections));
+    let permits = Arc::new(Semaphore::new(link.shared.limits.max_inbound_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             () = link.shared.cancel.cancelled() => return,
         };
         let Ok((stream, _)) = accepted else {
-            sleep(BREATHE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             link.shared.counters.refused.add(1);
             continue;
         };
@@ -60,15 +60,15 @@
     };
     // The connection makes progress only while it is polled; a second stream is refused.
     let driver = async {
-        while let Some(Ok((_, mut other))) = connection.accept().await {
-            other.send_reset(h2::Reason::REFUSED_STREAM);
+        while let Some(Ok((_, mut extra))) = connection.accept().await {
+            extra.send_reset(h2::Reason::REFUSED_STREAM);
         }
     };
     let session = async {
-        let hello = timeout(limit * 2, greet(link, request, answer, ping)).await;
+        let hello = timeout(limit * 2, exchange_hellos(link, request, answer, ping)).await;
         match hello {
             Ok(Ok(conn)) => link.shared.routes.serve(link, conn).await,
-            Ok(Err(error)) => count(link, Some(&error)),
+            Ok(Err(error)) => count_failure(link, Some(&error)),
             Err(_) => link.shared.counters.slow_hello.add(1),
         }
     };
@@ -79,47 +79,47 @@
     }
 }
 
-type Opened = (
+type AcceptedStream = (
     h2::server::Connection<TcpStream, Bytes>,
     Request<h2::RecvStream>,
     SendResponse<Bytes>,
 );
 
-async fn open(stream: TcpStream) -> Result<Opened> {
+async fn open(stream: TcpStream) -> Result<AcceptedStream> {
     stream.set_nodelay(true)?;
     let mut builder = h2::server::Builder::new();
     builder
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW);
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES);
     builder
-        .max_concurrent_streams(STREAMS)
-        .max_header_list_size(HEADERS);
+        .max_concurrent_streams(MAX_STREAMS)
+        .max_header_list_size(MAX_HEADER_BYTES);
     let mut connection = builder.handshake::<_, Bytes>(stream).await?;
     let (request, answer) = connection.accept().await.ok_or(Error::Closed)??;
     Ok((connection, request, answer))
 }
 
-async fn greet(
+async fn exchange_hellos(
     link: &Link,
     request: Request<h2::RecvStream>,
     mut answer: SendResponse<Bytes>,
     ping: h2::PingPong,
 ) -> Result<Conn> {
-    if request.method() != Method::POST || request.uri().path() != PATH {
+    if request.method() != Method::POST || request.uri().path() != PEER_PATH {
         let mut response = Response::new(());
         *response.status_mut() = StatusCode::NOT_FOUND;
         answer.send_response(response, true)?;
         return Err(Error::Closed);
     }
     let send = answer.send_response(Response::new(()), false)?;
-    let mut pipe = Pipe::new(send, request.into_body(), ping);
-    let theirs = read(&mut pipe.recv, &mut pipe.codec, &mut pipe.buffer).await?;
-    let client = Hello::decode(&theirs)?;
-    let hello = Hello::new(link.shared.addr).encode()?;
-    let packed = pack(&mut pipe.codec, Bytes::copy_from_slice(&hello))?;
-    write(&mut pipe.send, packed).await?;
-    let session = Session::new(&link.shared.key, Side::Server, &theirs, &hello)?;
-    let mut conn = Conn::new(link, pipe, session, client.addr);
-    conn.prove(link).await?;
+    let mut stream = FrameStream::new(send, request.into_body(), ping);
+    let client_hello = read_frame(&mut stream.recv, &mut stream.codec, &mut stream.buffer).await?;
+    let client = Hello::decode(&client_hello)?;
+    let server_hello = Hello::new(link.shared.addr).encode()?;
+    let prefixed = add_length_prefix(&mut stream.codec, Bytes::copy_from_slice(&server_hello))?;
+    write_all(&mut stream.send, prefixed).await?;
+    let session = Session::new(&link.shared.key, Side::Server, &client_hello, &server_hello)?;
+    let mut conn = Conn::new(link, stream, session, client.addr);
+    conn.authenticate(link).await?;
     Ok(conn)
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -78,7 +78,7 @@
 /// An ask that waits.
 struct PendingCall {
     peer: SocketAddr,
-    answer: oneshot::Sender<Body>,
+    response: oneshot::Sender<Body>,
 }
 
 /// A link; clones share it.
@@ -168,8 +168,9 @@
 
     async fn call(&self, to: SocketAddr, body: Body) -> Result<Body> {
         let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
-        let (answer, wait) = oneshot::channel();
-        self.calls().insert(call, PendingCall { peer: to, answer });
+        let (response, received) = oneshot::channel();
+        self.calls()
+            .insert(call, PendingCall { peer: to, response });
         let _guard = CallGuard { link: self, call };
         self.enqueue(
             to,
@@ -179,7 +180,7 @@
             },
         )?;
         let limit = self.shared.limits.call_timeout;
-        match tokio::time::timeout(limit, wait).await {
+        match tokio::time::timeout(limit, received).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(_)) => Err(Error::Closed),
             Err(_) => Err(Error::Timeout(to)),
@@ -189,12 +190,12 @@
     /// Ends the asks to a peer that is gone: it has lost them, and nothing else would tell before their
     /// time limit.
     pub(crate) fn fail_calls(&self, peer: SocketAddr) {
-        self.calls().retain(|_, waiting| waiting.peer != peer);
+        self.calls().retain(|_, pending| pending.peer != peer);
     }
 
     /// Whether an ask to a peer waits for its answer.
     pub(crate) fn has_pending_call(&self, peer: SocketAddr) -> bool {
-        self.calls().values().any(|waiting| waiting.peer == peer)
+        self.calls().values().any(|pending| pending.peer == peer)
     }
 
     fn calls(&self) -> std::sync::MutexGuard<'_, HashMap<CallId, PendingCall>> {
@@ -209,14 +210,14 @@
         if bytes.len() > self.shared.limits.max_frame_len {
             return Err(Error::FrameTooLong(bytes.len()));
         }
-        let pushed = self
+        let queued = self
             .shared
             .routes
-            .push(self, to, Outgoing { bytes, tries: 0 });
-        if pushed.is_err() {
+            .push(self, to, Outgoing { bytes, attempts: 0 });
+        if queued.is_err() {
             self.shared.counters.dropped.add(1);
         }
-        pushed
+        queued
     }
 
     /// Gives a frame to whom it is for.
@@ -252,11 +253,11 @@
     /// An answer counts only from the peer that was asked.
     fn complete_call(&self, from: SocketAddr, call: CallId, body: Body) {
         let mut calls = self.calls();
-        if calls.get(&call).is_none_or(|w| w.peer != from) {
+        if calls.get(&call).is_none_or(|pending| pending.peer != from) {
             return;
         }
-        if let Some(waiting) = calls.remove(&call) {
-            let _ = waiting.answer.send(body);
+        if let Some(pending) = calls.remove(&call) {
+            let _ = pending.response.send(body);
         }
     }
 }
--- a/crates/wire/src/route.rs
+++ b/crates/wire/src/route.rs
@@ -1,6 +1,6 @@
 //! Routes: one queue and one task per peer that is sent to.
 
-use crate::conn::{self, Conn, End};
+use crate::conn::{self, CloseReason, Conn};
 use crate::dial;
 use crate::error::{Error, Result};
 use crate::peer::{Inbound, Link};
@@ -13,13 +13,13 @@
 use tokio_util::sync::CancellationToken;
 
 /// Connections that a frame is sent over at most: the one at hand and a new one.
-const TRIES: u8 = 2;
+const MAX_SEND_ATTEMPTS: u8 = 2;
 
 /// A frame to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     pub(crate) bytes: Bytes,
-    pub(crate) tries: u8,
+    pub(crate) attempts: u8,
 }
 
 /// Routes by the peer's listening address.
@@ -30,13 +30,13 @@
 
 #[derive(Default)]
 struct Table {
-    rows: HashMap<SocketAddr, Row>,
+    routes: HashMap<SocketAddr, Route>,
     clock: u64,
 }
 
-struct Row {
-    number: u64,
-    used: u64,
+struct Route {
+    id: u64,
+    last_used: u64,
     queue: mpsc::Sender<Outgoing>,
     stop: CancellationToken,
 }
@@ -47,7 +47,7 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.table().rows.len()
+        self.table().routes.len()
     }
 
     /// Queues a frame, over a new route if there is none.
@@ -55,10 +55,10 @@
         let mut table = self.table();
         table.clock += 1;
         let clock = table.clock;
-        let frame = match table.rows.get_mut(&to) {
-            Some(row) => {
-                row.used = clock;
-                match row.queue.try_send(frame) {
+        let frame = match table.routes.get_mut(&to) {
+            Some(route) => {
+                route.last_used = clock;
+                match route.queue.try_send(frame) {
                     Ok(()) => return Ok(()),
                     Err(TrySendError::Full(_)) => return Err(Error::QueueFull),
                     Err(TrySendError::Closed(frame)) => frame,
@@ -75,9 +75,9 @@
     /// none, so that answers need no connection of their own.
     pub(crate) async fn serve(&self, link: &Link, conn: Conn) {
         let addr = conn.peer;
-        let busy = self.table().rows.contains_key(&addr);
-        if busy {
-            let (_hold, mut queue) = mpsc::channel(1);
+        let has_route = self.table().routes.contains_key(&addr);
+        if has_route {
+            let (_queue_sender, mut queue) = mpsc::channel(1);
             conn.run(link, &mut queue, VecDeque::new(), &CancellationToken::new())
                 .await;
             return;
@@ -86,10 +86,10 @@
         task.run().await;
     }
 
-    fn remove(&self, addr: SocketAddr, number: u64) {
+    fn remove(&self, addr: SocketAddr, id: u64) {
         let mut table = self.table();
-        if table.rows.get(&addr).is_some_and(|r| r.number == number) {
-            table.rows.remove(&addr);
+        if table.routes.get(&addr).is_some_and(|r| r.id == id) {
+            table.routes.remove(&addr);
         }
     }
 }
@@ -104,20 +104,20 @@
         self.evict(link.shared.limits.max_routes);
         let (queue, frames) = mpsc::channel(link.shared.limits.queue_capacity);
         self.clock += 1;
-        let number = self.clock;
+        let id = self.clock;
         let stop = link.shared.cancel.child_token();
-        let row = Row {
-            number,
-            used: number,
+        let route = Route {
+            id,
+            last_used: id,
             queue: queue.clone(),
             stop: stop.clone(),
         };
-        self.rows.insert(addr, row);
+        self.routes.insert(addr, route);
         (
             Task {
                 link: link.clone(),
                 addr,
-                number,
+                id,
                 frames,
                 stop,
                 conn,
@@ -127,17 +127,17 @@
     }
 
     /// Closes the least used routes, so that their number is bounded.
-    fn evict(&mut self, most: usize) {
-        while self.rows.len() >= most.max(1) {
-            let oldest = self
-                .rows
+    fn evict(&mut self, max_routes: usize) {
+        while self.routes.len() >= max_routes.max(1) {
+            let least_used = self
+                .routes
                 .iter()
-                .min_by_key(|(_, r)| r.used)
+                .min_by_key(|(_, r)| r.last_used)
                 .map(|(a, _)| *a);
-            let Some(row) = oldest.and_then(|a| self.rows.remove(&a)) else {
+            let Some(route) = least_used.and_then(|a| self.routes.remove(&a)) else {
                 return;
             };
-            row.stop.cancel();
+            route.stop.cancel();
         }
     }
 }
@@ -146,7 +146,7 @@
 struct Task {
     link: Link,
     addr: SocketAddr,
-    number: u64,
+    id: u64,
     frames: mpsc::Receiver<Outgoing>,
     stop: CancellationToken,
     conn: Option<Conn>,
@@ -155,7 +155,7 @@
 impl Task {
     /// Runs connections to the peer, one after another, while there is something to send.
     async fn run(mut self) {
-        let mut unsent = VecDeque::new();
+        let mut to_resend = VecDeque::new();
         loop {
             let conn = match self.conn.take() {
                 Some(conn) => conn,
@@ -164,15 +164,16 @@
                     Err(_) => return self.fail().await,
                 },
             };
-            let (end, left) = conn
-                .run(&self.link, &mut self.frames, unsent, &self.stop)
+            let (reason, unconfirmed) = conn
+                .run(&self.link, &mut self.frames, to_resend, &self.stop)
                 .await;
-            unsent = retry(left);
+            to_resend = retryable(unconfirmed);
             // A peer that lives closes connections too, and answers over another one. Whether it lives
             // shows when a new one is opened.
-            let awaits = end == End::Closed && self.link.has_pending_call(self.addr);
-            let done = unsent.is_empty() && self.frames.is_empty() && !awaits;
-            if done || end == End::Refused || self.stop.is_cancelled() {
+            let awaits_response =
+                reason == CloseReason::Closed && self.link.has_pending_call(self.addr);
+            let done = to_resend.is_empty() && self.frames.is_empty() && !awaits_response;
+            if done || reason == CloseReason::ProtocolError || self.stop.is_cancelled() {
                 return self.close();
             }
         }
@@ -181,7 +182,7 @@
     /// The peer answers on no new connection either: that is worth telling, while the end of an
     /// old connection is not.
     async fn fail(self) {
-        self.link.shared.routes.remove(self.addr, self.number);
+        self.link.shared.routes.remove(self.addr, self.id);
         if self.stop.is_cancelled() {
             return;
         }
@@ -198,7 +199,7 @@
     /// Takes the route away, then passes on what was queued in between.
     fn close(mut self) {
         let routes = &self.link.shared.routes;
-        routes.remove(self.addr, self.number);
+        routes.remove(self.addr, self.id);
         self.frames.close();
         if self.link.shared.cancel.is_cancelled() {
             return;
@@ -209,6 +210,9 @@
     }
 }
 
-fn retry(left: VecDeque<conn::Unsent>) -> VecDeque<conn::Unsent> {
-    left.into_iter().filter(|f| f.tries < TRIES).collect()
+fn retryable(unconfirmed: VecDeque<conn::Unconfirmed>) -> VecDeque<conn::Unconfirmed> {
+    unconfirmed
+        .into_iter()
+        .filter(|f| f.attempts < MAX_SEND_ATTEMPTS)
+        .collect()
 }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -58,14 +58,14 @@
 }
 
 fn delta() -> Delta {
-    let print = Publication {
+    let publication = Publication {
         version: 4,
         observations: observations(),
     };
     let batch = Batch {
         row: 2,
         up_to: 5,
-        publications: vec![print],
+        publications: vec![publication],
     };
     Delta {
         items: vec![BucketItems {
@@ -122,7 +122,7 @@
         incarnation: 2,
         refutations: 3,
     };
-    let news = vec![
+    let updates = vec![
         Update::Join(row()),
         Update::Suspect(run),
         Update::Alive(run),
@@ -136,7 +136,7 @@
         from: 1,
         incarnation: 2,
         head,
-        updates: news.clone(),
+        updates: updates.clone(),
         body,
     };
     let mut frames: Vec<Frame> = bodies()
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn frames_survive_the_wire() {
+fn frames_round_trip() {
     for frame in frames() {
         let bytes = frame.encode().expect("encodes");
         assert_eq!(Frame::decode(&bytes).expect("decodes"), frame);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_kind_fits_its_body() {
+fn kind_that_does_not_match_the_body_is_refused() {
     let frame = Frame {
         kind: Kind::OneWay,
         body: FrameBody::StatusRequest,
@@ -224,7 +224,7 @@
         hash: 0,
         versions: vec![0; 257],
     }];
-    let forever = Observation::Condemned {
+    let excessive_ttl = Observation::Condemned {
         fingerprint: 1,
         ttl: Duration::from_secs(1 << 30),
     };
@@ -232,7 +232,7 @@
         origin: 1,
         incarnation: 1,
         version: 1,
-        body: forever,
+        body: excessive_ttl,
     };
     let bad = [
         Body::Rows(vec![long]),
@@ -260,7 +260,7 @@
         .iter()
         .map(|f| f.encode().expect("encodes"))
         .collect();
-    let mut read = 0;
+    let mut decoded = 0;
     for step in 0..40_000usize {
         let mut bytes = good[step % good.len()].clone();
         match step % 4 {
@@ -282,13 +282,13 @@
             step % 4 != 2 || frame.is_err(),
             "trailing bytes are refused"
         );
-        read += usize::from(frame.is_ok());
+        decoded += usize::from(frame.is_ok());
     }
-    assert!(read > 0, "some mutations stay frames");
+    assert!(decoded > 0, "some mutations stay frames");
 }
 
 #[test]
-fn promised_lengths_allocate_nothing() {
+fn claimed_lengths_are_not_allocated() {
     // A record of 2^62 bytes in a frame of a few.
     let mut bytes = vec![2, 1, 2, 1, 253];
     bytes.extend_from_slice(&(1u64 << 62).to_le_bytes());
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn keys_are_long_and_hidden() {
+fn short_keys_are_refused_and_debug_hides_keys() {
     assert!(Key::try_from("00ff").is_err());
     assert!(Key::try_from("not hexadecimal").is_err());
     let key = Key::try_from(KEY).expect("key");
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -7,13 +7,13 @@
 #[path = "support/proxy.rs"]
 mod proxy;
 
-use bare::{Bare, note, until};
+use bare::{BareLink, numbered_message, wait_until};
 
 use member::event::Event;
 use member::head::Head;
 use member::item::Observation;
 use member::message::{Body as MessageBody, Message, Summary};
-use node::{KEY, Node, PATIENCE};
+use node::{KEY, Node, WAIT_TIMEOUT};
 use proxy::Proxy;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -27,22 +27,23 @@
     let a = Node::start("a", KEY, Limits::default()).await;
     let b = Node::start("b", KEY, Limits::default()).await;
     for node in [&a, &b] {
-        node.tell(Event::Listed(vec![a.entry(), b.entry()])).await;
+        node.send_event(Event::Listed(vec![a.entry(), b.entry()]))
+            .await;
     }
-    a.until("b joins a", |s| s.up == [b.id()]).await;
-    b.until("a joins b", |s| s.up == [a.id()]).await;
+    a.wait_until("b joins a", |s| s.up == [b.id()]).await;
+    b.wait_until("a joins b", |s| s.up == [a.id()]).await;
     (a, b)
 }
 
 #[tokio::test]
 async fn head_reaches_the_peer_with_its_record() {
     let (a, b) = pair().await;
-    a.tell(Event::Head(Head {
+    a.send_event(Event::Head(Head {
         number: 3,
         digest: [3; 32],
     }))
     .await;
-    b.until("head at b", |s| s.head == 3).await;
+    b.wait_until("head at b", |s| s.head == 3).await;
     let status = a.link.request_status(b.link.addr()).await.expect("status");
     assert_eq!(status.number, 3);
     assert_eq!(
@@ -58,8 +59,8 @@
         fingerprint: 9,
         ttl: Duration::from_secs(60),
     };
-    b.tell(Event::Publish(vec![body.clone()])).await;
-    a.until("item at a", |s| {
+    b.send_event(Event::Publish(vec![body.clone()])).await;
+    a.wait_until("item at a", |s| {
         s.items.iter().any(|i| i.body.key() == body.key())
     })
     .await;
@@ -70,15 +71,19 @@
 /// connection, and nobody is called unreachable.
 #[tokio::test]
 async fn silent_connection_is_not_a_dead_peer() {
-    let far = Bare::start(KEY, Limits::default()).await;
+    let far = BareLink::start(KEY, Limits::default()).await;
     let (_target, watch) = tokio::sync::watch::channel(far.link.addr());
     let proxy = Proxy::start(watch).await;
-    let mut near = Bare::start(KEY, Limits::default()).await;
+    let mut near = BareLink::start(KEY, Limits::default()).await;
     let mut far = far;
-    near.link.send(proxy.addr, note(1)).expect("queued");
+    near.link
+        .send(proxy.addr, numbered_message(1))
+        .expect("queued");
     assert_eq!(far.next().await, 1);
-    proxy.forget();
-    near.link.send(proxy.addr, note(2)).expect("queued");
+    proxy.silence_connections();
+    near.link
+        .send(proxy.addr, numbered_message(2))
+        .expect("queued");
     // The first one may come again: whether it had arrived was not known when the pong was lost.
     while far.next().await != 2 {}
     assert_eq!(near.link.counters().silent.get(), 1);
@@ -88,15 +93,15 @@
 
 /// A peer's process is gone: a new connection fails, and that is reported.
 #[tokio::test]
-async fn dead_peer_is_unreached() {
-    let mut near = Bare::start(KEY, Limits::default()).await;
-    let gone = Bare::start(KEY, Limits::default()).await;
+async fn dead_peer_is_reported_as_unreachable() {
+    let mut near = BareLink::start(KEY, Limits::default()).await;
+    let gone = BareLink::start(KEY, Limits::default()).await;
     let addr = gone.link.addr();
     gone.cancel.cancel();
     drop(gone);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    near.link.send(addr, note(1)).expect("queued");
-    let inbound = tokio::time::timeout(PATIENCE, near.inbound.recv())
+    near.link.send(addr, numbered_message(1)).expect("queued");
+    let inbound = tokio::time::timeout(WAIT_TIMEOUT, near.inbound.recv())
         .await
         .expect("in time");
     assert!(
@@ -107,74 +112,85 @@
 }
 
 /// Limits under which an ask ends by its time limit only long after the test.
-fn patient() -> Limits {
+fn long_call_timeout() -> Limits {
     Limits {
-        call_timeout: PATIENCE * 10,
+        call_timeout: WAIT_TIMEOUT * 10,
         ..Limits::default()
     }
 }
 
 // Guards against an ask that waits for its time limit though the peer's process is gone.
 #[tokio::test]
-async fn ask_ends_when_the_process_of_the_peer_ends() {
-    let near = Bare::start(KEY, patient()).await;
-    let mut far = Bare::start(KEY, Limits::default()).await;
+async fn call_fails_when_the_process_of_the_peer_ends() {
+    let near = BareLink::start(KEY, long_call_timeout()).await;
+    let mut far = BareLink::start(KEY, Limits::default()).await;
     let (link, addr) = (near.link.clone(), far.link.addr());
-    let ask = tokio::spawn(async move {
+    let call = tokio::spawn(async move {
         link.request_copy(addr, CopyRequest { table: 1, from: 0 })
             .await
     });
-    let taken = tokio::time::timeout(PATIENCE, far.inbound.recv()).await;
-    assert!(matches!(taken, Ok(Some(Inbound::Copy { .. }))), "{taken:?}");
+    let received = tokio::time::timeout(WAIT_TIMEOUT, far.inbound.recv()).await;
+    assert!(
+        matches!(received, Ok(Some(Inbound::Copy { .. }))),
+        "{received:?}"
+    );
     far.cancel.cancel();
-    let ended = tokio::time::timeout(PATIENCE, ask).await.expect("in time");
+    let ended = tokio::time::timeout(WAIT_TIMEOUT, call)
+        .await
+        .expect("in time");
     let answer = ended.expect("runs");
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
 
 // Guards against an ask that is given up since the peer closed the connection for another route.
 #[tokio::test]
-async fn ask_outlives_its_connection() {
-    let few = Limits {
+async fn call_outlives_its_connection() {
+    let one_route = Limits {
         max_routes: 1,
         ..Limits::default()
     };
-    let near = Bare::start(KEY, patient()).await;
-    let mut far = Bare::start(KEY, few).await;
-    let other = Bare::start(KEY, Limits::default()).await;
+    let near = BareLink::start(KEY, long_call_timeout()).await;
+    let mut far = BareLink::start(KEY, one_route).await;
+    let other = BareLink::start(KEY, Limits::default()).await;
     let (link, addr) = (near.link.clone(), far.link.addr());
-    let ask = tokio::spawn(async move {
+    let call = tokio::spawn(async move {
         link.request_copy(addr, CopyRequest { table: 1, from: 0 })
             .await
     });
-    let taken = tokio::time::timeout(PATIENCE, far.inbound.recv()).await;
-    let Ok(Some(Inbound::Copy { reply, .. })) = taken else {
-        panic!("{taken:?}");
+    let received = tokio::time::timeout(WAIT_TIMEOUT, far.inbound.recv()).await;
+    let Ok(Some(Inbound::Copy { reply, .. })) = received else {
+        panic!("{received:?}");
     };
     let before = far.link.counters().dialed.get();
-    far.link.send(other.link.addr(), note(1)).expect("queued");
-    until("a route to the other", || {
+    far.link
+        .send(other.link.addr(), numbered_message(1))
+        .expect("queued");
+    wait_until("a route to the other", || {
         far.link.counters().dialed.get() > before
     })
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     reply.send(Some(vec![7])).expect("queued");
-    let ended = tokio::time::timeout(PATIENCE, ask).await.expect("in time");
+    let ended = tokio::time::timeout(WAIT_TIMEOUT, call)
+        .await
+        .expect("in time");
     let answer = ended.expect("runs").expect("answer");
     assert_eq!(answer, Some(vec![7]));
 }
 
 // Guards against an ask that waits for its time limit though the peer answers on no connection.
 #[tokio::test]
-async fn ask_ends_when_the_peer_is_not_reached() {
-    let near = Bare::start(KEY, patient()).await;
+async fn call_fails_when_the_peer_is_unreachable() {
+    let near = BareLink::start(KEY, long_call_timeout()).await;
     // Connections are accepted by the kernel and nobody reads them, as those of a frozen node.
     let frozen = std::net::TcpListener::bind("127.0.0.1:0").expect("listens");
     let addr = frozen.local_addr().expect("address");
-    let ask = near
+    let call = near
         .link
         .request_copy(addr, CopyRequest { table: 1, from: 0 });
-    let answer = tokio::time::timeout(PATIENCE, ask).await.expect("in time");
+    let answer = tokio::time::timeout(WAIT_TIMEOUT, call)
+        .await
+        .expect("in time");
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
 
@@ -182,10 +198,12 @@
 /// frame does not verify, so its connection is closed and counted, and nothing is delivered.
 #[tokio::test]
 async fn wrong_key_is_refused() {
-    let mut far = Bare::start(KEY, Limits::default()).await;
-    let near = Bare::start(&KEY.replace('0', "f"), Limits::default()).await;
-    near.link.send(far.link.addr(), note(1)).expect("queued");
-    until("counted", || far.link.counters().bad_mac.get() > 0).await;
+    let mut far = BareLink::start(KEY, Limits::default()).await;
+    let near = BareLink::start(&KEY.replace('0', "f"), Limits::default()).await;
+    near.link
+        .send(far.link.addr(), numbered_message(1))
+        .expect("queued");
+    wait_until("counted", || far.link.counters().bad_mac.get() > 0).await;
     assert!(far.inbound.try_recv().is_err());
     assert_eq!(far.link.counters().received.get(), 0);
 }
@@ -193,27 +211,31 @@
 /// Strangers connect and say nothing, or speak something else. They hold a place for a short
 /// time only, and those over the bound are refused, while a peer that has a place is served.
 #[tokio::test]
-async fn strangers_are_bounded() {
+async fn unauthenticated_connections_are_bounded() {
     let limits = Limits {
         max_inbound_connections: 4,
         ..Limits::default()
     };
-    let mut far = Bare::start(KEY, limits).await;
-    let near = Bare::start(KEY, Limits::default()).await;
-    near.link.send(far.link.addr(), note(1)).expect("queued");
+    let mut far = BareLink::start(KEY, limits).await;
+    let near = BareLink::start(KEY, Limits::default()).await;
+    near.link
+        .send(far.link.addr(), numbered_message(1))
+        .expect("queued");
     assert_eq!(far.next().await, 1);
-    let mut strangers = Vec::new();
+    let mut unauthenticated = Vec::new();
     for number in 0..8 {
-        let mut stranger = TcpStream::connect(far.link.addr()).await.expect("connects");
+        let mut socket = TcpStream::connect(far.link.addr()).await.expect("connects");
         if number == 0 {
-            let _ = stranger.write_all(b"GET / HTTP/1.1\r\n\r\n").await;
+            let _ = socket.write_all(b"GET / HTTP/1.1\r\n\r\n").await;
         }
-        strangers.push(stranger);
+        unauthenticated.push(socket);
     }
-    until("refused", || far.link.counters().refused.get() > 0).await;
-    near.link.send(far.link.addr(), note(2)).expect("queued");
+    wait_until("refused", || far.link.counters().refused.get() > 0).await;
+    near.link
+        .send(far.link.addr(), numbered_message(2))
+        .expect("queued");
     assert_eq!(far.next().await, 2);
-    until("strangers are let go", || {
+    wait_until("strangers are let go", || {
         far.link.counters().slow_hello.get() >= 3
     })
     .await;
@@ -221,22 +243,22 @@
 
 /// An ask that nobody answers ends by its time limit, and leaves nothing behind.
 #[tokio::test]
-async fn unanswered_ask_times_out() {
+async fn unanswered_call_times_out() {
     let limits = Limits {
         call_timeout: Duration::from_millis(200),
         ..Limits::default()
     };
-    let near = Bare::start(KEY, limits).await;
-    let far = Bare::start(KEY, Limits::default()).await;
+    let near = BareLink::start(KEY, limits).await;
+    let far = BareLink::start(KEY, Limits::default()).await;
     let answer = near.link.request_status(far.link.addr()).await;
     assert!(matches!(answer, Err(wire::Error::Timeout(_))), "{answer:?}");
 }
 
 /// A record as large as a bundle of the full size crosses in one answer.
 #[tokio::test]
-async fn large_record_crosses() {
-    let near = Bare::start(KEY, Limits::default()).await;
-    let mut far = Bare::start(KEY, Limits::default()).await;
+async fn large_record_fits_in_one_response() {
+    let near = BareLink::start(KEY, Limits::default()).await;
+    let mut far = BareLink::start(KEY, Limits::default()).await;
     let record: Vec<u8> = (0..2_000_000u32).map(|i| i as u8).collect();
     let sent = record.clone();
     let addr = far.link.addr();
@@ -248,12 +270,12 @@
         reply.send(Some(sent)).expect("queued");
         far.cancel.cancelled().await;
     });
-    let got = near
+    let response = near
         .link
         .request_head(addr, HeadRequest { number: 1, have: 0 })
         .await
         .expect("answer");
-    assert!(got == Some(record));
+    assert!(response == Some(record));
 }
 
 /// More peers are sent to than a node may have routes: the least used close, all are reached.
@@ -263,11 +285,11 @@
         max_routes: 3,
         ..Limits::default()
     };
-    let near = Bare::start(KEY, limits).await;
+    let near = BareLink::start(KEY, limits).await;
     for round in 0..8 {
-        let mut far = Bare::start(KEY, Limits::default()).await;
+        let mut far = BareLink::start(KEY, Limits::default()).await;
         near.link
-            .send(far.link.addr(), note(round))
+            .send(far.link.addr(), numbered_message(round))
             .expect("queued");
         assert_eq!(far.next().await, round);
         assert!(near.link.route_count() <= 3);
@@ -277,8 +299,8 @@
 /// A frame over the bound of the receiver: the connection is closed and counted.
 #[tokio::test]
 async fn long_frame_is_refused() {
-    let near = Bare::start(KEY, Limits::default()).await;
-    let far = Bare::start(
+    let near = BareLink::start(KEY, Limits::default()).await;
+    let far = BareLink::start(
         KEY,
         Limits {
             max_frame_len: 100,
@@ -294,10 +316,10 @@
             };
             16
         ]),
-        ..note(1)
+        ..numbered_message(1)
     };
     near.link.send(far.link.addr(), body).expect("queued");
-    until("counted", || far.link.counters().bad_frame.get() > 0).await;
+    wait_until("counted", || far.link.counters().bad_frame.get() > 0).await;
 }
 
 /// An unused connection is closed by both sides, and the next frame opens another.
@@ -307,15 +329,19 @@
         idle_timeout: Duration::from_millis(100),
         ..Limits::default()
     };
-    let near = Bare::start(KEY, limits.clone()).await;
-    let mut far = Bare::start(KEY, limits).await;
-    near.link.send(far.link.addr(), note(1)).expect("queued");
+    let near = BareLink::start(KEY, limits.clone()).await;
+    let mut far = BareLink::start(KEY, limits).await;
+    near.link
+        .send(far.link.addr(), numbered_message(1))
+        .expect("queued");
     assert_eq!(far.next().await, 1);
-    until("closed", || {
+    wait_until("closed", || {
         near.link.route_count() == 0 && far.link.route_count() == 0
     })
     .await;
-    near.link.send(far.link.addr(), note(2)).expect("queued");
+    near.link
+        .send(far.link.addr(), numbered_message(2))
+        .expect("queued");
     assert_eq!(far.next().await, 2);
     assert_eq!(near.link.counters().dialed.get(), 2);
 }
--- a/crates/wire/tests/support/bare.rs
+++ b/crates/wire/tests/support/bare.rs
@@ -1,7 +1,7 @@
 //! A link without a group.
 #![allow(dead_code)]
 
-use crate::node::PATIENCE;
+use crate::node::WAIT_TIMEOUT;
 use member::message::{Body, Message};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -11,7 +11,7 @@
 use wire::peer::{Inbound, Link, Setup};
 
 /// A link and what comes from it.
-pub struct Bare {
+pub struct BareLink {
     /// The link.
     pub link: Link,
     /// What comes.
@@ -20,7 +20,7 @@
     pub cancel: CancellationToken,
 }
 
-impl Bare {
+impl BareLink {
     /// Starts a link on a free port.
     pub async fn start(key: &str, limits: Limits) -> Self {
         let (inbound, frames) = mpsc::channel(64);
@@ -45,7 +45,7 @@
 
     /// The sender's number in the next message.
     pub async fn next(&mut self) -> u64 {
-        let inbound = tokio::time::timeout(PATIENCE, self.inbound.recv()).await;
+        let inbound = tokio::time::timeout(WAIT_TIMEOUT, self.inbound.recv()).await;
         match inbound.expect("in time") {
             Some(Inbound::Member { message, .. }) => message.from,
             other => panic!("{other:?}"),
@@ -54,7 +54,7 @@
 }
 
 /// A message with a number in it.
-pub fn note(number: u64) -> Message {
+pub fn numbered_message(number: u64) -> Message {
     Message {
         from: number,
         incarnation: 1,
@@ -65,13 +65,13 @@
 }
 
 /// Waits until `test` holds.
-pub async fn until(what: &str, test: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, test: impl Fn() -> bool) {
     let wait = async {
         while !test() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
         .unwrap_or_else(|_| panic!("{what}"));
 }
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -22,7 +22,7 @@
 /// The key of the tests.
 pub const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 /// Generous bound of everything that is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a test sees of a node.
 #[derive(Clone, Debug, Default)]
@@ -84,12 +84,12 @@
         };
         let group = Group::new(identity, 7, settings);
         let (events, commands) = mpsc::channel(64);
-        let (show, seen) = watch::channel(Seen::default());
+        let (snapshot, seen) = watch::channel(Seen::default());
         let run = Run {
             group,
             link: link.clone(),
-            begun: Instant::now(),
-            show,
+            started: Instant::now(),
+            snapshot,
         };
         tokio::spawn(run.run(frames, commands, cancel.clone()));
         Self {
@@ -112,14 +112,14 @@
     }
 
     /// Gives it an event.
-    pub async fn tell(&self, event: Event) {
+    pub async fn send_event(&self, event: Event) {
         self.events.send(event).await.expect("node runs");
     }
 
     /// Waits until `test` holds.
-    pub async fn until(&self, what: &str, test: impl Fn(&Seen) -> bool) {
+    pub async fn wait_until(&self, what: &str, test: impl Fn(&Seen) -> bool) {
         let mut seen = self.seen.clone();
-        let wait = tokio::time::timeout(PATIENCE, seen.wait_for(|s| test(s)));
+        let wait = tokio::time::timeout(WAIT_TIMEOUT, seen.wait_for(|s| test(s)));
         wait.await
             .unwrap_or_else(|_| panic!("{what}"))
             .expect("node runs");
@@ -129,8 +129,8 @@
 struct Run {
     group: Group,
     link: Link,
-    begun: Instant,
-    show: watch::Sender<Seen>,
+    started: Instant,
+    snapshot: watch::Sender<Seen>,
 }
 
 impl Run {
@@ -188,7 +188,7 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
-            self.group.handle(self.begun.elapsed(), event, &mut out);
+            self.group.handle(self.started.elapsed(), event, &mut out);
             for action in out {
                 events.extend(self.act(action).await);
             }
@@ -204,7 +204,7 @@
         };
         let (up, gone) = (of(|s| s == State::Up), of(|s| s > State::Suspect));
         let head = self.group.head().map_or(0, |h| h.number);
-        self.show
+        self.snapshot
             .send_modify(|s| (s.head, s.up, s.gone) = (head, up, gone));
     }
 
@@ -216,7 +216,7 @@
             }
             Action::FetchHead { head, addr, .. } => self.fetch(head, addr).await,
             Action::Learned(item) => {
-                self.show.send_modify(|s| s.items.push(item));
+                self.snapshot.send_modify(|s| s.items.push(item));
                 None
             }
             Action::StateChanged { .. } => None,
--- a/crates/wire/tests/support/proxy.rs
+++ b/crates/wire/tests/support/proxy.rs
@@ -13,10 +13,10 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// Connections made so far.
-    pub made: Arc<AtomicUsize>,
+    pub connections: Arc<AtomicUsize>,
     /// Bytes relayed in both directions.
     pub bytes: Arc<AtomicU64>,
-    mute: watch::Sender<usize>,
+    first_working: watch::Sender<usize>,
 }
 
 impl Proxy {
@@ -24,18 +24,18 @@
     pub async fn start(target: watch::Receiver<SocketAddr>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
         let addr = listener.local_addr().expect("address");
-        let (mute, muted) = watch::channel(0);
-        let (made, bytes) = (Arc::default(), Arc::default());
+        let (first_working, working_from) = watch::channel(0);
+        let (connections, bytes) = (Arc::default(), Arc::default());
         let proxy = Self {
             addr,
-            made,
+            connections,
             bytes,
-            mute,
+            first_working,
         };
-        let (made, bytes) = (proxy.made.clone(), proxy.bytes.clone());
+        let (connections, bytes) = (proxy.connections.clone(), proxy.bytes.clone());
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                let number = made.fetch_add(1, Ordering::Relaxed);
+                let number = connections.fetch_add(1, Ordering::Relaxed);
                 let to = *target.borrow();
                 let Ok(far) = TcpStream::connect(to).await else {
                     continue;
@@ -46,14 +46,14 @@
                     near_in,
                     far_out,
                     number,
-                    muted.clone(),
+                    working_from.clone(),
                     bytes.clone(),
                 ));
                 tokio::spawn(relay(
                     far_in,
                     near_out,
                     number,
-                    muted.clone(),
+                    working_from.clone(),
                     bytes.clone(),
                 ));
             }
@@ -62,9 +62,9 @@
     }
 
     /// Lets all connections made so far go silent; new ones work.
-    pub fn forget(&self) {
-        let made = self.made.load(Ordering::Relaxed);
-        self.mute.send_replace(made);
+    pub fn silence_connections(&self) {
+        let connections = self.connections.load(Ordering::Relaxed);
+        self.first_working.send_replace(connections);
     }
 }
 
@@ -72,7 +72,7 @@
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     number: usize,
-    muted: watch::Receiver<usize>,
+    working_from: watch::Receiver<usize>,
     bytes: Arc<AtomicU64>,
 ) {
     let mut buffer = vec![0; 16 << 10];
@@ -81,7 +81,7 @@
             break;
         }
         bytes.fetch_add(len as u64, Ordering::Relaxed);
-        if number >= *muted.borrow() && to.write_all(&buffer[..len]).await.is_err() {
+        if number >= *working_from.borrow() && to.write_all(&buffer[..len]).await.is_err() {
             break;
         }
     }
