--- a/crates/engine/src/chain.rs
+++ b/crates/engine/src/chain.rs
@@ -1,8 +1,9 @@
-//! Drives one attempt of a request through the stages of a pipeline.
+//! Runs one attempt of a request on the stages of a pipeline.
 //!
-//! All stages are opened first; the first step leaves only once each of them has reserved its slot.
-//! Thus a refusal, or a stage that can't be reached, costs nothing: no layer has run. Each step then
-//! passes the stages in order, and the token made by the last one starts the next step.
+//! The attempt opens a stream to every stage and starts the first step only after each stage has
+//! reserved a slot. A refusal or an unreachable stage therefore costs no computation, because no
+//! layer has run. Each step then passes through the stages in order, and the token that the last
+//! stage generates is the input of the next step.
 
 mod drive;
 mod hops;
@@ -15,10 +16,10 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// A stage of the chain and the layers it runs.
+/// A stage of the chain and the layers that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// Where it listens.
+    /// Address of the stage.
     pub addr: SocketAddr,
     /// First layer.
     pub from: u16,
@@ -26,111 +27,114 @@
     pub to: u16,
 }
 
-/// A token of an answer.
+/// A generated token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Its number in the model's vocabulary.
+    /// Number of the token in the model's vocabulary.
     pub id: u32,
-    /// Its text.
+    /// Text of the token.
     pub text: String,
 }
 
-/// An attempt to run.
+/// An attempt of a request, as input of [`run`].
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request.
+    /// Identifier of the request.
     pub request: u128,
-    /// Its attempt, from 1; each attempt of a request has a higher number than the one before.
+    /// Number of the attempt, from 1. Each attempt of a request has a higher number than the
+    /// previous one.
     pub attempt: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapter, if any.
+    /// Name of the adapter, if any.
     pub adapter: Option<String>,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: Bytes,
-    /// Tokens that earlier attempts made; the answer goes on after them.
+    /// Tokens that earlier attempts generated. This attempt continues after them.
     pub tokens: Vec<Token>,
-    /// Most tokens of the whole answer, those of earlier attempts included.
+    /// Maximum number of tokens of the complete answer, including those of earlier attempts.
     pub max_tokens: u32,
-    /// Seed of the draws.
+    /// Sampling seed.
     pub seed: u64,
-    /// Rank of the priority; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u32,
-    /// The stages; their ranges cover the model's layers once, in order.
+    /// Stages in order. Their ranges cover each of the model's layers once.
     pub hops: Vec<Hop>,
 }
 
-/// Why an answer ended.
+/// Reason why an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// The model ended it.
+    /// The model ended the answer.
     End,
-    /// It has as many tokens as it may.
+    /// The answer has the maximum number of tokens.
     Length,
 }
 
-/// What went wrong at a hop.
+/// Cause of the failure of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// No connection could be made.
+    /// No connection could be established.
     Connect,
-    /// It refused before anything ran: it is full.
+    /// The stage refused a slot because it is full, or no stream to it is free. No layer ran.
     Busy,
-    /// It refused before anything ran: it leaves.
+    /// The stage refused a slot because it is leaving the fleet. No layer ran.
     Leaving,
-    /// It refused before anything ran: it doesn't serve this.
+    /// The stage doesn't serve the model, version, adapter or layers, or the job is invalid.
     Unfit,
     /// The connection or stream broke.
     Reset,
-    /// What it sent broke the protocol: wrong request, attempt, step or layers.
+    /// The stage violated the protocol, such as by a wrong request, attempt, step or layer range.
     Protocol,
-    /// It could not compute.
+    /// The stage failed to compute.
     Internal,
 }
 
-/// What happens in an attempt.
+/// Event of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The first byte that can start the work leaves now.
+    /// The first byte that can start the work is about to be sent.
     Sent,
-    /// The attempt moves. The last hop that did its part is named, again for as long as the next
-    /// one says that it works; if nothing more comes, the hop after it (after the last one, the
-    /// first) is the one to probe.
+    /// The attempt makes progress. Names the last hop that completed its part, and repeats while
+    /// the next hop reports that it is working. If no further event follows, the hop to probe is
+    /// the one after it (the first hop after the last one).
     Progress {
-        /// Index of the last hop that did its part.
+        /// Index of the last hop that completed its part.
         hop: u8,
-        /// The step it did; 0 is the opening of the streams.
+        /// Step that this hop completed; 0 is the opening of the streams.
         step: u32,
     },
-    /// One more token.
+    /// A token was generated.
     Token(Token),
-    /// The answer is whole.
+    /// The answer is complete.
     Finished {
-        /// Why it ended.
+        /// Reason why the answer ended.
         stop: Stop,
-        /// Tokens of the prompt, as the first stage counted; 0 if nothing was left to run.
+        /// Number of tokens of the prompt, as counted by the first stage; 0 if earlier attempts had
+        /// already generated all tokens.
         prompt_tokens: u32,
     },
-    /// The attempt failed; nothing more comes from it.
+    /// The attempt failed. No further event follows.
     Failed {
-        /// Index of the hop to blame.
+        /// Index of the faulty hop.
         hop: u8,
-        /// What went wrong.
+        /// Cause of the failure.
         cause: Cause,
-        /// Whether a byte that could start the work left for any endpoint.
+        /// Whether a byte that could start the work may have been sent to any endpoint.
         sent: bool,
-        /// When the endpoint asked to be tried again.
+        /// Retry-after delay that the endpoint requested.
         retry_after: Option<Duration>,
     },
 }
 
-/// Runs an attempt to its end, or until it is cancelled. The last event is [`Event::Finished`] or
-/// [`Event::Failed`]; after cancellation no event comes, and the streams are reset so that the
+/// Runs an attempt until it ends or is cancelled. The last event is [`Event::Finished`] or
+/// [`Event::Failed`]. After cancellation no event follows, and the streams are reset so that the
 /// engines stop.
 pub async fn run(pool: &Pool, job: Job, out: &mut impl FnMut(Event), cancel: CancellationToken) {
-    // An event may itself lead to the cancellation; the ones made in the same breath are dropped.
+    // The receiver of an event may cancel the attempt. Events emitted in the same poll after that
+    // are dropped.
     let mut out = |event: Event| {
         if !cancel.is_cancelled() {
             out(event);
--- a/crates/engine/src/chain/drive.rs
+++ b/crates/engine/src/chain/drive.rs
@@ -1,4 +1,4 @@
-//! The steps of an attempt.
+//! Execution of the steps of an attempt.
 
 use super::hops::{Failure, Hops, Result, place};
 use super::layer_check::LayerCheck;
@@ -7,12 +7,13 @@
 use crate::pool::{Counters, Pool};
 use bytes::{Bytes, BytesMut};
 
-/// A piece of payload up to this length is copied behind its head, to leave in one write.
+/// Maximum length of a payload chunk that is copied behind its head, so that both are sent in one
+/// write.
 const MAX_JOINED_BYTES: usize = 4 << 10;
-/// Bytes of a payload relayed between two reports of progress.
+/// Number of relayed bytes of a payload between two progress events.
 const PROGRESS_INTERVAL_BYTES: usize = 1 << 20;
 
-/// Runs the attempt and reports its end.
+/// Runs the attempt and emits its events, including the final one.
 pub(super) async fn drive(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) {
     let mut sent = false;
     let mut record = |event: Event| {
@@ -35,6 +36,7 @@
     }
 }
 
+/// Runs the attempt up to [`Event::Finished`], or returns its failure.
 async fn run_attempt(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<()> {
     let layers = layer_count(&job.hops)?;
     let earlier_tokens = job.tokens.len() as u32;
@@ -68,7 +70,7 @@
     Ok(())
 }
 
-/// The model's layers, if the hops cover them once and in order.
+/// Returns the model's number of layers if the hops cover each layer once, in order.
 fn layer_count(hops: &[Hop]) -> Result<u16> {
     let mut next = 0;
     for (i, hop) in hops.iter().enumerate() {
@@ -84,12 +86,13 @@
     }
 }
 
-/// What the last stage made.
+/// Token that the last stage generated, and whether it ends the answer.
 struct Generated {
     token: Token,
     end: bool,
 }
 
+/// State of an attempt whose streams are open.
 struct Attempt<'a> {
     job: &'a Job,
     hops: Hops<'a>,
@@ -99,7 +102,8 @@
 }
 
 impl Attempt<'_> {
-    /// Runs steps until the answer ends.
+    /// Runs steps until the answer ends. `earlier_tokens` is the number of tokens of earlier
+    /// attempts.
     async fn run_steps(
         &mut self,
         earlier_tokens: u32,
@@ -110,12 +114,12 @@
         let mut payload = self.job.prompt.clone();
         let mut count = earlier_tokens;
         loop {
-            let made = self.run_step(input, payload, out).await?;
+            let generated = self.run_step(input, payload, out).await?;
             count += 1;
-            input = Input::Token(made.token.id);
+            input = Input::Token(generated.token.id);
             payload = Bytes::new();
-            out(Event::Token(made.token));
-            if made.end {
+            out(Event::Token(generated.token));
+            if generated.end {
                 return Ok(Stop::End);
             }
             if count >= self.job.max_tokens {
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Runs one step through all stages.
+    /// Runs one step on all stages.
     async fn run_step(
         &mut self,
         input: Input,
@@ -146,15 +150,15 @@
             let length = self.wait_done(at, out).await?;
             self.relay(at, length, out).await?;
         }
-        let made = self.wait_token(last, out).await?;
+        let generated = self.wait_token(last, out).await?;
         if !self.layer_check.finish_step() {
             return Err(Failure::new(last, Cause::Protocol));
         }
         Counters::add(&self.hops.counters.steps, 1);
-        Ok(made)
+        Ok(generated)
     }
 
-    /// Encodes the head of this step for hop `at`.
+    /// Encodes the head of the current step for hop `at`.
     fn encode_head(
         &self,
         at: usize,
@@ -178,7 +182,8 @@
         frame::encode(&Call::Step(step), buf).map_err(|_| Failure::new(at, Cause::Unfit))
     }
 
-    /// Waits until hop `at`, not the last one, ran its layers; the length of its activations.
+    /// Waits until hop `at`, which is not the last one, has run its layers. Returns the length of
+    /// its activations in bytes.
     async fn wait_done(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<u32> {
         match self.next_reply(at, out).await? {
             Reply::Done {
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Waits until the last hop made a token.
+    /// Waits until hop `at`, the last one, has generated a token.
     async fn wait_token(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Generated> {
         match self.next_reply(at, out).await? {
             Reply::Token {
@@ -217,7 +222,8 @@
         }
     }
 
-    /// The reply that ends hop `at`'s part of the step, checked to be of exactly this place.
+    /// Waits for the reply that ends hop `at`'s part of the step. Fails if a reply names another
+    /// request, attempt, step or layer range.
     async fn next_reply(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Reply> {
         let Job {
             request,
@@ -247,9 +253,10 @@
         }
     }
 
-    /// The progress that hop `at` makes: it did its part, or works and the one before it did.
-    fn progress(&self, at: usize, works: bool) -> Event {
-        let (hop, step) = match (works, at) {
+    /// Returns the progress event for a reply of hop `at`. If the hop is still working, the last
+    /// hop that completed its part is the previous one.
+    fn progress(&self, at: usize, is_working: bool) -> Event {
+        let (hop, step) = match (is_working, at) {
             (false, _) => (at, self.step),
             (true, 0) => (self.job.hops.len() - 1, self.step - 1),
             (true, _) => (at - 1, self.step),
@@ -260,26 +267,26 @@
         }
     }
 
-    /// Relays hop `at`'s activations to the next one, piece by piece as they come.
+    /// Relays the activations of hop `at` to the next hop, chunk by chunk as they arrive.
     async fn relay(&mut self, at: usize, length: u32, out: &mut impl FnMut(Event)) -> Result<()> {
-        let mut missing = length as usize;
+        let mut remaining = length as usize;
         let mut buf = BytesMut::new();
-        self.encode_head(at + 1, Input::Activations, missing, &mut buf)?;
-        let mut reported = missing;
-        while missing > 0 {
-            let piece = self.hops.next_payload(at).await?;
-            missing -= piece.len();
+        self.encode_head(at + 1, Input::Activations, remaining, &mut buf)?;
+        let mut reported = remaining;
+        while remaining > 0 {
+            let chunk = self.hops.next_payload(at).await?;
+            remaining -= chunk.len();
             if buf.is_empty() {
-                self.hops.send(at + 1, piece).await?;
-            } else if piece.len() <= MAX_JOINED_BYTES {
-                buf.extend_from_slice(&piece);
+                self.hops.send(at + 1, chunk).await?;
+            } else if chunk.len() <= MAX_JOINED_BYTES {
+                buf.extend_from_slice(&chunk);
                 self.hops.send(at + 1, buf.split().freeze()).await?;
             } else {
                 self.hops.send(at + 1, buf.split().freeze()).await?;
-                self.hops.send(at + 1, piece).await?;
+                self.hops.send(at + 1, chunk).await?;
             }
-            if reported - missing >= PROGRESS_INTERVAL_BYTES {
-                reported = missing;
+            if reported - remaining >= PROGRESS_INTERVAL_BYTES {
+                reported = remaining;
                 out(Event::Progress {
                     hop: at as u8,
                     step: self.step,
--- a/crates/engine/src/chain/hops.rs
+++ b/crates/engine/src/chain/hops.rs
@@ -1,4 +1,4 @@
-//! The open streams of an attempt.
+//! Open streams of an attempt.
 
 use super::Cause;
 use crate::frame::{Item, Place, Reply};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for the stages to end their sides after a whole answer.
+/// Time limit for the stages to end their sides of the streams after a complete answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What went wrong, and where.
+/// Failure of an attempt and the index of the faulty hop.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Failure {
     pub(super) hop: usize,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What went wrong with one stream.
+/// Failure of one stream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
     pub(super) cause: Cause,
@@ -48,7 +48,7 @@
 }
 
 impl Fault {
-    /// The failure of the hop whose stream it is.
+    /// Converts this fault to the failure of hop `hop`.
     pub(super) fn at(self, hop: usize) -> Failure {
         Failure {
             hop,
@@ -58,16 +58,16 @@
     }
 }
 
-/// Result of a part of an attempt.
+/// Result of an operation of an attempt.
 pub(super) type Result<T> = std::result::Result<T, Failure>;
 
-/// One stage's stream.
+/// Stream to one stage.
 #[derive(Debug)]
 pub(super) struct Link {
     stream: Stream,
     request: u128,
     attempt: u32,
-    /// Whether the payload that comes belongs to a dropped frame.
+    /// Whether the payload being received belongs to a dropped frame.
     drops_payload: bool,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The next item that isn't of an earlier attempt.
+    /// Polls for the next item that does not belong to an earlier attempt.
     pub(super) fn poll_item(
         &mut self,
         cx: &mut Context<'_>,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Whether the item is a late one of an ended attempt. Such frames can't be part of this
-    /// attempt's answer, so that dropping them is enough; anything else that doesn't fit is an
+    /// Returns whether the item belongs to an earlier attempt of the request. Such items are
+    /// dropped: they can't become part of this attempt's answer. Any other unexpected item is an
     /// error.
     fn is_stale(&mut self, item: &Item<Reply>) -> bool {
         let Item::Head(head) = item else {
@@ -132,11 +132,13 @@
         self.drops_payload
     }
 
+    /// Sends bytes to the stage.
     pub(super) async fn send(&mut self, bytes: Bytes) -> std::result::Result<(), Error> {
         self.stream.send(bytes, false).await
     }
 }
 
+/// Returns the cause of a refusal by HTTP status.
 fn cause_of_status(status: u16) -> Cause {
     match status {
         404 | 422 => Cause::Unfit,
@@ -146,7 +148,7 @@
     }
 }
 
-/// The streams of all stages, in order.
+/// Streams to all stages, in order.
 #[derive(Debug)]
 pub(super) struct Hops<'a> {
     pub(super) links: Vec<Link>,
@@ -154,7 +156,7 @@
 }
 
 impl Hops<'_> {
-    /// The next head from hop `at`.
+    /// Waits for the next head from hop `at`.
     pub(super) async fn next_head(&mut self, at: usize) -> Result<Reply> {
         match self.next_item(at).await? {
             Item::Head(head) => Ok(head),
@@ -162,10 +164,10 @@
         }
     }
 
-    /// The next piece of payload from hop `at`.
+    /// Waits for the next chunk of payload from hop `at`.
     pub(super) async fn next_payload(&mut self, at: usize) -> Result<Bytes> {
         match self.next_item(at).await? {
-            Item::Payload(piece) => Ok(piece),
+            Item::Payload(chunk) => Ok(chunk),
             Item::Head(_) => Err(Failure::new(at, Cause::Protocol)),
         }
     }
@@ -178,8 +180,9 @@
             .map_err(|_| Failure::new(at, Cause::Reset))
     }
 
-    /// The next item from hop `at`. The other hops are watched meanwhile: a stage that dies while
-    /// another one works is then known at once, and not when its turn comes.
+    /// Waits for the next item from hop `at`. The other hops are polled at the same time, so that
+    /// the failure of a stage is detected at once even while another stage is working. An item from
+    /// another hop is a protocol violation.
     async fn next_item(&mut self, at: usize) -> Result<Item<Reply>> {
         poll_fn(|cx| {
             if let Poll::Ready(got) = self.links[at].poll_item(cx, self.counters) {
@@ -201,7 +204,7 @@
         .await
     }
 
-    /// Ends all streams after a whole answer, so that the stages give up their slots.
+    /// Ends all streams after a complete answer, so that the stages release their slots.
     pub(super) async fn close(mut self) {
         self.links.iter_mut().for_each(|link| link.stream.end());
         let ends = self
@@ -212,7 +215,7 @@
     }
 }
 
-/// The place of a step at a hop.
+/// Returns the place of a step at a hop.
 pub(super) fn place(request: u128, attempt: u32, step: u32, hop: &super::Hop) -> Place {
     Place {
         request,
--- a/crates/engine/src/chain/layer_check.rs
+++ b/crates/engine/src/chain/layer_check.rs
@@ -1,19 +1,21 @@
-//! Account of the layers that ran for a step.
+//! Verification that every layer runs once per step.
 
 use crate::frame::Place;
 
-/// Checks, apart from the driver's own plan, that each step's ranges join from layer 0 to the last.
+/// Verifies that the layer ranges that ran in a step are contiguous from layer 0 to the last layer.
+/// This check is independent of the driver's own bookkeeping.
 #[derive(Debug)]
 pub(super) struct LayerCheck {
     request: u128,
     attempt: u32,
     layers: u16,
     step: u32,
+    /// Next layer to run in this step.
     next: u16,
 }
 
 impl LayerCheck {
-    /// The account of an attempt over a model of `layers` layers, before step 1.
+    /// Creates the check of an attempt, before step 1, for a model with `layers` layers.
     pub(super) fn new(request: u128, attempt: u32, layers: u16) -> Self {
         Self {
             request,
@@ -24,7 +26,7 @@
         }
     }
 
-    /// Enters that a stage ran its range; false if it isn't the one that follows.
+    /// Records that a stage ran its range. Returns false if this is not the next expected range.
     pub(super) fn record(&mut self, place: &Place) -> bool {
         let is_next = place.request == self.request
             && place.attempt == self.attempt
@@ -38,7 +40,7 @@
         is_next
     }
 
-    /// Closes the step; false if a layer is missing.
+    /// Ends the step. Returns false if a layer has not run.
     pub(super) fn finish_step(&mut self) -> bool {
         let is_complete = self.next == self.layers;
         self.next = 0;
--- a/crates/engine/src/chain/open.rs
+++ b/crates/engine/src/chain/open.rs
@@ -9,10 +9,11 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use std::future::poll_fn;
 
-/// Where stages take streams.
+/// Path on which stages accept streams.
 const PATH: &str = "/v1/stage";
 
-/// Opens all stages at once; the first failure ends it, and the opened ones are reset.
+/// Opens streams to all stages concurrently. After the first failure, the streams that are already
+/// open are reset.
 pub(super) async fn open(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<Vec<Link>> {
     let version = job.version.as_str();
     let prefix = prefix::block_hashes(&job.model, version, job.adapter.as_deref(), &job.prompt);
@@ -20,7 +21,8 @@
         .map(|hop| open_stage(pool, job, &prefix, hop))
         .collect();
     let mut links: Vec<Option<Link>> = job.hops.iter().map(|_| None).collect();
-    // Reported in order, so that the hop after the last one reported is the one that is missing.
+    // Progress is reported in hop order, so that the hop after the last reported one is always the
+    // first whose stream is not open yet.
     let mut next = 0;
     while let Some(opened) = pending.next().await {
         let (hop, link) = opened?;
@@ -34,12 +36,12 @@
     Ok(links.into_iter().flatten().collect())
 }
 
-/// Opens one stage. A kept connection may be gone without a sign; as an open runs nothing, it is
-/// safe to send it once more on a fresh one.
+/// Opens the stream to one stage. The stage may have closed a pooled connection without notice.
+/// Opening a stream runs no layer, so it is safe to retry it once on a new connection.
 async fn open_stage(pool: &Pool, job: &Job, prefix: &[u64], hop: usize) -> Result<(usize, Link)> {
     let first = handshake(pool, job, prefix, hop, false).await;
-    let is_gone = matches!(&first.link, Err(failure) if failure.cause == Cause::Reset);
-    if !(first.reused && is_gone) {
+    let is_reset = matches!(&first.link, Err(failure) if failure.cause == Cause::Reset);
+    if !(first.reused && is_reset) {
         return first.link.map(|link| (hop, link));
     }
     Counters::add(&pool.counters().reopens, 1);
@@ -47,12 +49,13 @@
     second.link.map(|link| (hop, link))
 }
 
-/// A try to open a stage, and whether it was made on a kept connection.
+/// Result of opening a stream, and whether the connection existed before.
 struct Handshake {
     reused: bool,
     link: Result<Link>,
 }
 
+/// Opens a stream and requests a slot on it.
 async fn handshake(
     pool: &Pool,
     job: &Job,
@@ -77,6 +80,7 @@
     Handshake { reused, link }
 }
 
+/// Sends the open frame and waits until the stage reserves or refuses a slot.
 async fn accept(pool: &Pool, link: &mut Link, open: &Open) -> std::result::Result<(), Fault> {
     let mut buf = BytesMut::new();
     frame::encode(&Call::Open(open.clone()), &mut buf).map_err(|_| Cause::Unfit)?;
--- a/crates/engine/src/frame.rs
+++ b/crates/engine/src/frame.rs
@@ -1,9 +1,9 @@
-//! Frames of the stage protocol, checked.
+//! Validated frames of the stage protocol.
 //!
-//! A frame is a head and, for some heads, a payload of as many bytes as the head says. The head is
-//! a big-endian `u32` length and that many bytes of bincode; the payload follows raw. Payloads are
-//! activations or a prompt: they are opaque, and a reader hands them on piece by piece, so that a
-//! relay holds no whole frame in memory.
+//! A frame is a head and, for some heads, a payload whose length the head states. The head is a
+//! big-endian `u32` length followed by that many bytes of bincode; the payload follows as raw
+//! bytes. Payloads hold activations or a prompt and are opaque. A reader returns a payload in
+//! chunks as they arrive, so that a relay never holds a complete frame in memory.
 
 mod reader;
 
@@ -16,25 +16,26 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Longest head in bytes.
+/// Maximum length of a head in bytes.
 pub const MAX_HEAD_BYTES: usize = 1 << 20;
-/// Longest payload in bytes.
+/// Maximum length of a payload in bytes.
 pub const MAX_PAYLOAD_BYTES: u32 = 1 << 30;
-/// Longest name of a model, version or adapter in bytes.
+/// Maximum length of the name of a model, version or adapter in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Longest text of a token in bytes.
+/// Maximum length of a token's text in bytes.
 pub const MAX_TEXT_BYTES: usize = 1024;
 
+/// Size of the length prefix of a head.
 const LENGTH_BYTES: usize = 4;
 
-/// Where in a request's work a step belongs.
+/// Identifies a step of an attempt and the layers that a stage runs in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The request.
+    /// Identifier of the request.
     pub request: u128,
-    /// Its attempt, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// The attempt's step, from 1; the first one is the prefill.
+    /// Number of the step within the attempt, from 1. Step 1 is the prefill.
     pub step: u32,
     /// First layer.
     pub from: u16,
@@ -55,116 +56,117 @@
     }
 }
 
-/// Asks a stage for a slot; nothing runs yet.
+/// Requests a slot from a stage. No layer runs yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// The request.
+    /// Identifier of the request.
     pub request: u128,
-    /// Its attempt.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapter, if any.
+    /// Name of the adapter, if any.
     pub adapter: Option<String>,
-    /// First layer the stage is to run.
+    /// First layer that the stage runs.
     pub from: u16,
     /// One past the last layer.
     pub to: u16,
-    /// Most tokens the answer may have.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
-    /// Seed of the draws.
+    /// Sampling seed.
     pub seed: u64,
-    /// Rank of the priority; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u32,
-    /// Chained hashes of the prompt's blocks, as [`crate::prefix::block_hashes`] gives them.
+    /// Chained hashes of the prompt's blocks, computed by [`crate::prefix::block_hashes`].
     pub prefix: Vec<u64>,
 }
 
-/// What a step starts from.
+/// Input of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Prefill at the first stage: the payload is the prompt, these tokens follow it.
+    /// Prefill at the first stage: the payload is the prompt, and these tokens follow it.
     Prompt(Vec<u32>),
-    /// The token made by the step before, at the first stage.
+    /// Decode at the first stage: the token that the previous step generated.
     Token(u32),
-    /// The payload is the activations that the stage before gave.
+    /// At a later stage: the payload holds the activations of the previous stage.
     Activations,
 }
 
-/// Asks a stage to run its layers once, for all positions of the input.
+/// Requests that a stage run its layers once, for all positions of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Where it belongs.
+    /// Place of the step.
     pub place: Place,
-    /// What it starts from.
+    /// Input of the step.
     pub input: Input,
-    /// Bytes of payload that follow.
+    /// Length of the payload that follows, in bytes.
     pub payload: u32,
 }
 
-/// A frame to a stage.
+/// Head of a frame that is sent to a stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// First frame of a stream.
     Open(Open),
-    /// Each frame after it.
+    /// Every later frame of a stream.
     Step(Step),
 }
 
-/// Why a stage takes no work.
+/// Reason why a stage refuses a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// No slot is free.
     Busy,
-    /// It leaves.
+    /// The stage is leaving the fleet.
     Leaving,
-    /// It doesn't hold this model, version, adapter or layers.
+    /// The stage doesn't hold the requested model, version, adapter or layers.
     Unfit,
 }
 
-/// A frame from a stage.
+/// Head of a frame that a stage sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The slot is reserved for this request and attempt.
     Opened(u128, u32),
-    /// The slot is refused: nothing ran, nothing is reserved.
+    /// The slot is refused, with the retry-after delay if the stage states one. No layer ran and no
+    /// slot is reserved.
     Refused(Reason, Option<Duration>),
-    /// The step still runs.
+    /// The step is still running.
     Working(Place),
-    /// The layers ran; the payload is the activations after them.
+    /// The stage's layers ran; the payload holds their activations.
     Done {
-        /// The step's place.
+        /// Place of the step.
         place: Place,
-        /// Tokens of the prompt, at a prefill.
+        /// Number of tokens of the prompt; set by a prefill.
         prompt_tokens: u32,
-        /// Bytes of payload that follow.
+        /// Length of the payload that follows, in bytes.
         payload: u32,
     },
-    /// The layers ran, the model's last among them.
+    /// The stage's layers ran, including the model's last layer, and generated a token.
     Token {
-        /// The step's place.
+        /// Place of the step.
         place: Place,
-        /// Tokens of the prompt, at a prefill.
+        /// Number of tokens of the prompt; set by a prefill.
         prompt_tokens: u32,
-        /// The token made.
+        /// Number of the token in the vocabulary.
         id: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
-        /// Whether it ends the answer.
+        /// Whether the token ends the answer.
         end: bool,
     },
     /// The step could not be computed.
     Failed(Place),
 }
 
-/// A head that can be put on the wire.
+/// A head of a frame that can be serialized.
 pub trait Head: Sized {
-    /// Its form on the wire.
+    /// Serialized form of the head.
     type Wire: Serialize + DeserializeOwned + for<'a> From<&'a Self> + TryInto<Self, Error = Error>;
 
-    /// Bytes of payload that follow it.
+    /// Returns the length in bytes of the payload that follows the head.
     fn payload(&self) -> u32;
 }
 
@@ -190,23 +192,28 @@
     }
 }
 
-/// Why bytes are no frame.
+/// Error of encoding or decoding a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// The head is longer than [`MAX_HEAD_BYTES`].
     HeadTooLong(usize),
-    /// The head's bytes are no bincode of its type, or some are left over.
+    /// The head can't be encoded or decoded as bincode of its type, or bytes are left over.
     Malformed,
-    /// A field is out of its range; names the field.
+    /// The named field is out of range.
     FieldOutOfRange(&'static str),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HeadTooLong(n) => write!(f, "head of {n} bytes is over {MAX_HEAD_BYTES}"),
-            Self::Malformed => f.write_str("head is not of its type"),
-            Self::FieldOutOfRange(name) => write!(f, "field {name} is out of range"),
+            Self::HeadTooLong(n) => write!(
+                f,
+                "frame head of {n} bytes exceeds the limit of {MAX_HEAD_BYTES}"
+            ),
+            Self::Malformed => f.write_str("malformed frame head"),
+            Self::FieldOutOfRange(name) => {
+                write!(f, "field {name} of the frame head is out of range")
+            }
         }
     }
 }
@@ -216,7 +223,7 @@
 /// Result of reading frames.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Appends the head's bytes; the caller sends the payload after them.
+/// Appends the encoded head to `buf`. The caller sends the payload after it.
 pub fn encode<H: Head>(head: &H, buf: &mut BytesMut) -> Result<()> {
     let start = buf.len();
     buf.put_u32(0);
--- a/crates/engine/src/frame/reader.rs
+++ b/crates/engine/src/frame/reader.rs
@@ -1,22 +1,24 @@
-//! Reads frames from a byte stream.
+//! Incremental decoder of frames.
 
 use super::{Error, Head, LENGTH_BYTES, MAX_HEAD_BYTES, Result};
 use bytes::{Bytes, BytesMut};
 use std::marker::PhantomData;
 
-/// What a reader found.
+/// Item that a reader decodes from the byte stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item<H> {
     /// A head.
     Head(H),
-    /// A piece of the last head's payload.
+    /// A chunk of the payload that follows the last head.
     Payload(Bytes),
 }
 
-/// Cuts a byte stream into heads and pieces of payload.
+/// Splits a byte stream into heads and chunks of payload.
 #[derive(Debug)]
 pub struct Reader<H> {
+    /// Received bytes that are not decoded yet.
     buffered: Bytes,
+    /// Bytes of the current payload that have not been returned yet.
     remaining: usize,
     head: PhantomData<H>,
 }
@@ -32,8 +34,8 @@
 }
 
 impl<H: Head> Reader<H> {
-    /// Adds bytes as they came. All items are to be taken before the next bytes are added: then at
-    /// most one unfinished head is held.
+    /// Adds received bytes. The caller reads all available items before it adds more bytes, so that
+    /// at most one incomplete head is buffered.
     pub fn push(&mut self, chunk: Bytes) {
         if self.buffered.is_empty() {
             self.buffered = chunk;
@@ -47,7 +49,7 @@
         self.buffered = joined.freeze();
     }
 
-    /// The next item, or `None` when more bytes are needed.
+    /// Returns the next item, or `None` if more bytes are needed.
     pub fn read(&mut self) -> Result<Option<Item<H>>> {
         if self.remaining > 0 {
             return Ok(self.take_payload().map(Item::Payload));
@@ -68,12 +70,12 @@
         Ok(Some(Item::Head(head)))
     }
 
-    /// Whether the bytes so far end where a frame ends.
+    /// Returns whether all bytes so far belong to complete frames.
     pub fn is_at_frame_end(&self) -> bool {
         self.buffered.is_empty() && self.remaining == 0
     }
 
-    /// Bytes of the current payload that were not given out yet.
+    /// Returns how many bytes of the current payload have not been returned yet.
     pub fn remaining_payload(&self) -> usize {
         self.remaining
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,16 +1,16 @@
-//! Clients of model engines and plain services.
+//! Clients of model engines and of plain HTTP services.
 //!
-//! [`chain::run`] drives one attempt of a request through the stages of a pipeline: it opens a
-//! stream to each, relays activations from stage to stage for every token, checks that each layer
-//! ran once and in order, and reports events. [`service::call`] makes one call of a plain service.
-//! [`load::fetch`] and [`order::send`] read an engine's load and give it orders. All of them use
-//! the connections of a [`pool::Pool`].
+//! [`chain::run`] runs one attempt of a request on the stages of a pipeline. It opens a stream to
+//! each stage, relays activations from stage to stage for every token, verifies that each layer
+//! ran exactly once and in order, and emits events. [`service::call`] makes one call of a plain
+//! HTTP service. [`load::fetch`] reads the load report of an engine and [`order::send`] sends it
+//! an order. All of them use the connections of a [`pool::Pool`].
 //!
 //! Inputs: a job with its chain of endpoints, and a cancellation token. Outputs: events, or a
-//! failure that says whether a byte that could start the work left for any endpoint.
+//! failure that states whether a byte that could start the work was sent to any endpoint.
 //!
-//! Left to others: which endpoints to use, when silence is too long, whether and where to retry
-//! (`route`), and what the caller is told (`entry`).
+//! This crate doesn't select endpoints, detect stalls or retry (`route` does), and doesn't answer
+//! callers (`entry` does).
 
 pub mod chain;
 pub mod frame;
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -1,4 +1,4 @@
-//! Load as an engine reports it: `GET /load`, JSON.
+//! Load report of an engine: `GET /load`, JSON.
 
 use crate::pool::{Error, Pool, Result};
 use bytes::Bytes;
@@ -7,60 +7,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an engine says of itself; it may be old and miss cache events.
+/// Load report of an engine. It may be stale, and cache events may be missing from it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     pub running: u32,
-    /// Steps that wait to be computed.
+    /// Number of steps that wait to be computed.
     pub waiting: u32,
-    /// Requests that can hold a slot at once.
+    /// Maximum number of requests that hold a slot at the same time.
     pub slots: u32,
-    /// Time between two tokens of one stream.
+    /// Time between two tokens of one stream (inter-token latency).
     pub inter_token: Duration,
-    /// How old the report was when it was sent.
+    /// Age of the report when it was sent.
     pub age: Duration,
-    /// What it has loaded or is loading.
+    /// Layer ranges that are loaded or being loaded.
     pub models: Vec<Loaded>,
-    /// Its last cache events, oldest first. A number missing from the sequence was lost.
+    /// The engine's most recent cache events, oldest first. A gap in their numbers means that
+    /// events were lost.
     pub cache: Vec<CacheEvent>,
-    /// Highest fencing number of an order it carried out.
+    /// Highest fencing number of the orders that the engine has executed.
     pub fence: u64,
 }
 
-/// A range of layers that an engine holds.
+/// A range of layers that an engine holds or loads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loaded {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Adapters loaded.
+    /// Names of the loaded adapters.
     pub adapters: Vec<String>,
     /// First layer.
     pub from: u16,
     /// One past the last layer.
     pub to: u16,
-    /// Whether it can run.
+    /// Whether the layers can run.
     pub ready: bool,
 }
 
-/// A change of the prefix cache.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number, one more than the event before.
+    /// Sequence number, one more than that of the previous event.
     pub number: u64,
-    /// The block, named as by [`crate::prefix::block_hashes`].
+    /// Hash of the block, computed by [`crate::prefix::block_hashes`].
     pub block: u64,
-    /// Whether the block came in; otherwise it went out.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// Asks an engine for its load.
+/// Requests the load report of the engine at `addr`.
 pub async fn fetch(pool: &Pool, addr: SocketAddr) -> Result<Report> {
-    let answer = pool.call(Method::GET, addr, "/load", Bytes::new()).await?;
-    if answer.status() != StatusCode::OK {
-        return Err(Error::Status(answer.status()));
+    let response = pool.call(Method::GET, addr, "/load", Bytes::new()).await?;
+    if response.status() != StatusCode::OK {
+        return Err(Error::Status(response.status()));
     }
-    serde_json::from_slice(answer.body()).map_err(|_| Error::Format)
+    serde_json::from_slice(response.body()).map_err(|_| Error::Format)
 }
--- a/crates/engine/src/order.rs
+++ b/crates/engine/src/order.rs
@@ -6,64 +6,66 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number of the sender's lease.
+    /// Fencing number of the sender's lease. Engines refuse a number lower than the highest one
+    /// they have executed.
     pub fence: u64,
-    /// What to do; doing it twice is doing it once.
+    /// The command, which is idempotent.
     #[serde(rename = "what")]
     pub command: Command,
 }
 
-/// What an engine can be ordered to do.
+/// A command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Hold this range of a model's layers.
+    /// Loads a range of a model's layers.
     Load {
-        /// Model.
+        /// Name of the model.
         model: String,
-        /// Version of its weights.
+        /// Version of the model's weights.
         version: String,
-        /// Layers of the whole model.
+        /// Number of layers of the complete model.
         layers: u16,
-        /// Adapters.
+        /// Names of the adapters.
         adapters: Vec<String>,
         /// First layer.
         from: u16,
         /// One past the last layer.
         to: u16,
     },
-    /// Hold no layers of this version.
+    /// Releases all layers of a version.
     Unload {
-        /// Model.
+        /// Name of the model.
         model: String,
-        /// Version of its weights.
+        /// Version of the model's weights.
         version: String,
     },
-    /// Take new requests, or none.
+    /// Starts (`true`) or stops (`false`) accepting new requests.
     Serve(bool),
 }
 
-/// What an engine answers.
+/// Response of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done, or under way and seen in the load report when done.
+    /// The order is complete, or in progress; the load report then shows its completion.
     Done,
-    /// Refused: it carried out an order with a higher fencing number.
+    /// Refused: the engine has executed an order with a higher fencing number.
     OldFence,
-    /// Refused: it can't do this.
+    /// Refused: the engine can't execute the order.
     Refused,
 }
 
-/// Gives an engine an order. An error leaves open whether it was carried out.
+/// Sends an order to the engine at `addr`. After an error it is unknown whether the engine
+/// executed the order.
 pub async fn send(pool: &Pool, addr: SocketAddr, order: Order) -> Result<Answer> {
     let body = serde_json::to_vec(&order).map_err(|_| Error::Format)?;
-    let answer = pool
+    let response = pool
         .call(Method::POST, addr, "/orders", Bytes::from(body))
         .await?;
-    if answer.status() != StatusCode::OK {
-        return Err(Error::Status(answer.status()));
+    if response.status() != StatusCode::OK {
+        return Err(Error::Status(response.status()));
     }
-    serde_json::from_slice(answer.body()).map_err(|_| Error::Format)
+    serde_json::from_slice(response.body()).map_err(|_| Error::Format)
 }
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,4 +1,5 @@
-//! HTTP/2 connections to endpoints, by prior knowledge, kept open between requests.
+//! Pool of HTTP/2 connections to endpoints. The connections use prior knowledge (no upgrade) and
+//! stay open between requests.
 
 mod connection;
 mod counters;
@@ -18,20 +19,21 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time to make a connection.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// Streams on one connection.
+    /// Maximum number of concurrent streams on a connection.
     pub max_streams: u32,
-    /// Connections to one endpoint.
+    /// Maximum number of connections to an endpoint.
     pub max_connections: usize,
-    /// Bytes that one stream may have under way to this node.
+    /// Flow-control window of a stream: maximum number of received bytes that are not consumed yet.
     pub stream_window: u32,
-    /// Longest time for an answer to a load question or an order.
+    /// Time limit for the response to a load request or an order.
     pub response_timeout: Duration,
-    /// A connection without streams is closed after one to two times this.
+    /// Idle timeout of a connection. A connection without streams is closed after one to two times
+    /// this duration.
     pub idle_timeout: Duration,
 }
 
@@ -48,42 +50,42 @@
     }
 }
 
-/// Why a request could not be made or answered.
+/// Error of a request on a connection of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection within the time limit.
+    /// No connection could be established within the time limit.
     Connect,
-    /// All connections carry as many streams as they may.
+    /// All connections to the endpoint carry the maximum number of streams.
     Full,
     /// The connection or stream broke.
     Reset,
-    /// No answer within the time limit.
+    /// The endpoint did not respond within the time limit.
     Timeout,
-    /// The answer's status.
+    /// The endpoint responded with this status.
     Status(StatusCode),
-    /// The answer is too long or not of its format.
+    /// The response is too long or malformed, or the request can't be built.
     Format,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connect => f.write_str("no connection"),
-            Self::Full => f.write_str("no free stream"),
-            Self::Reset => f.write_str("connection broke"),
-            Self::Timeout => f.write_str("no answer in time"),
-            Self::Status(status) => write!(f, "status {status}"),
-            Self::Format => f.write_str("answer is not of its format"),
+            Self::Connect => f.write_str("connection could not be established"),
+            Self::Full => f.write_str("all connections are at their stream limit"),
+            Self::Reset => f.write_str("connection or stream was reset"),
+            Self::Timeout => f.write_str("response timed out"),
+            Self::Status(status) => write!(f, "endpoint responded with status {status}"),
+            Self::Format => f.write_str("response is malformed or too long"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Result of a pool's requests.
+/// Result of a request on a connection of the pool.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Connections of one worker thread; clones share them.
+/// Connections of one worker thread. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Pool {
     inner: Arc<Inner>,
@@ -101,9 +103,10 @@
 #[derive(Debug, Default)]
 struct Endpoint {
     connections: Mutex<Vec<Connection>>,
-    /// Held while a connection is made, so that a burst of requests makes one and not one each.
+    /// Held while a connection is established, so that a burst of requests opens one connection
+    /// rather than one per request.
     connecting: tokio::sync::Mutex<()>,
-    /// Connections that could not be made.
+    /// Number of failed connection attempts.
     failures: AtomicU64,
 }
 
@@ -121,7 +124,7 @@
     }
 }
 
-/// The text for the dump: counts, then a line for each endpoint, by address.
+/// Formats the pool for `/dump`: the counters, then one line per endpoint, sorted by address.
 impl fmt::Display for Pool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.inner.counters)?;
@@ -132,25 +135,26 @@
             .collect();
         for (addr, endpoint) in endpoints {
             let connections = endpoint.lock();
-            let running = connections
+            let active = connections
                 .iter()
                 .map(|c| c.active_streams(&self.inner.limits));
-            let (open, streams) = (connections.len(), running.sum::<usize>());
+            let (open, streams) = (connections.len(), active.sum::<usize>());
             writeln!(f, "endpoint {addr} connections {open} streams {streams}")?;
         }
         Ok(())
     }
 }
 
-/// A request on a connection of a pool.
+/// A request whose stream has been opened on a connection of the pool.
 pub(crate) struct Opened {
     pub(crate) stream: Stream,
-    /// Whether the connection was kept from earlier, so that it may be gone without a sign.
+    /// Whether the connection existed before this request. The peer may have closed such a
+    /// connection without this node having noticed.
     pub(crate) reused: bool,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: Limits) -> Self {
         let inner = Inner {
             limits,
@@ -163,34 +167,37 @@
         }
     }
 
-    /// The pool's bounds.
+    /// Returns the limits of the pool.
     pub fn limits(&self) -> &Limits {
         &self.inner.limits
     }
 
-    /// The pool's counts.
+    /// Returns the counters of the pool.
     pub fn counters(&self) -> &Counters {
         &self.inner.counters
     }
 
+    /// Returns the idle HTTP/1.1 connections to plain services.
     pub(crate) fn idle(&self) -> &crate::service::IdleConnections {
         &self.inner.idle
     }
 
-    /// Drops the connections to an endpoint: they went silent. Streams on them end as reset.
+    /// Drops the connections to an unresponsive endpoint. Streams on them end with
+    /// [`Error::Reset`].
     pub fn drop_connections(&self, addr: SocketAddr) {
         self.endpoints().remove(&addr);
         self.inner.idle.drop_connections(addr);
     }
 
-    /// Whether the endpoint answers `GET /health` with success on a new connection.
+    /// Returns whether the endpoint answers `GET /health` with success on a new connection within
+    /// `limit`.
     pub async fn probe(&self, addr: SocketAddr, limit: Duration) -> bool {
         timeout(limit, unary::probe(addr, &self.inner.limits))
             .await
             .unwrap_or(false)
     }
 
-    /// Connections kept to an endpoint.
+    /// Returns the number of open connections to an endpoint.
     pub fn connection_count(&self, addr: SocketAddr) -> usize {
         let endpoint = self.endpoints().get(&addr).cloned();
         endpoint.map_or(0, |endpoint| {
@@ -198,7 +205,8 @@
         })
     }
 
-    /// Opens a stream with a request whose body is still to be sent.
+    /// Opens a stream for a POST request. The caller sends the body. Existing connections are not
+    /// used if `new_connection` is set.
     pub(crate) async fn open(
         &self,
         addr: SocketAddr,
@@ -212,7 +220,7 @@
         Ok(Opened { stream, reused })
     }
 
-    /// Makes a request whose answer is short.
+    /// Sends a request and returns its response, whose body has a small size limit.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -222,13 +230,13 @@
     ) -> Result<Response<Bytes>> {
         let request = request(method, addr, path)?;
         let (connection, _) = self.connection(addr, false).await?;
-        let answer = unary::call(connection, request, body);
-        timeout(self.inner.limits.response_timeout, answer)
+        let response = unary::call(connection, request, body);
+        timeout(self.inner.limits.response_timeout, response)
             .await
             .map_err(|_| Error::Timeout)?
     }
 
-    /// A connection with a free stream, and whether it was kept from earlier.
+    /// Returns a connection with a reserved stream, and whether the connection existed before.
     async fn connection(
         &self,
         addr: SocketAddr,
@@ -240,8 +248,8 @@
         }
         let failures = endpoint.failures.load(Ordering::Relaxed);
         let _connecting = endpoint.connecting.lock().await;
-        // Those that waited for a connection share its failure; each trying in turn would make the
-        // last one wait for all their time limits.
+        // Requests that waited for the same connection attempt share its failure. If each of them
+        // tried in turn, the last one would wait for the sum of their time limits.
         if endpoint.failures.load(Ordering::Relaxed) != failures {
             return Err(Error::Connect);
         }
@@ -251,20 +259,20 @@
         if endpoint.lock().len() >= self.inner.limits.max_connections {
             return Err(Error::Full);
         }
-        let made = Connection::connect(addr, &self.inner.limits).await;
+        let connection = Connection::connect(addr, &self.inner.limits).await;
         let counters = &self.inner.counters;
-        let count = if made.is_ok() {
+        let count = if connection.is_ok() {
             &counters.connects
         } else {
             &counters.connect_failures
         };
         Counters::add(count, 1);
-        if made.is_err() {
+        if connection.is_err() {
             Counters::add(&endpoint.failures, 1);
         }
-        let made = made?;
-        let reserved = made.reserve().ok_or(Error::Full)?;
-        endpoint.lock().push(made);
+        let connection = connection?;
+        let reserved = connection.reserve().ok_or(Error::Full)?;
+        endpoint.lock().push(connection);
         Ok((reserved, false))
     }
 
@@ -277,7 +285,7 @@
 }
 
 impl Endpoint {
-    /// Reserves a stream on an open connection; drops the ones that ended.
+    /// Reserves a stream on an open connection, after removing connections that have ended.
     fn reserve_stream(&self) -> Option<Connection> {
         let mut connections = self.lock();
         connections.retain(|c| !c.is_finished());
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection and the streams it may carry.
+//! HTTP/2 connection and the limit of its concurrent streams.
 
 use super::{Error, Limits, Result};
 use crate::stream::Stream;
@@ -15,23 +15,25 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Longest DATA frame taken: one token's activations and their head fit into one.
+/// Maximum size of a received DATA frame. The activations of one token and their head fit into one
+/// frame.
 const MAX_FRAME_BYTES: u32 = 64 << 10;
-/// Largest window that HTTP/2 allows.
+/// Maximum flow-control window that HTTP/2 allows.
 const MAX_WINDOW: u32 = (1 << 31) - 1;
 
-/// A connection; clones share it. One with a permit may start one stream.
+/// Handle of a connection. A handle with a permit may start one stream.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Bytes>,
     free: Arc<Semaphore>,
     used: Arc<AtomicBool>,
     permit: Option<OwnedSemaphorePermit>,
-    /// Ends the connection when the pool drops it.
+    /// Task that drives the connection; present only in the pool's handle, so that the connection
+    /// ends when the pool drops it.
     task: Option<Task>,
 }
 
-/// Aborts the connection's task when dropped.
+/// Task that is aborted when this handle is dropped.
 #[derive(Debug)]
 struct Task(JoinHandle<()>);
 
@@ -42,15 +44,16 @@
 }
 
 impl Connection {
-    /// Connects within the time limit.
+    /// Connects to an endpoint within `limits.connect_timeout`.
     pub(crate) async fn connect(addr: SocketAddr, limits: &Limits) -> Result<Self> {
         let socket = timeout(limits.connect_timeout, TcpStream::connect(addr))
             .await
             .map_err(|_| Error::Connect)?
             .map_err(|_| Error::Connect)?;
         socket.set_nodelay(true).map_err(|_| Error::Connect)?;
-        // As large as those of all streams together: streams whose next stage doesn't take their
-        // activations leave theirs unread, and would otherwise hold up the others.
+        // The connection's window is the sum of the windows of all its streams. A stream whose next
+        // stage doesn't accept activations stays unread, and would otherwise use up the window that
+        // the other streams need.
         let window = limits
             .stream_window
             .saturating_mul(limits.max_streams)
@@ -82,7 +85,8 @@
         })
     }
 
-    /// A handle that may start one stream, if the connection is open and has one free.
+    /// Returns a handle that may start one stream, if the connection is open and below its limit of
+    /// streams.
     pub(crate) fn reserve(&self) -> Option<Self> {
         if !self.is_open() {
             return None;
@@ -98,23 +102,23 @@
         })
     }
 
-    /// Streams that run.
+    /// Returns the number of active and reserved streams.
     pub(super) fn active_streams(&self, limits: &Limits) -> usize {
         (limits.max_streams as usize).saturating_sub(self.free.available_permits())
     }
 
-    /// Whether new streams can start.
+    /// Returns whether new streams can start.
     pub(crate) fn is_open(&self) -> bool {
         let ready = poll_fn(|cx| self.sender.clone().poll_ready(cx)).now_or_never();
         !self.is_finished() && !matches!(ready, Some(Err(_)))
     }
 
-    /// Whether no stream runs any more and none can start.
+    /// Returns whether the connection has ended: no stream is active and none can start.
     pub(crate) fn is_finished(&self) -> bool {
         self.task.as_ref().is_some_and(|task| task.0.is_finished())
     }
 
-    /// Starts a stream; `end` says that the request has no body.
+    /// Starts a stream on a reserved handle. `end` states that the request has no body.
     pub(crate) fn start(mut self, request: Request<()>, end: bool) -> Result<Stream> {
         let permit = self.permit.take().ok_or(Error::Full)?;
         let (response, sender) = self
@@ -125,8 +129,8 @@
     }
 }
 
-/// Waits until no stream ran for a while. All permits are taken then, so that none can start while
-/// the connection closes.
+/// Waits until no stream has been active for `limits.idle_timeout`, then takes all permits, so that
+/// no stream can start while the connection closes.
 async fn wait_until_idle(free: Arc<Semaphore>, used: Arc<AtomicBool>, limits: Limits) {
     loop {
         sleep(limits.idle_timeout).await;
--- a/crates/engine/src/pool/counters.rs
+++ b/crates/engine/src/pool/counters.rs
@@ -1,24 +1,24 @@
-//! Counts of a pool.
+//! Counters of a pool.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the pool was made.
+/// Counters since the creation of the pool.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Connections made.
+    /// Connections established.
     pub connects: AtomicU64,
-    /// Connections that could not be made.
+    /// Connection attempts that failed.
     pub connect_failures: AtomicU64,
     /// Streams opened.
     pub streams: AtomicU64,
-    /// Opens sent again on a fresh connection, since a kept one had gone.
+    /// Streams opened again on a new connection because the pooled connection had been closed.
     pub reopens: AtomicU64,
-    /// Frames of ended attempts that were dropped.
+    /// Heads and chunks of payload that were dropped because their attempt had ended.
     pub stale_frames: AtomicU64,
-    /// Steps run.
+    /// Steps completed by all stages of a chain.
     pub steps: AtomicU64,
-    /// Bytes of payload relayed.
+    /// Bytes of activations relayed between stages.
     pub relayed: AtomicU64,
 }
 
--- a/crates/engine/src/pool/unary.rs
+++ b/crates/engine/src/pool/unary.rs
@@ -1,4 +1,4 @@
-//! Requests with short answers.
+//! Requests with short responses.
 
 use super::connection::Connection;
 use super::{Error, Limits, Result, request};
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::pin::pin;
 
-/// Longest body of such an answer.
+/// Maximum length of a response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Sends the request and collects the answer.
+/// Sends a request and collects its response.
 pub(super) async fn call(
     connection: Connection,
     request: Request<()>,
@@ -25,8 +25,8 @@
     stream.collect(MAX_RESPONSE_BYTES).await
 }
 
-/// Asks for the endpoint's health on connections of its own, over HTTP/2 and HTTP/1.1 at once: a
-/// plain service may speak only the latter, and not all such servers answer the former with an error.
+/// Requests the endpoint's health on new connections, over HTTP/2 and HTTP/1.1 at the same time. A
+/// plain service may support only HTTP/1.1, and not all such servers answer HTTP/2 with an error.
 pub(super) async fn probe(addr: SocketAddr, limits: &Limits) -> bool {
     let http2 = pin!(async { health(addr, limits).await.unwrap_or(false) });
     let http1 = pin!(service::health(addr));
@@ -37,10 +37,11 @@
     }
 }
 
+/// Returns whether the endpoint answers `GET /health` with success over HTTP/2.
 async fn health(addr: SocketAddr, limits: &Limits) -> Result<bool> {
-    let made = Connection::connect(addr, limits).await?;
-    let connection = made.reserve().ok_or(Error::Full)?;
-    let question = request(Method::GET, addr, "/health")?;
-    let answer = call(connection, question, Bytes::new()).await?;
-    Ok(answer.status().is_success())
+    let connection = Connection::connect(addr, limits).await?;
+    let handle = connection.reserve().ok_or(Error::Full)?;
+    let request = request(Method::GET, addr, "/health")?;
+    let response = call(handle, request, Bytes::new()).await?;
+    Ok(response.status().is_success())
 }
--- a/crates/engine/src/service.rs
+++ b/crates/engine/src/service.rs
@@ -1,7 +1,7 @@
-//! Calls of plain services, over HTTP/1.1.
+//! Calls of plain HTTP services over HTTP/1.1.
 //!
-//! A call is written once, to one connection, and never again by this client, whatever happens to
-//! that connection: whether to call again is the router's decision.
+//! This client writes a call at most once, to one connection, and doesn't retry it when that
+//! connection fails. The router decides whether to retry.
 
 mod body;
 mod idle;
@@ -25,34 +25,35 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// What went wrong with a call.
+/// Cause of a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// No connection could be made.
+    /// No connection could be established.
     Connect,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the response was complete.
     Reset,
-    /// The answer's head did not come in time.
+    /// The head of the response was not received in time.
     Silent,
-    /// The request or the answer can't be framed, so that a cut answer would look like a whole one.
+    /// The request is invalid, or the end of the response is not delimited, so that a truncated
+    /// response would look complete.
     Protocol,
 }
 
 /// A failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: Cause,
-    /// Whether a byte that could start the work left.
+    /// Whether a byte that could start the work may have been sent.
     pub sent: bool,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let sent = if self.sent {
-            "after it was sent"
+            "after the request was sent"
         } else {
-            "before it was sent"
+            "before the request was sent"
         };
         write!(f, "service call failed ({:?}) {sent}", self.cause)
     }
@@ -63,17 +64,18 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Failure>;
 
-/// How to make a call.
+/// Options of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallOptions {
-    /// Longest wait for the head of the answer.
+    /// Time limit for the head of the response.
     pub head_timeout: Duration,
-    /// Whether to use a fresh connection even if one is kept. A kept one may be gone without a
-    /// sign; a call that may not be repeated would then be lost with its outcome unknown.
+    /// Whether to use a new connection even if an idle one exists. The service may have closed an
+    /// idle connection without notice, and a call that is not repeatable would then fail with its
+    /// outcome unknown.
     pub new_connection: bool,
 }
 
-/// A connection ready for a call.
+/// An HTTP/1.1 connection to a service.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -81,8 +83,8 @@
     addr: SocketAddr,
 }
 
-/// Calls a service. `sent` is set just before the first byte of the call can leave, so that its
-/// owner can tell the outcome also when it drops this future.
+/// Calls a service. `sent` is set just before the first byte of the call can be sent, so that the
+/// caller knows whether the service may have run the call even if it drops this future.
 pub async fn call(
     pool: &Pool,
     addr: SocketAddr,
@@ -91,22 +93,23 @@
     sent: &AtomicBool,
 ) -> Result<Response<Body>> {
     let request = prepare(addr, request)?;
-    let kept = if options.new_connection {
+    let idle = if options.new_connection {
         None
     } else {
         pool.idle().take(addr)
     };
-    let Some(kept) = kept else {
+    let Some(idle) = idle else {
         let connection = connect(addr, pool.limits()).await?;
         return attempt(pool, connection, request, options, sent)
             .await
             .map_err(|error| error.failure);
     };
-    let error = match attempt(pool, kept, request, options, sent).await {
+    let error = match attempt(pool, idle, request, options, sent).await {
         Ok(response) => return Ok(response),
         Err(error) => error,
     };
-    // Handed back: not a byte of it was written, so that this is no second call.
+    // hyper returned the request because none of it was written, so sending it on a new connection
+    // is not a retry.
     let Some(request) = error.request else {
         return Err(error.failure);
     };
@@ -116,12 +119,13 @@
         .map_err(|error| error.failure)
 }
 
-/// A call that failed, with its request if none of it was written.
+/// A failed attempt to make a call, with the request if none of it was written.
 struct AttemptError {
     failure: Failure,
     request: Option<Box<Request<Full<Bytes>>>>,
 }
 
+/// Makes a call on `connection`.
 async fn attempt(
     pool: &Pool,
     mut connection: Connection,
@@ -130,12 +134,12 @@
     sent: &AtomicBool,
 ) -> std::result::Result<Response<Body>, AttemptError> {
     sent.store(true, Ordering::SeqCst);
-    let answer = timeout(
+    let response = timeout(
         options.head_timeout,
         connection.sender.try_send_request(request),
     )
     .await;
-    let cause = match answer {
+    let cause = match response {
         Ok(Ok(response)) => {
             let accepted = accept(pool, connection, response);
             return accepted.map_err(|failure| AttemptError {
@@ -166,7 +170,7 @@
     })
 }
 
-/// Whether the service answers `GET /health` with success on a new connection.
+/// Returns whether the service answers `GET /health` with success on a new connection.
 pub(crate) async fn health(addr: SocketAddr) -> bool {
     let Ok(request) = Request::get("/health").body(Bytes::new()) else {
         return false;
@@ -175,7 +179,7 @@
         head_timeout: Duration::MAX,
         new_connection: true,
     };
-    let answer = call(
+    let response = call(
         &Pool::default(),
         addr,
         request,
@@ -183,10 +187,11 @@
         &AtomicBool::new(false),
     )
     .await;
-    answer.is_ok_and(|response| response.status().is_success())
+    response.is_ok_and(|response| response.status().is_success())
 }
 
-/// The request as HTTP/1.1 wants it: path only, a host, a known length.
+/// Converts a request to HTTP/1.1: the target is the path and query, `host` is present, and the
+/// length of the body is known.
 fn prepare(addr: SocketAddr, request: Request<Bytes>) -> Result<Request<Full<Bytes>>> {
     let failure = Failure {
         cause: Cause::Protocol,
@@ -222,7 +227,8 @@
     Ok(Connection { sender, task, addr })
 }
 
-/// Takes an answer whose end can be told from a cut.
+/// Accepts a response whose end is delimited, so that a truncated body is detected. Any other
+/// response fails the call.
 fn accept(
     pool: &Pool,
     connection: Connection,
--- a/crates/engine/src/service/body.rs
+++ b/crates/engine/src/service/body.rs
@@ -1,4 +1,4 @@
-//! The answer of a service as it comes.
+//! Streamed body of a response of a service.
 
 use super::{Cause, Connection, Failure};
 use crate::pool::Pool;
@@ -8,8 +8,8 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
 
-/// A streamed answer. It ends without an error only if it is whole. Dropped earlier, it closes the
-/// connection, which tells the service that its caller went away.
+/// Streamed body of a response. It ends without an error only if it is complete. If it is dropped
+/// earlier, its connection is closed, so that the service notices that the caller has left.
 #[derive(Debug)]
 pub struct Body {
     pool: Pool,
@@ -30,7 +30,7 @@
         body
     }
 
-    /// Gives the connection back for another call, once it is ready.
+    /// Returns the connection to the idle connections once it is ready for another call.
     fn release_connection(&mut self) {
         let Some(mut connection) = self.connection.take() else {
             return;
--- a/crates/engine/src/stream.rs
+++ b/crates/engine/src/stream.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 stream to an endpoint.
+//! HTTP/2 stream to an endpoint.
 
 use crate::frame::{Item, Reader, Reply};
 use crate::pool::{Error, Result};
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// A stream. Dropped before both sides ended it, it is reset, which tells the endpoint to stop.
+/// A stream to an endpoint. If it is dropped before it has ended, it is reset, so that the endpoint
+/// stops its work.
 #[derive(Debug)]
 pub(crate) struct Stream {
     sender: SendStream<Bytes>,
@@ -22,22 +23,23 @@
     _permit: OwnedSemaphorePermit,
 }
 
+/// State of the response.
 #[derive(Debug)]
 enum Answer {
     Head(ResponseFuture),
     Body(RecvStream),
 }
 
-/// What the endpoint did.
+/// What was received from the endpoint.
 #[derive(Debug)]
 pub(crate) enum Received {
-    /// A head or a piece of payload.
+    /// A head or a chunk of payload.
     Item(Item<Reply>),
-    /// It ended the stream.
+    /// The endpoint ended the stream at the end of a frame.
     End,
-    /// It refused the stream with this status, before any frame.
+    /// The endpoint refused the stream with this status and retry-after delay, before any frame.
     Status(StatusCode, Option<Duration>),
-    /// What came is no frame.
+    /// The received bytes are not a valid frame, or end within one.
     Invalid,
 }
 
@@ -56,21 +58,22 @@
         }
     }
 
-    /// Sends bytes as the endpoint's window allows.
+    /// Sends all bytes, waiting for the endpoint's flow-control window. If `end` is set, the last
+    /// DATA frame ends the sending side.
     pub(crate) async fn send(&mut self, mut bytes: Bytes, end: bool) -> Result<()> {
         while !bytes.is_empty() {
             self.sender.reserve_capacity(bytes.len());
             let available = self.available_window().await?.min(bytes.len());
-            let part = bytes.split_to(available);
+            let chunk = bytes.split_to(available);
             let is_last = end && bytes.is_empty();
             self.sender
-                .send_data(part, is_last)
+                .send_data(chunk, is_last)
                 .map_err(|_| Error::Reset)?;
         }
         Ok(())
     }
 
-    /// Bytes that may be sent now; waits until it is at least one.
+    /// Returns the number of bytes that may be sent now. Waits until it is at least one.
     async fn available_window(&mut self) -> Result<usize> {
         if self.sender.capacity() > 0 {
             return Ok(self.sender.capacity());
@@ -87,13 +90,13 @@
         .await
     }
 
-    /// Ends the sending side: no more work for this stream.
+    /// Ends the sending side. No more work follows on this stream.
     pub(crate) fn end(&mut self) {
         self.is_ended = true;
         let _ = self.sender.send_data(Bytes::new(), true);
     }
 
-    /// What the endpoint did next.
+    /// Polls for the next item or the end of the stream.
     pub(crate) fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Received>> {
         loop {
             match self.reader.read() {
@@ -113,6 +116,7 @@
         }
     }
 
+    /// Polls for the next chunk of the body. The inner error is a refusal by status.
     fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
@@ -139,7 +143,7 @@
         }
     }
 
-    /// The whole answer, of at most `limit` bytes.
+    /// Returns the complete response, whose body has at most `limit` bytes.
     pub(crate) async fn collect(&mut self, limit: usize) -> Result<Response<Bytes>> {
         let Answer::Head(response) = &mut self.answer else {
             return Err(Error::Format);
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,4 +1,4 @@
-//! Heads as they stand on the wire: unchecked, and of one shape for all engines.
+//! Serialized form of frame heads, before validation. It is the same for all engines.
 
 mod call;
 mod reply;
@@ -9,7 +9,7 @@
 use crate::frame::{self, Error, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// Place of a step.
+/// Serialized form of [`frame::Place`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Place {
     request: u128,
@@ -66,6 +66,7 @@
     (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
+/// Returns an error that names `field` unless `fits` holds.
 fn check(fits: bool, field: &'static str) -> Result<(), Error> {
     if fits {
         Ok(())
--- a/crates/engine/src/wire/call.rs
+++ b/crates/engine/src/wire/call.rs
@@ -1,10 +1,10 @@
-//! Heads to a stage.
+//! Serialized heads of frames that are sent to a stage.
 
 use super::{Place, check, is_name};
 use crate::frame::{self, Error, MAX_PAYLOAD_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// See [`frame::Open`].
+/// Serialized form of [`frame::Open`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Open {
     request: u128,
@@ -22,23 +22,23 @@
     prefix: Vec<u64>,
 }
 
-/// See [`frame::Input`].
+/// Serialized form of [`frame::Input`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Input {
-    /// Prompt in the payload, then these tokens.
+    /// The prompt is the payload; these tokens follow it.
     Prompt(Vec<u32>),
-    /// One token.
+    /// The token that the previous step generated.
     Token(u32),
-    /// Activations in the payload.
+    /// The payload holds activations.
     Activations,
 }
 
-/// See [`frame::Call`].
+/// Serialized form of [`frame::Call`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Call {
-    /// First frame.
+    /// First frame of a stream.
     Open(Open),
-    /// Later frames.
+    /// Every later frame: the place of the step, its input and its payload length in bytes.
     Step(Place, Input, u32),
 }
 
--- a/crates/engine/src/wire/reply.rs
+++ b/crates/engine/src/wire/reply.rs
@@ -1,38 +1,39 @@
-//! Heads from a stage.
+//! Serialized heads of frames that a stage sends.
 
 use super::{Place, check};
 use crate::frame::{self, Error, MAX_PAYLOAD_BYTES, MAX_TEXT_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Longest wait a refusal can ask for.
+/// Maximum retry-after delay of a refusal. A longer delay is reduced to this one.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3600);
 
-/// See [`frame::Reason`].
+/// Serialized form of [`frame::Reason`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Reason {
-    /// Full.
+    /// No slot is free.
     Busy,
-    /// Leaving.
+    /// The stage is leaving the fleet.
     Leaving,
-    /// Doesn't hold it.
+    /// The stage doesn't hold the requested model, version, adapter or layers.
     Unfit,
 }
 
-/// See [`frame::Reply`]; waits are in milliseconds.
+/// Serialized form of [`frame::Reply`]. Retry-after delays are in milliseconds.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// Slot reserved.
+    /// The slot is reserved for this request and attempt.
     Opened(u128, u32),
-    /// Slot refused.
+    /// The slot is refused: the reason and the retry-after delay.
     Refused(Reason, Option<u64>),
-    /// Step runs.
+    /// The step is still running.
     Working(Place),
-    /// Step ran: prompt tokens, payload bytes.
+    /// The step completed: its place, prompt tokens and payload length in bytes.
     Done(Place, u32, u32),
-    /// Step ran: prompt tokens, token, text, end.
+    /// The step generated a token: its place, prompt tokens, the token, its text, and whether it
+    /// ends the answer.
     Token(Place, u32, u32, String, bool),
-    /// Step failed.
+    /// The step failed.
     Failed(Place),
 }
 
--- a/crates/engine/tests/frame.rs
+++ b/crates/engine/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: every head survives the wire, and no bytes can harm a reader.
+//! Tests of frames: every head survives a round trip, and arbitrary bytes can't make a reader panic
+//! or allocate more memory than the bytes themselves need.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -11,22 +12,22 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Runs a property with fixed seeds; the low half of a seed is the size of its input. Some inputs
-/// are too short for what the property takes from them, but few may be.
+/// Runs a property with fixed seeds. The low half of a seed is the size of its input. At most one
+/// in ten inputs may be too short for the property.
 fn each_seed(count: u64, size: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
-    let whole = Cell::new(0);
+    let complete = Cell::new(0);
     for seed in 1..=count {
         let counted = |u: &mut Unstructured<'_>| {
             property(u)?;
-            whole.set(whole.get() + 1);
+            complete.set(complete.get() + 1);
             Ok(())
         };
         arbtest(counted).seed(seed << 32 | size);
     }
     assert!(
-        whole.get() * 10 >= count * 9,
+        complete.get() * 10 >= count * 9,
         "{} of {count} inputs were long enough",
-        whole.get()
+        complete.get()
     );
 }
 
@@ -132,15 +133,15 @@
     })
 }
 
-/// Writes frames, cuts the bytes anywhere, and reads them back.
-fn survives<H: Head + Clone + Debug + PartialEq>(
+/// Encodes frames, splits the bytes at arbitrary positions, and decodes them.
+fn check_round_trip<H: Head + Clone + Debug + PartialEq>(
     u: &mut Unstructured<'_>,
     make: fn(&mut Unstructured<'_>) -> Result<H>,
 ) -> Result<()> {
     let heads = (0..6).map(|_| make(u)).collect::<Result<Vec<H>>>()?;
     let mut bytes = BytesMut::new();
     for head in &heads {
-        encode(head, &mut bytes).expect("encodes");
+        encode(head, &mut bytes).expect("encoding succeeds");
         bytes.extend(std::iter::repeat_n(7, head.payload() as usize));
     }
     let mut rest = bytes.freeze();
@@ -149,10 +150,10 @@
     while !rest.is_empty() {
         let size = u.int_in_range(1..=rest.len().min(200))?;
         reader.push(rest.split_to(size));
-        while let Some(item) = reader.read().expect("reads") {
+        while let Some(item) = reader.read().expect("decoding succeeds") {
             match item {
                 Item::Head(head) => read.push(head),
-                Item::Payload(piece) => payload += piece.len(),
+                Item::Payload(chunk) => payload += chunk.len(),
             }
         }
     }
@@ -169,17 +170,18 @@
 }
 
 #[test]
-fn calls_survive_the_wire_cut_anywhere() {
-    each_seed(300, 4 << 10, |u| survives(u, call));
+fn calls_survive_a_round_trip_split_anywhere() {
+    each_seed(300, 4 << 10, |u| check_round_trip(u, call));
 }
 
 #[test]
-fn replies_survive_the_wire_cut_anywhere() {
-    each_seed(300, 4 << 10, |u| survives(u, reply));
+fn replies_survive_a_round_trip_split_anywhere() {
+    each_seed(300, 4 << 10, |u| check_round_trip(u, reply));
 }
 
-/// Reads all that can be read; ends at the first error.
-fn drain<H: Head>(bytes: Bytes) -> usize {
+/// Decodes `bytes` in chunks of 50 bytes and returns the number of items. Decoding of a chunk ends
+/// at an error.
+fn count_items<H: Head>(bytes: Bytes) -> usize {
     let mut reader = Reader::<H>::default();
     let mut count = 0;
     for chunk in bytes.chunks(50) {
@@ -192,33 +194,33 @@
 }
 
 #[test]
-fn random_bytes_never_harm_a_reader() {
-    // What a peer of another protocol, or a broken one, might send: read as nothing or as errors,
-    // without a panic and without taking more memory than the bytes themselves.
+fn random_bytes_do_not_break_a_reader() {
+    // A peer that is faulty or uses another protocol may send any bytes. A reader returns nothing or
+    // errors for them. It neither panics nor allocates more memory than the bytes themselves need.
     each_seed(500, 2 << 10, |u| {
         let mut bytes = u.bytes(u.len())?.to_vec();
-        // A plausible length, or else all but a few end at the first four bytes.
+        // Makes the length plausible; otherwise almost all inputs would fail at the length prefix.
         bytes[..3].copy_from_slice(&[0, 0, 0]);
-        drain::<Call>(bytes.clone().into());
-        drain::<Reply>(bytes.into());
+        count_items::<Call>(bytes.clone().into());
+        count_items::<Reply>(bytes.into());
         Ok(())
     });
 }
 
 #[test]
-fn damaged_frames_never_harm_a_reader() {
+fn damaged_frames_do_not_break_a_reader() {
     each_seed(500, 4 << 10, |u| {
         let mut bytes = BytesMut::new();
-        encode(&call(u)?, &mut bytes).expect("encodes");
+        encode(&call(u)?, &mut bytes).expect("encoding succeeds");
         let at = u.int_in_range(0..=bytes.len() - 1)?;
         bytes[at] ^= u.int_in_range(1..=255)?;
-        drain::<Call>(bytes.freeze());
+        count_items::<Call>(bytes.freeze());
         Ok(())
     });
 }
 
-/// The error that a reader of calls gives for a head of these bytes.
-fn refusal(head: &[u8]) -> Option<Error> {
+/// Returns the error of decoding a call whose head consists of these bytes.
+fn decode_error(head: &[u8]) -> Option<Error> {
     let mut bytes = (head.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(head);
     let mut reader = Reader::<Call>::default();
@@ -227,8 +229,8 @@
 }
 
 #[test]
-fn a_length_over_the_limit_is_refused_before_its_bytes_come() {
-    // Otherwise a peer could make a node hold as much memory as four bytes can name.
+fn a_length_over_the_limit_is_rejected_before_its_bytes_arrive() {
+    // Otherwise a peer could make a node buffer up to 4 GiB by sending four bytes.
     let mut reader = Reader::<Reply>::default();
     let length = MAX_HEAD_BYTES as u32 + 1;
     reader.push(Bytes::copy_from_slice(&length.to_be_bytes()));
@@ -239,18 +241,21 @@
 }
 
 #[test]
-fn heads_with_bytes_left_over_or_missing_are_refused() {
+fn heads_with_extra_or_missing_bytes_are_rejected() {
     let step = Step {
         place: PLACE,
         input: Input::Token(9),
         payload: 0,
     };
     let mut bytes = BytesMut::new();
-    encode(&Call::Step(step), &mut bytes).expect("encodes");
+    encode(&Call::Step(step), &mut bytes).expect("encoding succeeds");
     let head = &bytes[4..];
-    assert_eq!(refusal(head), None);
-    assert_eq!(refusal(&head[..head.len() - 1]), Some(Error::Malformed));
-    assert_eq!(refusal(&[head, &[0]].concat()), Some(Error::Malformed));
+    assert_eq!(decode_error(head), None);
+    assert_eq!(
+        decode_error(&head[..head.len() - 1]),
+        Some(Error::Malformed)
+    );
+    assert_eq!(decode_error(&[head, &[0]].concat()), Some(Error::Malformed));
 }
 
 const PLACE: Place = Place {
@@ -261,17 +266,17 @@
     to: 4,
 };
 
-/// The field that is at fault in a call that was put on the wire unchecked.
-fn fault(call: Call) -> Option<Error> {
+/// Returns the error of decoding an invalid call, which is encoded without validation.
+fn validation_error(call: Call) -> Option<Error> {
     let mut bytes = BytesMut::new();
-    encode(&call, &mut bytes).expect("encodes");
-    refusal(&bytes[4..])
+    encode(&call, &mut bytes).expect("encoding succeeds");
+    decode_error(&bytes[4..])
 }
 
 #[test]
-fn fields_out_of_range_are_named() {
+fn errors_name_the_field_that_is_out_of_range() {
     let step = |place: Place, input: Input, payload: u32| {
-        fault(Call::Step(Step {
+        validation_error(Call::Step(Step {
             place,
             input,
             payload,
