--- a/crates/lease/examples/claims.rs
+++ b/crates/lease/examples/claims.rs
@@ -3,8 +3,8 @@
 //! `cargo run --release -p wigeonshelf-lease --example claims`
 //!
 //! The log is simulated: messages take 2 ms each way, and the service accepts a limited number of
-//! appends per second from all nodes together. Appends beyond the limit fail at once. Processor time is
-//! measured. All other times are simulated.
+//! appends per second from all nodes together. Appends beyond the limit fail at once. Processor
+//! time is measured. All other times are simulated.
 
 use bytes::Bytes;
 use hdr::Times;
@@ -233,7 +233,8 @@
         }
         self.tokens -= 1.0;
         self.appends += 1;
-        // The append takes effect at once in the simulation. Readers see it after the one-way delay.
+        // The append takes effect at once in the simulation. Readers see it after the one-way
+        // delay.
         self.streams[usize::from(shard)].push(body);
         for (reader, from) in std::mem::take(&mut self.pending_reads[usize::from(shard)]) {
             self.schedule_at(at, Scheduled::Read(reader, shard, from, true));
--- a/crates/lease/examples/holds.rs
+++ b/crates/lease/examples/holds.rs
@@ -1,4 +1,5 @@
-//! Cost of leases by the number of groups: appends, bytes read, processor time, and time to take over.
+//! Cost of leases by the number of groups: appends, bytes read, processor time, and time to take
+//! over.
 //!
 //! `cargo run --release -p wigeonshelf-lease --example holds`
 //!
--- a/crates/lease/examples/roll.rs
+++ b/crates/lease/examples/roll.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Measures a roll from version v1 to v2. Endpoints keep what they hold during a load of two minutes,
-/// and a tenth of the number of replicas, at least 4, load at once.
+/// Measures a roll from version v1 to v2. Endpoints keep what they hold during a load of two
+/// minutes, and a tenth of the number of replicas, at least 4, load at once.
 fn measure(replicas: usize, models: u16) {
     let old = bundle(1, replicas, models, "v1");
     let new = bundle(2, replicas, models, "v2");
--- a/crates/lease/src/backoff.rs
+++ b/crates/lease/src/backoff.rs
@@ -26,8 +26,8 @@
         self.failures
     }
 
-    /// Records a failed attempt and delays the next one by a random time between half of the current
-    /// backoff step and all of it. The step grows from `min` to at most `max`.
+    /// Records a failed attempt and delays the next one by a random time between half of the
+    /// current backoff step and all of it. The step grows from `min` to at most `max`.
     pub fn record_failure(
         &mut self,
         now: Now,
--- a/crates/lease/src/claim/action.rs
+++ b/crates/lease/src/claim/action.rs
@@ -85,11 +85,12 @@
         request: RequestId,
         /// Outcome of the run.
         outcome: Outcome,
-        /// Request whose answer is kept, or `None` if the answer was dropped.
+        /// Request whose answer is cached, or `None` if the answer was dropped.
         source: Option<RequestId>,
     },
     /// Another node owns the key. Forward the request to that node at most once, or name the node
-    /// to the caller. If that incarnation is dead, the outcome is the recorded one, or else unknown.
+    /// to the caller. If that incarnation is dead, the outcome is the recorded one, or else
+    /// unknown.
     Redirect {
         /// The request.
         request: RequestId,
@@ -104,11 +105,11 @@
         request: RequestId,
         /// Reason of the refusal.
         reason: Refusal,
-        /// Outcome to report to the caller for this key with this body. It is
-        /// [`Outcome::NotRun`] only if no other node can have run an earlier send of the request,
-        /// which a refusal by this node does not imply.
+        /// Outcome to report to the caller for this key with this body. It is [`Outcome::NotRun`]
+        /// only if no other node can have run an earlier attempt of the request, which a refusal by
+        /// this node does not imply.
         outcome: Outcome,
     },
-    /// Drop the stored answer of this request.
+    /// Drop the cached answer of this request.
     DropAnswer(RequestId),
 }
--- a/crates/lease/src/claim/check.rs
+++ b/crates/lease/src/claim/check.rs
@@ -127,14 +127,14 @@
             .runs
             .answers
             .iter()
-            .map(|kept| kept.bytes)
+            .map(|cached| cached.bytes)
             .sum::<usize>()
             != self.runs.answer_bytes
         {
-            texts.push("the total size of kept answers is wrong");
+            texts.push("the total size of cached answers is wrong");
         }
         if self.runs.answer_bytes > self.settings.max_answer_bytes {
-            texts.push("kept answers exceed their size limit");
+            texts.push("cached answers exceed their size limit");
         }
         if self
             .shards
--- a/crates/lease/src/claim/run.rs
+++ b/crates/lease/src/claim/run.rs
@@ -32,7 +32,7 @@
     Releasing(Number, Vec<Waiter>),
     /// The request runs.
     Running(Number, RequestId),
-    /// The run ended. The request is the one whose answer is kept, if it still is.
+    /// The run ended. The request is the one whose answer is cached, if it still is.
     Ended(Number, Option<RequestId>, Outcome),
 }
 
@@ -47,9 +47,9 @@
     pub state: State,
 }
 
-/// An answer kept for resends.
+/// An answer cached for retries with the same key. The node caches its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeptAnswer {
+pub struct CachedAnswer {
     /// Hash of the key.
     pub hash: Hash,
     /// Size of the answer in bytes.
@@ -61,9 +61,9 @@
 pub struct Runs {
     /// Keys by hash.
     pub keys: BTreeMap<Hash, Run>,
-    /// Kept answers, oldest first.
-    pub answers: VecDeque<KeptAnswer>,
-    /// Total size of kept answers in bytes.
+    /// Cached answers, oldest first.
+    pub answers: VecDeque<CachedAnswer>,
+    /// Total size of cached answers in bytes.
     pub answer_bytes: usize,
     /// Hashes of tickets in the order of their runs.
     pub tickets: VecDeque<Hash>,
@@ -77,17 +77,17 @@
         self.keys.get_mut(&hash).map(|run| &mut run.state)
     }
 
-    /// Adds an answer of `bytes` bytes to the kept ones.
-    pub fn keep_answer(&mut self, hash: Hash, bytes: usize) {
-        self.answers.push_back(KeptAnswer { hash, bytes });
+    /// Adds an answer of `bytes` bytes to the cached ones.
+    pub fn cache_answer(&mut self, hash: Hash, bytes: usize) {
+        self.answers.push_back(CachedAnswer { hash, bytes });
         self.answer_bytes += bytes;
     }
 
-    /// Removes the oldest kept answer and returns the hash of its key.
+    /// Removes the oldest cached answer and returns the hash of its key.
     pub fn pop_oldest_answer(&mut self) -> Option<Hash> {
-        let kept = self.answers.pop_front()?;
-        self.answer_bytes -= kept.bytes;
-        Some(kept.hash)
+        let cached = self.answers.pop_front()?;
+        self.answer_bytes -= cached.bytes;
+        Some(cached.hash)
     }
 
     /// Returns whether any key belongs to this shard.
--- a/crates/lease/src/claim/settings.rs
+++ b/crates/lease/src/claim/settings.rs
@@ -15,10 +15,10 @@
     pub max_clock_error: Duration,
     /// Time from a key's date during which the key is valid.
     pub key_lifetime: Duration,
-    /// Maximum number of keys kept per shard. Beyond it the oldest keys are evicted, which raises the
-    /// date before which keys are refused as expired.
+    /// Maximum number of keys kept per shard. Beyond it the oldest keys are evicted, which raises
+    /// the date before which keys are refused as expired.
     pub max_keys: usize,
-    /// Maximum total size in bytes of the answers kept for resends.
+    /// Maximum total size in bytes of the answers cached for retries with the same key.
     pub max_answer_bytes: usize,
     /// Minimum time between two appends to a shard.
     pub append_interval: Duration,
--- a/crates/lease/src/claim/table/end.rs
+++ b/crates/lease/src/claim/table/end.rs
@@ -34,7 +34,7 @@
             }
             (Outcome::Complete | Outcome::Unknown, _) => {
                 run.state = State::Ended(number, Some(request), outcome);
-                self.runs.keep_answer(hash, bytes);
+                self.runs.cache_answer(hash, bytes);
                 if let Grant::Log(shard, _) = grant {
                     self.stream_mut(now, shard).appends.push(
                         now,
@@ -96,8 +96,8 @@
 
     /// Drops answers and tickets that are older than the lifetime of keys.
     pub(super) fn expire(&mut self, now: Now, actions: &mut Vec<Action>) {
-        while let Some(kept) = self.runs.answers.front() {
-            let grant = self.runs.keys.get(&kept.hash).map(|run| run.grant);
+        while let Some(cached) = self.runs.answers.front() {
+            let grant = self.runs.keys.get(&cached.hash).map(|run| run.grant);
             if grant.is_some_and(|grant| !self.is_expired(now, grant)) {
                 break;
             }
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Drops releases that were never read back and whose keys have expired. Resends of such keys are
-    /// refused as expired.
+    /// Drops releases that were never read back and whose keys have expired. Retries with such keys
+    /// are refused as expired.
     pub(super) fn sweep(&mut self, now: Now) {
         let wall = self.wall(now);
         let window = self.settings.key_lifetime;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Drops the oldest kept answer. The outcome of its key remains known.
+    /// Drops the oldest cached answer. The outcome of its key remains known.
     fn evict_one(&mut self, actions: &mut Vec<Action>) {
         let Some(hash) = self.runs.pop_oldest_answer() else {
             return;
--- a/crates/lease/src/claim/table/request.rs
+++ b/crates/lease/src/claim/table/request.rs
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Refuses a request. The outcome is unknown, since another node may have run an earlier send.
+    /// Refuses a request. The outcome is unknown, since another node may have run an earlier
+    /// attempt.
     pub(super) fn refuse(&mut self, id: RequestId, reason: Refusal, actions: &mut Vec<Action>) {
         self.refuse_as(id, reason, Outcome::Unknown, actions);
     }
@@ -43,7 +44,7 @@
 
     /// Handles a caller that disconnected before its request started to run. Ends the run if
     /// [`Action::Run`] was already returned: otherwise the key would stay in the running state, and
-    /// its resends would wait forever.
+    /// retries with the same key would wait forever.
     pub(super) fn cancel(&mut self, now: Now, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(hash) = self.runs.running.get(&id).copied() {
             return self.end_run(now, hash, Outcome::NotRun, 0, actions);
@@ -137,9 +138,9 @@
 
     /// Answers a request whose key has an owner.
     ///
-    /// Unless the run has ended, only the owner may refuse the request because the key was used with
-    /// another body: the key may have been released and claimed again for this body in records that
-    /// this node has not read yet.
+    /// Unless the run has ended, only the owner may refuse the request because the key was used
+    /// with another body: the key may have been released and claimed again for this body in records
+    /// that this node has not read yet.
     fn answer_owned(&mut self, request: Request, entry: Entry, actions: &mut Vec<Action>) {
         let id = request.id;
         let mismatch = entry.fingerprint != request.fingerprint;
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Handles a ticket without the log: only the incarnation that issued it runs it, and this table
-    /// records which tickets it has run.
+    /// Handles a ticket without the log: only the incarnation that issued it runs it, and this
+    /// table records which tickets it has run.
     fn receive_ticket(
         &mut self,
         now: Now,
--- a/crates/lease/src/claim/table/settle.rs
+++ b/crates/lease/src/claim/table/settle.rs
@@ -110,16 +110,16 @@
         self.release_late_claim(now, shard, hash, entry);
     }
 
-    /// Releases an abandoned claim that took effect late. Without the release no node could ever run
-    /// the key. Requests that wait for a newer claim of this node wait for the release instead.
+    /// Releases an abandoned claim that took effect late. Without the release no node could ever
+    /// run the key. Requests that wait for a newer claim of this node wait for the release instead.
     fn release_late_claim(&mut self, now: Now, shard: Shard, hash: Hash, entry: Entry) {
         let has_run = |run: &Run| matches!(run.state, State::Running(..) | State::Ended(..));
         if self.runs.keys.get(&hash).is_some_and(has_run) {
             return;
         }
         let run = self.runs.keys.remove(&hash);
-        // Waiting requests keep the fingerprint of their own body, which may differ from that of the
-        // old claim.
+        // Waiting requests keep the fingerprint of their own body, which may differ from that of
+        // the old claim.
         let fingerprint = run
             .as_ref()
             .map_or(entry.fingerprint, |run| run.fingerprint);
--- a/crates/lease/src/claim/ticket.rs
+++ b/crates/lease/src/claim/ticket.rs
@@ -52,8 +52,8 @@
 impl FromStr for Ticket {
     type Err = Error;
 
-    /// Accepts exactly the text that `Display` produces. A second text for the same ticket would be a
-    /// second key, and the ticket could run twice.
+    /// Accepts exactly the text that `Display` produces. A second text for the same ticket would be
+    /// a second key, and the ticket could run twice.
     fn from_str(text: &str) -> Result<Self> {
         let rest = text.strip_prefix(PREFIX).ok_or(Error)?;
         let mut parts = rest.split('-').map(|part| u64::from_str_radix(part, 16));
--- a/crates/lease/src/group_lease.rs
+++ b/crates/lease/src/group_lease.rs
@@ -1,13 +1,13 @@
 //! Leases: one node at a time sends orders to a group of endpoints.
 //!
-//! A node acquires the lease of a group by a record in the stream [`STREAM`]. The record contains the
-//! offset up to which the node had read the stream, and is valid if there is no other valid record
-//! of the group between that offset and its own. The fencing number is the offset of the record with
-//! which the holder's tenure began.
+//! A node acquires the lease of a group by a record in the stream [`STREAM`]. The record contains
+//! the offset up to which the node had read the stream, and is valid if there is no other valid
+//! record of the group between that offset and its own. The fencing number is the offset of the
+//! record with which the holder's tenure began.
 //!
-//! The holder calls [`Table::permit`] right before it sends an order. A successor waits for the term
-//! of the lease and the longest duration of an order, counted from when it read the last record of
-//! another node. See `docs/design/roll.md`.
+//! The holder calls [`Table::permit`] right before it sends an order. A successor waits for the
+//! term of the lease and the longest duration of an order, counted from when it read the last
+//! record of another node. See `docs/design/roll.md`.
 
 pub mod action;
 pub mod check;
--- a/crates/lease/src/group_lease/event.rs
+++ b/crates/lease/src/group_lease/event.rs
@@ -9,8 +9,8 @@
 pub struct Candidacy {
     /// The group.
     pub group: Group,
-    /// Rank of this node among the live candidates. The node of the lowest rank acquires a free group
-    /// first.
+    /// Rank of this node among the live candidates. The node of the lowest rank acquires a free
+    /// group first.
     pub rank: u32,
 }
 
--- a/crates/lease/src/group_lease/record.rs
+++ b/crates/lease/src/group_lease/record.rs
@@ -34,8 +34,8 @@
     Release {
         /// The group.
         group: Group,
-        /// Highest number that the owner had assigned. Its items with higher numbers acquire the group
-        /// again.
+        /// Highest number that the owner had assigned. Its items with higher numbers acquire the
+        /// group again.
         number: Number,
     },
 }
--- a/crates/lease/src/group_lease/state.rs
+++ b/crates/lease/src/group_lease/state.rs
@@ -74,16 +74,16 @@
         verdict
     }
 
-    /// Handles a possibly valid record of another owner. Its lease can't outlast the takeover delay,
-    /// since its term started when the record was sent.
+    /// Handles a possibly valid record of another owner. Its lease can't outlast the takeover
+    /// delay, since its term started when the record was sent.
     pub fn record_holder(&mut self, now: Now, owner: Owner, number: Number, settings: &Settings) {
         self.owner = Some(owner);
         self.number = number;
         self.free_at = now + settings.takeover_delay();
     }
 
-    /// Handles a release by `owner`. Ignores a release that arrives after the owner has acquired the
-    /// group again, which its lower number shows.
+    /// Handles a release by `owner`. Ignores a release that arrives after the owner has acquired
+    /// the group again, which its lower number shows.
     pub fn release(&mut self, now: Now, owner: Owner, number: Number) {
         if self.owner == Some(owner) && self.number <= number {
             self.owner = None;
--- a/crates/lease/src/group_lease/table.rs
+++ b/crates/lease/src/group_lease/table.rs
@@ -87,8 +87,9 @@
 
     /// Returns the fencing number for an order to the group, if the order may be sent now.
     ///
-    /// Must be called right before the order is sent, with the current time. If the process is paused
-    /// between an earlier permit and the sending, it sends orders while its successor does so too.
+    /// Must be called right before the order is sent, with the current time. If the process is
+    /// paused between an earlier permit and the sending, it sends orders while its successor does
+    /// so too.
     pub fn permit(&self, now: Now, group: Group) -> Option<Fence> {
         let tenure = self
             .groups
@@ -104,7 +105,8 @@
             .map_or(0, |state| state.stopped_bundle)
     }
 
-    /// Returns the owner of the group's lease, as far as this node knows. The lease may have expired.
+    /// Returns the owner of the group's lease, as far as this node knows. The lease may have
+    /// expired.
     pub fn holder(&self, group: Group) -> Option<Owner> {
         self.groups.get(&group)?.owner
     }
@@ -232,8 +234,8 @@
         .collect()
     }
 
-    /// Appends one record for all groups that are due. Each attempt has its own numbers and time, so
-    /// that a record that takes effect late gives only the rest of its term.
+    /// Appends one record for all groups that are due. Each attempt has its own numbers and time,
+    /// so that a record that takes effect late gives only the rest of its term.
     fn append_due(&mut self, now: Now, actions: &mut Vec<Action>) {
         let mut items = self.due_releases(now);
         for (group, state) in &mut self.groups {
--- a/crates/lease/src/roll/plan.rs
+++ b/crates/lease/src/roll/plan.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Updates the state from the view and appends the resulting actions to `actions`. Must be called
-    /// about once a second, and only while this node holds the group's lease.
+    /// Updates the state from the view and appends the resulting actions to `actions`. Must be
+    /// called about once a second, and only while this node holds the group's lease.
     pub fn step(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
         if view.bundle.number > self.bundle_number {
             self.bundle_number = view.bundle.number;
--- a/crates/lease/src/roll/plan/next.rs
+++ b/crates/lease/src/roll/plan/next.rs
@@ -24,7 +24,8 @@
     fetching: usize,
     /// Coverage by all endpoints.
     present: Coverage<'a>,
-    /// Coverage without the endpoints that fetch, whose holdings may become unavailable at any time.
+    /// Coverage without the endpoints that fetch, whose holdings may become unavailable at any
+    /// time.
     steady: Coverage<'a>,
 }
 
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Unloads holdings that the bundle does not assign to the endpoint, once all requests that were
-    /// started on them must have ended.
+    /// Unloads holdings that the bundle does not assign to the endpoint, once all requests that
+    /// were started on them must have ended.
     fn unload_stale(&mut self, now: Now, view: &View, actions: &mut Vec<Action>) {
         let endpoints: Vec<EndpointId> = view.up().collect();
         for endpoint in endpoints {
@@ -117,8 +118,8 @@
             .find(|held| ready && self.is_unneeded(now, view, held))
     }
 
-    /// Returns whether no request needs the holding: the bundle no longer contains its model, or the
-    /// model's desired version has been covered for the maximum duration of a request.
+    /// Returns whether no request needs the holding: the bundle no longer contains its model, or
+    /// the model's desired version has been covered for the maximum duration of a request.
     fn is_unneeded(&self, now: Now, view: &View, held: &Holding) -> bool {
         if view.bundle.model(&held.model).is_none() {
             return true;
@@ -224,8 +225,8 @@
         self.order(now, view, endpoint, order, actions);
     }
 
-    /// Returns whether a load in the zone may start. Only one zone loads at a time: the next one starts
-    /// when no other zone loads and no new replica is watched.
+    /// Returns whether a load in the zone may start. Only one zone loads at a time: the next one
+    /// starts when no other zone loads and no new replica is watched.
     fn can_enter_zone(&self, zone: ZoneId) -> bool {
         let changes = self
             .pending
--- a/crates/lease/src/roll/plan/settle.rs
+++ b/crates/lease/src/roll/plan/settle.rs
@@ -36,8 +36,8 @@
         self.check_watched(now, view);
     }
 
-    /// Updates the times since which the desired version of each model is covered. From then on nodes
-    /// start requests only on that version.
+    /// Updates the times since which the desired version of each model is covered. From then on
+    /// nodes start requests only on that version.
     pub(super) fn update_coverage(&mut self, now: Now, view: &View) {
         let mut covered = BTreeMap::new();
         let coverage = Coverage::new(view, |_| false);
--- a/crates/lease/src/roll/settings.rs
+++ b/crates/lease/src/roll/settings.rs
@@ -16,8 +16,8 @@
     pub drain: Duration,
     /// Number of failures of new replicas that stops the roll.
     pub max_failures: usize,
-    /// How long a failure counts. Single failures days apart are normal in a fleet and must not stop
-    /// the roll.
+    /// How long a failure counts. Single failures days apart are normal in a fleet and must not
+    /// stop the roll.
     pub failure_window: Duration,
 }
 
--- a/crates/lease/tests/claims/cases.rs
+++ b/crates/lease/tests/claims/cases.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_claim_read_back_runs_and_resends_get_its_answer() {
+fn a_claim_read_back_runs_and_retries_get_its_answer() {
     let mut log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let key = dated_key(0, "a");
@@ -313,9 +313,9 @@
     );
 }
 
-/// Node 1 runs a key, the stream drops the claim, and node 2 starts without any record of it. Node 2
-/// must refuse a resend as expired with an unknown outcome, since it can't tell whether the key has
-/// run. A key created after the start of node 2 runs.
+/// Node 1 runs a key, the stream drops the claim, and node 2 starts without any record of it. Node
+/// 2 must refuse a retry as expired with an unknown outcome, since it can't tell whether the key
+/// has run. A key created after the start of node 2 runs.
 #[test]
 fn a_claim_that_could_have_been_dropped_is_not_run_again() {
     let mut log = Log::default();
@@ -341,8 +341,8 @@
 }
 
 /// As above, but a retained record of node 1 contains how far the stream reached at 14 ms. This
-/// bounds the date of the dropped claims: on a node that starts later, a key created after that time
-/// runs, and an older one doesn't.
+/// bounds the date of the dropped claims: on a node that starts later, a key created after that
+/// time runs, and an older one doesn't.
 #[test]
 fn retained_records_bound_the_date_of_dropped_ones() {
     let mut log = Log::default();
@@ -366,7 +366,7 @@
 }
 
 /// A node is paused between its append and the read-back until after the deadline. Although its
-/// claim is the first, it must not run the request, and must release the key so that a resend to
+/// claim is the first, it must not run the request, and must release the key so that a retry at
 /// node 2 runs.
 #[test]
 fn a_claim_won_after_the_deadline_is_released() {
@@ -432,8 +432,8 @@
 
 /// A caller uses one key for two bodies. The claim of the first body is abandoned and takes effect
 /// late, while a request with the second body waits on the same node. That request must run under a
-/// claim with the fingerprint of the second body. With the first one, other nodes answered its resends
-/// with "not run" although it had run. Occurs in the long run with seed 1108.
+/// claim with the fingerprint of the second body. With the first one, other nodes answered its
+/// retries with "not run" although it had run. Occurs in the long run with seed 1108.
 #[test]
 fn a_late_claim_of_another_body_does_not_pass_on_its_fingerprint() {
     let mut log = Log::default();
@@ -496,8 +496,8 @@
     assert_eq!(node.take_actions(), [run(1, key), run(2, key)]);
 }
 
-/// The caller disconnects after the table returned the action to run the request and before the node
-/// started it. The key must be released, so that a resend runs instead of waiting forever.
+/// The caller disconnects after the table returned the action to run the request and before the
+/// node started it. The key must be released, so that a retry runs instead of waiting forever.
 #[test]
 fn a_caller_that_disconnects_before_its_run_starts_frees_the_key() {
     let mut log = Log::default();
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn kept_answers_are_bounded_and_the_outcome_outlives_them() {
+fn cached_answers_are_bounded_and_the_outcome_outlives_them() {
     let log = Log::default();
     let mut node = Node::ready(1, at(0), &log);
     let tickets: Vec<String> = (0..3)
--- a/crates/lease/tests/claims/random.rs
+++ b/crates/lease/tests/claims/random.rs
@@ -43,9 +43,10 @@
     }
 }
 
-/// Combines all faults: nodes die and pause, and the log becomes unavailable, loses answers, applies
-/// appends seconds late and drops old records. Callers send each key up to six times to any node. No
-/// key may be sent to an endpoint twice, and no caller may get "not run" for a key that was sent.
+/// Combines all faults: nodes die and pause, and the log becomes unavailable, loses answers,
+/// applies appends seconds late and drops old records. Callers send each key up to six times to any
+/// node. No key may be sent to an endpoint twice, and no caller may get "not run" for a key that
+/// was sent.
 #[test]
 fn all_faults_together() {
     let all_totals = assert_invariants(100..120, ALL);
--- a/crates/lease/tests/claims/world.rs
+++ b/crates/lease/tests/claims/world.rs
@@ -464,7 +464,8 @@
     fn send(&mut self, key: usize, n: usize) {
         self.request += 1;
         self.totals.sends += 1;
-        // One send in 20 uses the key with another body, like a caller that reuses a key by mistake.
+        // One send in 20 uses the key with another body, like a caller that reuses a key by
+        // mistake.
         let body = u64::from(self.random.random_range(0..20) == 0);
         self.sends_by_request.insert(
             self.request,
--- a/crates/lease/tests/holds/cases.rs
+++ b/crates/lease/tests/holds/cases.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Two nodes try to acquire a group at once. Only the record with the lower offset is valid. The other
-/// node must not get a permit before the takeover delay has passed.
+/// Two nodes try to acquire a group at once. Only the record with the lower offset is valid. The
+/// other node must not get a permit before the takeover delay has passed.
 #[test]
 fn of_two_records_the_first_is_valid() {
     let mut log = Log::default();
@@ -109,9 +109,9 @@
     assert_eq!(b.table.counters().beaten, 1);
 }
 
-/// The holder is paused for a minute without noticing. Its lease expires by its own clock, so it must
-/// not get a permit even before it has read anything. Meanwhile node 2 takes over with a higher fencing
-/// number.
+/// The holder is paused for a minute without noticing. Its lease expires by its own clock, so it
+/// must not get a permit even before it has read anything. Meanwhile node 2 takes over with a
+/// higher fencing number.
 #[test]
 fn a_paused_holder_gets_no_permit_after_expiry() {
     let mut log = Log::default();
@@ -127,8 +127,8 @@
     assert_eq!(a.actions, [Action::Gained(GROUP, 0), Action::Lost(GROUP)]);
 }
 
-/// The answer to an append is lost. The lease holds once the record is read back, and its term starts
-/// when the record was sent.
+/// The answer to an append is lost. The lease holds once the record is read back, and its term
+/// starts when the record was sent.
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
     let mut log = Log::default();
@@ -142,8 +142,9 @@
     assert_eq!(a.table.permit(secs(15.0), GROUP), None);
 }
 
-/// The log is unavailable for longer than a term. The holder can't renew its lease and must stop when
-/// it expires. Once the log is available, it acquires the group again with a new fencing number.
+/// The log is unavailable for longer than a term. The holder can't renew its lease and must stop
+/// when it expires. Once the log is available, it acquires the group again with a new fencing
+/// number.
 #[test]
 fn a_holder_that_cannot_renew_stops() {
     let mut log = Log::default();
--- a/crates/lease/tests/holds/random.rs
+++ b/crates/lease/tests/holds/random.rs
@@ -51,8 +51,9 @@
 }
 
 /// Combines all faults: holders pause without noticing, die, leave and return, and the log becomes
-/// unavailable, loses answers, applies appends up to 20 s late and drops old records. No order may be
-/// sent within the maximum order time after another holder's, and fencing numbers must only rise.
+/// unavailable, loses answers, applies appends up to 20 s late and drops old records. No order may
+/// be sent within the maximum order time after another holder's, and fencing numbers must only
+/// rise.
 #[test]
 fn all_faults_together() {
     let simulations = assert_invariants(100..130, ALL);
--- a/crates/lease/tests/rolls/cases.rs
+++ b/crates/lease/tests/rolls/cases.rs
@@ -75,9 +75,9 @@
     assert_eq!(fleet.findings, Vec::<String>::new());
 }
 
-/// New replicas of v2 never become ready. After two failures the roll must stop, report this once, and
-/// send no more orders, even under a new holder, which learns of the stop from the lease. A newer
-/// bundle resumes the roll.
+/// New replicas of v2 never become ready. After two failures the roll must stop, report this once,
+/// and send no more orders, even under a new holder, which learns of the stop from the lease. A
+/// newer bundle resumes the roll.
 #[test]
 fn failing_replicas_stop_the_roll_until_a_newer_bundle() {
     let mut fleet = Fleet::full(bundle(1, 3, 3, "v1"));
@@ -116,7 +116,8 @@
 }
 
 /// Bundle 3 comes into force during the roll of bundle 2. From then on endpoints on either older
-/// version must get only orders for the version of bundle 3. The zone in progress is finished first.
+/// version must get only orders for the version of bundle 3. The zone in progress is finished
+/// first.
 #[test]
 fn a_newer_bundle_takes_over_mid_roll() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
@@ -143,8 +144,8 @@
     assert_eq!(fleet.stops, 0);
 }
 
-/// An endpoint that ignores fencing numbers executes a late order of an old holder and loads the old
-/// version over the new one. Once it reports this, it must get the right order again.
+/// An endpoint that ignores fencing numbers executes a late order of an old holder and loads the
+/// old version over the new one. Once it reports this, it must get the right order again.
 #[test]
 fn a_late_order_of_an_old_holder_is_corrected() {
     let mut fleet = Fleet::full(bundle(2, 2, 2, "v2"));
@@ -163,8 +164,8 @@
     assert_eq!(fleet.roll.phase(), &Phase::Settled);
 }
 
-/// The holder changes while endpoints load. The new one must take the loads from the reports, respect
-/// the rate of the weight store, and continue the roll.
+/// The holder changes while endpoints load. The new one must take the loads from the reports,
+/// respect the rate of the weight store, and continue the roll.
 #[test]
 fn a_new_holder_continues_within_the_rate() {
     let mut fleet = Fleet::full(bundle(1, 3, 2, "v1"));
--- a/crates/lease/tests/rolls/fleet.rs
+++ b/crates/lease/tests/rolls/fleet.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Returns a bundle with `replicas` pairs of endpoints per zone. The endpoints of a pair hold one half
-/// of the model's layers each.
+/// Returns a bundle with `replicas` pairs of endpoints per zone. The endpoints of a pair hold one
+/// half of the model's layers each.
 pub fn bundle(number: Number, zones: ZoneId, replicas: usize, version: &str) -> Bundle {
     let zone = |z| Zone {
         name: format!("z{z}"),
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Claim and lease tables with the stand-in of the log service over loopback sockets, driven as in a
-//! node.
+//! Claim and lease tables with the stand-in of the log service over loopback sockets, driven as in
+//! a node.
 
 use lease::claim::event::Request;
 use lease::claim::{self, Key};
@@ -182,9 +182,9 @@
     }
 }
 
-/// Three nodes get every key at once, while the log loses answers, refuses appends over its rate limit
-/// and is unavailable for a while. Each key must run once, and every request must run, join the run, or
-/// be redirected to the node that runs it.
+/// Three nodes get every key at once, while the log loses answers, refuses appends over its rate
+/// limit and is unavailable for a while. Each key must run once, and every request must run, join
+/// the run, or be redirected to the node that runs it.
 #[tokio::test]
 async fn each_key_sent_to_three_nodes_runs_once() {
     let log = Log::start(any()).await.unwrap();
@@ -220,8 +220,8 @@
     nodes.iter().for_each(|node| node.task.abort());
 }
 
-/// Two nodes contend for a group while the log service loses its first answers. Exactly one node must
-/// acquire the lease.
+/// Two nodes contend for a group while the log service loses its first answers. Exactly one node
+/// must acquire the lease.
 #[tokio::test]
 async fn one_of_two_nodes_holds_the_group() {
     const GROUP: Group = 7;
