--- a/crates/engine/tests/frame.rs
+++ b/crates/engine/tests/frame.rs
@@ -195,8 +195,9 @@
 
 #[test]
 fn random_bytes_do_not_break_a_reader() {
-    // A peer that is faulty or uses another protocol may send any bytes. A reader returns nothing or
-    // errors for them. It neither panics nor allocates more memory than the bytes themselves need.
+    // A peer that is faulty or uses another protocol may send any bytes. A reader returns nothing
+    // or errors for them. It neither panics nor allocates more memory than the bytes themselves
+    // need.
     each_seed(500, 2 << 10, |u| {
         let mut bytes = u.bytes(u.len())?.to_vec();
         // Makes the length plausible; otherwise almost all inputs would fail at the length prefix.
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,16 +1,17 @@
-//! Waits between retries: exponential, bounded and jittered.
+//! Delays between retries: exponential backoff with a maximum and jitter.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Doublings after which the wait stays at its bound whatever the settings.
+/// Maximum number of doublings of the minimum delay. The step doesn't grow any further, whatever the
+/// settings.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// The waits of one caller towards one service. It reads no clock: the caller waits.
+/// Backoff of one caller towards one service. It reads no clock; the caller sleeps.
 ///
-/// Each wait is drawn evenly from half of the present step to the whole of it: without the draw,
-/// nodes that saw the same outage begin would all come back in the same moment.
+/// Each delay is drawn uniformly from half of the current step to the full step. Without this
+/// jitter, all nodes that see the start of the same outage would retry at the same time.
 #[derive(Debug)]
 pub struct Backoff {
     min: Duration,
@@ -20,7 +21,7 @@
 }
 
 impl Backoff {
-    /// Waits from `min` to `max`; nodes pass different seeds.
+    /// Creates a backoff whose steps range from `min` to `max`. Each node passes a different seed.
     pub fn new(min: Duration, max: Duration, seed: u64) -> Self {
         Self {
             min,
@@ -30,24 +31,27 @@
         }
     }
 
-    /// The wait after one more failure; `after` is what the service asked for, if it did.
-    pub fn record_failure(&mut self, after: Option<Duration>) -> Duration {
+    /// Records a failure and returns the delay before the next retry. `retry_after` is the
+    /// retry-after delay of the service, if any; the returned delay is at least that, within the
+    /// maximum.
+    pub fn record_failure(&mut self, retry_after: Option<Duration>) -> Duration {
         let step = self.step();
         self.failures = self.failures.saturating_add(1);
-        let wait = step.mul_f64(self.random.random_range(0.5..=1.0));
-        wait.max(after.unwrap_or_default()).min(self.max)
+        let delay = step.mul_f64(self.random.random_range(0.5..=1.0));
+        delay.max(retry_after.unwrap_or_default()).min(self.max)
     }
 
-    /// A call succeeded: the next wait is the min again.
+    /// Records a success: the next step is the minimum again.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
+    /// Returns the current step: the upper end of the range that a delay is drawn from.
     fn step(&self) -> Duration {
         let factor = 1 << self.failures.min(MAX_DOUBLINGS);
         self.min.saturating_mul(factor).min(self.max)
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,61 +1,65 @@
-//! Errors of the platform's clients.
+//! Errors of the clients of the platform's services.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Result of a call to the platform.
+/// Result of a call of a platform service.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong.
+/// Cause of a failed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No connection could be made.
+    /// No connection could be established.
     Connect,
-    /// The time limit passed.
+    /// The time limit of the call was exceeded.
     Timeout,
-    /// The connection broke, or what came was no HTTP.
+    /// The connection broke, or the response was not valid HTTP.
     Broken,
-    /// The service is over its rate and says when to come back, if it does.
+    /// The service refused the call because of its rate limit, with a retry-after delay if it
+    /// states one.
     RateLimited(Option<Duration>),
-    /// The service answered with another status than success.
+    /// The service responded with this status, which is neither a success nor a rate limit.
     Status(u16),
-    /// A body over its bound, in bytes.
+    /// A request or response body exceeds this limit in bytes.
     TooLarge(usize),
-    /// The answer can't be decoded; the text says where.
+    /// The response can't be decoded; the text states why.
     Decode(String),
-    /// The request can't be built, such as for a stream name that no path can hold.
+    /// The request can't be built, for example because of an invalid stream name; the text states
+    /// why.
     Invalid(String),
 }
 
-/// An error of a call to the platform.
+/// Error of a call of a platform service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: Cause,
     /// Whether a byte of the request may have reached the service.
     pub sent: bool,
 }
 
 impl Error {
-    /// An error before anything was sent.
+    /// Creates an error of a call of which nothing was sent.
     pub fn unsent(cause: Cause) -> Self {
         Self { cause, sent: false }
     }
 
-    /// An error after something may have been sent.
+    /// Creates an error of a call of which a part may have been sent.
     pub fn sent(cause: Cause) -> Self {
         Self { cause, sent: true }
     }
 
-    /// Whether an append may have taken effect: it was sent and no answer settles it.
+    /// Returns whether an append has an unknown outcome: it may have been sent, and no response
+    /// shows whether it took effect.
     ///
-    /// A refusal (429, any other 4xx, 503) is the service's word that nothing was appended. Any
-    /// other end after sending leaves it open, and only reading the stream back settles it.
+    /// By a refusal (429, any other 4xx, 503) the service states that nothing was appended. After
+    /// any other error of a sent request the outcome is unknown, and only reading the stream shows
+    /// whether the record was appended.
     pub fn unsure(&self) -> bool {
         self.sent && !self.is_refused()
     }
 
-    /// When the service asked to be called again.
+    /// Returns the retry-after delay that the service requested.
     pub fn retry_after(&self) -> Option<Duration> {
         match self.cause {
             Cause::RateLimited(after) => after,
@@ -63,6 +67,7 @@
         }
     }
 
+    /// Returns whether the service refused the call without executing it.
     fn is_refused(&self) -> bool {
         match self.cause {
             Cause::RateLimited(_) => true,
@@ -75,13 +80,13 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connect => f.write_str("no connection"),
-            Self::Timeout => f.write_str("time limit passed"),
-            Self::Broken => f.write_str("connection broke"),
-            Self::RateLimited(_) => f.write_str("over the service's rate"),
-            Self::Status(code) => write!(f, "status {code}"),
-            Self::TooLarge(bytes) => write!(f, "body over {bytes} bytes"),
-            Self::Decode(text) => write!(f, "undecodable answer: {text}"),
+            Self::Connect => f.write_str("connection could not be established"),
+            Self::Timeout => f.write_str("call timed out"),
+            Self::Broken => f.write_str("connection broke or response is not valid HTTP"),
+            Self::RateLimited(_) => f.write_str("rate limit of the service exceeded"),
+            Self::Status(code) => write!(f, "service responded with status {code}"),
+            Self::TooLarge(bytes) => write!(f, "body exceeds the limit of {bytes} bytes"),
+            Self::Decode(text) => write!(f, "response can't be decoded: {text}"),
             Self::Invalid(text) => write!(f, "invalid request: {text}"),
         }
     }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The clients over HTTP/1.1.
+//! Clients of the platform's services over HTTP/1.1.
 
 pub mod client;
 pub mod list;
--- a/crates/platform/src/http/client.rs
+++ b/crates/platform/src/http/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client with the bounds that all three services share.
+//! HTTP client with limits, shared by the clients of all three services.
 
 use crate::error::{Cause, Error, Result};
 use crate::limits::Limits;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long an idle connection is kept.
+/// Idle timeout of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Idle connections kept.
+/// Maximum number of idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
 type Inner = legacy::Client<HttpConnector, Full<Bytes>>;
 
-/// A client of one service at one address.
+/// HTTP client of one service at one address.
 #[derive(Debug)]
 pub struct Client {
     addr: SocketAddr,
@@ -28,7 +28,7 @@
 }
 
 impl Client {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     pub fn new(addr: SocketAddr, limits: Limits) -> Self {
         Self {
             addr,
@@ -37,9 +37,10 @@
         }
     }
 
-    /// Calls `path` and gives the body of a successful answer.
+    /// Sends a request and returns the body of a successful response.
     ///
-    /// `wait` is how long the service may hold the answer back, on top of the call's time limit.
+    /// `wait` is how long the service may delay the response in long polling. It is added to the
+    /// time limit of the call.
     pub async fn call(
         &self,
         method: Method,
@@ -51,7 +52,7 @@
             .await
     }
 
-    /// The same with headers of the caller's.
+    /// Like [`Client::call`], with additional request headers.
     pub async fn call_with(
         &self,
         method: Method,
@@ -60,14 +61,14 @@
         body: Bytes,
         wait: Duration,
     ) -> Result<Bytes> {
-        let answer = self.send(method, path, headers, body, wait).await?;
-        match answer.status().is_success() {
-            true => Ok(answer.into_body()),
-            false => Err(Error::sent(cause_of_status(&answer))),
+        let response = self.send(method, path, headers, body, wait).await?;
+        match response.status().is_success() {
+            true => Ok(response.into_body()),
+            false => Err(Error::sent(cause_of_status(&response))),
         }
     }
 
-    /// The same, with the whole answer whatever its status.
+    /// Like [`Client::call_with`], but returns the response whatever its status.
     pub async fn send(
         &self,
         method: Method,
@@ -119,6 +120,7 @@
             .map_err(invalid)
     }
 
+    /// Returns the current connection pool.
     fn client(&self) -> Inner {
         self.inner
             .lock()
@@ -126,8 +128,9 @@
             .clone()
     }
 
-    /// Leaves all pooled connections behind: one that went silent tells nothing by itself, and
-    /// its neighbours in the pool went the same way; only new connections are known to work.
+    /// Replaces the connection pool after a timeout. An unresponsive connection reports no error,
+    /// and the other pooled connections to the same address may be unresponsive too, so later calls
+    /// use new connections.
     fn replace_pool(&self) {
         *self.inner.lock().unwrap_or_else(PoisonError::into_inner) = build(&self.limits);
     }
@@ -144,6 +147,7 @@
         .build(connector)
 }
 
+/// Sends a request and reads the response, whose body has at most `max_bytes` bytes.
 async fn exchange(
     inner: Inner,
     request: Request<Full<Bytes>>,
@@ -153,7 +157,8 @@
     let (head, body) = response.into_parts();
     match Limited::new(body, max_bytes).collect().await {
         Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
-        // The status alone tells what became of a call that was refused.
+        // For a refused call the status suffices, so an unreadable body is replaced by an empty
+        // one.
         Err(_) if !head.status.is_success() => Ok(Response::from_parts(head, Bytes::new())),
         Err(e) if e.is::<LengthLimitError>() => Err(Error::sent(Cause::TooLarge(max_bytes))),
         Err(_) => Err(Error::sent(Cause::Broken)),
@@ -167,12 +172,13 @@
     }
 }
 
+/// Returns the cause for a response that is not a success.
 fn cause_of_status<B>(response: &Response<B>) -> Cause {
     if response.status() != StatusCode::TOO_MANY_REQUESTS {
         return Cause::Status(response.status().as_u16());
     }
-    let after = response.headers().get(http::header::RETRY_AFTER);
-    let seconds = after
+    let retry_after = response.headers().get(http::header::RETRY_AFTER);
+    let seconds = retry_after
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.trim().parse().ok());
     Cause::RateLimited(seconds.map(Duration::from_secs))
--- a/crates/platform/src/http/list.rs
+++ b/crates/platform/src/http/list.rs
@@ -1,4 +1,4 @@
-//! The instance list over HTTP.
+//! Client of the instance list over HTTP.
 
 use crate::error::{Error, Result};
 use crate::format::{self, Instances};
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A client of the instance list.
+/// HTTP client of the instance list.
 #[derive(Debug)]
 pub struct List {
     client: Client,
 }
 
 impl List {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     pub fn new(addr: SocketAddr, limits: Limits) -> Self {
         Self {
             client: Client::new(addr, limits),
@@ -34,8 +34,8 @@
             Bytes::new(),
             Duration::ZERO,
         );
-        let answer = call.await?;
-        let raw: Instances = format::decode_json(&answer).map_err(Error::sent)?;
+        let response = call.await?;
+        let raw: Instances = format::decode_json(&response).map_err(Error::sent)?;
         let checked: std::result::Result<Vec<_>, _> =
             raw.instances.into_iter().map(Instance::try_from).collect();
         checked.map_err(Error::sent)
--- a/crates/platform/src/http/weights.rs
+++ b/crates/platform/src/http/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP.
+//! Client of the weight store over HTTP.
 
 use crate::error::{Error, Result};
 use crate::format::{self, Allowed};
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A client of the weight store.
+/// HTTP client of the weight store.
 #[derive(Debug)]
 pub struct Weights {
     client: Client,
 }
 
 impl Weights {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     pub fn new(addr: SocketAddr, limits: Limits) -> Self {
         Self {
             client: Client::new(addr, limits),
@@ -30,8 +30,8 @@
         let call = self
             .client
             .call(Method::GET, format::RATE_PATH, Bytes::new(), Duration::ZERO);
-        let answer = call.await?;
-        let allowed: Allowed = format::decode_json(&answer).map_err(Error::sent)?;
+        let response = call.await?;
+        let allowed: Allowed = format::decode_json(&response).map_err(Error::sent)?;
         Ok(allowed.into())
     }
 }
--- a/crates/platform/src/instance.rs
+++ b/crates/platform/src/instance.rs
@@ -1,27 +1,27 @@
-//! Instances as the instance list gives them.
+//! Instances in the instance list.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Whether an instance stays.
+/// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It is there, as far as the list knows.
+    /// The instance runs, according to the list.
     Live,
-    /// It leaves.
+    /// The instance is about to shut down.
     Leaving,
 }
 
-/// An instance.
+/// An instance in the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its name, unique in the list.
+    /// Name of the instance, unique in the list.
     pub name: String,
-    /// Whether it stays.
+    /// State of the instance.
     pub state: State,
-    /// Name of its availability zone.
+    /// Name of the availability zone of the instance.
     pub zone: String,
-    /// Where it listens, if the list knows.
+    /// Address on which the instance listens, if the list has one.
     pub addr: Option<SocketAddr>,
 }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,14 @@
 //! Clients of the platform: the log service, the instance list and the weight store.
 //!
-//! Decisions live elsewhere and see these services through three narrow traits: [`Log`], [`List`]
-//! and [`Weights`]. [`http`] implements them over HTTP/1.1 with bounds on time and body; the
-//! formats on the network are in [`format`] and are described in `docs/PLATFORM.md`, so that
-//! another format touches this crate only. [`backoff`] gives the waits between retries.
+//! Other crates use these services through three narrow traits: [`Log`], [`List`] and [`Weights`].
+//! [`http`] implements the traits over HTTP/1.1 with limits on time and body size. [`format`]
+//! contains the formats on the network, which `docs/PLATFORM.md` describes; a change of format
+//! affects this crate only. [`backoff`] computes the delays between retries.
 //!
 //! Inputs: addresses, limits, bodies to append. Outputs: offsets, pages, instances, rates and
-//! [`Error`]s that say whether an append may have taken effect. Left to others: what a record
-//! means (`bundle`, `lease`), when to retry, and what to do while a service is out.
+//! [`Error`]s that state whether an append may have taken effect. This crate doesn't interpret
+//! records (`bundle` and `lease` do), and doesn't decide when to retry or what to do while a
+//! service is unavailable.
 
 pub mod backoff;
 pub mod error;
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,17 +1,17 @@
-//! Bounds of a client's calls.
+//! Limits of a client's calls.
 
 use std::time::Duration;
 
-/// Time limits and body bounds.
+/// Limits of the time and body size of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest time to make a connection.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// Longest time for a whole call; a read that waits gets its wait on top.
+    /// Time limit of a complete call. The wait time of a long-polling read is added to it.
     pub call_timeout: Duration,
-    /// Largest body to send, in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_request_bytes: usize,
-    /// Largest body to take, in bytes.
+    /// Maximum size of a response body in bytes.
     pub max_response_bytes: usize,
 }
 
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,10 +1,10 @@
-//! The instance list.
+//! Interface of the instance list.
 
 use crate::error::Result;
 use crate::instance::Instance;
 
 /// A client of the instance list.
 pub trait List {
-    /// All instances, as the list knows them; it lags behind what happens.
+    /// Returns all listed instances. The list lags behind the actual state.
     fn instances(&self) -> impl Future<Output = Result<Vec<Instance>>> + Send;
 }
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,36 +1,36 @@
-//! The log service: append-only streams with offsets.
+//! Interface of the log service, which stores append-only streams of records.
 
 use crate::error::Result;
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Place of a record in its stream. The first record of a stream has offset 0.
+/// Position of a record in its stream. The first record of a stream has offset 0.
 pub type Offset = u64;
 
-/// A record.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its place in the stream.
+    /// Position of the record in the stream.
     pub offset: Offset,
-    /// What was appended.
+    /// Body that was appended.
     pub body: Bytes,
 }
 
-/// A part of a stream.
+/// Consecutive records of a stream, as the result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The first offset that the stream still holds; all below it is gone. When the stream holds
-    /// nothing it equals the offset that the next append gets.
+    /// First offset that the stream still holds. Records below it were removed by retention. If the
+    /// stream holds no records, this is the offset of the next append.
     pub first: Offset,
-    /// Where to read on: one past the last record given, or the offset asked for when none is
-    /// given and none was trimmed.
+    /// Offset at which to continue reading: one past the last returned record. If no record is
+    /// returned and none was removed, this is the requested offset.
     pub next: Offset,
-    /// The records, in order.
+    /// Records in order of their offsets.
     pub records: Vec<Record>,
 }
 
 impl Page {
-    /// Whether a reader that asked from `from` has lost records to retention.
+    /// Returns whether records at or after `from` were removed by retention before they were read.
     pub fn has_gap(&self, from: Offset) -> bool {
         self.first > from
     }
@@ -38,14 +38,14 @@
 
 /// A client of the log service.
 pub trait Log {
-    /// Appends `body` to `stream` and gives its offset.
+    /// Appends `body` to `stream` and returns the offset of the record.
     ///
-    /// After an error, [`crate::Error::unsure`] says whether the append may have taken effect.
+    /// After an error, [`crate::Error::unsure`] states whether the append may have taken effect.
     fn append(&self, stream: &str, body: Bytes) -> impl Future<Output = Result<Offset>> + Send;
 
-    /// Reads `stream` from an offset on, waiting up to `wait` when nothing is there yet.
+    /// Reads `stream` starting at offset `from`. Waits up to `wait` if there are no records yet.
     ///
-    /// A stream that was never appended to is empty.
+    /// A stream without appends is empty; reading it is not an error.
     fn read(
         &self,
         stream: &str,
--- a/crates/platform/src/weights.rs
+++ b/crates/platform/src/weights.rs
@@ -1,19 +1,19 @@
-//! The weight store. Engines fetch weights from it themselves; nodes only need to know its rate,
-//! so that the orders they give do not make engines ask for more.
+//! Interface of the weight store. Engines fetch weights from it themselves. Nodes only read its
+//! rate limits, so that their orders don't make engines exceed them.
 
 use crate::error::Result;
 
-/// What the weight store allows.
+/// Rate limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// Fetches started per minute, over all engines.
+    /// Maximum number of fetches started per minute, over all engines.
     pub per_minute: u32,
-    /// Fetches that run at once, over all engines.
+    /// Maximum number of concurrent fetches, over all engines.
     pub at_once: u32,
 }
 
 /// A client of the weight store.
 pub trait Weights {
-    /// What the store allows at present.
+    /// Returns the store's current rate limits.
     fn rate(&self) -> impl Future<Output = Result<Rate>> + Send;
 }
--- a/crates/platform/tests/format.rs
+++ b/crates/platform/tests/format.rs
@@ -1,4 +1,5 @@
-//! Decoders of platform answers fed with seeded garbage and mutated good input.
+//! Tests of the decoders of platform responses, with random bytes and with mutations of valid
+//! input, from fixed seeds.
 
 use bytes::Bytes;
 use platform::format::{Allowed, Appended, Instances, Item, Page, decode_json};
@@ -21,8 +22,8 @@
     }
 }
 
-fn mutate(good: &[u8], random: &mut StdRng) -> Vec<u8> {
-    let mut bytes = good.to_vec();
+fn mutate(valid: &[u8], random: &mut StdRng) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     for _ in 0..random.random_range(1..6) {
         let at = random.random_range(0..bytes.len().max(1));
         match random.random_range(0..3) {
@@ -34,13 +35,14 @@
     bytes
 }
 
-fn garbage(random: &mut StdRng) -> Vec<u8> {
+fn random_bytes(random: &mut StdRng) -> Vec<u8> {
     (0..random.random_range(0..200))
         .map(|_| random.random())
         .collect()
 }
 
-/// What a checked page promises to a reader: no hole, and `next` right after the last record.
+/// Returns whether a page has the properties that readers rely on: consecutive offsets, and `next`
+/// right after the last record.
 fn is_consistent(page: &log::Page) -> bool {
     let mut offsets = page.records.iter().map(|r| r.offset);
     let first = offsets.next();
@@ -60,13 +62,13 @@
 #[test]
 fn bad_pages_are_errors_and_never_panics() {
     let mut random = StdRng::seed_from_u64(11);
-    let good = Page::from(page(9)).encode();
+    let valid = Page::from(page(9)).encode();
     let mut accepted = 0;
     for round in 0..ROUNDS {
         let bytes = if round % 2 == 0 {
-            mutate(&good, &mut random)
+            mutate(&valid, &mut random)
         } else {
-            garbage(&mut random)
+            random_bytes(&mut random)
         };
         let Ok(page) = Page::decode(&bytes).and_then(log::Page::try_from) else {
             continue;
@@ -74,20 +76,20 @@
         assert!(is_consistent(&page), "{page:?}");
         accepted += 1;
     }
-    // Mutations within a body are as good as any other body.
+    // A mutation within the body of a record yields another valid page, so some pages are accepted.
     assert!(accepted > 0 && accepted < ROUNDS);
 }
 
-/// A page that claims a body of gigabytes: the decoder gives up before it takes the memory.
+/// The page claims a body of 2^64 - 1 bytes. The decoder must fail before it allocates the memory.
 #[test]
-fn a_length_beyond_the_bound_is_an_error() {
+fn a_length_beyond_the_limit_is_an_error() {
     let mut bytes = vec![0, 1, 1, 0, 253];
     bytes.extend(u64::MAX.to_le_bytes());
     assert!(Page::decode(&bytes).is_err());
 }
 
 #[test]
-fn a_page_with_a_hole_is_an_error() {
+fn a_page_with_a_gap_is_an_error() {
     let mut raw = Page::from(page(3));
     raw.records.remove(1);
     assert!(log::Page::try_from(raw.clone()).is_err());
@@ -108,13 +110,13 @@
     let list = Instances {
         instances: vec![Item::from(&instance); 3],
     };
-    let good = serde_json::to_vec(&list).unwrap();
+    let valid = serde_json::to_vec(&list).unwrap();
     assert_eq!(Instance::try_from(list.instances[0].clone()), Ok(instance));
     for round in 0..ROUNDS {
         let bytes = if round % 2 == 0 {
-            mutate(&good, &mut random)
+            mutate(&valid, &mut random)
         } else {
-            garbage(&mut random)
+            random_bytes(&mut random)
         };
         if let Ok(list) = decode_json::<Instances>(&bytes) {
             list.instances
