--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -1,9 +1,9 @@
 //! Authentication of frames.
 //!
-//! Each side sends a [`Hello`] with a fresh nonce. Both derive a key per direction from the
-//! shared key and the two hellos, so a frame recorded on another connection, or sent back the
-//! way it came, does not verify. Within a connection the MAC covers a counter, so that a frame
-//! left out, repeated or moved does not verify either.
+//! Each side sends a [`Hello`] with a random nonce. Both derive one key per direction from the
+//! shared key and the two hellos, so a frame that is replayed from another connection or
+//! reflected to its sender fails verification. The MAC also covers a sequence number, so frames
+//! that are dropped, repeated or reordered within a connection fail verification too.
 
 use crate::error::{Error, Result};
 use hmac::{Hmac, KeyInit, Mac};
@@ -12,16 +12,16 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Version of the protocol.
+/// Version of the protocol between nodes.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Bytes of a frame's MAC: HMAC-SHA-256 cut to its left half.
+/// Length in bytes of a frame's MAC: the left half of an HMAC-SHA-256.
 pub const TAG_LEN: usize = 16;
-/// Bytes of the shared key at least.
+/// Minimum length in bytes of the shared key.
 const MIN_KEY_LEN: usize = 32;
 
 type Hasher = Hmac<Sha256>;
 
-/// The key that all nodes share.
+/// The key that all nodes share, parsed from hexadecimal text.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key(Vec<u8>);
 
@@ -43,19 +43,20 @@
     }
 }
 
-/// The first frame of each side, without a MAC: it goes into the keys.
+/// The first frame that each side sends. It has no MAC; the keys of both directions are derived
+/// from it, so a changed hello makes all later frames fail verification.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Version of the protocol.
+    /// Version of the protocol that the sender speaks.
     pub version: u16,
-    /// Fresh random bytes.
+    /// Random bytes, different for each connection.
     pub nonce: [u8; 16],
-    /// Where the sender listens.
+    /// Address that the sender's peers connect to.
     pub addr: SocketAddr,
 }
 
 impl Hello {
-    /// A hello with a fresh nonce.
+    /// Creates a hello with a random nonce.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             version: PROTOCOL_VERSION,
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Its bytes.
+    /// Encodes the hello.
     pub fn encode(&self) -> Result<Vec<u8>> {
         bincode::serde::encode_to_vec(self, bincode::config::standard())
             .map_err(|e| Error::Codec(e.to_string()))
     }
 
-    /// Reads its bytes.
+    /// Decodes a hello. Fails if bytes are left over or the protocol version differs.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         let config = bincode::config::standard().with_limit::<{ crate::limits::MAX_HELLO_LEN }>();
         let (hello, used): (Self, usize) = bincode::serde::decode_from_slice(bytes, config)
@@ -85,16 +86,16 @@
     }
 }
 
-/// Which side opened the connection.
+/// Role of one side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The one that connected.
+    /// The side that connected.
     Client,
-    /// The one that accepted.
+    /// The side that accepted the connection.
     Server,
 }
 
-/// One direction of a connection.
+/// State of one direction of a connection: its key and the next sequence number.
 #[derive(Clone)]
 pub struct Channel {
     mac: Hasher,
@@ -113,6 +114,7 @@
         Ok(Self { mac, sequence: 0 })
     }
 
+    /// Computes the MAC state for the next frame and increments the sequence number.
     fn next_mac(&mut self, payload: &[u8]) -> Hasher {
         let mut mac = self.mac.clone();
         mac.update(&self.sequence.to_le_bytes());
@@ -121,7 +123,7 @@
         mac
     }
 
-    /// The MAC of the next frame to send.
+    /// Returns the MAC of the next frame to send.
     pub fn seal(&mut self, payload: &[u8]) -> [u8; TAG_LEN] {
         let full = self.next_mac(payload).finalize().into_bytes();
         let mut tag = [0; TAG_LEN];
@@ -129,7 +131,10 @@
         tag
     }
 
-    /// The payload of the next frame received.
+    /// Verifies the next received frame and returns its payload.
+    ///
+    /// Fails with [`Error::InvalidMac`]. The sequence number also advances on a wrong MAC, after
+    /// which the connection has to be closed.
     pub fn open<'a>(&mut self, frame: &'a [u8]) -> Result<&'a [u8]> {
         let at = frame.len().checked_sub(TAG_LEN).ok_or(Error::InvalidMac)?;
         let (payload, tag) = frame.split_at(at);
@@ -142,14 +147,14 @@
 
 /// Both directions of a connection.
 pub struct Session {
-    /// Frames to the other side.
+    /// Direction to the other side.
     pub send: Channel,
-    /// Frames from the other side.
+    /// Direction from the other side.
     pub recv: Channel,
 }
 
 impl Session {
-    /// The session of the side `side`, from the bytes of both hellos.
+    /// Derives the session of one side from the encoded hellos of both.
     pub fn new(key: &Key, side: Side, client: &[u8], server: &[u8]) -> Result<Self> {
         let to_server = Channel::new(key, b"wigeonshelf peer client", client, server)?;
         let to_client = Channel::new(key, b"wigeonshelf peer server", client, server)?;
--- a/crates/wire/src/conn.rs
+++ b/crates/wire/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection: an HTTP/2 stream with frames in both directions.
+//! One connection: an HTTP/2 stream that carries frames in both directions.
 
 use crate::auth::{Channel, Session, TAG_LEN};
 use crate::error::{Error, Result};
@@ -19,22 +19,23 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// Frames kept until a pong shows that those before arrived.
+/// Maximum number of sent frames kept for a retry until a pong confirms their arrival; beyond it
+/// the oldest is dropped.
 const MAX_UNCONFIRMED_FRAMES: usize = 32;
 
-/// A frame that may not have arrived.
+/// A sent frame whose arrival is not confirmed.
 pub(crate) type Unconfirmed = Outgoing;
 
-/// How a connection ended.
+/// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// Nothing was sent or received for a while, or the node stops.
+    /// Nothing was sent or received within the idle timeout, or the route or link was stopped.
     Idle,
-    /// The other side closed it, or it broke.
+    /// The peer closed the connection, or it failed.
     Closed,
-    /// It is open and nothing comes back.
+    /// The connection is open, but the peer confirmed nothing in time.
     Unresponsive,
-    /// The other side broke the protocol.
+    /// The peer violated the protocol.
     ProtocolError,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// The two halves of a stream with their buffers.
+/// Both halves of an HTTP/2 stream, with the codec and buffer of the receiving half.
 pub(crate) struct FrameStream {
     pub(crate) send: SendStream<Bytes>,
     pub(crate) recv: RecvStream,
@@ -60,7 +61,7 @@
     pub(crate) buffer: BytesMut,
 }
 
-/// The codec that cuts a stream into frames of at most `max_len` bytes.
+/// Creates a codec for frames of at most `max_len` bytes, each after its length in four bytes.
 pub(crate) fn codec(max_len: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(4)
@@ -69,6 +70,7 @@
 }
 
 impl FrameStream {
+    /// Wraps a new stream; its frames are limited to the length of a hello.
     pub(crate) fn new(send: SendStream<Bytes>, recv: RecvStream, ping: PingPong) -> Self {
         Self {
             send,
@@ -80,7 +82,7 @@
     }
 }
 
-/// Sends bytes as the other side's window allows.
+/// Sends all bytes, as fast as the peer's flow-control window allows.
 pub(crate) async fn write_all(send: &mut SendStream<Bytes>, mut data: Bytes) -> Result<()> {
     while !data.is_empty() {
         send.reserve_capacity(data.len());
@@ -95,7 +97,7 @@
     Ok(())
 }
 
-/// Reads the next whole frame.
+/// Reads the next complete frame.
 pub(crate) async fn read_frame(
     recv: &mut RecvStream,
     codec: &mut LengthDelimitedCodec,
@@ -114,7 +116,7 @@
     }
 }
 
-/// A frame with its length.
+/// Returns a frame after its length prefix.
 pub(crate) fn add_length_prefix(codec: &mut LengthDelimitedCodec, frame: Bytes) -> Result<Bytes> {
     let mut out = BytesMut::with_capacity(frame.len() + 4);
     codec
@@ -123,16 +125,18 @@
     Ok(out.freeze())
 }
 
-/// A connection after both hellos.
+/// A connection whose sides have exchanged hellos.
 pub(crate) struct Conn {
+    /// Address that the peer listens on.
     pub(crate) peer: SocketAddr,
     stream: FrameStream,
     session: Session,
+    /// The frame that authenticated the peer, to be delivered first.
     first_frame: Option<Frame>,
 }
 
 impl Conn {
-    /// Takes a stream whose hellos were exchanged.
+    /// Creates a connection after the exchange of hellos; frames may have their full length now.
     pub(crate) fn new(
         link: &Link,
         mut stream: FrameStream,
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Waits for a first frame with a right MAC, which proves that the other side knows the key.
+    /// Waits for a first frame with a valid MAC, which proves that the peer knows the shared key.
     pub(crate) async fn authenticate(&mut self, link: &Link) -> Result<()> {
         let FrameStream {
             recv,
@@ -161,8 +165,9 @@
         Ok(())
     }
 
-    /// Sends `unconfirmed`, then what comes from `queue`, and delivers what is received. Gives back
-    /// how it ended and the frames that may not have arrived.
+    /// Sends the frames of `unconfirmed`, then those of `queue`, and delivers received frames,
+    /// until the connection ends. Returns why it was closed and the frames that may not have
+    /// arrived.
     pub(crate) async fn run(
         self,
         link: &Link,
@@ -221,7 +226,7 @@
     }
 }
 
-/// Counts why a connection was closed.
+/// Counts an error that closed a connection, if there is a counter for it.
 pub(crate) fn count_failure(link: &Link, error: Option<&Error>) {
     let counters = &link.shared.counters;
     match error {
@@ -239,6 +244,7 @@
     }
 }
 
+/// Verifies, decodes and counts a received frame.
 fn verify(link: &Link, channel: &mut Channel, bytes: &[u8]) -> Result<Frame> {
     let frame = Frame::decode(channel.open(bytes)?)?;
     link.shared.counters.received.add(1);
@@ -249,9 +255,10 @@
     Ok(frame)
 }
 
-/// When something last came, in milliseconds since the connection began.
+/// Time of the last received frame, shared by the reader and the writer of a connection.
 struct LastReceived {
     started: Instant,
+    /// Milliseconds from `started` to the last received frame.
     elapsed_ms: AtomicU64,
 }
 
@@ -273,6 +280,7 @@
     }
 }
 
+/// The receiving side of a connection.
 struct Reader<'a> {
     link: &'a Link,
     peer: SocketAddr,
@@ -297,6 +305,7 @@
     }
 }
 
+/// The sending side of a connection.
 struct Writer<'a> {
     link: &'a Link,
     send: SendStream<Bytes>,
@@ -304,7 +313,9 @@
     codec: LengthDelimitedCodec,
     channel: Channel,
     last_received: Arc<LastReceived>,
+    /// Sent frames in order, oldest first.
     unconfirmed: VecDeque<Unconfirmed>,
+    /// Time of the open ping, if there is one.
     ping_sent_at: Option<Instant>,
     last_sent: Instant,
 }
@@ -329,8 +340,8 @@
                     self.handle_pong();
                 }
                 () = sleep_until(pong_deadline.unwrap_or(idle_deadline)) => match pong_deadline {
-                    // Something between the two ends may have lost track of this connection.
-                    // The peer is judged by a new one.
+                    // A device on the path may have lost the state of this connection, so this
+                    // doesn't show that the peer is unreachable. A new connection decides that.
                     Some(_) => return Err(Error::Unresponsive),
                     None if self.is_idle(idle_deadline) => return Ok(()),
                     None => {}
@@ -339,12 +350,14 @@
         }
     }
 
+    /// Returns whether nothing was sent or received since the idle deadline was computed.
     fn is_idle(&self, deadline: Instant) -> bool {
         let current =
             self.last_sent.max(self.last_received.get()) + self.link.shared.limits.idle_timeout;
         current <= deadline
     }
 
+    /// Sends a frame with its MAC, keeps it as unconfirmed and pings the peer.
     async fn send_frame(&mut self, mut frame: Outgoing) -> Result<()> {
         let bytes = frame.bytes.clone();
         frame.attempts += 1;
@@ -367,7 +380,7 @@
         self.ping()
     }
 
-    /// A pong shows that all before the ping arrived. One ping at a time.
+    /// Sends a ping unless one is open. Its pong confirms that all frames sent before it arrived.
     fn ping(&mut self) -> Result<()> {
         if self.ping_sent_at.is_some() {
             return Ok(());
@@ -380,6 +393,7 @@
         Ok(())
     }
 
+    /// Drops the frames that the pong confirms and pings again if others are unconfirmed.
     fn handle_pong(&mut self) {
         self.ping_sent_at = None;
         self.unconfirmed
@@ -389,6 +403,8 @@
         }
     }
 
+    /// Clears the marks of the ping. If the connection was idle or stopped, also ends the stream
+    /// and drops the unconfirmed frames.
     fn finish(&mut self, reason: CloseReason) {
         self.unconfirmed
             .iter_mut()
@@ -400,5 +416,5 @@
     }
 }
 
-/// Marks a frame that was sent before the open ping.
+/// Bit in [`Outgoing::attempts`] of a frame that was sent before the open ping.
 const PING_COVERS_FRAME: u8 = 0x80;
--- a/crates/wire/src/counters.rs
+++ b/crates/wire/src/counters.rs
@@ -1,9 +1,9 @@
-//! Counters of a link.
+//! Event counters of a link.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A counter.
+/// A counter that only grows.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -13,46 +13,47 @@
         self.0.fetch_add(n, Ordering::Relaxed);
     }
 
-    /// The value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What happened so far.
+/// Counters of a link since its start. Their `Display` is one line per counter with its name.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Connections opened.
+    /// Connections that this node opened, counted when the stream is requested.
     pub dialed: Counter,
-    /// Connections accepted.
+    /// Connections accepted from peers, before their handshake.
     pub accepted: Counter,
-    /// Connections refused over the bound.
+    /// Connections refused because `max_inbound_connections` were open.
     pub refused: Counter,
     /// Frames sent.
     pub sent: Counter,
-    /// Bytes of frames sent, with length and MAC.
+    /// Bytes of frames sent, including length prefix and MAC.
     pub sent_bytes: Counter,
     /// Frames received.
     pub received: Counter,
-    /// Bytes of frames received, with length and MAC.
+    /// Bytes of frames received, including length prefix and MAC.
     pub received_bytes: Counter,
-    /// Connections closed for a wrong MAC.
+    /// Connections closed because of a wrong MAC.
     pub bad_mac: Counter,
-    /// Connections closed for a frame that is too long or cannot be read.
+    /// Connections closed because of a frame that is too long, can't be decoded or has an
+    /// unsupported version.
     pub bad_frame: Counter,
-    /// Connections that did not finish their handshake in time.
+    /// Accepted connections that did not finish their handshake in time.
     pub slow_hello: Counter,
-    /// Connections that went silent.
+    /// Connections closed as unresponsive: a frame was not taken or a ping not answered in time.
     pub silent: Counter,
-    /// Peers that could not be reached over a new connection.
+    /// Attempts to open a connection to a peer that failed.
     pub unreached: Counter,
-    /// Frames dropped for a full queue.
+    /// Frames dropped because the queue to their peer was full.
     pub dropped: Counter,
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let rows = [
+        let counters = [
             ("dialed", &self.dialed),
             ("accepted", &self.accepted),
             ("refused", &self.refused),
@@ -67,7 +68,8 @@
             ("unreached", &self.unreached),
             ("dropped", &self.dropped),
         ];
-        rows.iter()
+        counters
+            .iter()
             .try_for_each(|(name, count)| writeln!(f, "{name} {}", count.get()))
     }
 }
--- a/crates/wire/src/dial.rs
+++ b/crates/wire/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opening a connection to a peer.
+//! Opens connections to peers.
 
 use crate::auth::{Hello, Session, Side};
 use crate::conn::{Conn, FrameStream, add_length_prefix, count_failure, read_frame, write_all};
@@ -11,12 +11,14 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Path of the stream.
+/// Path of the request that opens the stream of frames.
 pub(crate) const PEER_PATH: &str = "/peer";
-/// Bytes that a peer may send before they are read.
+/// HTTP/2 flow-control window in bytes, of the stream and of the connection.
 pub(crate) const WINDOW_BYTES: u32 = 256 << 10;
 
-/// Connects and exchanges hellos.
+/// Connects to a peer and exchanges hellos, within the handshake timeout.
+///
+/// Fails with [`Error::Closed`] if `stop` is cancelled first.
 pub(crate) async fn dial(link: &Link, addr: SocketAddr, stop: &CancellationToken) -> Result<Conn> {
     let limit = link.shared.limits.handshake_timeout;
     let result = tokio::select! {
@@ -28,6 +30,8 @@
     result
 }
 
+/// Connects, performs the HTTP/2 handshake and opens the stream. A task of its own drives the
+/// HTTP/2 connection.
 async fn open(link: &Link, addr: SocketAddr) -> Result<Conn> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
@@ -53,6 +57,7 @@
     exchange_hellos(link, addr, client_hello, answer, send, ping).await
 }
 
+/// Sends the client's hello, waits for the server's and derives the keys of the session.
 async fn exchange_hellos(
     link: &Link,
     addr: SocketAddr,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -6,28 +6,28 @@
 /// The result of this crate's fallible functions.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An error.
+/// An error of a frame, a connection or a call.
 #[derive(Debug)]
 pub enum Error {
     /// The shared key is not hexadecimal, or shorter than 32 bytes.
     InvalidKey,
-    /// A frame is longer than the bound.
+    /// A frame exceeds the length limit; has its length, or the bytes buffered so far, in bytes.
     FrameTooLong(usize),
-    /// A frame is not what the codec reads.
+    /// A frame can't be encoded or decoded; has the reason.
     Codec(String),
-    /// A field is outside its bounds.
+    /// A field of a frame is out of bounds or does not fit the rest; has the field's name.
     InvalidField(&'static str),
-    /// A frame's MAC is wrong: another key, a replay, or a changed byte.
+    /// A frame's MAC is wrong: the key differs, or the frame is replayed, reordered or changed.
     InvalidMac,
-    /// The other side speaks another version.
+    /// The peer speaks another version of the protocol.
     UnsupportedVersion(u16),
-    /// The peer did not answer in time.
+    /// The peer did not complete a handshake or a call in time.
     Timeout(SocketAddr),
-    /// The connection is open and nothing comes back.
+    /// The connection is open, but the peer confirmed nothing in time.
     Unresponsive,
-    /// The connection ended.
+    /// The connection or link ended, or the call was abandoned because the peer is unreachable.
     Closed,
-    /// A queue is full.
+    /// The queue of frames to a peer is full.
     QueueFull,
     /// The socket failed.
     Io(std::io::Error),
@@ -38,16 +38,21 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::InvalidKey => write!(f, "the peer key is not at least 32 bytes in hexadecimal"),
-            Self::FrameTooLong(len) => write!(f, "a frame of {len} bytes is over the bound"),
-            Self::Codec(what) => write!(f, "a frame cannot be read: {what}"),
-            Self::InvalidField(what) => write!(f, "a frame's field is out of bounds: {what}"),
+            Self::InvalidKey => write!(
+                f,
+                "the peer key is not hexadecimal or is shorter than 32 bytes"
+            ),
+            Self::FrameTooLong(len) => write!(f, "a frame of {len} bytes exceeds the length limit"),
+            Self::Codec(what) => write!(f, "a frame can't be encoded or decoded: {what}"),
+            Self::InvalidField(what) => write!(f, "a frame's field is invalid: {what}"),
             Self::InvalidMac => write!(f, "a frame's MAC is wrong"),
-            Self::UnsupportedVersion(version) => write!(f, "the peer speaks version {version}"),
-            Self::Timeout(addr) => write!(f, "{addr} did not answer in time"),
-            Self::Unresponsive => write!(f, "the connection went silent"),
+            Self::UnsupportedVersion(version) => {
+                write!(f, "the peer speaks unsupported protocol version {version}")
+            }
+            Self::Timeout(addr) => write!(f, "{addr} did not answer within the timeout"),
+            Self::Unresponsive => write!(f, "the connection is open but the peer does not respond"),
             Self::Closed => write!(f, "the connection is closed"),
-            Self::QueueFull => write!(f, "the queue is full"),
+            Self::QueueFull => write!(f, "the queue of frames to the peer is full"),
             Self::Io(error) => write!(f, "socket: {error}"),
             Self::H2(error) => write!(f, "http/2: {error}"),
         }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,54 +1,54 @@
-//! Frames and their codec.
+//! Frames between nodes, and their encoding.
 
 use crate::error::{Error, Result};
 use crate::limits::MAX_FRAME_LEN;
 use crate::raw;
 use std::fmt;
 
-/// Number of an ask within one process.
+/// Number of a call, unique within the calling process.
 pub type CallId = u64;
 
-/// How a frame belongs to an ask.
+/// Role of a frame in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It needs no answer.
+    /// A message without a response.
     OneWay,
-    /// It asks.
+    /// The request of the call.
     Request(CallId),
-    /// It answers the ask of that number.
+    /// The response of the call.
     Response(CallId),
 }
 
-/// A frame.
+/// A frame: a message, or a request or response of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// How it belongs to an ask.
+    /// Role in a call.
     pub kind: Kind,
-    /// The matter itself.
+    /// Content; [`Frame::decode`] refuses a body that does not fit the kind.
     pub body: Body,
 }
 
-/// The matter of a frame.
+/// Content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
-    /// For the group.
+    /// A message of the membership protocol.
     Member(member::Message),
-    /// Asks for the records that lead to a version.
+    /// Requests the records that lead to a version of the bundle.
     HeadRequest(HeadRequest),
-    /// The records; nothing if they are not at hand.
+    /// The records; `None` if the peer can't provide them.
     HeadResponse(Option<Vec<u8>>),
-    /// Asks for changes of a table that the peer has a copy of.
+    /// Requests changes of a table from the peer's copy.
     CopyRequest(CopyRequest),
-    /// The changes; nothing if the peer has no such copy.
+    /// The changes; `None` if the peer has no such copy.
     CopyResponse(Option<Vec<u8>>),
-    /// Asks what is in force.
+    /// Requests the peer's status.
     StatusRequest,
-    /// What is in force.
+    /// The peer's status.
     StatusResponse(Status),
 }
 
 impl Body {
-    /// Whether it is an ask.
+    /// Returns whether this is the request of a call.
     pub(crate) fn is_request(&self) -> bool {
         matches!(
             self,
@@ -56,7 +56,7 @@
         )
     }
 
-    /// Whether it is the answer to an ask.
+    /// Returns whether this is the response of a call.
     pub(crate) fn is_response(&self) -> bool {
         matches!(
             self,
@@ -65,34 +65,34 @@
     }
 }
 
-/// An ask for a version.
+/// A request for the records that lead to a version of the bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeadRequest {
-    /// The version wanted.
+    /// Number of the requested version.
     pub number: u64,
-    /// The version at hand; 0 for none.
+    /// Number of the version that the requester has; 0 for none.
     pub have: u64,
 }
 
-/// An ask for the changes of a table.
+/// A request for the changes of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyRequest {
     /// Number of the table.
     pub table: u8,
-    /// Offset of the first change that is not at hand.
+    /// Offset of the first change that the requester lacks.
     pub from: u64,
 }
 
-/// What a node has in force.
+/// Status of a node: the version of the bundle or catalog that it applies, and its run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Number of the version; 0 for none.
+    /// Number of the version that is applied; 0 for none.
     pub number: u64,
-    /// Its digest.
+    /// Digest of that version.
     pub digest: [u8; 32],
-    /// The node's run.
+    /// Incarnation of the node's run.
     pub incarnation: u64,
-    /// Whether the node takes no new work.
+    /// Whether the node is shutting down and accepts no new work.
     pub leaving: bool,
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Frame {
-    /// A frame that needs no answer.
+    /// Creates a frame with a message that has no response.
     pub fn send(message: member::Message) -> Self {
         Self {
             kind: Kind::OneWay,
@@ -121,14 +121,19 @@
         }
     }
 
-    /// Its bytes.
+    /// Encodes the frame.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let raw = raw::Frame::from(self);
         bincode::serde::encode_to_vec(&raw, bincode::config::standard())
             .map_err(|e| Error::Codec(e.to_string()))
     }
 
-    /// Reads and checks its bytes.
+    /// Decodes a frame and checks its fields.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes are too long, can't be decoded or have trailing bytes, or if a field is
+    /// out of bounds.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         if bytes.len() > MAX_FRAME_LEN {
             return Err(Error::FrameTooLong(bytes.len()));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,15 +1,16 @@
 //! Frames between nodes and the connections that carry them.
 //!
-//! [`frame::Frame`] is what goes over a connection: types of its own in `bincode`, checked as
-//! they become [`member`]'s messages. [`peer::Link`] sends frames to peers and gives back what
-//! peers send, over one HTTP/2 stream per connection (`POST /peer`), in both directions. Every
-//! frame carries a MAC under a key that both sides derive from the shared key and a nonce each
+//! A [`frame::Frame`] is the unit that is sent over a connection. It is encoded with `bincode`
+//! through types private to this crate, and checked when it is decoded into the messages of
+//! [`member`]. [`peer::Link`] sends frames to peers and delivers those received from them. Each
+//! connection has one HTTP/2 stream (`POST /peer`), which carries frames in both directions. Every
+//! frame carries a MAC; both sides derive its key from the shared key and one nonce of each side
 //! ([`auth`]).
 //!
-//! Inputs: an address to listen on, the shared key, bounds, messages with the address of their
-//! receiver. Outputs: [`peer::Inbound`] on a bounded queue, and [`counters::Counters`].
+//! Inputs: an address to listen on, the shared key, limits, and messages with the addresses of
+//! their receivers. Outputs: [`peer::Inbound`] on a bounded queue, and [`counters::Counters`].
 //!
-//! Left to others: what the messages mean (`member`), the records behind a bundle's head (`node`).
+//! The meaning of the messages belongs to `member`, the records of a bundle's head to `node`.
 
 pub mod auth;
 mod conn;
--- a/crates/wire/src/limits.rs
+++ b/crates/wire/src/limits.rs
@@ -1,31 +1,34 @@
-//! Bounds of connections.
+//! Limits and timeouts of connections.
 
 use std::time::Duration;
 
-/// Longest frame that the codec reads, whatever the limits say.
+/// Longest frame in bytes that is decoded, even if [`Limits::max_frame_len`] is greater.
 pub const MAX_FRAME_LEN: usize = 8 << 20;
-/// Longest frame of a connection that has not proved to know the key.
+/// Longest frame in bytes before the keys are derived, which is a hello.
 pub const MAX_HELLO_LEN: usize = 64;
 
-/// Bounds and times.
+/// Limits and timeouts of a link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest frame in bytes.
+    /// Longest frame in bytes, without its MAC.
     pub max_frame_len: usize,
-    /// Connections that peers opened.
+    /// Maximum number of open connections that peers opened; further ones are refused.
     pub max_inbound_connections: usize,
-    /// Peers that this node keeps a route to; the least used one closes for another.
+    /// Maximum number of peers that this node keeps a route to; a new route closes the least
+    /// recently used one.
     pub max_routes: usize,
-    /// Frames that wait for one peer; one more is dropped and counted, since gossip repeats and
-    /// asks time out.
+    /// Maximum number of frames queued for one peer. Further frames are dropped and counted, which
+    /// is safe because gossip is repeated and calls time out.
     pub queue_capacity: usize,
-    /// Time to connect and to exchange nonces, and for a peer to prove that it knows the key.
+    /// Timeout for connecting and exchanging hellos. A peer that connects has twice this time
+    /// from its request to its first authenticated frame.
     pub handshake_timeout: Duration,
-    /// How long a connection may leave a sent frame unconfirmed before it counts as silent.
+    /// Time in which a peer has to take a frame and to answer the ping that follows it; after it
+    /// the connection is closed as unresponsive.
     pub confirm_timeout: Duration,
-    /// How long an unused connection stays open.
+    /// Time after which a connection without frames in either direction is closed.
     pub idle_timeout: Duration,
-    /// How long an ask may take.
+    /// Time that a call may take.
     pub call_timeout: Duration,
 }
 
--- a/crates/wire/src/listen.rs
+++ b/crates/wire/src/listen.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of peers.
+//! Accepts connections from peers.
 
 use crate::auth::{Hello, Session, Side};
 use crate::conn::{Conn, FrameStream, add_length_prefix, count_failure, read_frame, write_all};
@@ -14,14 +14,16 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// How long to wait after the listener failed, for instance for want of file descriptors.
+/// Delay before the next `accept` after one failed, for instance because the process ran out of
+/// file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Streams of one connection.
+/// Maximum number of concurrent HTTP/2 streams of one connection.
 const MAX_STREAMS: u32 = 1;
-/// Bytes of a request's headers.
+/// Maximum size of a request's header list in bytes.
 const MAX_HEADER_BYTES: u32 = 4 << 10;
 
-/// Accepts until the link is cancelled.
+/// Accepts connections until the link is cancelled. Closes a connection at once if
+/// `max_inbound_connections` are open.
 pub(crate) async fn run(link: Link, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(link.shared.limits.max_inbound_connections));
     loop {
@@ -45,6 +47,7 @@
     }
 }
 
+/// Performs the handshakes on an accepted socket and serves the connection until it ends.
 async fn accept(link: &Link, stream: TcpStream) {
     link.shared.counters.accepted.add(1);
     let limit = link.shared.limits.handshake_timeout;
@@ -58,7 +61,7 @@
     let Some(ping) = connection.ping_pong() else {
         return;
     };
-    // The connection makes progress only while it is polled; a second stream is refused.
+    // The HTTP/2 connection makes progress only while it is polled. Further streams are reset.
     let driver = async {
         while let Some(Ok((_, mut extra))) = connection.accept().await {
             extra.send_reset(h2::Reason::REFUSED_STREAM);
@@ -79,12 +82,14 @@
     }
 }
 
+/// An HTTP/2 connection with its first request and the handle for the response.
 type AcceptedStream = (
     h2::server::Connection<TcpStream, Bytes>,
     Request<h2::RecvStream>,
     SendResponse<Bytes>,
 );
 
+/// Performs the HTTP/2 handshake and waits for the first request.
 async fn open(stream: TcpStream) -> Result<AcceptedStream> {
     stream.set_nodelay(true)?;
     let mut builder = h2::server::Builder::new();
@@ -99,6 +104,9 @@
     Ok((connection, request, answer))
 }
 
+/// Receives the client's hello, sends the server's, and waits for the first authenticated frame.
+///
+/// Answers 404 to any request other than `POST /peer`.
 async fn exchange_hellos(
     link: &Link,
     request: Request<h2::RecvStream>,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! The link of a node to its peers.
+//! The link of a node to its peers: sends messages, calls peers and delivers what they send.
 
 use crate::auth::Key;
 use crate::counters::Counters;
@@ -16,53 +16,53 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// What comes from peers.
+/// What a link delivers to its node.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A message for the group.
+    /// A message of the membership protocol.
     Member {
-        /// Where its sender listens.
+        /// Address that the sender's peers connect to.
         from: SocketAddr,
         /// The message.
         message: member::Message,
     },
-    /// A peer asks for the records that lead to a version.
+    /// A peer requests the records that lead to a version of the bundle.
     Head {
         /// What it wants.
         request: HeadRequest,
         /// Takes the answer.
         reply: Reply<Option<Vec<u8>>>,
     },
-    /// A peer asks for the changes of a table.
+    /// A peer requests the changes of a table.
     Copy {
         /// What it wants.
         request: CopyRequest,
         /// Takes the answer.
         reply: Reply<Option<Vec<u8>>>,
     },
-    /// A peer asks what is in force.
+    /// A peer requests this node's status.
     Status {
         /// Takes the answer.
         reply: Reply<Status>,
     },
-    /// A new connection to this address failed.
+    /// No new connection to this address could be opened.
     ConnectFailed(SocketAddr),
 }
 
-/// How a link is set up.
+/// Settings of a link.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Address that peers connect to; the one listened on if nothing.
+    /// Address that peers connect to; the address listened on if `None`.
     pub advertise: Option<SocketAddr>,
     /// The key that all nodes share.
     pub key: Key,
-    /// Bounds.
+    /// Limits and timeouts.
     pub limits: Limits,
 }
 
-/// What all tasks of a link share.
+/// State shared by all tasks of a link.
 pub(crate) struct Shared {
     pub(crate) addr: SocketAddr,
     pub(crate) key: Key,
@@ -75,20 +75,27 @@
     next_call: AtomicU64,
 }
 
-/// An ask that waits.
+/// A call in flight.
 struct PendingCall {
     peer: SocketAddr,
     response: oneshot::Sender<Body>,
 }
 
-/// A link; clones share it.
+/// A link to all peers of a node. Clones refer to the same link.
 #[derive(Clone)]
 pub struct Link {
     pub(crate) shared: Arc<Shared>,
 }
 
 impl Link {
-    /// Listens, and serves until `cancel`.
+    /// Binds the listener and serves connections until `cancel` is cancelled.
+    ///
+    /// Messages and requests of peers are sent to `inbound`; while it is full, connections are not
+    /// read.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address can't be bound.
     pub async fn start(
         setup: Setup,
         inbound: mpsc::Sender<Inbound>,
@@ -114,27 +121,28 @@
         Ok(link)
     }
 
-    /// The address that peers connect to.
+    /// Returns the address that peers connect to.
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Its counters.
+    /// Returns the link's counters.
     pub fn counters(&self) -> &Counters {
         &self.shared.counters
     }
 
-    /// Peers with an open route.
+    /// Returns the number of peers to which there is a route.
     pub fn route_count(&self) -> usize {
         self.shared.routes.len()
     }
 
-    /// Sends a message. It is dropped and counted if the queue to that peer is full.
+    /// Queues a message to a peer. It is dropped and counted if the queue to that peer is full.
     pub fn send(&self, to: SocketAddr, message: member::Message) -> Result<()> {
         self.enqueue(to, &Frame::send(message))
     }
 
-    /// Asks a peer for the records that lead to a version.
+    /// Requests from a peer the records that lead to a version of the bundle; `None` if the peer
+    /// can't provide them.
     pub async fn request_head(
         &self,
         to: SocketAddr,
@@ -146,7 +154,8 @@
         }
     }
 
-    /// Asks a peer for the changes of a table.
+    /// Requests from a peer the changes of a table; `None` if the peer has no such
+    /// copy.
     pub async fn request_copy(
         &self,
         to: SocketAddr,
@@ -158,7 +167,7 @@
         }
     }
 
-    /// Asks a peer what it has in force.
+    /// Requests a peer's status.
     pub async fn request_status(&self, to: SocketAddr) -> Result<Status> {
         match self.call(to, Body::StatusRequest).await? {
             Body::StatusResponse(status) => Ok(status),
@@ -166,6 +175,7 @@
         }
     }
 
+    /// Sends a request and waits for its response, at most for `call_timeout`.
     async fn call(&self, to: SocketAddr, body: Body) -> Result<Body> {
         let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
         let (response, received) = oneshot::channel();
@@ -187,13 +197,13 @@
         }
     }
 
-    /// Ends the asks to a peer that is gone: it has lost them, and nothing else would tell before their
-    /// time limit.
+    /// Fails the calls in flight to an unreachable peer with [`Error::Closed`], so that they don't
+    /// wait for their timeout.
     pub(crate) fn fail_calls(&self, peer: SocketAddr) {
         self.calls().retain(|_, pending| pending.peer != peer);
     }
 
-    /// Whether an ask to a peer waits for its answer.
+    /// Returns whether a call to the peer is in flight.
     pub(crate) fn has_pending_call(&self, peer: SocketAddr) -> bool {
         self.calls().values().any(|pending| pending.peer == peer)
     }
@@ -205,6 +215,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Encodes a frame and queues it on the route to a peer.
     pub(crate) fn enqueue(&self, to: SocketAddr, frame: &Frame) -> Result<()> {
         let bytes = Bytes::from(frame.encode()?);
         if bytes.len() > self.shared.limits.max_frame_len {
@@ -220,7 +231,7 @@
         queued
     }
 
-    /// Gives a frame to whom it is for.
+    /// Delivers a received frame: a response to its call, a message or request to `inbound`.
     pub(crate) async fn deliver(&self, from: SocketAddr, frame: Frame) {
         let inbound = match (frame.kind, frame.body) {
             (Kind::OneWay, Body::Member(message)) => Inbound::Member { from, message },
@@ -250,7 +261,7 @@
         }
     }
 
-    /// An answer counts only from the peer that was asked.
+    /// Completes a call with its response. Ignores responses of peers other than the one called.
     fn complete_call(&self, from: SocketAddr, call: CallId, body: Body) {
         let mut calls = self.calls();
         if calls.get(&call).is_none_or(|pending| pending.peer != from) {
@@ -262,7 +273,8 @@
     }
 }
 
-/// Forgets an ask when its future is dropped, so that those that time out do not pile up.
+/// Removes a call when its future ends or is dropped, so that calls that time out don't
+/// accumulate.
 struct CallGuard<'a> {
     link: &'a Link,
     call: CallId,
@@ -274,7 +286,7 @@
     }
 }
 
-/// Where the answer to a peer's ask goes.
+/// Sends the response to a peer's request.
 pub struct Reply<T> {
     link: Link,
     to: SocketAddr,
@@ -289,7 +301,11 @@
 }
 
 impl<T> Reply<T> {
-    /// Answers.
+    /// Queues the response to the peer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the response is too long or the queue to the peer is full.
     pub fn send(self, answer: T) -> Result<()> {
         let frame = Frame {
             kind: Kind::Response(self.call),
--- a/crates/wire/src/raw.rs
+++ b/crates/wire/src/raw.rs
@@ -1,6 +1,8 @@
-//! Frames as the codec reads and writes them.
+//! Encoded form of frames.
 //!
-//! Ids, hashes and runs are bytes, since as variable-length numbers they would be longer.
+//! The order of fields and variants is the format, since `bincode` writes no names; the `rename`
+//! attributes keep the names of the format. Ids, hashes and incarnations are arrays of bytes: their
+//! values are large, and as variable-length integers they would be longer.
 
 mod decode;
 mod encode;
@@ -12,7 +14,7 @@
 type Hash = [u8; 4];
 type Digest = [u8; 32];
 
-/// A frame.
+/// Encoded form of [`crate::frame::Frame`].
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Frame {
     kind: Kind,
@@ -57,6 +59,7 @@
     },
 }
 
+/// A message of the membership protocol; `head` is a version's number and digest.
 #[derive(Serialize, Deserialize)]
 struct Message {
     from: Id,
@@ -67,6 +70,7 @@
     body: MemberBody,
 }
 
+/// Body of a membership message.
 #[derive(Serialize, Deserialize)]
 enum MemberBody {
     Ping {
@@ -183,7 +187,7 @@
     body: Observation,
 }
 
-/// Times to live are in seconds, rounded up.
+/// Encoded form of `member::item::Observation`; a `ttl` is in seconds, rounded up.
 #[derive(Serialize, Deserialize)]
 enum Observation {
     Demand {
--- a/crates/wire/src/raw/decode.rs
+++ b/crates/wire/src/raw/decode.rs
@@ -1,4 +1,4 @@
-//! From raw types to checked ones: every length and index is bounded here.
+//! Conversions from the encoded form to the checked types, which check every length and index.
 
 use super::*;
 use crate::error::{Error, Result};
@@ -10,7 +10,7 @@
 use member::{identity, item, message};
 use std::time::Duration;
 
-/// Longest name.
+/// Longest name in bytes.
 const MAX_NAME_BYTES: usize = 255;
 /// Maximum number of membership updates in one message.
 const MAX_UPDATES: usize = 64;
@@ -34,16 +34,19 @@
     rows.into_iter().map(T::try_from).collect()
 }
 
+/// Refuses names that are empty, too long or contain control characters.
 fn check_name(text: String, field: &'static str) -> Result<String> {
     let fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES && !text.contains(char::is_control);
     fits.then_some(text).ok_or(Error::InvalidField(field))
 }
 
+/// Refuses the index of a bucket that doesn't exist.
 fn check_bucket(index: u8) -> Result<u8> {
     let fits = usize::from(index) < BUCKETS;
     fits.then_some(index).ok_or(Error::InvalidField("bucket"))
 }
 
+/// Refuses a time to live, in seconds, that exceeds the maximum of the item store.
 fn check_ttl(seconds: u32) -> Result<Duration> {
     let ttl = Duration::from_secs(seconds.into());
     (ttl <= MAX_TTL)
--- a/crates/wire/src/raw/encode.rs
+++ b/crates/wire/src/raw/encode.rs
@@ -1,4 +1,4 @@
-//! From checked types to raw ones.
+//! Conversions from the checked types to their encoded form.
 
 use super::*;
 use crate::frame;
@@ -254,6 +254,7 @@
     }
 }
 
+/// Rounds a time to live up to full seconds; times over the range become its greatest value.
 fn ceil_seconds(ttl: Duration) -> u32 {
     ttl.as_millis()
         .div_ceil(1000)
--- a/crates/wire/src/route.rs
+++ b/crates/wire/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: one queue and one task per peer that is sent to.
+//! Routes: one queue of frames and one task for each peer that this node sends to.
 
 use crate::conn::{self, CloseReason, Conn};
 use crate::dial;
@@ -12,17 +12,21 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio_util::sync::CancellationToken;
 
-/// Connections that a frame is sent over at most: the one at hand and a new one.
+/// Maximum number of times that a frame is sent: once over the existing connection and once over a
+/// new one.
 const MAX_SEND_ATTEMPTS: u8 = 2;
 
-/// A frame to send.
+/// A frame to send, or one that was sent and is not confirmed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
+    /// The encoded frame, without length prefix and MAC.
     pub(crate) bytes: Bytes,
+    /// Times that the frame was sent. While a ping is open, `conn` also sets the bit
+    /// `PING_COVERS_FRAME` in it.
     pub(crate) attempts: u8,
 }
 
-/// Routes by the peer's listening address.
+/// The routes of a link, by the address that the peer listens on.
 #[derive(Default)]
 pub(crate) struct Routes {
     table: Mutex<Table>,
@@ -31,11 +35,15 @@
 #[derive(Default)]
 struct Table {
     routes: HashMap<SocketAddr, Route>,
+    /// Counts uses of routes; orders them by last use and numbers new ones.
     clock: u64,
 }
 
+/// The table's side of a route, whose [`Task`] sends the frames.
 struct Route {
+    /// Distinguishes the route from earlier and later ones to the same peer.
     id: u64,
+    /// Value of the table's clock when the route was last used.
     last_used: u64,
     queue: mpsc::Sender<Outgoing>,
     stop: CancellationToken,
@@ -50,7 +58,7 @@
         self.table().routes.len()
     }
 
-    /// Queues a frame, over a new route if there is none.
+    /// Queues a frame, on a new route if there is none or its task has ended.
     pub(crate) fn push(&self, link: &Link, to: SocketAddr, frame: Outgoing) -> Result<()> {
         let mut table = self.table();
         table.clock += 1;
@@ -71,8 +79,8 @@
         queue.try_send(frame).map_err(|_| Error::QueueFull)
     }
 
-    /// Serves a connection that a peer opened; it becomes the route to that peer if there is
-    /// none, so that answers need no connection of their own.
+    /// Serves a connection that a peer opened. If there is no route to the peer, the connection
+    /// becomes it, so that responses don't need a connection in the other direction.
     pub(crate) async fn serve(&self, link: &Link, conn: Conn) {
         let addr = conn.peer;
         let has_route = self.table().routes.contains_key(&addr);
@@ -86,6 +94,7 @@
         task.run().await;
     }
 
+    /// Removes a route unless another one has replaced it.
     fn remove(&self, addr: SocketAddr, id: u64) {
         let mut table = self.table();
         if table.routes.get(&addr).is_some_and(|r| r.id == id) {
@@ -95,6 +104,7 @@
 }
 
 impl Table {
+    /// Adds a route, which starts on `conn` if there is one; the caller runs its task.
     fn open(
         &mut self,
         link: &Link,
@@ -126,7 +136,8 @@
         )
     }
 
-    /// Closes the least used routes, so that their number is bounded.
+    /// Closes the least recently used routes until there is space for one more within
+    /// `max_routes`.
     fn evict(&mut self, max_routes: usize) {
         while self.routes.len() >= max_routes.max(1) {
             let least_used = self
@@ -142,7 +153,7 @@
     }
 }
 
-/// The task of one route.
+/// The task of one route, which opens connections and sends the queued frames.
 struct Task {
     link: Link,
     addr: SocketAddr,
@@ -153,7 +164,8 @@
 }
 
 impl Task {
-    /// Runs connections to the peer, one after another, while there is something to send.
+    /// Runs connections to the peer, one after another, while frames are left to send or a call to
+    /// the peer lost its connection.
     async fn run(mut self) {
         let mut to_resend = VecDeque::new();
         loop {
@@ -168,8 +180,8 @@
                 .run(&self.link, &mut self.frames, to_resend, &self.stop)
                 .await;
             to_resend = retryable(unconfirmed);
-            // A peer that lives closes connections too, and answers over another one. Whether it lives
-            // shows when a new one is opened.
+            // A live peer also closes connections, for instance to bound its routes, and responds
+            // over another one. Only a new connection shows whether the peer is reachable.
             let awaits_response =
                 reason == CloseReason::Closed && self.link.has_pending_call(self.addr);
             let done = to_resend.is_empty() && self.frames.is_empty() && !awaits_response;
@@ -179,8 +191,9 @@
         }
     }
 
-    /// The peer answers on no new connection either: that is worth telling, while the end of an
-    /// old connection is not.
+    /// Removes the route, fails the calls to the peer and reports it as unreachable. This happens
+    /// only if a new connection fails; the end of an existing connection is not reported, since the
+    /// peer may still be reachable.
     async fn fail(self) {
         self.link.shared.routes.remove(self.addr, self.id);
         if self.stop.is_cancelled() {
@@ -196,7 +209,7 @@
             .await;
     }
 
-    /// Takes the route away, then passes on what was queued in between.
+    /// Removes the route, then queues the frames that arrived in the meantime on a new one.
     fn close(mut self) {
         let routes = &self.link.shared.routes;
         routes.remove(self.addr, self.id);
@@ -210,6 +223,7 @@
     }
 }
 
+/// Returns the frames that may be sent again.
 fn retryable(unconfirmed: VecDeque<conn::Unconfirmed>) -> VecDeque<conn::Unconfirmed> {
     unconfirmed
         .into_iter()
