--- a/crates/wire/examples/frame_cost.rs
+++ b/crates/wire/examples/frame_cost.rs
@@ -1,5 +1,6 @@
-//! Bytes on a loopback connection between two nodes: for a new connection, for a frame of some
-//! sizes, and for an answer on the same connection. Without the headers of IP and TCP.
+//! Measures the bytes on a loopback connection between two nodes, without the headers of IP and
+//! TCP: for frames of several sizes and for opening a connection. Also measures the time to encode
+//! and decode a frame.
 
 #[path = "../tests/support/bare.rs"]
 mod bare;
@@ -17,7 +18,7 @@
 use wire::frame::Frame;
 use wire::limits::Limits;
 
-/// Frames sent to measure one.
+/// Number of frames over which the bytes of one frame are averaged.
 const FRAMES: u64 = 200;
 
 fn digest(number: u64, versions: usize) -> Message {
@@ -59,9 +60,9 @@
         .encode()
         .expect("encodes")
         .len();
-    let open = first as f64 - each;
+    let handshake = first as f64 - each;
     println!(
-        "| {frame} | {each:.0} | {:.0} | {open:.0} |",
+        "| {frame} | {each:.0} | {:.0} | {handshake:.0} |",
         each - frame as f64
     );
 }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! The frame codec: good frames survive, bad ones give an error, none a panic.
+//! The frame codec: valid frames round-trip, invalid ones give an error and never a panic.
 
 use member::head::Head;
 use member::identity::Identity;
@@ -251,8 +251,8 @@
     }
 }
 
-/// A peer sends rubbish, by a fault or on purpose: every byte string is an error or a frame, and
-/// a length that promises more than there is allocates nothing for it.
+/// Guards against a peer that sends garbage, by a fault or on purpose: every byte string decodes to
+/// an error or a frame, without a panic.
 #[test]
 fn garbage_and_mutated_frames_never_panic() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -287,9 +287,10 @@
     assert!(decoded > 0, "some mutations stay frames");
 }
 
+/// Guards against allocating memory for a length that a frame claims but doesn't have.
 #[test]
 fn claimed_lengths_are_not_allocated() {
-    // A record of 2^62 bytes in a frame of a few.
+    // The frame has a few bytes and claims to hold a record of 2^62 bytes.
     let mut bytes = vec![2, 1, 2, 1, 253];
     bytes.extend_from_slice(&(1u64 << 62).to_le_bytes());
     assert!(Frame::decode(&bytes).is_err());
@@ -316,8 +317,8 @@
     [payload, &tag].concat()
 }
 
-/// Somebody on the way records frames and plays them again, on the same connection or another,
-/// back to the sender, in another order or with a changed byte. None of these verifies.
+/// Guards against an attacker on the path who replays frames on the same connection or another,
+/// reflects them to the sender, reorders them or changes a byte. None of these may verify.
 #[test]
 fn replayed_reflected_and_changed_frames_are_refused() {
     let (mut client, mut server) = sessions();
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -1,4 +1,4 @@
-//! Groups over real links on loopback.
+//! Links between nodes on loopback: group messages, calls, failures and limits.
 
 #[path = "support/bare.rs"]
 mod bare;
@@ -66,9 +66,9 @@
     .await;
 }
 
-/// Something between two nodes loses track of their open connection: it stays open and nothing
-/// gets through, while new ones work. The sender sees no pong, sends the frame again over a new
-/// connection, and nobody is called unreachable.
+/// Guards against reporting a live peer as unreachable when a device on the path loses the state of
+/// an open connection: the connection stays open and carries nothing, while new ones work. The
+/// sender gets no pong, sends the frame again over a new connection and reports nothing.
 #[tokio::test]
 async fn silent_connection_is_not_a_dead_peer() {
     let far = BareLink::start(KEY, Limits::default()).await;
@@ -84,14 +84,14 @@
     near.link
         .send(proxy.addr, numbered_message(2))
         .expect("queued");
-    // The first one may come again: whether it had arrived was not known when the pong was lost.
+    // The first message may arrive twice if its pong was lost, since it was then unconfirmed.
     while far.next().await != 2 {}
     assert_eq!(near.link.counters().silent.get(), 1);
     assert_eq!(near.link.counters().unreached.get(), 0);
     assert!(near.inbound.try_recv().is_err());
 }
 
-/// A peer's process is gone: a new connection fails, and that is reported.
+/// When the peer's process has ended, a new connection fails and the peer is reported.
 #[tokio::test]
 async fn dead_peer_is_reported_as_unreachable() {
     let mut near = BareLink::start(KEY, Limits::default()).await;
@@ -111,7 +111,7 @@
     assert_eq!(near.link.route_count(), 0);
 }
 
-/// Limits under which an ask ends by its time limit only long after the test.
+/// Limits under which a call times out only long after the test.
 fn long_call_timeout() -> Limits {
     Limits {
         call_timeout: WAIT_TIMEOUT * 10,
@@ -119,7 +119,7 @@
     }
 }
 
-// Guards against an ask that waits for its time limit though the peer's process is gone.
+// Guards against a call that waits for its timeout although the peer's process has ended.
 #[tokio::test]
 async fn call_fails_when_the_process_of_the_peer_ends() {
     let near = BareLink::start(KEY, long_call_timeout()).await;
@@ -142,7 +142,8 @@
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
 
-// Guards against an ask that is given up since the peer closed the connection for another route.
+// Guards against a call that fails because the peer closed its connection in favour of another
+// route. The peer may have one route only, so its message to a third link evicts the first.
 #[tokio::test]
 async fn call_outlives_its_connection() {
     let one_route = Limits {
@@ -178,11 +179,11 @@
     assert_eq!(answer, Some(vec![7]));
 }
 
-// Guards against an ask that waits for its time limit though the peer answers on no connection.
+// Guards against a call that waits for its timeout although the peer answers on no connection.
 #[tokio::test]
 async fn call_fails_when_the_peer_is_unreachable() {
     let near = BareLink::start(KEY, long_call_timeout()).await;
-    // Connections are accepted by the kernel and nobody reads them, as those of a frozen node.
+    // The kernel accepts connections and no process reads them, as on a frozen node.
     let frozen = std::net::TcpListener::bind("127.0.0.1:0").expect("listens");
     let addr = frozen.local_addr().expect("address");
     let call = near
@@ -194,8 +195,8 @@
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
 
-/// A node with another key, by an operator's mistake or an attacker's guess, connects. Its first
-/// frame does not verify, so its connection is closed and counted, and nothing is delivered.
+/// A node with a different key connects, by an operator's mistake or an attacker's guess. Its first
+/// frame does not verify, so its connection is closed and counted and nothing is delivered.
 #[tokio::test]
 async fn wrong_key_is_refused() {
     let mut far = BareLink::start(KEY, Limits::default()).await;
@@ -208,8 +209,9 @@
     assert_eq!(far.link.counters().received.get(), 0);
 }
 
-/// Strangers connect and say nothing, or speak something else. They hold a place for a short
-/// time only, and those over the bound are refused, while a peer that has a place is served.
+/// Guards against clients that occupy all inbound connections by sending nothing or another
+/// protocol. They are closed after the handshake timeout, connections over the limit are refused,
+/// and a peer that is already connected is still served.
 #[tokio::test]
 async fn unauthenticated_connections_are_bounded() {
     let limits = Limits {
@@ -235,13 +237,13 @@
         .send(far.link.addr(), numbered_message(2))
         .expect("queued");
     assert_eq!(far.next().await, 2);
-    wait_until("strangers are let go", || {
+    wait_until("unauthenticated connections are closed", || {
         far.link.counters().slow_hello.get() >= 3
     })
     .await;
 }
 
-/// An ask that nobody answers ends by its time limit, and leaves nothing behind.
+/// A call without a response ends by its timeout.
 #[tokio::test]
 async fn unanswered_call_times_out() {
     let limits = Limits {
@@ -254,7 +256,7 @@
     assert!(matches!(answer, Err(wire::Error::Timeout(_))), "{answer:?}");
 }
 
-/// A record as large as a bundle of the full size crosses in one answer.
+/// A response can carry a record of 2 MB, the size of a full bundle.
 #[tokio::test]
 async fn large_record_fits_in_one_response() {
     let near = BareLink::start(KEY, Limits::default()).await;
@@ -278,7 +280,8 @@
     assert!(response == Some(record));
 }
 
-/// More peers are sent to than a node may have routes: the least used close, all are reached.
+/// When a node sends to more peers than it may have routes, the least recently used routes are
+/// closed and all peers are reached.
 #[tokio::test]
 async fn routes_are_bounded() {
     let limits = Limits {
@@ -296,7 +299,7 @@
     }
 }
 
-/// A frame over the bound of the receiver: the connection is closed and counted.
+/// A frame longer than the receiver's limit closes the connection and is counted.
 #[tokio::test]
 async fn long_frame_is_refused() {
     let near = BareLink::start(KEY, Limits::default()).await;
@@ -322,7 +325,7 @@
     wait_until("counted", || far.link.counters().bad_frame.get() > 0).await;
 }
 
-/// An unused connection is closed by both sides, and the next frame opens another.
+/// Both sides close an idle connection, and the next frame opens a new one.
 #[tokio::test]
 async fn idle_connection_closes() {
     let limits = Limits {
--- a/crates/wire/tests/support/bare.rs
+++ b/crates/wire/tests/support/bare.rs
@@ -1,4 +1,4 @@
-//! A link without a group.
+//! A link without a membership group.
 #![allow(dead_code)]
 
 use crate::node::WAIT_TIMEOUT;
@@ -10,13 +10,13 @@
 use wire::limits::Limits;
 use wire::peer::{Inbound, Link, Setup};
 
-/// A link and what comes from it.
+/// A link and the queue that it delivers to.
 pub struct BareLink {
     /// The link.
     pub link: Link,
-    /// What comes.
+    /// What the link delivers.
     pub inbound: mpsc::Receiver<Inbound>,
-    /// Ends it.
+    /// Stops the link.
     pub cancel: CancellationToken,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The sender's number in the next message.
+    /// Waits for the next message and returns its number.
     pub async fn next(&mut self) -> u64 {
         let inbound = tokio::time::timeout(WAIT_TIMEOUT, self.inbound.recv()).await;
         match inbound.expect("in time") {
@@ -53,7 +53,7 @@
     }
 }
 
-/// A message with a number in it.
+/// Creates an empty message that carries a number as its sender's id.
 pub fn numbered_message(number: u64) -> Message {
     Message {
         from: number,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Waits until `test` holds.
+/// Waits until `test` holds; panics with `what` after [`WAIT_TIMEOUT`].
 pub async fn wait_until(what: &str, test: impl Fn() -> bool) {
     let wait = async {
         while !test() {
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A group driven over a real link, as the control thread does.
+//! A node that drives a membership group over a real link, as the control thread does.
 #![allow(dead_code)]
 
 use member::action::Action;
@@ -19,33 +19,33 @@
 use wire::limits::Limits;
 use wire::peer::{Inbound, Link, Setup};
 
-/// The key of the tests.
+/// The shared key of the tests.
 pub const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-/// Generous bound of everything that is waited for.
+/// Time limit of every wait of the tests; long, so that a busy host doesn't fail them.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test sees of a node.
+/// State of a node as a test sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Number of the head in force.
+    /// Number of the head that the node applies.
     pub head: u64,
     /// Peers that are up.
     pub up: Vec<Id>,
-    /// Peers judged dead or parted.
+    /// Peers that the group holds for dead or parted.
     pub gone: Vec<Id>,
-    /// Items learned.
+    /// Items received from other nodes.
     pub items: Vec<Item>,
 }
 
 /// A running node.
 pub struct Node {
-    /// Its link.
+    /// The node's link.
     pub link: Link,
-    /// Events from the test.
+    /// Events that the test sends to the group.
     pub events: mpsc::Sender<Event>,
-    /// What it knows.
+    /// Latest state of the node.
     pub seen: watch::Receiver<Seen>,
-    /// Ends it.
+    /// Stops the node.
     pub cancel: CancellationToken,
     entry: Entry,
 }
@@ -101,22 +101,22 @@
         }
     }
 
-    /// Its line in the instance list.
+    /// Returns the node's entry in the instance list.
     pub fn entry(&self) -> Entry {
         self.entry.clone()
     }
 
-    /// Its id.
+    /// Returns the node's id.
     pub fn id(&self) -> Id {
         member::identity::id(&self.entry.name)
     }
 
-    /// Gives it an event.
+    /// Sends an event to the node's group.
     pub async fn send_event(&self, event: Event) {
         self.events.send(event).await.expect("node runs");
     }
 
-    /// Waits until `test` holds.
+    /// Waits until `test` holds for the node's state; panics with `what` after [`WAIT_TIMEOUT`].
     pub async fn wait_until(&self, what: &str, test: impl Fn(&Seen) -> bool) {
         let mut seen = self.seen.clone();
         let wait = tokio::time::timeout(WAIT_TIMEOUT, seen.wait_for(|s| test(s)));
--- a/crates/wire/tests/support/proxy.rs
+++ b/crates/wire/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A relay between two sockets that can lose track of its connections.
+//! A TCP proxy that can stop relaying on its open connections without closing them.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -8,19 +8,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A running relay.
+/// A running proxy.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub addr: SocketAddr,
-    /// Connections made so far.
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicUsize>,
-    /// Bytes relayed in both directions.
+    /// Bytes received in both directions, those that are discarded included.
     pub bytes: Arc<AtomicU64>,
+    /// Number of the first connection whose data is relayed.
     first_working: watch::Sender<usize>,
 }
 
 impl Proxy {
-    /// Relays to what `target` says at the time of a connection.
+    /// Starts a proxy. Each connection is relayed to the value of `target` when it is accepted.
     pub async fn start(target: watch::Receiver<SocketAddr>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
         let addr = listener.local_addr().expect("address");
@@ -61,7 +62,8 @@
         proxy
     }
 
-    /// Lets all connections made so far go silent; new ones work.
+    /// Discards all further data of the connections accepted so far, which stay open. New
+    /// connections work.
     pub fn silence_connections(&self) {
         let connections = self.connections.load(Ordering::Relaxed);
         self.first_working.send_replace(connections);
