--- a/crates/bundle/src/checkpoint.rs
+++ b/crates/bundle/src/checkpoint.rs
@@ -1,16 +1,18 @@
-//! Who writes a checkpoint, and when.
+//! Policy that decides which node writes a checkpoint, and when.
 //!
-//! The log drops records after a time, but a reader that starts from nothing needs the whole
-//! state. So some node must write a checkpoint well before the last one is dropped, with no node
-//! set aside for it and hundreds that could. Every node runs this policy: it draws a moment in
-//! a window that is the same for all, and draws again when it reads that another node was
-//! first. With N nodes, a window W and a time D from append to read, about N·D/W checkpoints
-//! are written in place of one; a checkpoint more does no harm but its bytes.
+//! The log drops records after the retention period, but a reader without any state needs the
+//! whole state. So some node must write a checkpoint well before the last one is dropped. No node
+//! is designated for this, and hundreds are able to. Every node runs this policy: it draws a
+//! random time within a window that is the same for all nodes, and draws again when it reads a
+//! checkpoint that another node wrote first. With N nodes, a window W and a delay D from append to
+//! read, about N·D/W redundant checkpoints are written in each round; a redundant checkpoint is
+//! harmless except for its size.
 //!
-//! The window opens when the last checkpoint is a quarter of the retention old and closes a
-//! quarter later, so half of the retention is left to ride out an outage of the log. Ages are
-//! by the writer's wall clock: a node that was just started knows no other age of what it
-//! reads. A wrong clock moves a checkpoint in time or doubles it, it can't make one wrong.
+//! The window opens when the age of the last checkpoint is a quarter of the retention period and
+//! closes a quarter later, so an outage of the log may last for half of the retention period. The
+//! age is computed from the writer's wall clock: a recently started node has no other source for
+//! the age of the records it reads. A wrong clock delays, advances or duplicates a checkpoint, but
+//! can't make its content wrong.
 
 use crate::fold::Fold;
 use crate::signed::Location;
@@ -21,39 +23,39 @@
 /// Time since the process started.
 pub type Now = Duration;
 
-/// Longest window when a checkpoint is needed soon.
+/// Maximum length of the window when a checkpoint is needed urgently.
 const MAX_URGENT_WINDOW: Duration = Duration::from_secs(120);
 
-/// A writer's clock may be this much ahead before its stamp is ignored.
+/// Maximum lead of a writer's clock over the local one; a timestamp further ahead is ignored.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(60);
 
-/// Settings of the policy.
+/// Settings of the checkpoint policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long the log keeps a record.
+    /// Retention period of the log.
     pub retention: Duration,
-    /// Versions after which a checkpoint is written whatever its age: bounds what a new reader
-    /// has to judge.
+    /// Number of versions since the last checkpoint after which the next one is written whatever
+    /// the age of the last. Bounds the number of versions that a new reader has to judge.
     pub max_versions: u64,
 }
 
-/// Why a checkpoint is needed.
+/// Reason why a checkpoint is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Need {
-    /// The last one gets old.
+    /// The age of the last one approaches the retention period.
     Age,
-    /// There is none that a new reader could use, or too many versions came since.
+    /// There is none that a new reader could use, or too many versions were accepted since.
     Urgent,
 }
 
-/// What the drawn moment is based on; it is drawn again when this changes.
+/// Inputs of the drawn time; a new time is drawn when they change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Basis {
     last: Option<Location>,
     need: Need,
 }
 
-/// The policy of one node.
+/// State of the checkpoint policy on one node.
 #[derive(Clone, Debug)]
 pub struct Policy {
     settings: Settings,
@@ -63,7 +65,7 @@
 }
 
 impl Policy {
-    /// A policy; nodes pass different seeds.
+    /// Creates a policy. Nodes pass different seeds so that they draw different times.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             settings,
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Whether to append [`Fold::checkpoint`] now. `wall` is the time since the Unix epoch,
-    /// `first` the first retained offset. To be asked every second or so.
+    /// Returns whether to append [`Fold::checkpoint`] now. `wall` is the time since the Unix epoch,
+    /// `first` the first retained offset. Callers poll about once a second.
     pub fn poll(&mut self, now: Now, wall: Duration, first: u64, fold: &Fold) -> bool {
         if fold.in_gap() || fold.log_head().is_none() {
             self.basis = None;
@@ -91,12 +93,12 @@
         if now < self.due {
             return false;
         }
-        // Until the new checkpoint is read back, try again at the pace of the short window.
+        // Until the new checkpoint is read back, retry after a random part of the urgent window.
         self.due = now + self.jitter(self.urgent_window());
         true
     }
 
-    /// Why the next checkpoint is needed.
+    /// Returns the reason for the next checkpoint.
     fn need(&self, first: u64, fold: &Fold) -> Need {
         let Some(last) = fold.last_checkpoint() else {
             return Need::Urgent;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Time until the drawn moment.
+    /// Draws the delay until the next checkpoint is due.
     fn draw_delay(&mut self, wall: Duration, basis: Basis) -> Duration {
         match basis.last {
             Some(last) if basis.need == Need::Age => {
@@ -124,18 +126,19 @@
         }
     }
 
-    /// The short window.
+    /// Returns the window for a checkpoint that is needed urgently.
     fn urgent_window(&self) -> Duration {
         MAX_URGENT_WINDOW.min(self.settings.retention / 16)
     }
 
-    /// A random part of `window`.
+    /// Returns a random duration below `window`.
     fn jitter(&mut self, window: Duration) -> Duration {
         window.mul_f64(self.random.random::<f64>())
     }
 }
 
-/// Age of a checkpoint; `window` if its stamp can't be right, so that the window is open.
+/// Returns the age of a checkpoint, or `window` if its timestamp is implausible, so that the window
+/// is open.
 fn age(last: Location, wall: Duration, window: Duration) -> Duration {
     if last.written > wall + MAX_CLOCK_LEAD {
         return window;
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -1,42 +1,44 @@
-//! The fold of the log: which version is in force.
+//! The fold of the log: derives the bundle version that is in force.
 //!
-//! Every node reads the same stream in the same order and judges each version when it comes to
-//! it: the first valid child of the head becomes the head, all others have lost or are refused.
-//! The verdict depends on the records before it and on the trusted keys of the settings, on
-//! nothing else, so nodes agree without talking to each other.
+//! Every node reads the same stream in the same order and judges each version when it reads it:
+//! the first valid child of the head becomes the head; every other child loses or is refused.
+//! A verdict depends only on the preceding records and on the trusted keys of the settings, so
+//! all nodes reach the same verdict without communicating.
 //!
 //! # Gaps
 //!
 //! The log drops old records. A reader whose next offset is no longer retained can't know which
-//! versions it missed, so what looks like a child of its head may have lost long ago. It judges
-//! nothing ([`Verdict::Unjudged`]) until it has a state that accounts for everything below the
-//! first retained record: a checkpoint in the log, or a peer's head. Both say in `next` up to
-//! where they account for the log. The reader then goes back to that offset and judges from
-//! there; `next` may be lower than what the state really includes, since a version that is
-//! included already can only lose or repeat.
+//! versions it missed, so a version that looks like a child of its head may have lost long ago.
+//! The reader judges no version ([`Verdict::Unjudged`]) until it has a state that covers
+//! everything below the first retained record: a checkpoint in the log, or a peer's head. The
+//! `next` field of either is the offset below which it covers the log. The reader then goes back
+//! to that offset and judges the records from there. `next` may be lower than necessary: a
+//! version that the state already includes can only lose or repeat.
 //!
-//! # Heads of peers, and what decides
+//! # Heads of peers, and precedence
 //!
-//! While the log is out or slow, nodes pass on what they have accepted. A node that is told a
-//! higher version, signed by a trusted key, uses it at once: it is *ahead* of what the node
-//! has folded itself. The fold of the log stays apart below it and goes on when the log is back.
+//! While the log is unavailable or slow, nodes exchange the versions that they have accepted. A
+//! node that receives a higher version, signed by a trusted key, uses it at once: the version is
+//! *ahead* of the node's own fold of the log. That fold is kept separately and continues when the
+//! log is available again.
 //!
-//! - A head of a peer was accepted from the log by the node that first passed it on, and others
-//!   pass it on unchanged. So it is the log's choice, only known earlier. It must be passed on
-//!   by nodes that have it from a peer too: else, once the nodes that read it were replaced
-//!   during an outage, nobody would have the head.
-//! - If a peer's head and the log disagree all the same (same number, another digest; it takes a
-//!   faulty node, or other trusted keys in its settings), the log's order decides: as soon as
-//!   the fold has a head with the same or a higher number, that one is used and the other is
-//!   dropped and counted ([`Counters::conflicts`]).
-//! - A head with a lower number is never used in place of a higher one, wherever either is from.
-//!   A node may be cut off and old, but it doesn't go back.
-//! - A checkpoint that contradicts what a reader without a gap has folded is refused and counted.
+//! - A peer's head was accepted from the log by the first node that sent it, and others forward
+//!   it unchanged. It is therefore the version that the log chose, known before this node reads
+//!   it there. Nodes that received a head from a peer must forward it too: otherwise the head
+//!   would be lost once all nodes that read it from the log were replaced during an outage.
+//! - If a peer's head and the log disagree nevertheless (same number, different digest; this
+//!   requires a faulty node, or other trusted keys in its settings), the order of the log is
+//!   authoritative: as soon as the fold has a head with the same or a higher number, the fold's
+//!   head is used, and the peer's head is dropped and counted ([`Counters::conflicts`]).
+//! - A head with a lower number never replaces a higher one, whatever the source of either. A
+//!   node that is cut off may be stale, but it never goes back to an earlier version.
+//! - A checkpoint that contradicts the fold of a reader without a gap is refused and counted.
 //!
 //! Checkpoints and peers' heads carry a signed header whose `result` is the digest of the full
-//! text, so nobody can pass off what no trusted person signed. What isn't signed is that it won
-//! its race; for that the reader relies on whoever appended the checkpoint, or on the peer, which
-//! is authenticated. A checkpoint is only used by readers with a gap.
+//! text, so nobody can forge a state that no trusted person signed. The signature does not show
+//! that the version won against its siblings. For that, the reader relies on the node that
+//! appended the checkpoint, or on the peer, which is authenticated. Only readers with a gap use a
+//! checkpoint.
 
 mod adopt;
 mod branch;
@@ -66,30 +68,30 @@
 pub use status::Status;
 pub use verdict::{Reason, Verdict};
 
-/// The fold of the log's stream of bundles.
+/// Fold of the log's stream of bundle versions.
 #[derive(Clone, Debug)]
 pub struct Fold {
-    /// Keys of the settings.
+    /// Signers that the settings trust.
     trusted: Vec<Signer>,
-    /// What the log came to, up to `next` (up to its own `next` while there is a gap).
+    /// State folded from the log below `next` (below the state's own `next` during a gap).
     base: Branch,
-    /// What peers told beyond `base`; empty if nothing.
+    /// Versions received from peers beyond `base`; empty if there are none.
     ahead: Branch,
-    /// Next offset to read.
+    /// Next offset of the log to read.
     next: u64,
-    /// First retained offset when a gap was found that isn't closed yet.
+    /// First retained offset of an open gap; `None` without a gap.
     gap: Option<u64>,
-    /// After going back to an earlier offset: where reading had got to. Records from there on
-    /// are passed over until an earlier one shows that the reader did go back.
+    /// Offset that reading had reached before it went back to an earlier one. Records from this
+    /// offset on are skipped until an earlier record shows that the reader has gone back.
     rewound_from: Option<u64>,
-    /// Highest number ever in force.
+    /// Highest version number that was ever in force.
     highest_number: Number,
     last_checkpoint: Option<Location>,
     counters: Counters,
 }
 
 impl Fold {
-    /// An empty fold that trusts `trusted`.
+    /// Creates an empty fold that accepts versions signed by `trusted`.
     pub fn new(trusted: Vec<Signer>) -> Self {
         Self {
             trusted,
@@ -104,44 +106,45 @@
         }
     }
 
-    /// The bundle in force, if one is known.
+    /// Returns the bundle in force, if one is known.
     pub fn head(&self) -> Option<&Arc<Bundle>> {
         self.current().map(|k| &k.bundle)
     }
 
-    /// The head of the log as folded so far; a peer's head may be past it.
+    /// Returns the head of the log as folded so far; a peer's head may have a higher number.
     pub fn log_head(&self) -> Option<&Arc<Bundle>> {
         self.base.head.as_ref().map(|k| &k.bundle)
     }
 
-    /// Offset to read the log from.
+    /// Returns the offset from which to read the log.
     pub fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// Versions that were accepted or adopted, oldest first, as far back as they are kept.
+    /// Returns the retained versions that were accepted or adopted, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         let number = self.base.number();
         self.base.history.iter().chain(self.ahead.after(number))
     }
 
-    /// The last checkpoint that was read and agreed with, or that a peer knew of when it gave its
-    /// head.
+    /// Returns the last checkpoint that was read and matched the fold, or that a peer reported
+    /// with its head.
     pub fn last_checkpoint(&self) -> Option<Location> {
         self.last_checkpoint
     }
 
-    /// What was counted.
+    /// Returns the counters of verdicts, gaps and conflicts.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Whether versions can't be judged for a gap.
+    /// Returns whether a gap in the log prevents judging versions.
     pub fn in_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// Applies a page of the log: its first retained offset, then its records in order.
+    /// Applies a page of the log: `first` is the first retained offset, `records` are the records
+    /// in order. Returns the verdict on each record with its offset.
     pub fn apply_page<'a>(
         &mut self,
         first: u64,
@@ -152,8 +155,8 @@
         verdicts.collect()
     }
 
-    /// Applies the record at `offset`. Records come in the log's order, from
-    /// [`Fold::next_offset`] on.
+    /// Applies the record at `offset`. Callers pass records in the log's order, starting at
+    /// [`Fold::next_offset`].
     pub fn apply(&mut self, offset: u64, body: &[u8]) -> Verdict {
         if self.rewound_from.is_some_and(|limit| offset >= limit) {
             return Verdict::Skipped;
@@ -173,9 +176,9 @@
         verdict
     }
 
-    /// The state as a record for the log: a checkpoint. `None` if there is nothing yet, or a
-    /// gap: only who read the log without one can vouch for it. `wall` is the time since the
-    /// Unix epoch.
+    /// Encodes the state as a checkpoint record for the log. Returns `None` without a state or
+    /// with a gap: only a node that has read the log without a gap can vouch for its state. `wall`
+    /// is the time since the Unix epoch.
     pub fn checkpoint(&self, wall: Duration) -> Option<Vec<u8>> {
         if self.in_gap() {
             return None;
@@ -184,7 +187,7 @@
         Some(Record::Checkpoint(base.to_head(self.next, wall, None)).encode())
     }
 
-    /// Judges a version of the log.
+    /// Judges a version read from the log and makes it the head of the log if it is valid.
     fn apply_version(&mut self, offset: u64, version: Version, body: &[u8]) -> Verdict {
         if self.in_gap() {
             return Verdict::Unjudged;
@@ -201,22 +204,22 @@
         Verdict::Accepted(bundle)
     }
 
-    /// The known state with the highest number.
+    /// Returns the state in force: the known state with the highest number.
     fn current(&self) -> Option<&SignedBundle> {
         self.ahead.head.as_ref().or(self.base.head.as_ref())
     }
 
-    /// Drops what is overtaken, and checks what must hold.
+    /// Drops a peer's head that the log has reached, and checks the invariants.
     fn finish_update(&mut self) {
         self.drop_overtaken();
         let number = self.current().map_or(0, |k| k.bundle.number);
-        // The promise to callers and operators alike: never back to an older version.
+        // Callers and operators rely on this: a node never goes back to an earlier version.
         assert!(number >= self.highest_number, "head went back to {number}");
         self.highest_number = number;
         debug_assert!(self.check().is_empty(), "{:?}", self.check());
     }
 
-    /// Drops the head of a peer once the fold of the log has got as far.
+    /// Drops a peer's head once the fold of the log has reached its number.
     fn drop_overtaken(&mut self) {
         let (Some(base), Some(ahead)) = (&self.base.head, &self.ahead.head) else {
             return;
@@ -231,7 +234,7 @@
         self.ahead = Branch::default();
     }
 
-    /// Offset of the log below which the state in force accounts for all records.
+    /// Returns the offset below which the state in force covers all records of the log.
     fn covered_below(&self) -> u64 {
         if self.ahead.head.is_none() && !self.in_gap() {
             return self.next;
--- a/crates/bundle/src/fold/adopt.rs
+++ b/crates/bundle/src/fold/adopt.rs
@@ -1,4 +1,4 @@
-//! States from checkpoints and peers.
+//! Adoption of states from checkpoints and peers.
 
 use super::Fold;
 use super::signed_bundle::{SignedBundle, build_bundle};
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl Fold {
-    /// Tells the first offset that the log retains, before the records of a page are applied.
-    /// Returns whether there is a gap now.
+    /// Records the first offset that the log retains. Called before the records of a page are
+    /// applied. Returns whether there is a gap.
     pub fn set_first_retained(&mut self, first: u64) -> bool {
         if first <= self.next {
             return self.in_gap();
@@ -32,8 +32,9 @@
         self.in_gap()
     }
 
-    /// Takes a record from a peer: a version that follows the head in force, or a full head.
-    /// It is used only if it is higher than what is in force and signed by a trusted key.
+    /// Processes a record from a peer: a version that follows the head in force, or a full head.
+    /// It is adopted only if a trusted key signed it and its number is higher than the one in
+    /// force. A head that is already in force may also close a gap.
     pub fn adopt(&mut self, body: &[u8]) -> Verdict {
         let verdict = match Record::decode(body) {
             Ok(Record::Version(version)) => self.adopt_version(version, body),
@@ -45,8 +46,8 @@
         verdict
     }
 
-    /// What to send to a peer whose head is version `after`: the versions since, or the full
-    /// head if these aren't kept any more. Nothing if it isn't behind.
+    /// Returns the records to send to a peer whose head is version `after`: the versions since
+    /// then, or the full head if these are no longer retained. Empty if the peer is up to date.
     pub fn records_since(&self, after: Number) -> Vec<Arc<[u8]>> {
         let Some(signed) = self.current() else {
             return Vec::new();
@@ -61,14 +62,15 @@
         self.encode_head().into_iter().map(Arc::from).collect()
     }
 
-    /// The head in force as a full record, for a peer or an operator.
+    /// Encodes the head in force with all its sections, for a peer or an operator.
     pub fn encode_head(&self) -> Option<Vec<u8>> {
         let signed = self.current()?;
         let head = signed.to_head(self.covered_below(), Duration::ZERO, self.last_checkpoint);
         Some(Record::Checkpoint(head).encode())
     }
 
-    /// Records of the versions after `after` up to `to`, if all are kept.
+    /// Returns the records of the versions after `after` up to and including `to`, if all of them
+    /// are retained.
     fn recent_versions(&self, after: Number, to: Number) -> Option<Vec<Arc<[u8]>>> {
         let base = self.base.number();
         let from_peers = self.ahead.history.recent().filter(|r| r.number > base);
@@ -79,7 +81,7 @@
         complete.then(|| wanted.map(|r| r.body.clone()).collect())
     }
 
-    /// Takes a version from a peer.
+    /// Adopts a version from a peer if it is a valid child of the head in force.
     fn adopt_version(&mut self, version: Version, body: &[u8]) -> Verdict {
         let current = self.current();
         if current.is_some_and(|k| k.bundle.number >= version.envelope.header.number) {
@@ -94,7 +96,7 @@
         Verdict::Adopted(bundle)
     }
 
-    /// Takes a full head from a peer.
+    /// Adopts a full head from a peer if it is valid and higher than the head in force.
     fn adopt_head(&mut self, head: Head) -> Verdict {
         let current = self
             .current()
@@ -121,8 +123,8 @@
         Verdict::Adopted(bundle)
     }
 
-    /// A peer has the same head and accounts with it for the log below `next`: this may close a
-    /// gap, in which then no version was accepted.
+    /// Closes a gap if a peer with the same head covers the log below `next` and `next` reaches the
+    /// first retained offset: then no version was accepted within the gap.
     fn confirm_head(&mut self, next: u64) -> Verdict {
         let Some(gap) = self.gap else {
             return Verdict::Stale;
@@ -142,7 +144,7 @@
         Verdict::Adopted(bundle)
     }
 
-    /// Uses the peer's head as the base if it accounts for all that a gap hides.
+    /// Makes the peer's head the base if it covers all records missing in a gap.
     pub(super) fn close_gap_by_peer(&mut self) {
         let Some(gap) = self.gap else { return };
         let Some(signed) = &self.ahead.head else {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Closes the gap: the base accounts for all records below `next`, so read on from there.
+    /// Closes the gap: the base covers all records below `next`, so reading continues there.
     fn resume_at(&mut self, next: u64) {
         self.gap = None;
         if next < self.next {
@@ -164,7 +166,7 @@
         self.next = next;
     }
 
-    /// Takes a checkpoint of the log.
+    /// Processes a checkpoint read from the log.
     pub(super) fn apply_checkpoint(&mut self, offset: u64, head: Head) -> Verdict {
         if head.next > offset {
             return Verdict::Refused(Reason::FutureOffset);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Closes a gap by a checkpoint that accounts for all that the gap hides.
+    /// Closes a gap if the checkpoint covers all records missing in it.
     fn close_gap_by_checkpoint(&mut self, gap: u64, offset: u64, head: Head) -> Verdict {
         if head.next < gap {
             return Verdict::Unjudged;
@@ -190,7 +192,7 @@
             Err(reason) => return Verdict::Refused(reason),
         };
         let bundle = signed.bundle.clone();
-        // A checkpoint that accounts for all before itself needn't be read a second time.
+        // A checkpoint that covers all records before it need not be read a second time.
         let next = if signed.next == offset {
             self.next
         } else {
@@ -202,7 +204,7 @@
         Verdict::Adopted(bundle)
     }
 
-    /// Whether the log before the gap came to something that can't precede `head`.
+    /// Returns whether the state folded before the gap can't precede `head`.
     fn contradicts(&self, head: &Head) -> bool {
         let Some(base) = &self.base.head else {
             return false;
@@ -212,8 +214,8 @@
         header.number < number || (header.number == number && base.envelope.header != *header)
     }
 
-    /// Compares a checkpoint with what was folded without a gap. It needs no signature check:
-    /// only one whose header the fold has accepted itself agrees.
+    /// Compares a checkpoint with a fold that has no gap. This needs no signature check: a
+    /// checkpoint agrees only if the fold has already accepted the same header.
     fn compare_checkpoint(&mut self, offset: u64, head: Head) -> Verdict {
         let header = &head.envelope.header;
         let number = header.number;
@@ -230,7 +232,7 @@
         }
     }
 
-    /// The checked state of a head whose signature is trusted.
+    /// Checks the signature of `head`, verifies its sections and returns the resulting state.
     fn verify_head(&self, head: Head) -> Result<SignedBundle, Reason> {
         let none = Bundle::default();
         let current = self.current().map_or(&none, |k| &*k.bundle);
@@ -251,7 +253,7 @@
     }
 }
 
-/// What is kept of a checkpoint.
+/// Returns the location of the checkpoint `head` at `offset`.
 fn location(offset: u64, head: &Head) -> Location {
     Location {
         offset,
--- a/crates/bundle/src/fold/counters.rs
+++ b/crates/bundle/src/fold/counters.rs
@@ -3,12 +3,13 @@
 use super::verdict::{Reason, Verdict};
 use crate::signed::SignatureError;
 
-/// What the fold has counted since its start.
+/// Counts of verdicts, gaps and conflicts since the fold was created.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Versions accepted from the log.
     pub accepted: u64,
-    /// Versions that lost their race.
+    /// Versions that lost against another child of the same parent, or whose parent was never the
+    /// head.
     pub lost: u64,
     /// Copies of accepted versions.
     pub repeated: u64,
@@ -18,11 +19,12 @@
     pub revoked_signer: u64,
     /// Records with a wrong signature.
     pub wrong_signature: u64,
-    /// Records that can't be read, such as one without a signature.
+    /// Records that can't be decoded, such as one without a signature.
     pub unreadable: u64,
-    /// Signed versions that are no valid bundle.
+    /// Signed versions that don't yield a valid bundle, and checkpoints that claim to cover records
+    /// after their own offset.
     pub invalid: u64,
-    /// Records that couldn't be judged for a gap.
+    /// Records that couldn't be judged because of a gap.
     pub unjudged: u64,
     /// Gaps found.
     pub gaps: u64,
@@ -30,12 +32,12 @@
     pub adopted: u64,
     /// Checkpoints that agreed with the fold.
     pub agreed: u64,
-    /// States that contradicted the log.
+    /// States that contradicted the log or the known version with the same number.
     pub conflicts: u64,
 }
 
 impl Counters {
-    /// Each counter with its name, for metrics and dumps.
+    /// Returns each counter with its name, for metrics and dumps.
     pub fn rows(&self) -> [(&'static str, u64); 13] {
         [
             ("accepted", self.accepted),
@@ -69,7 +71,7 @@
         *counter += 1;
     }
 
-    /// The counter of a reason.
+    /// Returns the counter for a refusal with `reason`.
     fn refused(&mut self, reason: &Reason) -> &mut u64 {
         match reason {
             Reason::Signature(SignatureError::UnknownSigner) => &mut self.unknown_signer,
--- a/crates/bundle/src/fold/dump.rs
+++ b/crates/bundle/src/fold/dump.rs
@@ -1,4 +1,4 @@
-//! The fold as text, for a node's dump.
+//! Text form of a fold, for a node's dump.
 
 use super::{Counters, Fold};
 use std::fmt;
--- a/crates/bundle/src/fold/history.rs
+++ b/crates/bundle/src/fold/history.rs
@@ -1,4 +1,4 @@
-//! Versions that were in force, as far back as they are kept.
+//! Bounded history of the versions that were in force.
 
 use crate::digest::Digest;
 use crate::id::Number;
@@ -6,26 +6,28 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Most entries kept: at 16,000 versions a day an hour and a half, about 200 bytes each.
+/// Maximum number of retained entries of about 200 bytes each; they span an hour and a half at
+/// 16,000 versions a day.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Most bytes of recent version records kept for peers that are a few versions behind.
+/// Maximum total size, in bytes, of the version records retained for peers that are a few
+/// versions behind.
 const MAX_RECENT_BYTES: usize = 256 << 10;
 
 /// A version that was in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the version.
     pub number: Number,
-    /// Name of who signed it.
+    /// Name of the signer.
     pub signer: String,
-    /// Digest of its sections.
+    /// Digest of the sections.
     pub digest: Digest,
-    /// Digest of the version it follows.
+    /// Digest of the parent version's sections; all zero for the first version.
     pub parent: Digest,
     /// Identity of the signed version.
     pub id: Digest,
-    /// Offset of its record; `None` if it came by a checkpoint or a peer.
+    /// Offset of its record in the log; `None` for a version from a checkpoint or a peer.
     pub offset: Option<u64>,
 }
 
@@ -42,13 +44,13 @@
 /// An encoded version record.
 #[derive(Clone, Debug)]
 pub(super) struct RecentRecord {
-    /// Its number.
+    /// Number of the version.
     pub number: Number,
-    /// The record.
+    /// Encoded record.
     pub body: Arc<[u8]>,
 }
 
-/// The history of one fold.
+/// History of one branch of a fold.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
     entries: VecDeque<Entry>,
@@ -57,23 +59,23 @@
 }
 
 impl History {
-    /// Entries, oldest first.
+    /// Returns the entries, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
 
-    /// Whether a version with identity `id` is in it.
+    /// Returns whether the history contains the version with identity `id`.
     pub fn contains(&self, id: &Digest) -> bool {
         self.entries.iter().any(|e| e.id == *id)
     }
 
-    /// The entry with `number`.
+    /// Returns the entry of version `number`.
     pub fn get(&self, number: Number) -> Option<&Entry> {
         self.entries.iter().rev().find(|e| e.number == number)
     }
 
-    /// Adds an entry. Entries with the same or a higher number are dropped: reading started
-    /// again from an earlier checkpoint.
+    /// Adds an entry. Drops entries with the same or a higher number, which exist when reading
+    /// restarted from an earlier checkpoint.
     pub fn push(&mut self, entry: Entry) {
         let replaced = |e: &Entry| e.number >= entry.number;
         while self.entries.back().is_some_and(replaced) {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Keeps the record of a version for peers.
+    /// Retains the record of a version for peers, and drops the oldest records beyond
+    /// [`MAX_RECENT_BYTES`].
     pub fn push_record(&mut self, number: Number, body: &[u8]) {
         let replaced = |r: &RecentRecord| r.number >= number;
         while self.recent.back().is_some_and(replaced) {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Adds all of `other`, which comes after this.
+    /// Appends the entries and records of `other`, which follow those of `self`.
     pub fn append(&mut self, other: Self) {
         for entry in other.entries {
             self.push(entry);
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Version records that are kept, oldest first.
+    /// Returns the retained version records, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = &RecentRecord> + Clone {
         self.recent.iter()
     }
--- a/crates/bundle/src/fold/invariant.rs
+++ b/crates/bundle/src/fold/invariant.rs
@@ -1,30 +1,30 @@
-//! What must hold of a fold at all times.
+//! Invariants of a fold.
 
 use super::Fold;
 use crate::id::Number;
 use crate::verify;
 
-/// Something that must not be.
+/// Violation of an invariant; carries the number or offset concerned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A peer's head is kept though the fold of the log has got as far.
+    /// A peer's head is still kept although the fold of the log has reached its number.
     Overtaken(Number),
-    /// The numbers of the history don't rise after this one.
+    /// The number after this one in the history is not higher.
     HistoryOrder(Number),
-    /// The last entry of the history isn't the head.
+    /// The last entry of the history is not the head with this number.
     HistoryEnd(Number),
-    /// The sections in force don't have the digest in force.
+    /// The sections in force do not match the digest in force.
     Digest(Number),
-    /// The sections in force aren't a valid bundle.
+    /// The sections in force are not a valid bundle.
     Invalid(Number),
-    /// The reader is to go back, but not to an earlier offset.
+    /// The offset from which reading went back is not after the next offset.
     Rewound(u64),
-    /// A gap that starts after the next offset.
+    /// The first retained offset of a gap is after the next offset.
     Gap(u64),
 }
 
 impl Fold {
-    /// Everything that is wrong with the state; empty if all is well. Cheap.
+    /// Returns all violations of the invariants that are cheap to check.
     pub fn check(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         self.check_numbers(&mut violations);
@@ -37,7 +37,7 @@
         violations
     }
 
-    /// As [`Fold::check`], and recomputes the digest and checks of the bundle in force.
+    /// Like [`Fold::check`], and also recomputes the digest of the bundle in force and verifies it.
     pub fn check_all(&self) -> Vec<Violation> {
         let mut violations = self.check();
         let Some(head) = self.head() else {
@@ -52,7 +52,7 @@
         violations
     }
 
-    /// Checks the order of numbers.
+    /// Checks the order of the numbers of heads and history.
     fn check_numbers(&self, violations: &mut Vec<Violation>) {
         if let (Some(base), Some(ahead)) = (&self.base.head, &self.ahead.head)
             && ahead.bundle.number <= base.bundle.number
--- a/crates/bundle/src/fold/judge.rs
+++ b/crates/bundle/src/fold/judge.rs
@@ -1,4 +1,4 @@
-//! Whether a version is a valid child of a head.
+//! Checks whether a version is a valid child of a head.
 
 use super::signed_bundle::{self, SignedBundle};
 use super::verdict::{Reason, Verdict};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl Fold {
-    /// Judges `version` as if it came next, without effect.
+    /// Returns the verdict that `version` would get as the next record, without applying it.
     pub fn judge(&self, version: &Version) -> Verdict {
         if let Status::Accepted(_) = self.status(&version.envelope.header) {
             return Verdict::Repeated;
@@ -20,7 +20,8 @@
         }
     }
 
-    /// The bundle that `version` makes of `head`, or why it makes none.
+    /// Returns the bundle that results from applying `version` to `head`, or the verdict that
+    /// rejects the version.
     pub(super) fn child_bundle(
         &self,
         head: Option<&SignedBundle>,
@@ -43,7 +44,7 @@
     }
 }
 
-/// The checked bundle that `version`, whose signature was checked, makes of `parent`.
+/// Applies `version`, whose signature was checked, to `parent` and verifies the result.
 fn child(parent: &Bundle, version: &Version) -> Result<Bundle, Reason> {
     let header = &version.envelope.header;
     let sections = version.delta.apply(&parent.sections);
--- a/crates/bundle/src/fold/signed_bundle.rs
+++ b/crates/bundle/src/fold/signed_bundle.rs
@@ -1,4 +1,4 @@
-//! A bundle with the envelope that vouches for it.
+//! A checked bundle with the envelope that authenticates it.
 
 use super::history::Entry;
 use super::verdict::Reason;
@@ -9,19 +9,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A known state.
+/// A checked bundle with its signed header.
 #[derive(Clone, Debug)]
 pub(super) struct SignedBundle {
-    /// The bundle.
+    /// Checked bundle.
     pub bundle: Arc<Bundle>,
-    /// Header and signature.
+    /// Signed header of the version.
     pub envelope: Arc<Envelope>,
-    /// All records of the log below this offset are accounted for.
+    /// Offset below which this state covers all records of the log.
     pub next: u64,
 }
 
 impl SignedBundle {
-    /// A state whose signature was checked.
+    /// Creates a state from an envelope whose signature was checked.
     pub fn new(bundle: Arc<Bundle>, envelope: Envelope, next: u64) -> Self {
         let envelope = Arc::new(envelope);
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Its line in the history.
+    /// Returns the history entry of the version; `offset` is that of its record in the log.
     pub fn entry(&self, offset: Option<u64>) -> Entry {
         let header = &self.envelope.header;
         Entry {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// As a record that accounts for the log below `next`, written at `written`.
+    /// Returns the state as a head that covers the log below `next`, written at `written`.
     pub fn to_head(&self, next: u64, written: Duration, checkpoint: Option<Location>) -> Head {
         Head {
             envelope: (*self.envelope).clone(),
@@ -56,7 +56,8 @@
     }
 }
 
-/// The checked bundle of `sections`, whose digest is the one in `header`.
+/// Verifies `sections` and builds the bundle of the version with `header`. The caller has
+/// compared the digest of `sections` with the result in `header`.
 pub fn build_bundle(sections: &Sections, header: &Header) -> Result<Bundle, Reason> {
     if sections.len() > sections::MAX_SECTIONS {
         return Err(Reason::TooManySections(sections.len()));
--- a/crates/bundle/src/fold/status.rs
+++ b/crates/bundle/src/fold/status.rs
@@ -1,26 +1,26 @@
-//! Where a given version stands, for whoever published it.
+//! Status of a given version relative to the head, for its publisher.
 
 use super::Fold;
 use super::history::Entry;
 use crate::signed::Header;
 
-/// Where a version stands.
+/// Status of a version relative to the head in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It was accepted.
+    /// The version was accepted or adopted.
     Accepted(Entry),
-    /// Another version has its number.
+    /// Another version was accepted under its number.
     Lost(Entry),
-    /// It could be accepted: its parent is the head.
+    /// The version can be accepted: its parent is the head.
     Acceptable,
-    /// Its parent isn't known: the log wasn't read far enough, or the parent lost.
+    /// Its parent is not the head: the log has not been read far enough, or the parent lost.
     UnknownParent,
-    /// The head is past it, and the history doesn't reach back to its number.
+    /// The head has reached its number, and the history no longer has the entry of that number.
     Superseded,
 }
 
 impl Fold {
-    /// Where the version with `header` stands.
+    /// Returns the status of the version with `header`.
     pub fn status(&self, header: &Header) -> Status {
         let head = self.current().map(|k| &k.bundle);
         let number = head.map_or(0, |b| b.number);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Where a version stands whose number the head has reached.
+    /// Returns the status of a version whose number the head has reached.
     fn status_below_head(&self, header: &Header) -> Status {
         match self.history().rev().find(|e| e.number == header.number) {
             Some(entry) if entry.id == header.id() => Status::Accepted(entry.clone()),
--- a/crates/bundle/src/fold/verdict.rs
+++ b/crates/bundle/src/fold/verdict.rs
@@ -1,60 +1,61 @@
-//! What the fold says to a record.
+//! Verdicts of the fold on records.
 
 use crate::bundle::Bundle;
 use crate::delta::Mismatch;
 use crate::finding::Findings;
 use crate::id::Number;
 use crate::record;
+
 use crate::signed::SignatureError;
 use std::fmt;
 use std::sync::Arc;
 
-/// The fold's verdict on a record.
+/// Verdict of the fold on a record.
 #[derive(Debug)]
 pub enum Verdict {
-    /// A version that is now the head of the log (it may be in force already, from a peer).
+    /// The version is now the head of the log; it may already be in force, received from a peer.
     Accepted(Arc<Bundle>),
-    /// A version that was sound for another head; another child of its parent came first, or
-    /// the parent never was the head.
+    /// The version does not follow the head: another child of its parent came first in the log, or
+    /// its parent was never the head.
     Lost {
-        /// The head when it came.
+        /// Head at the time of the verdict; `None` if there was none.
         head: Option<Arc<Bundle>>,
     },
-    /// A copy of a version that was accepted before.
+    /// The record is a copy of a version that was accepted before.
     Repeated,
-    /// A record that doesn't count, on any node.
+    /// The record is invalid, on every node alike.
     Refused(Reason),
-    /// A record that can't be judged for a gap in what was read.
+    /// The record can't be judged because of a gap in the records read.
     Unjudged,
-    /// A state from a checkpoint or a peer that is used now.
+    /// A state from a checkpoint or a peer is now in use.
     Adopted(Arc<Bundle>),
-    /// A checkpoint that agrees with what was folded.
+    /// The checkpoint agrees with the fold.
     Agreed,
-    /// A record or state that is older than what is known; it changed nothing.
+    /// The record or state is older than the known state and changed nothing.
     Stale,
-    /// A record that was passed over, since reading goes on from an earlier offset.
+    /// The record was skipped, since reading continues from an earlier offset.
     Skipped,
 }
 
-/// Why a record doesn't count.
+/// Reason why a record is refused.
 #[derive(Debug)]
 pub enum Reason {
-    /// It can't be read.
+    /// The record can't be decoded.
     Record(record::Error),
-    /// The signer isn't trusted.
+    /// The signature is not by a trusted key.
     Signature(SignatureError),
-    /// The delta doesn't fit the parent.
+    /// The delta can't be applied to the parent.
     Delta(Mismatch),
-    /// The result doesn't have the digest that was signed.
+    /// The digest of the resulting sections differs from the signed one.
     Digest,
-    /// So many sections that it is over the bound.
+    /// The bundle has this many sections, more than [`crate::sections::MAX_SECTIONS`].
     TooManySections(usize),
-    /// The bundle is wrong.
+    /// The verifier found errors in the bundle.
     Bundle(Findings),
-    /// A checkpoint that accounts for records after itself.
+    /// The checkpoint claims to cover records after its own offset.
     FutureOffset,
-    /// A checkpoint with a version that the log didn't come to, or a peer's head that isn't the
-    /// one known under its number.
+    /// A checkpoint's version was never the head of the log, or a peer's head differs from the
+    /// known version with the same number.
     Conflict(Number),
 }
 
@@ -64,10 +65,14 @@
             Self::Record(e) => write!(f, "{e}"),
             Self::Signature(e) => write!(f, "{e}"),
             Self::Delta(e) => write!(f, "delta {e}"),
-            Self::Digest => f.write_str("result doesn't have the digest that was signed"),
-            Self::TooManySections(len) => write!(f, "{len} sections are too many"),
+            Self::Digest => f.write_str("digest of the result differs from the signed digest"),
+            Self::TooManySections(len) => {
+                write!(f, "{len} sections exceed the maximum")
+            }
             Self::Bundle(findings) => write!(f, "{findings}"),
-            Self::FutureOffset => f.write_str("checkpoint accounts for records after itself"),
+            Self::FutureOffset => {
+                f.write_str("checkpoint claims to cover records after its own offset")
+            }
             Self::Conflict(number) => {
                 write!(f, "another version {number} is known")
             }
--- a/crates/bundle/src/publish.rs
+++ b/crates/bundle/src/publish.rs
@@ -1,14 +1,14 @@
-//! Publishing: a signed version into the log, with an honest end.
+//! State machine that publishes a signed version to the log and determines the outcome.
 //!
-//! The machine says what to do and is told how it went; its driver appends, reads, waits and
-//! keeps the [`Fold`]. Used by `wigeonctl` and by the admin API of a node.
+//! The machine returns the next action and receives its result as an event; its driver appends,
+//! reads, waits and owns the [`Fold`]. Used by `wigeonctl` and by the admin API of a node.
 //!
-//! An append whose answer was lost may have taken effect, or may still do so. The machine then
-//! reads the log to its end and looks where the version stands. If its number is taken, the
-//! race is over, and a copy that turns up later is a repetition or has lost. If its parent is
-//! still the head, it is appended again: should the first copy turn up after all, whichever
-//! comes first is accepted and the other one is a repetition. So no version is in force twice,
-//! and the answer is the fold's, never a guess.
+//! An append whose response was lost may have taken effect, or may still do so. The machine then
+//! reads the log to its end and checks the status of the version. If another version has its
+//! number, the race is over, and a copy that is appended later is a duplicate or has lost. If its
+//! parent is still the head, the version is appended again: if the first copy appears after all,
+//! whichever copy comes first is accepted and the other one is a duplicate. So no version comes
+//! into force twice, and the outcome is always the verdict of the fold, never a guess.
 
 use crate::fold::{Entry, Fold, Reason, Status, Verdict};
 use crate::id::Number;
@@ -16,33 +16,33 @@
 use crate::signed::Version;
 use std::fmt;
 
-/// Most calls that may fail before the machine gives up.
+/// Number of failed calls after which the machine ends.
 pub const MAX_FAILURES: u32 = 8;
 
-/// What the driver does next.
+/// Next action of the driver.
 #[derive(Debug)]
 pub enum Action {
-    /// Read the log from [`Fold::next_offset`] once and apply the page. If `failures` isn't 0,
-    /// that many calls have failed so far: back off first.
+    /// Read one page of the log from [`Fold::next_offset`] and apply it. If `failures` isn't 0,
+    /// back off first.
     Read {
-        /// Failed calls so far.
+        /// Number of calls that have failed so far.
         failures: u32,
     },
     /// Append [`Publisher::body`].
     Append,
-    /// Nothing more; this is the end.
+    /// Stop: the publication has ended.
     Done(Outcome),
 }
 
-/// What happened.
+/// Result of an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A page was read and applied; `end` if it had no record, so that nothing more is there.
+    /// A page was read and applied.
     Read {
-        /// Whether the end of the log was reached.
+        /// Whether the end of the log was reached: the page had no record.
         end: bool,
     },
-    /// The append got this offset.
+    /// The record was appended at this offset.
     Appended(u64),
     /// The read or append failed.
     Failed {
@@ -51,54 +51,57 @@
     },
 }
 
-/// How it ended.
+/// Outcome of the publication of one version.
 #[derive(Debug)]
 pub enum Outcome {
     /// The version is in force.
     Accepted(Entry),
-    /// Another version came first; this one will never be in force.
+    /// Another version was accepted under its number; this one will never be in force.
     Lost(Entry),
-    /// The head is past this number, and nobody remembers which version had it.
+    /// The head, with this number, has reached the version's number, and the history no longer
+    /// shows which version had that number.
     Superseded(Number),
-    /// The version doesn't count on any node. It was not appended.
+    /// The version is invalid on every node. It was not appended.
     Refused(Reason),
-    /// Its parent was never the head, as far as the log was read. It was not appended.
+    /// Its parent is not the head, as far as the log was read; the number is that of the head. The
+    /// version was not appended.
     UnknownParent(Number),
-    /// The log can't be judged from here for a gap. It was not appended.
+    /// A gap in the log prevents judging the version. It was not appended.
     Gap,
     /// The log couldn't be reached; nothing was appended.
     Failed,
-    /// The version was or may have been appended, but how its race ended couldn't be read. It
-    /// may be in force or come into force; asking again with the same version tells.
+    /// The version was or may have been appended, but its verdict couldn't be read. It may be in
+    /// force or may come into force; publishing the same version again determines the outcome.
     Unsure,
 }
 
-/// Where the machine is.
+/// State of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Reading to the end of the log, to see where the version stands.
+    /// Reading to the end of the log to determine the status of the version.
     Reading,
-    /// An append is out.
+    /// Waiting for the result of an append.
     Appending,
-    /// Reading until the fold has passed the record's offset.
+    /// Reading until the fold has passed the offset of the appended record.
     ReadBack(u64),
-    /// Ended.
+    /// The outcome was returned.
     Ended,
 }
 
-/// The publishing of one version.
+/// Publishes one version.
 #[derive(Debug)]
 pub struct Publisher {
     version: Version,
     body: Vec<u8>,
     state: State,
     failures: u32,
-    /// Whether a copy is or may be in the log.
+    /// Whether the log contains or may contain a copy of the version.
     appended: bool,
 }
 
 impl Publisher {
-    /// Publishes the version in the record `body`.
+    /// Creates the publisher of the version in the record `body`; an error if `body` is not a valid
+    /// version record.
     pub fn new(body: Vec<u8>) -> record::Result<Self> {
         let version = match Record::decode(&body)? {
             Record::Version(version) => version,
@@ -113,22 +116,22 @@
         })
     }
 
-    /// The version.
+    /// Returns the version to publish.
     pub fn version(&self) -> &Version {
         &self.version
     }
 
-    /// The record to append.
+    /// Returns the record to append.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// The first action.
+    /// Returns the first action.
     pub fn start(&mut self) -> Action {
         self.read()
     }
 
-    /// The action after `event`; `fold` has all pages that were read.
+    /// Returns the action after `event`; all pages read so far have been applied to `fold`.
     pub fn step(&mut self, fold: &Fold, event: Event) -> Action {
         match (self.state, event) {
             (State::Ended, _) => self.end(Outcome::Unsure),
@@ -144,7 +147,7 @@
         }
     }
 
-    /// At the end of the log: appends if the version can win, else ends.
+    /// Decides at the end of the log: appends the version if it would be accepted, else ends.
     fn decide(&mut self, fold: &Fold) -> Action {
         if let Some(outcome) = self.race_outcome(fold) {
             return self.end(outcome);
@@ -170,20 +173,20 @@
         }
     }
 
-    /// After an append that got an offset.
+    /// Handles a page read after an append that returned `offset`.
     fn read_back(&mut self, fold: &Fold, offset: u64, end: bool) -> Action {
         if let Some(outcome) = self.race_outcome(fold) {
             return self.end(outcome);
         }
         if fold.next_offset() <= offset {
-            // Reads that lag behind the append are counted, so that they can't go on for ever.
+            // A read that lags behind the append counts as a failure, which bounds the retries.
             return if end { self.failed(true) } else { self.read() };
         }
-        // The fold is past the record without a word on it: there was a gap in between.
+        // The fold has passed the record without a verdict on the version: there was a gap.
         self.end(Outcome::Unsure)
     }
 
-    /// The outcome, if the race is over.
+    /// Returns the outcome if the log has already decided on the version's number.
     fn race_outcome(&self, fold: &Fold) -> Option<Outcome> {
         match fold.status(&self.version.envelope.header) {
             Status::Accepted(entry) => Some(Outcome::Accepted(entry)),
@@ -196,7 +199,7 @@
         }
     }
 
-    /// After a failed call: reads again, since only the log tells what took effect.
+    /// Handles a failed call: reads again, since only the log shows which appends took effect.
     fn failed(&mut self, unsure: bool) -> Action {
         self.failures += 1;
         self.appended |= unsure;
@@ -214,14 +217,14 @@
         self.read()
     }
 
-    /// Reads once more.
+    /// Returns the action that reads the next page.
     fn read(&self) -> Action {
         Action::Read {
             failures: self.failures,
         }
     }
 
-    /// Ends.
+    /// Ends the publication with `outcome`.
     fn end(&mut self, outcome: Outcome) -> Action {
         self.state = State::Ended;
         Action::Done(outcome)
@@ -237,7 +240,7 @@
                 "lost the race: version {} is by {} ({})",
                 entry.number, entry.signer, entry.digest
             ),
-            Self::Superseded(number) => write!(f, "lost: the head is version {number} already"),
+            Self::Superseded(number) => write!(f, "lost: the head is already version {number}"),
             Self::Refused(reason) => write!(f, "refused: {reason}"),
             Self::UnknownParent(number) => {
                 write!(
@@ -245,11 +248,11 @@
                     "refused: its parent is not the head, which is version {number}"
                 )
             }
-            Self::Gap => f.write_str("the log has a gap and no checkpoint to judge it by"),
+            Self::Gap => f.write_str("the log has a gap and no checkpoint that covers it"),
             Self::Failed => f.write_str("the log can't be reached; nothing was appended"),
             Self::Unsure => f.write_str(
-                "the version was or may have been appended, but how its race ended can't be \
-                 read; publish the same file again to learn it",
+                "the version was or may have been appended, but its outcome can't be read; publish \
+                 the same file again to determine it",
             ),
         }
     }
