--- a/crates/bundle/src/answer.rs
+++ b/crates/bundle/src/answer.rs
@@ -1,4 +1,4 @@
-//! The admin API's answer to a published version.
+//! Response of the admin API to the publication of a version.
 
 use crate::finding::Finding;
 use crate::fold::Reason;
@@ -8,43 +8,43 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How it ended, in one word.
+/// Kind of the outcome of a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeKind {
     /// The version is in force.
     Accepted,
-    /// Another version came first.
+    /// Another version was accepted under its number.
     Lost,
-    /// It is no version that counts.
+    /// The version is invalid, or its parent is not the head.
     Refused,
-    /// Nothing was appended, since the log can't be reached or judged.
+    /// Nothing was appended, since the log can't be reached or has a gap.
     Failed,
-    /// It may be in force or come into force.
+    /// The version may be in force or may come into force.
     Unsure,
 }
 
-/// The answer, as JSON.
+/// Body of the response, encoded as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// How it ended.
+    /// Kind of the outcome.
     pub outcome: OutcomeKind,
-    /// Number of the version accepted, or of the one that won; 0 for none.
+    /// Number of the accepted version, of the version that won, or of the head; 0 for none.
     #[serde(default)]
     pub number: Number,
-    /// Who signed that version; empty for none.
+    /// Name of the signer of the version that was accepted or won; empty for none.
     #[serde(default)]
     pub signer: String,
-    /// The end in words.
+    /// Description of the outcome for an operator.
     #[serde(default)]
     pub message: String,
-    /// What is wrong with a refused bundle.
+    /// Findings on a refused bundle.
     #[serde(default)]
     pub findings: Vec<Finding>,
 }
 
 impl Answer {
-    /// An answer that names no version.
+    /// Creates an answer that names no version.
     fn without_version(outcome: OutcomeKind, message: String) -> Self {
         Self {
             outcome,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A body that is no version at all.
+/// Answer to a body that can't be decoded as a version.
 impl From<&record::Error> for Answer {
     fn from(error: &record::Error) -> Self {
         let mut answer = Self::without_version(OutcomeKind::Refused, error.to_string());
@@ -85,7 +85,7 @@
     }
 }
 
-/// The word of an outcome.
+/// Returns the kind of an outcome.
 fn outcome_kind(outcome: &Outcome) -> OutcomeKind {
     match outcome {
         Outcome::Accepted(_) => OutcomeKind::Accepted,
--- a/crates/bundle/src/bundle.rs
+++ b/crates/bundle/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The checked bundle.
+//! The checked bundle and its tables.
 
 use crate::digest::Digest;
 use crate::endpoint::Endpoint;
@@ -16,11 +16,11 @@
 /// A checked bundle: dense tables, each keyed by its id type.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bundle {
-    /// Its number.
+    /// Number of the version.
     pub number: Number,
-    /// Digest of its sections, see [`Sections::digest`].
+    /// Digest of the sections, see [`Sections::digest`].
     pub digest: Digest,
-    /// Digest of the version it follows; all zero for the first.
+    /// Digest of the parent version's sections; all zero for the first version.
     pub parent: Digest,
     /// Name of the person who signed it.
     pub signer: String,
@@ -42,48 +42,49 @@
     pub links: Vec<Link>,
     /// Signers.
     pub signers: Vec<Signer>,
-    /// The sections that the tables were made of; shared with the bundle's parent.
+    /// Sections that the tables were built from; unchanged ones are shared with the parent bundle.
     pub sections: Sections,
 }
 
 impl Bundle {
-    /// The availability zone named `name`.
+    /// Returns the id of the availability zone named `name`.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         position(&self.zones, |z| z.name == name)
     }
 
-    /// The model named `name`.
+    /// Returns the id of the model named `name`.
     pub fn model(&self, name: &str) -> Option<ModelId> {
         position(&self.models, |m| m.name == name)
     }
 
-    /// The endpoint named `name`.
+    /// Returns the id of the endpoint named `name`.
     pub fn endpoint(&self, name: &str) -> Option<EndpointId> {
         position(&self.endpoints, |e| e.name == name)
     }
 
-    /// The plain service named `name`.
+    /// Returns the id of the plain service named `name`.
     pub fn service(&self, name: &str) -> Option<ServiceId> {
         position(&self.services, |s| s.name == name)
     }
 
-    /// The priority named `name`.
+    /// Returns the id of the priority named `name`.
     pub fn priority(&self, name: &str) -> Option<PriorityId> {
         position(&self.priorities, |p| p.name == name)
     }
 
-    /// The team named `name`.
+    /// Returns the id of the team named `name`.
     pub fn team(&self, name: &str) -> Option<TeamId> {
         position(&self.teams, |t| t.name == name)
     }
 
-    /// The team that holds the bearer key with digest `key`.
+    /// Returns the id of the team that has a bearer key with digest `key`.
     pub fn team_by_key(&self, key: &Digest) -> Option<TeamId> {
         position(&self.teams, |t| t.keys.contains(key))
     }
 }
 
-/// Index of the first row that `test` accepts; the verifier keeps tables within their id types.
+/// Returns the id of the first row that `test` accepts. The verifier refuses tables with more rows
+/// than their id type can represent.
 fn position<T, I: TryFrom<usize>>(rows: &[T], test: impl Fn(&T) -> bool) -> Option<I> {
     rows.iter().position(test).and_then(|i| I::try_from(i).ok())
 }
--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas: what a version sets and removes, by sections.
+//! Deltas: the sections that a version sets and removes.
 
 use crate::digest::Digest;
 use crate::section::{Key, Section};
@@ -7,10 +7,10 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Separates these digests from all other uses of SHA-256.
+/// Domain separator: keeps these digests distinct from all other uses of SHA-256.
 const DOMAIN: &[u8] = b"wigeonshelf delta 1\n";
 
-/// Sections set and removed. A section is in at most one of both.
+/// Sections that a version sets and removes. A valid delta has no section in both sets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
     /// Sections added or replaced.
@@ -19,26 +19,26 @@
     pub removed: BTreeSet<Key>,
 }
 
-/// Why a delta doesn't fit its parent.
+/// Reason why a delta can't be applied to its parent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// It removes a section that the parent hasn't.
+    /// The delta removes a section that the parent does not have.
     Missing(Key),
-    /// It both sets and removes a section.
+    /// The delta both sets and removes a section.
     Both(Key),
 }
 
 impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(key) => write!(f, "removes [{key}], which the parent hasn't"),
+            Self::Missing(key) => write!(f, "removes [{key}], which the parent does not have"),
             Self::Both(key) => write!(f, "both sets and removes [{key}]"),
         }
     }
 }
 
 impl Delta {
-    /// What turns `from` into `to`.
+    /// Computes the delta that turns `from` into `to`.
     pub fn between(from: &Sections, to: &Sections) -> Self {
         let changed = |s: &&Arc<Section>| from.get(s.key()) != Some(s);
         let gone = |s: &&Arc<Section>| to.get(s.key()).is_none();
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The sections that `parent` becomes.
+    /// Applies the delta to `parent` and returns the resulting sections.
     pub fn apply(&self, parent: &Sections) -> Result<Sections, Mismatch> {
         let mut sections = parent.clone();
         for key in &self.removed {
@@ -66,12 +66,12 @@
         Ok(sections)
     }
 
-    /// Whether it changes nothing.
+    /// Returns whether the delta changes nothing.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.removed.is_empty()
     }
 
-    /// Digest of its canonical form.
+    /// Returns the digest of the canonical form.
     pub fn digest(&self) -> Digest {
         let mut bytes = DOMAIN.to_vec();
         for section in self.set.values() {
@@ -86,7 +86,7 @@
     }
 }
 
-/// One line a section: `+` added or replaced, `-` removed.
+/// Writes one line per section: `+` for added or replaced, `-` for removed.
 impl fmt::Display for Delta {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for key in self.set.keys() {
--- a/crates/bundle/src/digest.rs
+++ b/crates/bundle/src/digest.rs
@@ -9,7 +9,7 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
--- a/crates/bundle/src/endpoint.rs
+++ b/crates/bundle/src/endpoint.rs
@@ -14,25 +14,25 @@
     pub to: Layer,
 }
 
-/// An endpoint.
+/// An endpoint of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Name, unique in the bundle.
     pub name: String,
-    /// Name of its instance, as the instance list gives it.
+    /// Name of its instance in the instance list.
     pub instance: String,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneId,
-    /// Its accelerator's kind; `None` for one that only hosts plain services.
+    /// Kind of its accelerator; `None` for an endpoint that only hosts plain services.
     pub kind: Option<KindId>,
-    /// What it may serve of models.
+    /// Spans of model layers that it may serve.
     pub spans: Vec<Span>,
     /// Plain services it may serve.
     pub services: Vec<ServiceId>,
-    /// Requests it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the endpoint refuses orders that carry a stale fencing token.
     pub fenced: bool,
 }
--- a/crates/bundle/src/finding.rs
+++ b/crates/bundle/src/finding.rs
@@ -1,17 +1,17 @@
-//! Findings: what is wrong with a bundle, each with its place.
+//! Findings: errors and warnings about a bundle, each with its location in the text.
 
 use serde::{Deserialize, Serialize};
 use std::error::Error;
 use std::fmt;
 
-/// Most findings that one check keeps; the rest are only counted.
+/// Maximum number of findings that one check keeps; further ones are only counted.
 pub const MAX_FINDINGS: usize = 1_000;
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// The bundle can be used, but says something that is likely not meant.
+    /// The bundle can be used, but likely does not say what its author intended.
     Warning,
     /// The bundle can't be used.
     Error,
@@ -26,18 +26,18 @@
     }
 }
 
-/// One finding.
+/// An error or warning about a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// How bad it is.
+    /// Severity.
     pub level: Level,
-    /// Line in the text, from 1; 0 when the text has none (a section out of a delta).
+    /// Line in the text, counted from 1; 0 if there is no line (a section from a delta).
     pub line: u32,
-    /// Header of the section, such as `team kitchens`; empty when outside of any.
+    /// Header of the section, such as `team kitchens`; empty outside of any section.
     pub section: String,
-    /// Key within the section; empty when the whole section is meant.
+    /// Key within the section; empty if the finding concerns the whole section.
     pub key: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
 }
 
@@ -65,7 +65,8 @@
 }
 
 impl Findings {
-    /// Adds a finding; past [`MAX_FINDINGS`] it is only counted, which bounds memory for hostile text.
+    /// Adds a finding. Beyond [`MAX_FINDINGS`] it is only counted, which bounds the memory that
+    /// malicious text can take.
     pub fn push(&mut self, finding: Finding) {
         if self.rows.len() < MAX_FINDINGS {
             self.rows.push(finding);
@@ -74,28 +75,28 @@
         }
     }
 
-    /// The findings, in the order of [`Findings::sort`] once that was called.
+    /// Returns the findings that were kept; sorted if [`Findings::sort`] was called.
     pub fn rows(&self) -> &[Finding] {
         &self.rows
     }
 
-    /// Whether there is none at all.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Whether one of them is an error.
+    /// Returns whether a finding is an error. Findings that were only counted are taken for errors.
     pub fn has_errors(&self) -> bool {
         self.dropped > 0 || self.rows.iter().any(|f| f.level == Level::Error)
     }
 
-    /// Orders the findings by line, then section and key.
+    /// Sorts the findings by line, then section and key.
     pub fn sort(&mut self) {
         self.rows.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
     }
 }
 
-/// Sort key of a finding.
+/// Returns the sort key of a finding: line, section and key.
 fn sort_key(f: &Finding) -> (u32, &str, &str) {
     (f.line, &f.section, &f.key)
 }
--- a/crates/bundle/src/fleet.rs
+++ b/crates/bundle/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The admin API's answer on which version each listed node has in force.
+//! Response of the admin API that lists the version in force on each node.
 
 use crate::id::Number;
 use serde::{Deserialize, Serialize};
@@ -10,24 +10,24 @@
 /// A node as another node sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its name in the instance list.
+    /// Name of the node in the instance list.
     pub node: String,
-    /// What the node that answers holds of it, such as `up`, `suspect` or `left`.
+    /// State of the node as seen by the responding node, such as `up`, `suspect` or `left`.
     #[serde(default)]
     pub state: String,
-    /// Number of the version it has in force, as last heard; 0 if nothing was heard yet.
+    /// Last reported number of the version in force on the node; 0 if none was reported yet.
     #[serde(default)]
     pub number: Number,
 }
 
-/// Name and state.
+/// Writes the name and the state.
 impl fmt::Display for Node {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ({})", self.node, self.state)
     }
 }
 
-/// All nodes that the asked one knows of, itself included.
+/// All nodes that the responding node knows, including itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fleet {
@@ -36,12 +36,12 @@
 }
 
 impl Fleet {
-    /// Nodes that haven't left.
+    /// Returns the nodes that haven't left.
     pub fn listed(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|n| n.state != LEFT)
     }
 
-    /// Of these, the ones without version `number` or a later one in force.
+    /// Returns the listed nodes whose version in force is lower than `number`.
     pub fn behind(&self, number: Number) -> impl Iterator<Item = &Node> {
         self.listed().filter(move |n| n.number < number)
     }
--- a/crates/bundle/src/history.rs
+++ b/crates/bundle/src/history.rs
@@ -1,4 +1,4 @@
-//! The admin API's answer on the versions that were in force.
+//! Response of the admin API that lists the versions that were in force.
 
 use crate::fold::{Entry, Fold};
 use crate::id::Number;
@@ -8,13 +8,13 @@
 /// A version that was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number.
+    /// Number of the version.
     pub number: Number,
-    /// Name of who signed it.
+    /// Name of the signer.
     pub signer: String,
-    /// Digest of its sections, in hex.
+    /// Digest of the sections, in hex.
     pub digest: String,
-    /// Offset of its record; none if it came by a checkpoint or a peer.
+    /// Offset of its record in the log; `None` for a version from a checkpoint or a peer.
     #[serde(default)]
     pub offset: Option<u64>,
 }
--- a/crates/bundle/src/kind.rs
+++ b/crates/bundle/src/kind.rs
@@ -5,6 +5,6 @@
 pub struct Kind {
     /// Name, unique in the bundle.
     pub name: String,
-    /// Layers computed per second for one token, the hardware's bound.
+    /// Maximum number of layers that the hardware computes per second for one token.
     pub layers_per_second: f64,
 }
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,19 +1,23 @@
 //! Bundles: the signed, versioned description of a fleet.
 //!
 //! Inputs are bundle text, log records and trusted keys; outputs are checked [`bundle::Bundle`]
-//! tables and the head of the log's fold. The crate does no I/O, reads no clock and draws no
-//! random numbers; the platform clients and the nodes do that.
+//! tables and the head that results from folding the log. The crate does no I/O, reads no clock
+//! and has no source of entropy (callers pass times and seeds); the platform clients and the nodes
+//! do that.
 //!
 //! A checked bundle is a set of dense tables keyed by small ids (an id is the index in its
-//! table). Ids belong to one bundle only: code that outlives a bundle matches rows by name.
+//! table). An id is valid within one bundle only: state that outlives a bundle refers to rows by
+//! name.
 //!
 //! From a file to a bundle in force:
 //!
-//! 1. [`text`] reads INI into [`sections`], [`verify`] turns these into a [`bundle::Bundle`].
-//! 2. [`sign`] makes a [`signed::Version`] of it: a [`delta`] on its parent with a signature.
-//! 3. [`record`] encodes it for the log; [`fold`] is how every node judges the log alike.
-//! 4. [`publish`] settles how a version's race ended, also when an append's answer was lost.
-//! 5. [`checkpoint`] decides who writes the fold's state into the log before retention drops it.
+//! 1. [`text`] parses INI into [`sections`], and [`verify`] builds a [`bundle::Bundle`] from them.
+//! 2. [`sign`] creates a [`signed::Version`] from it: a signed [`delta`] on its parent.
+//! 3. [`record`] encodes it for the log; [`fold`] derives the same head from the log on every node.
+//! 4. [`publish`] determines whether a version was accepted, also when the response to its append
+//!    was lost.
+//! 5. [`checkpoint`] decides which node writes the fold's state into the log before retention drops
+//!    the last checkpoint.
 
 pub mod answer;
 pub mod bundle;
--- a/crates/bundle/src/link.rs
+++ b/crates/bundle/src/link.rs
@@ -3,7 +3,7 @@
 use crate::id::ZoneId;
 use std::time::Duration;
 
-/// A link from one availability zone to another, both ways.
+/// A bidirectional link between two availability zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     /// One end.
@@ -12,6 +12,6 @@
     pub b: ZoneId,
     /// One-way latency.
     pub latency: Duration,
-    /// Tokens' activations it carries per second.
+    /// Bandwidth: number of tokens per second whose activations the link can carry.
     pub tokens_per_second: f64,
 }
--- a/crates/bundle/src/nearest.rs
+++ b/crates/bundle/src/nearest.rs
@@ -1,9 +1,10 @@
-//! The known name nearest to an unknown one, for findings.
+//! Search for the known name most similar to an unknown one, for suggestions in findings.
 
-/// Least similarity (Jaro-Winkler) at which a name is worth proposing.
+/// Minimum Jaro-Winkler similarity at which a name is suggested.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// The one of `known` that is most like `name`, if any is like it at all.
+/// Returns the name in `known` that is most similar to `name`, if its similarity is at least
+/// [`MIN_SIMILARITY`].
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let name = name.get(..crate::section::MAX_NAME_LEN).unwrap_or(name);
     if name.len() > crate::section::MAX_NAME_LEN {
--- a/crates/bundle/src/priority.rs
+++ b/crates/bundle/src/priority.rs
@@ -5,10 +5,10 @@
 pub struct Priority {
     /// Name, unique in the bundle.
     pub name: String,
-    /// Rank; a lower one goes first.
+    /// Rank; a lower rank is served first.
     pub rank: u32,
-    /// Whether it goes strictly before all that is not urgent.
+    /// Whether its requests always precede those of priorities that are not urgent.
     pub urgent: bool,
-    /// Share among priorities that are not urgent.
+    /// Weight of its share of the capacity among priorities that are not urgent.
     pub weight: u32,
 }
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -1,9 +1,10 @@
-//! Records of the log's stream of bundles, and their encoding.
+//! Records of the log's stream of bundle versions, and their encoding.
 //!
-//! The encoding is JSON. Bodies are nearly all names and text, so a binary codec saves little
-//! (the figures are in `docs/design/bundles.md`); the same bytes are the body of the admin API's
-//! one write, and operators can read the log with what they have. What is signed is not the
-//! JSON but [`crate::signed::Header::message`], so spaces and the order of keys don't matter.
+//! The encoding is JSON. Bodies consist almost entirely of names and text, so a binary codec saves
+//! little (the figures are in `docs/design/bundles.md`). The same bytes are the body of the only
+//! write of the admin API, and operators can read the log with common tools. The signature covers
+//! [`crate::signed::Header::message`], not the JSON, so whitespace and the order of keys don't
+//! matter.
 
 use crate::delta::Delta;
 use crate::delta::Mismatch;
@@ -19,47 +20,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest record, in bytes; a longer one is refused before it is read.
+/// Maximum length of a record, in bytes; a longer one is refused before it is parsed.
 pub const MAX_RECORD_LEN: usize = 4 << 20;
 
 /// A record of the stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A version, to be judged against the head.
+    /// A version, which the fold judges against the head.
     Version(Version),
-    /// All that the records before it came to.
+    /// A checkpoint: the state that results from the records below its `next` offset.
     Checkpoint(Head),
 }
 
-/// Why bytes are no record.
+/// Reason why bytes are not a valid record, or not a record of the expected kind.
 #[derive(Debug)]
 pub enum Error {
-    /// Longer than [`MAX_RECORD_LEN`].
+    /// The record has this length, more than [`MAX_RECORD_LEN`].
     Size(usize),
-    /// Not JSON of the expected shape.
+    /// The bytes are not JSON of the expected structure.
     Shape(serde_json::Error),
-    /// Sections in it can't be read.
+    /// The text of its sections can't be parsed.
     Text(Findings),
-    /// The delta or the sections are not those that the header names.
+    /// The digest of the delta or the sections differs from the one in the header.
     Digest,
-    /// A delta of more than [`sections::MAX_SECTIONS`] sections.
+    /// The delta has more than [`sections::MAX_SECTIONS`] sections.
     Sections,
-    /// A checkpoint where a version is expected.
+    /// The record is a checkpoint where a version is expected.
     Kind,
 }
 
-/// A result of reading a record.
+/// Result of decoding a record.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Size(len) => write!(f, "{len} bytes, over {MAX_RECORD_LEN}"),
-            Self::Shape(e) => write!(f, "not a record: {e}"),
-            Self::Text(findings) => write!(f, "sections can't be read: {findings}"),
-            Self::Digest => f.write_str("content doesn't have the digest in the header"),
-            Self::Sections => write!(f, "over {} sections", sections::MAX_SECTIONS),
-            Self::Kind => f.write_str("a checkpoint, not a version"),
+            Self::Size(len) => write!(
+                f,
+                "record of {len} bytes exceeds the maximum of {MAX_RECORD_LEN}"
+            ),
+            Self::Shape(e) => write!(f, "not a valid record: {e}"),
+            Self::Text(findings) => write!(f, "sections can't be parsed: {findings}"),
+            Self::Digest => {
+                f.write_str("digest of the content differs from the digest in the header")
+            }
+            Self::Sections => write!(f, "delta of more than {} sections", sections::MAX_SECTIONS),
+            Self::Kind => f.write_str("record is a checkpoint, not a version"),
         }
     }
 }
@@ -86,7 +92,7 @@
     signature: Hex<64>,
 }
 
-/// Wire form of a version.
+/// Wire form of a version; the bodies of set sections are keyed by their headers.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawVersion {
@@ -97,7 +103,7 @@
     removed: BTreeSet<String>,
 }
 
-/// Wire form of a head.
+/// Wire form of a head; the time is in seconds since the Unix epoch.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawHead {
@@ -110,7 +116,7 @@
     text: String,
 }
 
-/// Wire form of the place of a checkpoint; its time in seconds.
+/// Wire form of the location of a checkpoint; the time is in seconds since the Unix epoch.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawLocation {
@@ -120,7 +126,7 @@
     number: u64,
 }
 
-/// Bytes that are written in hex.
+/// Byte array that is serialized as a hex string.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 struct Hex<const N: usize>([u8; N]);
@@ -142,7 +148,8 @@
 }
 
 impl Record {
-    /// Reads a record. Its content has the digests of its header; the signature is not checked.
+    /// Decodes a record and checks the digest of its content against the header. Does not check the
+    /// signature.
     pub fn decode(body: &[u8]) -> Result<Self> {
         if body.len() > MAX_RECORD_LEN {
             return Err(Error::Size(body.len()));
@@ -154,17 +161,18 @@
         }
     }
 
-    /// The bytes of the record.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let raw = match self {
             Self::Version(version) => RawRecord::Version(version.into()),
             Self::Checkpoint(head) => RawRecord::Checkpoint(head.into()),
         };
-        // Only maps with keys that aren't strings can fail, and there are none.
+        // Serialization fails only for maps whose keys are not strings; there are none.
         serde_json::to_vec(&raw).unwrap_or_default()
     }
 
-    /// All sections, of a checkpoint or of a first version.
+    /// Returns all sections of a checkpoint or of a first version; an error for a version whose
+    /// delta needs a parent.
     pub fn sections(&self) -> Result<Sections, Mismatch> {
         match self {
             Self::Version(version) => version.delta.apply(&Sections::default()),
@@ -172,7 +180,7 @@
         }
     }
 
-    /// Header and signature.
+    /// Returns the header with its signature.
     pub fn envelope(&self) -> &Envelope {
         match self {
             Self::Version(version) => &version.envelope,
@@ -248,7 +256,7 @@
     type Error = Error;
 
     fn try_from(raw: RawVersion) -> Result<Self> {
-        // A bound on memory that holds before anybody has checked a signature.
+        // Bounds memory use before the signature is checked.
         if raw.set.len() + raw.removed.len() > sections::MAX_SECTIONS {
             return Err(Error::Sections);
         }
--- a/crates/bundle/src/section.rs
+++ b/crates/bundle/src/section.rs
@@ -4,10 +4,10 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest name of a section, in bytes.
+/// Maximum length of a section name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// Kinds of sections, in canonical order.
+/// Kind of a section; variants are in canonical order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// `[zone NAME]`
@@ -31,7 +31,7 @@
 }
 
 impl Kind {
-    /// Every kind, in canonical order.
+    /// All kinds, in canonical order.
     pub const ALL: [Self; 9] = [
         Self::Zone,
         Self::Kind,
@@ -44,7 +44,7 @@
         Self::Signer,
     ];
 
-    /// Its word in a header.
+    /// Returns the keyword of the kind in a section header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Zone => "zone",
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Keys that its sections may hold, sorted.
+    /// Returns the keys allowed in sections of the kind, sorted.
     pub fn keys(self) -> &'static [&'static str] {
         match self {
             Self::Zone => &["region"],
@@ -85,12 +85,12 @@
     }
 }
 
-/// Header of a section: its kind and name. A link's name is both its ends, sorted.
+/// Header of a section: its kind and name. The name of a link consists of its two ends, sorted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The kind.
+    /// Kind of the section.
     pub kind: Kind,
-    /// The name.
+    /// Name of the section.
     pub name: String,
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// Message for a header that starts with an unknown word.
+/// Returns the message for a header that starts with an unknown keyword.
 fn unknown_kind(word: &str) -> String {
     let known = Kind::ALL.into_iter().map(Kind::as_str);
     match crate::nearest::nearest(word, known) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether `text` can name a section.
+/// Returns whether `text` is a valid section name.
 pub fn is_name(text: &str) -> bool {
     let ok = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     !text.is_empty() && text.len() <= MAX_NAME_LEN && text.bytes().all(ok)
@@ -145,11 +145,11 @@
 /// A key of a section with its value.
 #[derive(Clone, Debug)]
 pub struct Pair {
-    /// The key, one of [`Kind::keys`].
+    /// Key, one of [`Kind::keys`].
     pub key: &'static str,
-    /// The normalised value.
+    /// Normalised value.
     pub value: Box<str>,
-    /// Its line in the text, from 1; 0 for none.
+    /// Line in the text, counted from 1; 0 if there is no line.
     pub line: u32,
 }
 
@@ -163,7 +163,7 @@
 }
 
 impl Section {
-    /// A section of `pairs`, which may come in any order.
+    /// Creates a section of `pairs`, which may be in any order.
     pub fn new(key: Key, line: u32, mut pairs: Vec<Pair>) -> Self {
         pairs.sort_by_key(|p| p.key);
         let digest = Digest::default();
@@ -177,39 +177,39 @@
         section
     }
 
-    /// Its header.
+    /// Returns the header.
     pub fn key(&self) -> &Key {
         &self.key
     }
 
-    /// Line of its header, from 1; 0 for none.
+    /// Returns the line of the header, counted from 1; 0 if there is no line.
     pub fn line(&self) -> u32 {
         self.line
     }
 
-    /// Its keys and values, sorted by key.
+    /// Returns the keys and values, sorted by key.
     pub fn pairs(&self) -> &[Pair] {
         &self.pairs
     }
 
-    /// The pair with `key`.
+    /// Returns the pair with `key`.
     pub fn pair(&self, key: &str) -> Option<&Pair> {
         self.pairs.iter().find(|p| p.key == key)
     }
 
-    /// Digest of its canonical text.
+    /// Returns the digest of the canonical text.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The canonical text below the header.
+    /// Returns the canonical text below the header.
     pub fn body(&self) -> String {
         let line = |p: &Pair| format!("{} = {}\n", p.key, p.value);
         self.pairs.iter().map(line).collect()
     }
 }
 
-/// Canonical text.
+/// Writes the canonical text.
 impl fmt::Display for Section {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "[{}]", self.key)?;
@@ -220,7 +220,7 @@
     }
 }
 
-/// Equal canonical text; lines don't count.
+/// Sections are equal if their canonical texts are; line numbers are ignored.
 impl PartialEq for Section {
     fn eq(&self, other: &Self) -> bool {
         self.digest == other.digest
--- a/crates/bundle/src/service.rs
+++ b/crates/bundle/src/service.rs
@@ -1,10 +1,10 @@
-//! Plain services beside the model engines.
+//! Plain services, which run beside the model engines.
 
 /// A plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Name, unique in the bundle; callers reach it under `/services/NAME/`.
+    /// Name, unique in the bundle; callers reach the service under `/services/NAME/`.
     pub name: String,
-    /// Whether its calls may be repeated unless the caller says otherwise.
+    /// Whether calls may be retried unless the caller says otherwise.
     pub repeatable: bool,
 }
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! Keys and signing, for the operators' side.
+//! Keys and signing of versions, for the tools of operators.
 
 use crate::bundle::Bundle;
 use crate::delta::Delta;
@@ -15,28 +15,28 @@
 
 pub use ed25519_dalek::SigningKey;
 
-/// Why nothing was signed.
+/// Reason why a version was not signed, or a private key not read or written.
 #[derive(Debug)]
 pub enum Error {
-    /// The bundle is wrong.
+    /// The verifier found errors in the bundle.
     Bundle(Findings),
-    /// The bundle says what its parent does.
+    /// The bundle is identical to its parent.
     Unchanged,
-    /// The signer's name can't be one.
+    /// The signer's name is not a valid name.
     InvalidName,
     /// The private key can't be read or written.
     Key(ed25519_dalek::pkcs8::Error),
 }
 
-/// A result of signing.
+/// Result of signing or of handling a key.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bundle(findings) => write!(f, "{findings}"),
-            Self::Unchanged => f.write_str("the bundle is the same as its parent"),
-            Self::InvalidName => f.write_str("the signer's name is none"),
+            Self::Unchanged => f.write_str("the bundle is identical to its parent"),
+            Self::InvalidName => f.write_str("the signer's name is not a valid name"),
             Self::Key(e) => write!(f, "private key: {e}"),
         }
     }
@@ -44,29 +44,30 @@
 
 impl std::error::Error for Error {}
 
-/// The key made of `seed`, 32 secret bytes from the operating system's generator.
+/// Returns the signing key derived from `seed`: 32 secret bytes, which callers obtain from the
+/// operating system's random number generator.
 pub fn key_from_seed(seed: [u8; 32]) -> SigningKey {
     SigningKey::from_bytes(&seed)
 }
 
-/// The private key as PKCS #8 PEM.
+/// Encodes the private key as PKCS #8 PEM.
 pub fn to_pem(key: &SigningKey) -> Result<String> {
     let pem = key.to_pkcs8_pem(LineEnding::LF).map_err(Error::Key)?;
     Ok(pem.to_string())
 }
 
-/// The private key in PKCS #8 PEM.
+/// Decodes a private key from PKCS #8 PEM.
 pub fn from_pem(pem: &str) -> Result<SigningKey> {
     SigningKey::from_pkcs8_pem(pem).map_err(Error::Key)
 }
 
-/// The public key in hex, as settings and `[signer NAME]` hold it.
+/// Returns the public key in hex, the form used in settings and in `[signer NAME]` sections.
 pub fn public_key_hex(key: &SigningKey) -> String {
     hex::encode(key.verifying_key().as_bytes())
 }
 
-/// Checks `text`, signs it as the child of `parent` (`None` for the first version) and gives the
-/// record to append.
+/// Verifies `text`, signs it as the child of `parent` (`None` for the first version) and returns
+/// the encoded record to append.
 pub fn sign_text(
     parent: Option<&Bundle>,
     text: &str,
@@ -115,7 +116,7 @@
     Envelope { header, signature }
 }
 
-/// Digest of a caller's bearer key, as `[team NAME]` holds it.
+/// Returns the digest of a caller's bearer key, the form used in `[team NAME]` sections.
 pub fn bearer_digest(key: &str) -> Digest {
     Digest::of(key.as_bytes())
 }
--- a/crates/bundle/src/signed.rs
+++ b/crates/bundle/src/signed.rs
@@ -1,4 +1,4 @@
-//! Signed versions: what a person signs and how the signature is checked.
+//! Signed versions: the signed header and the check of its signature.
 
 use crate::delta::Delta;
 use crate::digest::Digest;
@@ -9,31 +9,32 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Separates these signatures from any other use of the same key, and versions the form.
+/// Domain separator: keeps these signatures distinct from any other use of the same key, and
+/// carries the version of the format.
 const DOMAIN: &[u8] = b"wigeonshelf bundle version 1\n";
 
-/// What is signed.
+/// Signed header of a version.
 ///
-/// The delta's digest is in it, so a reader of the delta knows that nobody changed it; the
-/// result's digest is in it too, so the same signature vouches for the full text alone, without
-/// the delta and all versions before it. The number is in it because digests can recur (a
-/// change and its undoing): it keeps an old version from fitting again.
+/// It contains the digest of the delta, which lets a reader of the delta detect any change. It also
+/// contains the digest of the result, so the same signature authenticates the full text without the
+/// delta and all previous versions. It contains the number because digests can recur (a change and
+/// its reversal): the number prevents an old version from being accepted again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Name of the person.
+    /// Name of the signer.
     pub signer: String,
     /// Number of the version.
     pub number: Number,
-    /// Digest of the version it follows; all zero for the first.
+    /// Digest of the parent version's sections; all zero for the first version.
     pub parent: Digest,
-    /// Digest of the sections that it results in.
+    /// Digest of the resulting sections.
     pub result: Digest,
-    /// Digest of its delta.
+    /// Digest of the delta.
     pub delta: Digest,
 }
 
 impl Header {
-    /// The bytes that are signed.
+    /// Returns the bytes that are signed.
     pub fn message(&self) -> Vec<u8> {
         let signer = self.signer.as_bytes();
         let mut bytes = DOMAIN.to_vec();
@@ -46,20 +47,20 @@
         bytes
     }
 
-    /// Identity of the version; the same for every copy of it.
+    /// Returns the identity of the version, which is the same for every copy of it.
     pub fn id(&self) -> Digest {
         Digest::of(&self.message())
     }
 }
 
-/// Why a signature doesn't count.
+/// Reason why a signature is not trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignatureError {
-    /// No trusted signer has the name.
+    /// No trusted signer has the name in the header.
     UnknownSigner,
     /// The signer's key is revoked.
     RevokedSigner,
-    /// The signature is not that of the trusted key on these bytes.
+    /// The signature was not made over these bytes with the trusted key of that name.
     WrongSignature,
 }
 
@@ -76,15 +77,15 @@
 /// A header with its signature.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// What is signed.
+    /// Signed header.
     pub header: Header,
-    /// The ed25519 signature.
+    /// Ed25519 signature over [`Header::message`].
     pub signature: [u8; 64],
 }
 
 impl Envelope {
-    /// Checks the signature against the `trusted` keys of the settings; `revoked` are the
-    /// signers of the bundle in force, of which only revocations count.
+    /// Checks the signature against the `trusted` keys of the settings. `revoked` are the signers
+    /// of the bundle in force; only their revocations are taken into account.
     pub fn check(&self, trusted: &[Signer], revoked: &[Signer]) -> Result<(), SignatureError> {
         let named = trusted.iter().filter(|s| s.name == self.header.signer);
         let mut last = SignatureError::UnknownSigner;
@@ -101,8 +102,8 @@
         Err(last)
     }
 
-    /// Whether `key` made the signature. Strict: exactly one signature is valid for a message
-    /// and key, and keys of small order are refused.
+    /// Returns whether the signature was made with `key`. The check is strict: exactly one
+    /// signature is valid for a message and key, and keys of small order are refused.
     fn signed_by(&self, key: &[u8; 32]) -> bool {
         let Ok(key) = VerifyingKey::from_bytes(key) else {
             return false;
@@ -118,38 +119,39 @@
 pub struct Version {
     /// Header and signature.
     pub envelope: Envelope,
-    /// What it changes; its digest is the header's.
+    /// Changes to the parent; the header contains their digest.
     pub delta: Delta,
 }
 
-/// Where a checkpoint is in the log.
+/// Location of a checkpoint in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     /// Offset of its record.
     pub offset: u64,
-    /// It accounts for all records below this offset; useless once a later one is the first
-    /// retained.
+    /// Offset below which the checkpoint covers all records. The checkpoint is useless once the
+    /// first retained offset is higher.
     pub next: u64,
-    /// When it was written, since the Unix epoch, by its writer's clock.
+    /// Time of writing since the Unix epoch, by the writer's clock.
     pub written: Duration,
     /// Number of its version.
     pub number: Number,
 }
 
-/// A signed version as its full sections: a checkpoint in the log, or a peer's head.
+/// A signed version with all its sections: a checkpoint in the log, or a peer's head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
     /// Header and signature.
     pub envelope: Envelope,
-    /// All records below this offset of the log are accounted for in it.
+    /// Offset below which this state covers all records of the log.
     pub next: u64,
-    /// When it was written, since the Unix epoch; zero if it isn't known. Not signed, and used
-    /// for nothing but to time the next checkpoint.
+    /// Time of writing since the Unix epoch; zero if unknown. Not signed, and used only to schedule
+    /// the next checkpoint.
     pub written: Duration,
-    /// In a peer's head: the last checkpoint it knows of. Without this, a node that starts from a
-    /// peer's head skips the log's checkpoints, would miss one, and write it: one for each restart.
-    /// Not signed, and used as `written` is.
+    /// In a peer's head: the last checkpoint that the peer knows of. A node that starts from a
+    /// peer's head skips the checkpoints in the log; without this field it would assume that none
+    /// exists and write one after each restart. Not signed, and used only to schedule the next
+    /// checkpoint.
     pub checkpoint: Option<Location>,
-    /// All sections; their digest is the header's result.
+    /// All sections; their digest is the `result` of the header.
     pub sections: Sections,
 }
--- a/crates/bundle/src/signer.rs
+++ b/crates/bundle/src/signer.rs
@@ -1,19 +1,20 @@
-//! Named persons who may sign bundles.
+//! Persons who may sign bundles.
 
 use ed25519_dalek::VerifyingKey;
 
-/// A signer.
+/// A person with a public key that signs bundles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Signer {
     /// Name of the person.
     pub name: String,
     /// Ed25519 public key.
     pub key: [u8; 32],
-    /// Whether the key no longer counts.
+    /// Whether the key is revoked.
     pub revoked: bool,
 }
 
-/// Reads a public key in hex; one that is no point of the curve, or of small order, is none.
+/// Parses a public key in hex. Returns `None` if the key is not a point on the curve or has small
+/// order.
 pub fn parse_key(text: &str) -> Option<[u8; 32]> {
     let mut key = [0; 32];
     hex::decode_to_slice(text, &mut key).ok()?;
--- a/crates/bundle/src/team.rs
+++ b/crates/bundle/src/team.rs
@@ -8,18 +8,18 @@
 pub struct Team {
     /// Name, unique in the bundle.
     pub name: String,
-    /// Digests of its bearer keys.
+    /// SHA-256 digests of its bearer keys.
     pub keys: Vec<Digest>,
-    /// Share among teams when capacity is short.
+    /// Weight of its share among teams when capacity is scarce.
     pub weight: u32,
-    /// Requests started per second across all nodes.
+    /// Maximum rate of requests started per second, across all nodes.
     pub rate: f64,
-    /// Requests in flight across all nodes.
+    /// Maximum number of requests in flight, across all nodes.
     pub in_flight: u32,
-    /// The most urgent priority it may ask for.
+    /// Most urgent priority that its requests may have.
     pub highest_priority: PriorityId,
-    /// The priority of a request that names none.
+    /// Priority of its requests that name none.
     pub default_priority: PriorityId,
-    /// Models it may use; empty means all.
+    /// Models that it may use; empty for all models.
     pub models: Vec<ModelId>,
 }
--- a/crates/bundle/src/text.rs
+++ b/crates/bundle/src/text.rs
@@ -1,8 +1,8 @@
-//! INI text to sections.
+//! Parser from INI text to sections.
 //!
-//! rust-ini reads the keys and values; it knows no line of a key, so this module cuts the text
-//! at section headers, hands rust-ini one section at a time, and keeps the line numbers.
-//! Whether the sections make sense together is left to [`crate::verify`].
+//! rust-ini parses the keys and values but does not report the line of a key, so this module splits
+//! the text at section headers, passes one section at a time to rust-ini, and tracks the line
+//! numbers. [`crate::verify`] checks whether the sections are consistent.
 
 use crate::finding::{Finding, Findings, Level};
 use crate::nearest::nearest;
@@ -13,11 +13,11 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Longest text that is read, in bytes.
+/// Maximum length of a text, in bytes.
 pub const MAX_TEXT_LEN: usize = 16 << 20;
 
-/// Values are plain: no quotes, escapes or values over several lines, so that one line is one
-/// key and the canonical text reads back as itself.
+/// Disables quotes, escapes and multi-line values, so that each line holds one key and the
+/// canonical text parses to the same sections.
 const PARSE_OPTIONS: ParseOption = ParseOption {
     enabled_quote: false,
     enabled_escape: false,
@@ -25,14 +25,14 @@
     enabled_preserve_key_leading_whitespace: false,
 };
 
-/// Lines of one section, not yet read.
+/// Header and unparsed lines of one section.
 struct Chunk<'a> {
     header: &'a str,
     line: u32,
     body: &'a str,
 }
 
-/// Reads bundle text; all findings are collected.
+/// Parses bundle text. Collects all findings and returns them if one is an error.
 pub fn parse(text: &str) -> Result<Sections, Findings> {
     let mut findings = Findings::default();
     if text.len() > MAX_TEXT_LEN {
@@ -68,7 +68,8 @@
     }
 }
 
-/// Reads one section from its header (without brackets) and the lines below it.
+/// Parses one section from its header (without brackets) and the lines below it. `line` is the line
+/// of the header. Returns `None` if the header or the body is malformed.
 pub fn parse_section(
     header: &str,
     body: &str,
@@ -116,7 +117,7 @@
     Some(Section::new(key, line, pairs))
 }
 
-/// Cuts the text at its headers.
+/// Splits the text at section headers.
 fn chunks<'a>(text: &'a str, findings: &mut Findings) -> Vec<Chunk<'a>> {
     let mut chunks: Vec<Chunk<'a>> = Vec::new();
     let mut start = 0;
@@ -147,8 +148,8 @@
     chunks
 }
 
-/// The lines below a header, those that are no INI blanked after a finding each: rust-ini would
-/// stop at the first and name the line after it.
+/// Returns the lines below a header with each malformed line reported and replaced by an empty one.
+/// rust-ini would stop at the first malformed line and report the line after it.
 fn blank_malformed<'a>(
     body: &'a str,
     line: u32,
@@ -172,7 +173,7 @@
     good.into()
 }
 
-/// Offsets (from 1) of the lines that hold a key.
+/// Returns the line offsets from the header (counted from 1) of the lines with a key.
 fn key_lines(body: &str) -> Vec<u32> {
     let numbered = (1..).zip(body.lines());
     numbered
@@ -181,12 +182,12 @@
         .collect()
 }
 
-/// Whether a trimmed line is neither blank nor a comment.
+/// Returns whether a trimmed line is neither blank nor a comment.
 fn is_pair(line: &str) -> bool {
     !line.is_empty() && !line.starts_with([';', '#'])
 }
 
-/// The static form of `name`, or a finding.
+/// Returns the known key equal to `name`, or adds a finding if there is none.
 fn known_key(key: &Key, name: &str, line: u32, findings: &mut Findings) -> Option<&'static str> {
     let keys = key.kind.keys();
     let found = keys.iter().find(|k| **k == name);
@@ -199,7 +200,7 @@
     found.copied()
 }
 
-/// Single spaces, none around commas but one after each.
+/// Collapses whitespace to single spaces, with none before and one after each comma.
 fn normalize(value: &str) -> Box<str> {
     let parts = value.split(',').map(|part| {
         let words: Vec<&str> = part.split_whitespace().collect();
@@ -209,12 +210,12 @@
     parts.join(", ").into()
 }
 
-/// An error about a section.
+/// Creates an error finding about a section.
 pub(crate) fn error(line: u32, section: &str, message: String) -> Finding {
     at_key(line, section, "", message)
 }
 
-/// An error about a key.
+/// Creates an error finding about a key.
 fn at_key(line: u32, section: &str, key: &str, message: String) -> Finding {
     Finding {
         level: Level::Error,
--- a/crates/bundle/src/verify.rs
+++ b/crates/bundle/src/verify.rs
@@ -1,9 +1,9 @@
-//! Sections to a checked [`Bundle`].
+//! Verifier: checks sections and builds a [`Bundle`] from them.
 //!
-//! Apart from the reader of the text on purpose: a mistake in one is not repeated in the other,
-//! and sections that came as a delta go through the same checks as a file. Each table has a
-//! file below this one. Every finding is collected; a row with an error stays in its table with
-//! default values, so that the ids of the other rows and their own findings stay right.
+//! The verifier is deliberately separate from the text parser: a fault in one is not repeated in
+//! the other, and sections from a delta pass the same checks as those from a file. Each table has a
+//! submodule. All findings are collected; a row with an error stays in its table with default
+//! values, so that the ids of the other rows and their findings stay correct.
 
 mod endpoint;
 mod fields;
@@ -25,17 +25,17 @@
 
 pub use successor::verify_successor;
 
-/// What a check gives.
+/// Result of a verification.
 #[derive(Debug)]
 pub struct Report {
-    /// The checked bundle, if no finding is an error. Its version fields (number, parent,
-    /// signer) are not set.
+    /// Checked bundle, if no finding is an error. Its version fields (number, parent, signer) are
+    /// not set.
     pub bundle: Option<Bundle>,
     /// All findings.
     pub findings: Findings,
 }
 
-/// Checks `sections`.
+/// Checks `sections` and builds the bundle.
 pub fn verify(sections: &Sections) -> Report {
     let mut findings = Findings::default();
     let bundle = tables(sections, &mut findings);
@@ -44,7 +44,7 @@
     Report { bundle, findings }
 }
 
-/// Builds all tables; those that others name come first.
+/// Builds all tables; a table is built before those that refer to it.
 fn tables(sections: &Sections, findings: &mut Findings) -> Bundle {
     let names = Names::new(sections, findings);
     let models = model::table(sections, findings);
--- a/crates/bundle/src/verify/endpoint.rs
+++ b/crates/bundle/src/verify/endpoint.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints.
+//! Table of endpoints.
 
 use super::fields::Fields;
 use super::model;
@@ -11,13 +11,14 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Most requests one endpoint may run at once; beyond it a typing mistake is likelier.
+/// Maximum number of requests that one endpoint may run concurrently; a larger value is more likely
+/// a typing mistake.
 const MAX_SLOTS: u32 = 65_536;
 
-/// Stands for an address that couldn't be read.
+/// Placeholder for an address that is missing or can't be parsed.
 const UNREADABLE_ADDR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Builds the table.
+/// Builds the table; two endpoints with the same address are an error.
 pub(super) fn table(
     sections: &Sections,
     names: &Names<'_>,
@@ -39,7 +40,7 @@
     rows
 }
 
-/// Reads one row.
+/// Reads the row of one section.
 fn row(fields: &mut Fields<'_>, names: &Names<'_>, models: &[Model]) -> Endpoint {
     let row = Endpoint {
         name: fields.name(),
@@ -56,7 +57,7 @@
     row
 }
 
-/// The address; one that nothing can listen on is an error.
+/// Reads the address; an address on which nothing can listen is an error.
 fn addr(fields: &mut Fields<'_>) -> SocketAddr {
     let addr = fields.read("addr", "an IP address with a port");
     let addr = addr.unwrap_or(UNREADABLE_ADDR);
@@ -70,13 +71,13 @@
     addr
 }
 
-/// The accelerator's kind, if it names one.
+/// Reads the kind of the accelerator, if one is named.
 fn kind(fields: &mut Fields<'_>, names: &Names<'_>) -> Option<crate::id::KindId> {
     fields.optional("kind")?;
     fields.id("kind", &names.kinds)
 }
 
-/// The spans; an error for each that can't be read.
+/// Reads the spans; each span that can't be parsed is an error.
 fn spans(fields: &mut Fields<'_>, names: &Names<'_>, models: &[Model]) -> Vec<Span> {
     let mut spans = Vec::new();
     for text in fields.list("spans") {
@@ -92,7 +93,7 @@
     spans
 }
 
-/// Checks of the row as a whole.
+/// Checks the limits of a row and the consistency of its values.
 fn check(fields: &mut Fields<'_>, row: &Endpoint) {
     if row.slots > MAX_SLOTS {
         fields.error("slots", format_args!("is over {MAX_SLOTS}"));
--- a/crates/bundle/src/verify/fields.rs
+++ b/crates/bundle/src/verify/fields.rs
@@ -1,4 +1,4 @@
-//! Typed reading of one section's values, with findings for what can't be read.
+//! Typed access to the values of one section, with findings for missing or invalid values.
 
 use super::names::{Id, Index};
 use crate::finding::{Finding, Findings, Level};
@@ -8,19 +8,19 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A section being read.
+/// A section whose values are read, with the findings about it.
 pub(super) struct Fields<'a> {
     section: &'a Section,
     findings: &'a mut Findings,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads `section` into typed values.
+    /// Creates a reader of `section` that adds its findings to `findings`.
     pub fn new(section: &'a Section, findings: &'a mut Findings) -> Self {
         Self { section, findings }
     }
 
-    /// Name of the section.
+    /// Returns the name of the section.
     pub fn name(&self) -> String {
         self.section.key().name.clone()
     }
@@ -46,13 +46,13 @@
         });
     }
 
-    /// The value of `key`, if it is set and not empty.
+    /// Returns the value of `key`, if it is set and not empty.
     pub fn optional(&self, key: &str) -> Option<&'a str> {
         let value = self.section.pair(key).map(|p: &Pair| &*p.value);
         value.filter(|v| !v.is_empty())
     }
 
-    /// The value of `key`; an error if it isn't set.
+    /// Returns the value of `key`; an error if it isn't set.
     pub fn text(&mut self, key: &str) -> Option<&'a str> {
         let value = self.optional(key);
         if value.is_none() {
@@ -61,7 +61,8 @@
         value
     }
 
-    /// The value of `key`, read as `T`; an error if it isn't set or can't be read.
+    /// Returns the value of `key` parsed as `T`; an error if it isn't set or can't be parsed.
+    /// `what` describes a valid value.
     pub fn read<T: FromStr>(&mut self, key: &str, what: &str) -> Option<T> {
         let text = self.text(key)?;
         let value = text.parse().ok();
@@ -71,7 +72,7 @@
         value
     }
 
-    /// A whole number of at least one; 0 after an error.
+    /// Returns the value of `key`, a whole number of at least 1; 0 after an error.
     pub fn count<T: FromStr + Default + PartialEq>(&mut self, key: &str) -> T {
         let value = self
             .read(key, "a whole number in range")
@@ -82,7 +83,7 @@
         value
     }
 
-    /// A finite number above zero; 0 after an error.
+    /// Returns the value of `key`, a finite number above zero; 0 after an error.
     pub fn rate(&mut self, key: &str) -> f64 {
         let Some(value) = self.read::<f64>(key, "a number") else {
             return 0.0;
@@ -94,7 +95,7 @@
         value
     }
 
-    /// `yes` or `no`; `default` if it isn't set.
+    /// Returns the value of `key`, `yes` or `no`; `default` if it isn't set or after an error.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         match self.optional(key) {
             None => default,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A time such as `500us`, `0.5ms` or `2s`.
+    /// Returns the value of `key`, a time such as `500us`, `0.5ms` or `2s`; zero after an error.
     pub fn time(&mut self, key: &str) -> Duration {
         let Some(text) = self.text(key) else {
             return Duration::ZERO;
@@ -122,7 +123,7 @@
         time.unwrap_or_default()
     }
 
-    /// The items of a list; an error for each empty or repeated one.
+    /// Returns the items of the list under `key`; an error for each empty or repeated item.
     pub fn list(&mut self, key: &str) -> Vec<&'a str> {
         let Some(text) = self.optional(key) else {
             return Vec::new();
@@ -141,20 +142,20 @@
         items
     }
 
-    /// The id of the row that `key` names; an error if there is none.
+    /// Returns the id of the row that `key` names; an error if there is none.
     pub fn id<I: Id>(&mut self, key: &str, index: &Index<I>) -> Option<I> {
         let name = self.text(key)?;
         self.lookup(key, name, index)
     }
 
-    /// The ids of the rows that the list under `key` names.
+    /// Returns the ids of the rows that the list under `key` names; an error for each unknown name.
     pub fn ids<I: Id>(&mut self, key: &str, index: &Index<I>) -> Vec<I> {
         let names = self.list(key);
         let ids = names.into_iter().map(|n| self.lookup(key, n, index));
         ids.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
-    /// The id of `name`; an error with the nearest name if it is unknown.
+    /// Returns the id of `name`; an error that suggests the nearest name if it is unknown.
     pub fn lookup<I: Id>(&mut self, key: &str, name: &str, index: &Index<I>) -> Option<I> {
         let id = index.get(name);
         if id.is_none() {
@@ -169,7 +170,7 @@
     }
 }
 
-/// Reads a number with one of the units us, ms, s.
+/// Parses a number with one of the units us, ms, s.
 fn duration(text: &str) -> Option<Duration> {
     let units = [("us", 1e-6), ("ms", 1e-3), ("s", 1.0)];
     let (number, unit) = units
--- a/crates/bundle/src/verify/kind.rs
+++ b/crates/bundle/src/verify/kind.rs
@@ -1,4 +1,4 @@
-//! The table of accelerator kinds.
+//! Table of accelerator kinds.
 
 use super::fields::Fields;
 use crate::finding::Findings;
--- a/crates/bundle/src/verify/link.rs
+++ b/crates/bundle/src/verify/link.rs
@@ -1,4 +1,4 @@
-//! The table of links.
+//! Table of links.
 
 use super::fields::Fields;
 use super::names::Names;
@@ -7,7 +7,7 @@
 use crate::section::Kind;
 use crate::sections::Sections;
 
-/// Builds the table.
+/// Builds the table; an end that is not a known availability zone is an error.
 pub(super) fn table(sections: &Sections, names: &Names<'_>, findings: &mut Findings) -> Vec<Link> {
     let mut rows = Vec::new();
     for section in sections.of_kind(Kind::Link) {
--- a/crates/bundle/src/verify/model.rs
+++ b/crates/bundle/src/verify/model.rs
@@ -1,4 +1,4 @@
-//! The table of models, and whether their layers can be covered.
+//! Table of models, and the check that endpoints cover their layers.
 
 use super::fields::Fields;
 use crate::endpoint::{Endpoint, Span};
@@ -9,7 +9,7 @@
 use crate::sections::Sections;
 use std::collections::BTreeSet;
 
-/// Builds the table.
+/// Builds the table; an adapter with an invalid name is an error.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Model> {
     let mut rows = Vec::new();
     for section in sections.of_kind(Kind::Model) {
@@ -29,7 +29,7 @@
     rows
 }
 
-/// Checks that for each model some chain of spans covers all layers once, in order.
+/// Checks that for each model a chain of spans covers all layers exactly once, in order.
 pub(super) fn check_coverage(
     sections: &Sections,
     models: &[Model],
@@ -55,7 +55,7 @@
     }
 }
 
-/// Says where the chains from layer 0 end, if none reaches the last layer.
+/// Returns a message about where the chains from layer 0 end, if none reaches the last layer.
 fn coverage_gap(model: &Model, ranges: &BTreeSet<(Layer, Layer)>) -> Option<String> {
     let layers = model.layers;
     if ranges.is_empty() {
@@ -76,7 +76,7 @@
     })
 }
 
-/// Warns of spans that no whole chain can use: the accelerators behind them would stay idle.
+/// Warns of spans that no complete chain can use; their accelerators would stay idle.
 fn warn_unusable(fields: &mut Fields<'_>, model: &Model, ranges: &BTreeSet<(Layer, Layer)>) {
     let reached = reachable_ends(ranges);
     let mut useful = BTreeSet::from([model.layers]);
@@ -96,7 +96,8 @@
     }
 }
 
-/// Layers at which a chain of spans from layer 0 can end; spans come sorted by their start.
+/// Returns the layers at which a chain of spans from layer 0 can end; `ranges` are sorted by their
+/// start.
 fn reachable_ends(ranges: &BTreeSet<(Layer, Layer)>) -> BTreeSet<Layer> {
     let mut reached = BTreeSet::from([0]);
     for (from, to) in ranges {
@@ -107,7 +108,8 @@
     reached
 }
 
-/// Parses `MODEL A..B`; `models` are the names with their ids.
+/// Parses `MODEL A..B`; `id` returns the id of a model name. Returns `Err(None)` if the model is
+/// unknown, and a message for any other error.
 pub(super) fn span(
     text: &str,
     models: &[Model],
@@ -132,7 +134,7 @@
     Ok(Span { model, from, to })
 }
 
-/// Message for a span that can't be read.
+/// Returns the message for a span that can't be parsed.
 fn not_a_span(text: &str) -> String {
     format!("`{text:.80}` is not a span such as `menu 0..16`")
 }
--- a/crates/bundle/src/verify/names.rs
+++ b/crates/bundle/src/verify/names.rs
@@ -1,4 +1,4 @@
-//! Names to ids.
+//! Index from names to ids.
 
 use crate::finding::{Finding, Findings, Level};
 use crate::id::{KindId, ModelId, PriorityId, ServiceId, ZoneId};
@@ -8,16 +8,16 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// Most unknown names for which a near one is looked for: it costs a pass over the table, and a
-/// hostile text could ask for it a million times.
+/// Maximum number of unknown names per table for which the nearest known name is searched: each
+/// search scans the table, and malicious text could cause a million of them.
 const MAX_NEAREST_SEARCHES: u32 = 64;
 
-/// A row's id.
+/// Type of the ids of one table.
 pub(super) trait Id: Copy + TryFrom<usize> {}
 
 impl<T: Copy + TryFrom<usize>> Id for T {}
 
-/// The names of one table.
+/// Index from the names of one table to their ids.
 pub(super) struct Index<'a, I> {
     kind: Kind,
     ids: BTreeMap<&'a str, I>,
@@ -25,7 +25,7 @@
 }
 
 impl<'a, I: Id> Index<'a, I> {
-    /// Ids in the order of `names`; a finding if they don't fit the id type.
+    /// Assigns ids in the order of `names`; a finding if the id type can't represent all of them.
     fn new(kind: Kind, names: impl Iterator<Item = &'a str>, findings: &mut Findings) -> Self {
         let mut ids = BTreeMap::new();
         for (i, name) in names.enumerate() {
@@ -46,12 +46,13 @@
         }
     }
 
-    /// The id of `name`.
+    /// Returns the id of `name`.
     pub fn get(&self, name: &str) -> Option<I> {
         self.ids.get(name).copied()
     }
 
-    /// The known name most like `name`.
+    /// Returns the known name most similar to `name`; `None` once [`MAX_NEAREST_SEARCHES`] searches
+    /// were made.
     pub fn nearest(&self, name: &str) -> Option<&'a str> {
         if self.searches.get() >= MAX_NEAREST_SEARCHES {
             return None;
@@ -60,13 +61,13 @@
         nearest(name, self.ids.keys().copied())
     }
 
-    /// Word for one row of the table.
+    /// Returns the name of the kind of the rows, for findings.
     pub fn kind_name(&self) -> &'static str {
         self.kind.as_str()
     }
 }
 
-/// The names that sections refer to.
+/// Indexes of the tables whose rows other sections refer to.
 pub(super) struct Names<'a> {
     pub zones: Index<'a, ZoneId>,
     pub kinds: Index<'a, KindId>,
@@ -76,7 +77,7 @@
 }
 
 impl<'a> Names<'a> {
-    /// The names of all tables.
+    /// Builds the indexes.
     pub fn new(sections: &'a Sections, findings: &mut Findings) -> Self {
         let ranked = super::priority::ranked(sections);
         Self {
@@ -89,13 +90,13 @@
     }
 }
 
-/// The index of a table that is sorted by name.
+/// Builds the index of a table that is sorted by name.
 fn index<'a, I: Id>(sections: &'a Sections, kind: Kind, findings: &mut Findings) -> Index<'a, I> {
     let names = sections.of_kind(kind).map(|s| s.key().name.as_str());
     Index::new(kind, names, findings)
 }
 
-/// A finding for a table that outgrew its id type.
+/// Returns the finding for a table with more rows than its id type can represent.
 fn too_many(kind: Kind, max_rows: usize) -> Finding {
     Finding {
         level: Level::Error,
--- a/crates/bundle/src/verify/priority.rs
+++ b/crates/bundle/src/verify/priority.rs
@@ -1,4 +1,4 @@
-//! The table of priorities.
+//! Table of priorities.
 
 use super::fields::Fields;
 use super::names::Names;
@@ -8,20 +8,20 @@
 use crate::sections::Sections;
 use std::collections::BTreeMap;
 
-/// Names by rank, most urgent first; one without a readable rank goes last.
+/// Returns the names sorted by rank, most urgent first; those without a valid rank come last.
 pub(super) fn ranked(sections: &Sections) -> Vec<&str> {
     let mut rows: Vec<(u32, &str)> = sections.of_kind(Kind::Priority).map(|s| rank(s)).collect();
     rows.sort_unstable();
     rows.into_iter().map(|(_, name)| name).collect()
 }
 
-/// Rank and name of a section.
+/// Returns the rank and name of a section; the maximum rank if it has no valid one.
 fn rank(section: &Section) -> (u32, &str) {
     let rank = section.pair("rank").and_then(|p| p.value.parse().ok());
     (rank.unwrap_or(u32::MAX), &section.key().name)
 }
 
-/// Builds the table, sorted by rank.
+/// Builds the table, sorted by rank; two priorities with the same rank are an error.
 pub(super) fn table(
     sections: &Sections,
     names: &Names<'_>,
@@ -45,7 +45,7 @@
     rows
 }
 
-/// Reads one row.
+/// Reads the row of one section.
 fn row(fields: &mut Fields<'_>) -> Priority {
     let urgent = fields.flag("urgent", false);
     let weight = match fields.optional("weight") {
@@ -60,7 +60,8 @@
     }
 }
 
-/// Urgent ones must have the lowest ranks: strict order and ranks would contradict each other.
+/// Checks that urgent priorities have the lowest ranks; otherwise the strict precedence of urgent
+/// priorities would contradict the ranks.
 fn check_urgent_first(sections: &Sections, rows: &[Priority], findings: &mut Findings) {
     let mut rest = rows.iter().skip_while(|r| r.urgent);
     let Some(first) = rest.next() else { return };
@@ -73,7 +74,7 @@
     }
 }
 
-/// The finding for a bundle without priorities.
+/// Returns the finding for a bundle without priorities.
 fn no_priority() -> crate::finding::Finding {
     crate::finding::Finding {
         level: crate::finding::Level::Error,
--- a/crates/bundle/src/verify/service.rs
+++ b/crates/bundle/src/verify/service.rs
@@ -1,4 +1,4 @@
-//! The table of plain services.
+//! Table of plain services.
 
 use super::fields::Fields;
 use crate::endpoint::Endpoint;
@@ -24,7 +24,8 @@
         if !served.contains(&id) {
             fields.error("", "no endpoint serves it");
         }
-        // Not repeatable unless said so: a doubled call does harm, a refused retry is honest.
+        // The default is not repeatable: a duplicate call can do harm, whereas a refused retry is
+        // reported to the caller.
         let repeatable = fields.flag("repeatable", false);
         rows.push(Service {
             name: fields.name(),
--- a/crates/bundle/src/verify/signer.rs
+++ b/crates/bundle/src/verify/signer.rs
@@ -1,4 +1,4 @@
-//! The table of signers.
+//! Table of signers.
 
 use super::fields::Fields;
 use crate::finding::{Finding, Findings, Level};
@@ -7,7 +7,7 @@
 use crate::signer::{self, Signer};
 use std::collections::BTreeMap;
 
-/// Builds the table.
+/// Builds the table; two signers with the same key are an error.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Signer> {
     let mut rows: Vec<Signer> = Vec::new();
     let mut holders: BTreeMap<[u8; 32], String> = BTreeMap::new();
@@ -29,7 +29,7 @@
     rows
 }
 
-/// The public key.
+/// Reads the public key.
 fn key(fields: &mut Fields<'_>) -> Option<[u8; 32]> {
     let text = fields.text("key")?;
     let key = signer::parse_key(text);
@@ -42,7 +42,8 @@
     key
 }
 
-/// The finding for a bundle after which nobody listed could sign the next.
+/// Returns the finding for a bundle in which all signers are revoked, so that none of them could
+/// sign the next version.
 fn all_revoked() -> Finding {
     Finding {
         level: Level::Error,
--- a/crates/bundle/src/verify/successor.rs
+++ b/crates/bundle/src/verify/successor.rs
@@ -1,4 +1,4 @@
-//! What a version may not change of its parent.
+//! Checks of a version against its parent.
 
 use super::fields::Fields;
 use crate::bundle::Bundle;
@@ -6,10 +6,11 @@
 use crate::section::{Key, Kind};
 use crate::signer::Signer;
 
-/// Checks `child` against its `parent`: a revoked key stays revoked.
+/// Checks `child` against its `parent`: a revoked key must stay revoked.
 ///
-/// Without this, whoever holds a revoked key only needs one careless edit by somebody else (an
-/// old file signed again) to be trusted again. A person may come back with a new key.
+/// Without this check, a single careless edit by another signer, such as signing an old file
+/// again, would make a revoked key trusted again. A person whose key was revoked may be listed again with a
+/// new key.
 pub fn verify_successor(parent: &Bundle, child: &Bundle) -> Findings {
     let mut findings = Findings::default();
     let revoked = parent.signers.iter().filter(|s| s.revoked);
@@ -19,7 +20,7 @@
     findings
 }
 
-/// Checks one revoked signer of the parent.
+/// Checks that the key of one revoked signer of the parent is still listed as revoked.
 fn check_signer(signer: &Signer, child: &Bundle, findings: &mut Findings) {
     let row = child.signers.iter().find(|s| s.key == signer.key);
     if row.is_some_and(|r| r.revoked) {
--- a/crates/bundle/src/verify/team.rs
+++ b/crates/bundle/src/verify/team.rs
@@ -1,4 +1,4 @@
-//! The table of teams.
+//! Table of teams.
 
 use super::fields::Fields;
 use super::names::Names;
@@ -12,7 +12,7 @@
 use crate::team::Team;
 use std::collections::BTreeMap;
 
-/// Builds the table.
+/// Builds the table; a key that two teams hold is an error.
 pub(super) fn table(
     sections: &Sections,
     names: &Names<'_>,
@@ -34,7 +34,7 @@
     rows
 }
 
-/// Reads one row.
+/// Reads the row of one section.
 fn row(fields: &mut Fields<'_>, names: &Names<'_>, priorities: &[Priority]) -> Team {
     let top = fields.id("top", &names.priorities).unwrap_or_default();
     let default_priority = match fields.optional("usual") {
@@ -56,14 +56,16 @@
     }
 }
 
-/// The first priority that isn't urgent, but none above `top`: urgency must be asked for.
+/// Returns the default priority: the first that isn't urgent, but none more urgent than `top`. A
+/// request must ask for an urgent priority explicitly.
 fn first_not_urgent(top: PriorityId, priorities: &[Priority]) -> PriorityId {
     let first = priorities.iter().position(|p| !p.urgent);
     let first = first.and_then(|i| PriorityId::try_from(i).ok());
     first.unwrap_or(top).max(top)
 }
 
-/// The digests of the bearer keys; a team without one is an error, since none could be it.
+/// Reads the digests of the bearer keys. A team without a key is an error, since no caller could
+/// authenticate as it.
 fn keys(fields: &mut Fields<'_>) -> Vec<Digest> {
     let mut keys = Vec::new();
     for text in fields.list("keys") {
@@ -79,7 +81,7 @@
     keys
 }
 
-/// Warns of limits that capacity can never fill: likely a typing mistake.
+/// Warns of limits above the total capacity, which are likely typing mistakes.
 pub(super) fn check_limits(
     sections: &Sections,
     teams: &[Team],
--- a/crates/bundle/src/verify/zone.rs
+++ b/crates/bundle/src/verify/zone.rs
@@ -1,4 +1,4 @@
-//! The table of availability zones.
+//! Table of availability zones.
 
 use super::fields::Fields;
 use crate::finding::Findings;
--- a/crates/bundle/src/zone.rs
+++ b/crates/bundle/src/zone.rs
@@ -5,6 +5,6 @@
 pub struct Zone {
     /// Name, unique in the bundle.
     pub name: String,
-    /// Name of the region it belongs to.
+    /// Name of its region.
     pub region: String,
 }
