--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -28,21 +28,21 @@
     },
     /// A peer requests the records that lead to a version of the bundle.
     Head {
-        /// What it wants.
+        /// The request.
         request: HeadRequest,
-        /// Takes the answer.
+        /// Sends the response.
         reply: Reply<Option<Vec<u8>>>,
     },
     /// A peer requests the changes of a table.
     Copy {
-        /// What it wants.
+        /// The request.
         request: CopyRequest,
-        /// Takes the answer.
+        /// Sends the response.
         reply: Reply<Option<Vec<u8>>>,
     },
     /// A peer requests this node's status.
     Status {
-        /// Takes the answer.
+        /// Sends the response.
         reply: Reply<Status>,
     },
     /// No new connection to this address could be opened.
@@ -136,13 +136,23 @@
         self.shared.routes.len()
     }
 
-    /// Queues a message to a peer. It is dropped and counted if the queue to that peer is full.
+    /// Queues a message to a peer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message is too long, or if the queue to the peer is full: then the message is
+    /// dropped and counted.
     pub fn send(&self, to: SocketAddr, message: member::Message) -> Result<()> {
         self.enqueue(to, &Frame::send(message))
     }
 
     /// Requests from a peer the records that lead to a version of the bundle; `None` if the peer
     /// can't provide them.
+    ///
+    /// # Errors
+    ///
+    /// Every request fails if it can't be queued, if the peer is unreachable ([`Error::Closed`]) or
+    /// if there is no response within `call_timeout` ([`Error::Timeout`]).
     pub async fn request_head(
         &self,
         to: SocketAddr,
@@ -154,8 +164,7 @@
         }
     }
 
-    /// Requests from a peer the changes of a table; `None` if the peer has no such
-    /// copy.
+    /// Requests from a peer the changes of a table; `None` if the peer has no copy of it.
     pub async fn request_copy(
         &self,
         to: SocketAddr,
@@ -252,6 +261,7 @@
         let _ = self.shared.inbound.send(inbound).await;
     }
 
+    /// Creates the handle for the response to a peer's request.
     fn reply<T>(&self, to: SocketAddr, call: CallId, body: fn(T) -> Body) -> Reply<T> {
         Reply {
             link: self.clone(),
@@ -306,10 +316,10 @@
     /// # Errors
     ///
     /// Fails if the response is too long or the queue to the peer is full.
-    pub fn send(self, answer: T) -> Result<()> {
+    pub fn send(self, response: T) -> Result<()> {
         let frame = Frame {
             kind: Kind::Response(self.call),
-            body: (self.body)(answer),
+            body: (self.body)(response),
         };
         self.link.enqueue(self.to, &frame)
     }
--- a/crates/wire/src/raw.rs
+++ b/crates/wire/src/raw.rs
@@ -3,6 +3,8 @@
 //! The order of fields and variants is the format, since `bincode` writes no names; the `rename`
 //! attributes keep the names of the format. Ids, hashes and incarnations are arrays of bytes: their
 //! values are large, and as variable-length integers they would be longer.
+//!
+//! Types that have the name of a type in `member::message` or `member::item` are its encoded form.
 
 mod decode;
 mod encode;
--- a/crates/wire/src/route.rs
+++ b/crates/wire/src/route.rs
@@ -54,6 +54,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Number of routes.
     pub(crate) fn len(&self) -> usize {
         self.table().routes.len()
     }
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -103,7 +103,7 @@
     near.link.send(addr, numbered_message(1)).expect("queued");
     let inbound = tokio::time::timeout(WAIT_TIMEOUT, near.inbound.recv())
         .await
-        .expect("in time");
+        .expect("within the timeout");
     assert!(
         matches!(inbound, Some(Inbound::ConnectFailed(a)) if a == addr),
         "{inbound:?}"
@@ -137,7 +137,7 @@
     far.cancel.cancel();
     let ended = tokio::time::timeout(WAIT_TIMEOUT, call)
         .await
-        .expect("in time");
+        .expect("within the timeout");
     let answer = ended.expect("runs");
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
@@ -174,7 +174,7 @@
     reply.send(Some(vec![7])).expect("queued");
     let ended = tokio::time::timeout(WAIT_TIMEOUT, call)
         .await
-        .expect("in time");
+        .expect("within the timeout");
     let answer = ended.expect("runs").expect("answer");
     assert_eq!(answer, Some(vec![7]));
 }
@@ -191,7 +191,7 @@
         .request_copy(addr, CopyRequest { table: 1, from: 0 });
     let answer = tokio::time::timeout(WAIT_TIMEOUT, call)
         .await
-        .expect("in time");
+        .expect("within the timeout");
     assert!(matches!(answer, Err(Error::Closed)), "{answer:?}");
 }
 
@@ -204,7 +204,10 @@
     near.link
         .send(far.link.addr(), numbered_message(1))
         .expect("queued");
-    wait_until("counted", || far.link.counters().bad_mac.get() > 0).await;
+    wait_until("wrong MAC is counted", || {
+        far.link.counters().bad_mac.get() > 0
+    })
+    .await;
     assert!(far.inbound.try_recv().is_err());
     assert_eq!(far.link.counters().received.get(), 0);
 }
@@ -232,7 +235,10 @@
         }
         unauthenticated.push(socket);
     }
-    wait_until("refused", || far.link.counters().refused.get() > 0).await;
+    wait_until("connection over the limit is refused", || {
+        far.link.counters().refused.get() > 0
+    })
+    .await;
     near.link
         .send(far.link.addr(), numbered_message(2))
         .expect("queued");
@@ -243,7 +249,7 @@
     .await;
 }
 
-/// A call without a response ends by its timeout.
+/// A call without a response ends by its timeout and is removed from the calls in flight.
 #[tokio::test]
 async fn unanswered_call_times_out() {
     let limits = Limits {
@@ -322,7 +328,10 @@
         ..numbered_message(1)
     };
     near.link.send(far.link.addr(), body).expect("queued");
-    wait_until("counted", || far.link.counters().bad_frame.get() > 0).await;
+    wait_until("long frame is counted", || {
+        far.link.counters().bad_frame.get() > 0
+    })
+    .await;
 }
 
 /// Both sides close an idle connection, and the next frame opens a new one.
@@ -338,7 +347,7 @@
         .send(far.link.addr(), numbered_message(1))
         .expect("queued");
     assert_eq!(far.next().await, 1);
-    wait_until("closed", || {
+    wait_until("idle connection is closed", || {
         near.link.route_count() == 0 && far.link.route_count() == 0
     })
     .await;
--- a/crates/wire/tests/support/bare.rs
+++ b/crates/wire/tests/support/bare.rs
@@ -46,7 +46,7 @@
     /// Waits for the next message and returns its number.
     pub async fn next(&mut self) -> u64 {
         let inbound = tokio::time::timeout(WAIT_TIMEOUT, self.inbound.recv()).await;
-        match inbound.expect("in time") {
+        match inbound.expect("message within the timeout") {
             Some(Inbound::Member { message, .. }) => message.from,
             other => panic!("{other:?}"),
         }
@@ -73,5 +73,5 @@
     };
     tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
-        .unwrap_or_else(|_| panic!("{what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting: {what}"));
 }
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -121,7 +121,7 @@
         let mut seen = self.seen.clone();
         let wait = tokio::time::timeout(WAIT_TIMEOUT, seen.wait_for(|s| test(s)));
         wait.await
-            .unwrap_or_else(|_| panic!("{what}"))
+            .unwrap_or_else(|_| panic!("timed out waiting: {what}"))
             .expect("node runs");
     }
 }
