--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -170,10 +170,10 @@
 ) {
     match (listen, advertise) {
         (_, Some(addr)) if addr.ip().is_unspecified() || addr.port() == 0 => {
-            findings.push(section.finding_for("advertise", "nobody can connect to this address"));
+            findings.push(section.finding_for("advertise", "others can't connect to this address"));
         }
         (Some(addr), None) if addr.ip().is_unspecified() => {
-            let message = "is missing, and nobody can connect to the address of listen";
+            let message = "is missing, and others can't connect to the address of listen";
             findings.push(section.finding_for("advertise", message));
         }
         _ => {}
@@ -194,11 +194,11 @@
         }
         (None, None) => None,
         (Some(_), None) => {
-            findings.push(section.finding_for("key", "is missing beside certificate"));
+            findings.push(section.finding_for("key", "is required together with certificate"));
             None
         }
         (None, Some(_)) => {
-            findings.push(section.finding_for("certificate", "is missing beside key"));
+            findings.push(section.finding_for("certificate", "is required together with key"));
             None
         }
     }
@@ -263,8 +263,9 @@
         }
     }
     if section.entries().next().is_none() {
-        findings
-            .push(section.finding_for("", "no signer is trusted, so no bundle can come in force"));
+        findings.push(
+            section.finding_for("", "no signer is trusted, so no bundle can come into force"),
+        );
     }
     signers
 }
--- a/crates/node/src/settings/section.rs
+++ b/crates/node/src/settings/section.rs
@@ -139,7 +139,7 @@
     findings.extend(stray.map(|entry| Finding {
         line: entry.line,
         key: entry.key.clone(),
-        ..Finding::of_file(&text.file, "stands before any section")
+        ..Finding::of_file(&text.file, "is before the first section")
     }));
 }
 
--- a/crates/node/src/settings/text.rs
+++ b/crates/node/src/settings/text.rs
@@ -150,7 +150,7 @@
             line: line.number,
             section: line.section.clone(),
             key: line.key.clone().unwrap_or_default(),
-            message: "stands twice".to_owned(),
+            message: "occurs more than once".to_owned(),
         })
         .collect()
 }
