--- a/crates/engine/src/chain/open.rs
+++ b/crates/engine/src/chain/open.rs
@@ -10,7 +10,7 @@
 use std::future::poll_fn;
 
 /// Path on which stages accept streams.
-const PATH: &str = "/v1/stage";
+const STAGE_PATH: &str = "/v1/stage";
 
 /// Opens streams to all stages concurrently. After the first failure, the streams that are already
 /// open are reset.
@@ -63,7 +63,10 @@
     hop: usize,
     new_connection: bool,
 ) -> Handshake {
-    let opened = match pool.open(job.hops[hop].addr, PATH, new_connection).await {
+    let opened = match pool
+        .open(job.hops[hop].addr, STAGE_PATH, new_connection)
+        .await
+    {
         Ok(opened) => opened,
         Err(error) => {
             let link = Err(Failure::new(hop, cause_of_error(error)));
--- a/crates/engine/src/pool/connection.rs
+++ b/crates/engine/src/pool/connection.rs
@@ -129,8 +129,8 @@
     }
 }
 
-/// Waits until no stream has been active for `limits.idle_timeout`, then takes all permits, so that
-/// no stream can start while the connection closes.
+/// Waits until no stream has been active for at least `limits.idle_timeout`, then takes all
+/// permits, so that no stream can start while the connection closes.
 async fn wait_until_idle(free: Arc<Semaphore>, used: Arc<AtomicBool>, limits: Limits) {
     loop {
         sleep(limits.idle_timeout).await;
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -4,8 +4,8 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// Maximum number of doublings of the minimum delay. The step doesn't grow any further, whatever the
-/// settings.
+/// Maximum number of doublings of the minimum delay. The step doesn't grow any further, whatever
+/// the settings.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Backoff of one caller towards one service. It reads no clock; the caller sleeps.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform: the log service, the instance list and the weight store.
 //!
 //! Other crates use these services through three narrow traits: [`Log`], [`List`] and [`Weights`].
-//! [`http`] implements the traits over HTTP/1.1 with limits on time and body size. [`format`]
+//! [`http`] implements the traits over HTTP/1.1 with limits on time and body size. [`mod@format`]
 //! contains the formats on the network, which `docs/PLATFORM.md` describes; a change of format
 //! affects this crate only. [`backoff`] computes the delays between retries.
 //!
