--- a/crates/bundle/src/bundle.rs
+++ b/crates/bundle/src/bundle.rs
@@ -89,7 +89,8 @@
     rows.iter().position(test).and_then(|i| I::try_from(i).ok())
 }
 
-/// Canonical text, after comment lines that name the version.
+/// Writes the canonical text after comment lines with the number, signer and digests of the
+/// version.
 impl std::fmt::Display for Bundle {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         writeln!(f, "# version {} signed by {}", self.number, self.signer)?;
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -86,6 +86,7 @@
     rewound_from: Option<u64>,
     /// Highest version number that was ever in force.
     highest_number: Number,
+    /// Last checkpoint that matched the fold or that a peer reported.
     last_checkpoint: Option<Location>,
     counters: Counters,
 }
--- a/crates/bundle/src/fold/history.rs
+++ b/crates/bundle/src/fold/history.rs
@@ -25,7 +25,7 @@
     pub digest: Digest,
     /// Digest of the parent version's sections; all zero for the first version.
     pub parent: Digest,
-    /// Identity of the signed version.
+    /// Identity of the signed version, see [`crate::signed::Header::id`].
     pub id: Digest,
     /// Offset of its record in the log; `None` for a version from a checkpoint or a peer.
     pub offset: Option<u64>,
--- a/crates/bundle/src/priority.rs
+++ b/crates/bundle/src/priority.rs
@@ -1,4 +1,4 @@
-//! Priorities.
+//! Priorities of requests.
 
 /// A priority; the table is sorted by rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/bundle/src/publish.rs
+++ b/crates/bundle/src/publish.rs
@@ -4,8 +4,9 @@
 //! reads, waits and owns the [`Fold`]. Used by `wigeonctl` and by the admin API of a node.
 //!
 //! An append whose response was lost may have taken effect, or may still do so. The machine then
-//! reads the log to its end and checks the status of the version. If another version has its
-//! number, the race is over, and a copy that is appended later is a duplicate or has lost. If its
+//! reads the log to its end and checks the status of the version. If a version with its
+//! number was accepted, the race is over, and a copy that is appended later is a duplicate or has
+//! lost. If its
 //! parent is still the head, the version is appended again: if the first copy appears after all,
 //! whichever copy comes first is accepted and the other one is a duplicate. So no version comes
 //! into force twice, and the outcome is always the verdict of the fold, never a guess.
@@ -46,7 +47,7 @@
     Appended(u64),
     /// The read or append failed.
     Failed {
-        /// Whether it was an append that may have taken effect.
+        /// Whether the call was an append that may have taken effect.
         unsure: bool,
     },
 }
--- a/crates/bundle/src/team.rs
+++ b/crates/bundle/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams.
+//! Teams of callers.
 
 use crate::digest::Digest;
 use crate::id::{ModelId, PriorityId};
--- a/crates/bundle/src/verify/fields.rs
+++ b/crates/bundle/src/verify/fields.rs
@@ -35,6 +35,7 @@
         self.push(Level::Warning, key, message);
     }
 
+    /// Adds a finding at the line of `key`, or of the section if `key` is not set.
     fn push(&mut self, level: Level, key: &str, message: impl Display) {
         let pair = self.section.pair(key);
         self.findings.push(Finding {
--- a/crates/bundle/tests/checkpoint.rs
+++ b/crates/bundle/tests/checkpoint.rs
@@ -103,7 +103,7 @@
 /// They take its age from its timestamp; otherwise each generation would either write one at once,
 /// or postpone it until retention has dropped the last one.
 #[test]
-fn restarts_neither_flood_nor_forget() {
+fn restarts_write_neither_too_many_nor_too_few() {
     let mut fleet = Fleet::new(8);
     let mut written = 0;
     for now in 1..6 * RETENTION {
--- a/crates/bundle/tests/delta.rs
+++ b/crates/bundle/tests/delta.rs
@@ -72,7 +72,7 @@
 
 /// Different deltas have different digests, so a signature can't be transferred to another delta.
 #[test]
-fn digests_tell_deltas_apart() {
+fn different_deltas_have_different_digests() {
     runs(|u| {
         let a = Delta::between(&sections(u)?, &sections(u)?);
         let b = Delta::between(&sections(u)?, &sections(u)?);
--- a/crates/bundle/tests/publish.rs
+++ b/crates/bundle/tests/publish.rs
@@ -101,7 +101,7 @@
 /// append whose response was lost the outcome must be `Unsure`, since the version may come into
 /// force later.
 #[test]
-fn an_outage_ends_honestly() {
+fn an_outage_gives_no_false_outcome() {
     let (mut fold, log) = (Fold::new(signers()), Log::default());
     let mut publish = Publisher::new(version(1)).unwrap();
     publish.start();
--- a/crates/bundle/tests/world.rs
+++ b/crates/bundle/tests/world.rs
@@ -372,9 +372,9 @@
 
 /// Two operators publish concurrently and repeatedly, and each gets an outcome. Responses are lost
 /// after the append, appends take effect late, the log is unavailable for up to a minute and drops
-/// records older than four, and nodes restart and exchange heads. No node may ever show a version
-/// that was never the head of the complete log, and the outcomes must agree with the complete log,
-/// since an operator with a wrong outcome publishes twice or not at all.
+/// records older than four minutes, and nodes restart and exchange heads. No node may ever show a
+/// version that was never the head of the complete log, and the outcomes must agree with the
+/// complete log, since an operator with a wrong outcome publishes twice or not at all.
 #[test]
 fn folds_agree_with_the_whole_log() {
     let mut accepted = 0;
