--- a/crates/ctl/examples/in_force.rs
+++ b/crates/ctl/examples/in_force.rs
@@ -75,16 +75,16 @@
         return reached(fleet, version, NODES).await;
     }
     // Signed and appended past the outage, so that no node has read it yet.
-    fleet.log.faults.set(Mode::Down);
+    fleet.log.faults.set_mode(Mode::Down);
     tokio::time::sleep(SETTLE).await;
     let record = sign(fleet, &text)?;
     fleet.log.append("bundles", record.into());
-    fleet.log.faults.set(Mode::Up);
+    fleet.log.faults.set_mode(Mode::Up);
     reached(fleet, version, 1).await?;
-    fleet.log.faults.set(Mode::Down);
+    fleet.log.faults.set_mode(Mode::Down);
     let took = reached(fleet, version, NODES).await;
     *peers += from_peers(fleet, version).await;
-    fleet.log.faults.set(Mode::Up);
+    fleet.log.faults.set_mode(Mode::Up);
     tokio::time::sleep(SETTLE).await;
     took
 }
@@ -117,7 +117,7 @@
         } else {
             Duration::ZERO
         };
-        fleet.log.faults.slow(delay);
+        fleet.log.faults.set_delay(delay);
         tokio::time::sleep(SETTLE).await;
         let mut times = Vec::new();
         let mut peers = 0;
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -136,9 +136,9 @@
     let dir = Workdir::new("lost-answer");
     dir.signers(&["mira"]);
     dir.sign_first();
-    log.faults.lose(1);
+    log.faults.drop_answers(1);
     ok(&dir.run(&["publish", "1.json", "--log", &addr, "--trust", "trust.ini"]));
-    assert_eq!(log.faults.lost(), 1);
+    assert_eq!(log.faults.dropped_answers(), 1);
     assert_eq!(log.records("bundles").len(), 1);
 }
 
@@ -150,7 +150,7 @@
     let dir = Workdir::new("outage");
     dir.signers(&["mira"]);
     dir.sign_first();
-    log.faults.set(Mode::Down);
+    log.faults.set_mode(Mode::Down);
     let told = dir.run(&["publish", "1.json", "--log", &addr, "--trust", "trust.ini"]);
     assert_eq!(told.status.code(), Some(1));
     let error = String::from_utf8_lossy(&told.stderr).into_owned();
--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -60,7 +60,7 @@
         &dir.read("bundle.ini").replace("slots = 64", "slots = 63"),
     );
     sign(&dir, "next.ini", "2.json", &way);
-    fleet.log.faults.lose(1);
+    fleet.log.faults.drop_answers(1);
     ok(&dir.run(&["publish", "2.json", "--admin", &admin(3), "--wait"]));
     for index in 0..NODES {
         assert_eq!(status(&fleet, &dir, index)["number"], 2);
@@ -86,13 +86,13 @@
     );
     let way = ["--log", &log, "--trust", "trust.ini"];
     sign(&dir, "next.ini", "2.json", &way);
-    fleet.log.faults.set(Mode::Down);
+    fleet.log.faults.set_mode(Mode::Down);
     let told = dir.run(&["publish", "2.json", "--admin", &admin]);
     assert_eq!(told.status.code(), Some(1));
     let error = String::from_utf8_lossy(&told.stderr).into_owned();
     assert!(error.contains("nothing was appended"), "{error}");
     assert_eq!(status(&fleet, &dir, 4)["number"], 1);
-    fleet.log.faults.set(Mode::Up);
+    fleet.log.faults.set_mode(Mode::Up);
     ok(&dir.run(&["publish", "2.json", "--admin", &admin, "--wait"]));
     assert_eq!(status(&fleet, &dir, 4)["number"], 2);
 }
--- a/crates/lease/tests/sockets.rs
+++ b/crates/lease/tests/sockets.rs
@@ -188,18 +188,18 @@
 #[tokio::test]
 async fn each_key_sent_to_three_nodes_runs_once() {
     let log = Log::start(any()).await.unwrap();
-    log.limit(100);
+    log.set_append_rate(100);
     let results = Shared::default();
     let nodes: Vec<Node> = (0..NODES)
         .map(|n| start(n, log.addr, results.clone()))
         .collect();
     send_all(&nodes, &results, 0).await;
-    log.faults.lose(10);
+    log.faults.drop_answers(10);
     send_all(&nodes, &results, 1).await;
-    log.faults.set(Mode::Down);
+    log.faults.set_mode(Mode::Down);
     let later = async {
         tokio::time::sleep(Duration::from_millis(600)).await;
-        log.faults.set(Mode::Up);
+        log.faults.set_mode(Mode::Up);
     };
     tokio::join!(send_all(&nodes, &results, 2), later);
     let results = results.lock().unwrap();
@@ -216,7 +216,7 @@
             .values()
             .any(|reply| *reply == Reply::Refused)
     );
-    assert!(log.faults.lost() > 0);
+    assert!(log.faults.dropped_answers() > 0);
     nodes.iter().for_each(|node| node.task.abort());
 }
 
@@ -226,7 +226,7 @@
 async fn one_of_two_nodes_holds_the_group() {
     const GROUP: Group = 7;
     let log = Log::start(any()).await.unwrap();
-    log.faults.lose(2);
+    log.faults.drop_answers(2);
     let settings = group_lease::Settings {
         min_backoff: TICK,
         ..group_lease::Settings::default()
@@ -272,7 +272,7 @@
         tokio::time::sleep(TICK).await;
     }
     assert_eq!(held(&tables, started.elapsed()), 1);
-    assert!(log.faults.lost() > 0);
+    assert!(log.faults.dropped_answers() > 0);
 }
 
 async fn execute(action: group_lease::Action, client: &http::Log) -> Option<group_lease::Event> {
--- a/crates/rig/examples/demo.rs
+++ b/crates/rig/examples/demo.rs
@@ -117,7 +117,7 @@
         start.elapsed().as_secs_f64(),
         fleet.endpoints[0].name
     );
-    fleet.endpoints[0].engine.die();
+    fleet.endpoints[0].engine.crash();
     sleep(whole / 4).await;
     println!(
         "[{:4.1} s] a node dies: {}",
@@ -181,7 +181,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs();
     for number in 0..20 {
         if number == 10 {
-            mail[0].handle.die();
+            mail[0].handle.crash();
         }
         let headers = [
             ("authorization", format!("Bearer {}", KITCHENS.key)),
--- a/crates/rig/src/expect.rs
+++ b/crates/rig/src/expect.rs
@@ -24,7 +24,7 @@
         layers: plan.layers,
         prompt: prompt.as_bytes(),
         seed: ask.seed,
-        most: ask.most,
+        max_tokens: ask.most,
     });
     tokens.into_iter().map(|t| t.text).collect()
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -192,7 +192,7 @@
 
     /// Puts into the instance list what runs.
     pub fn relist(&self) {
-        self.list.set(self.instances());
+        self.list.set_instances(self.instances());
     }
 
     /// What runs.
--- a/crates/rig/tests/completions.rs
+++ b/crates/rig/tests/completions.rs
@@ -105,7 +105,7 @@
         layers: Plan::default().layers,
         prompt: prompt.as_bytes(),
         seed: 1,
-        most: MOST,
+        max_tokens: MOST,
     };
     oracle::answer(&question)
         .into_iter()
--- a/crates/rig/tests/crash.rs
+++ b/crates/rig/tests/crash.rs
@@ -15,7 +15,7 @@
     };
     let fleet = Fleet::start(plan).await.expect("fleet");
     for endpoint in &fleet.endpoints {
-        endpoint.engine.die_on(POISON);
+        endpoint.engine.crash_on_prompt(POISON);
     }
     fleet
 }
--- a/crates/rig/tests/drain.rs
+++ b/crates/rig/tests/drain.rs
@@ -81,7 +81,7 @@
     for instance in instances.iter_mut().filter(|i| i.name == leaving.name) {
         instance.state = platform::instance::State::Leaving;
     }
-    fleet.list.set(instances);
+    fleet.list.set_instances(instances);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let before = Counters::get(&leaving.engine.counters().opened);
     let caller = Caller::new();
--- a/crates/rig/tests/once.rs
+++ b/crates/rig/tests/once.rs
@@ -106,7 +106,7 @@
 async fn lost_answer_of_an_append_is_settled_by_reading_back() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let key = key("week-11");
-    fleet.log.faults.lose(3);
+    fleet.log.faults.drop_answers(3);
     let reply = send(fleet.node(1).callers, &key, "week 11").await;
     assert_eq!(reply.status, StatusCode::OK, "{reply:?}");
     assert_eq!(effects(&fleet, &key), 1);
@@ -117,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn tickets_work_while_the_log_is_out() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
-    fleet.log.faults.set(Mode::Down);
+    fleet.log.faults.set_mode(Mode::Down);
     let addr = fleet.node(0).callers;
     let dated = key("week-12");
     let reply = send(addr, &dated, "week 12").await;
--- a/crates/rig/tests/outcomes.rs
+++ b/crates/rig/tests/outcomes.rs
@@ -48,7 +48,7 @@
 async fn not_run_is_never_said_once_work_may_have_begun() {
     for stream in [true, false] {
         let fleet = single().await;
-        fleet.endpoints[1].engine.die_at_step(2);
+        fleet.endpoints[1].engine.crash_at_step(2);
         let answer = ask(&fleet, &once("lock the tower", stream)).await;
         assert!(answer.unknown(), "{answer:?}");
         assert!(!answer.done, "{answer:?}");
@@ -61,7 +61,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_stream_does_not_end_like_a_whole_one() {
     let fleet = single().await;
-    fleet.endpoints[0].engine.die_at_step(4);
+    fleet.endpoints[0].engine.crash_at_step(4);
     let request = once("repair steps", true);
     let answer = ask(&fleet, &request).await;
     assert!(answer.status.is_success(), "{answer:?}");
@@ -75,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_or_nothing_gives_nothing() {
     let fleet = single().await;
-    fleet.endpoints[0].engine.die_at_step(4);
+    fleet.endpoints[0].engine.crash_at_step(4);
     let request = once("repair steps", true).header("x-wigeonshelf-whole", "true");
     let answer = ask(&fleet, &request).await;
     assert_eq!(answer.status.as_u16(), 502);
@@ -89,7 +89,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_is_truly_unrun() {
     let fleet = single().await;
-    fleet.endpoints[1].engine.leave(true);
+    fleet.endpoints[1].engine.set_leaving(true);
     let request = once("sesame swap", false).header("x-wigeonshelf-deadline-ms", "400");
     let answer = ask(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_fleet_refuses() {
     let fleet = single().await;
-    fleet.endpoints[0].engine.die();
+    fleet.endpoints[0].engine.crash();
     let request = Ask::of("hello").header("x-wigeonshelf-deadline-ms", "1500");
     let answer = ask(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
--- a/crates/rig/tests/services.rs
+++ b/crates/rig/tests/services.rs
@@ -4,7 +4,7 @@
 use rig::caller::Caller;
 use rig::fleet::Fleet;
 use rig::plan::{KITCHENS, LOOKUP, NEWSLETTER, Plan};
-use standin::service::{Config, Moment, answer};
+use standin::service::{Config, CrashPoint, answer};
 use std::sync::LazyLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -66,7 +66,7 @@
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let lookups = fleet.services.iter().filter(|s| s.service == LOOKUP);
     let first = lookups.into_iter().next().expect("an endpoint");
-    first.handle.die_at(Some(Moment::Before));
+    first.handle.crash_at(Some(CrashPoint::Before));
     for n in 0..6 {
         let key = format!("lookup-{n}");
         let reply = call(&fleet, LOOKUP, &key).await.expect("answer");
@@ -80,7 +80,7 @@
 async fn call_that_may_not_be_repeated_is_made_once() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     for service in &fleet.services {
-        service.handle.die_at(Some(Moment::After));
+        service.handle.crash_at(Some(CrashPoint::After));
     }
     let reply = call(&fleet, NEWSLETTER, "week-8").await.expect("answer");
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
@@ -95,7 +95,7 @@
 async fn cut_answer_breaks_off() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     for service in &fleet.services {
-        service.handle.halve(true);
+        service.handle.truncate_answers(true);
     }
     for service in [LOOKUP, NEWSLETTER] {
         assert!(call(&fleet, service, "half").await.is_err());
--- a/crates/rig/tests/stages.rs
+++ b/crates/rig/tests/stages.rs
@@ -52,8 +52,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stage_dead_before_the_first_token() {
     let fleet = paced().await;
-    fleet.endpoints[0].engine.die();
-    fleet.endpoints[2].engine.die();
+    fleet.endpoints[0].engine.crash();
+    fleet.endpoints[2].engine.crash();
     for n in 0..8 {
         whole(&fleet, &Ask::of(format!("menu {n}"))).await;
     }
@@ -66,7 +66,7 @@
     for step in [1, 2, 9] {
         let fleet = paced().await;
         let dying = &fleet.endpoints[1].engine;
-        dying.die_at_step(step);
+        dying.crash_at_step(step);
         for n in 0..12 {
             let ask = Ask {
                 seed: n,
@@ -102,7 +102,7 @@
         .await
         .expect("start");
     for endpoint in &fleet.endpoints {
-        endpoint.engine.silence_open();
+        endpoint.engine.hang_open_connections();
     }
     let answer = running.await.expect("task").expect("answer");
     assert!(answer.complete(), "{answer:?}");
@@ -113,17 +113,17 @@
 // request, of another step or other layers; each is told by its numbers and never used.
 #[tokio::test(flavor = "multi_thread")]
 async fn frames_of_elsewhere_never_reach_an_answer() {
-    use standin::engine::Crossed;
+    use standin::engine::ReplyFault;
     let kinds = [
-        Crossed::OldAttempt,
-        Crossed::OtherRequest,
-        Crossed::OldStep,
-        Crossed::OtherLayers,
-        Crossed::Garbled,
+        ReplyFault::StaleAttempt,
+        ReplyFault::OtherRequest,
+        ReplyFault::StaleStep,
+        ReplyFault::OtherLayers,
+        ReplyFault::Garbled,
     ];
     for crossed in kinds {
         let fleet = paced().await;
-        fleet.endpoints[1].engine.cross(Some(crossed));
+        fleet.endpoints[1].engine.set_reply_fault(Some(crossed));
         for n in 0..4 {
             whole(&fleet, &Ask::of(format!("handover {n}"))).await;
         }
--- a/crates/standin/examples/relay/engines.rs
+++ b/crates/standin/examples/relay/engines.rs
@@ -97,7 +97,7 @@
         .await?;
         for activation in ACTIVATIONS {
             pipeline(Config {
-                activation,
+                activation_bytes: activation,
                 ..config()
             })
             .await?;
@@ -110,7 +110,7 @@
 fn config() -> Config {
     Config {
         slots: 8192,
-        ledger: 0,
+        recorded_attempts: 0,
         ..Config::default()
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,10 +17,10 @@
 pub mod vocabulary;
 
 pub use counts::{Counters, Runs};
-pub use fault::Crossed;
-pub use kv::Broken;
+pub use fault::ReplyFault;
+pub use kv::ComputeFault;
 
-use crate::life;
+use crate::lifecycle;
 use state::State;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -77,7 +77,7 @@
     /// Time for one layer and token of a prompt, where the prefix cache doesn't hold it.
     pub prefill_time: Duration,
     /// Bytes of activation per token, at least 8.
-    pub activation: usize,
+    pub activation_bytes: usize,
     /// Blocks that the prefix cache holds.
     pub prefix_blocks: usize,
     /// One cache event in so many is lost; 0 loses none.
@@ -91,7 +91,7 @@
     /// When it comes back by itself after a crash; `None` waits for [`Handle::restart`].
     pub restart_after: Option<Duration>,
     /// Attempts whose runs of layers are kept for [`Handle::runs`]; 0 keeps none.
-    pub ledger: usize,
+    pub recorded_attempts: usize,
 }
 
 impl Default for Config {
@@ -103,14 +103,14 @@
             batch: 0,
             layer_time: Duration::ZERO,
             prefill_time: Duration::ZERO,
-            activation: kv::WORD,
+            activation_bytes: kv::ACTIVATION_WORD_BYTES,
             prefix_blocks: 1024,
             event_loss: 0,
             report_lag: Duration::ZERO,
             load_time: Duration::ZERO,
             fenced: true,
             restart_after: None,
-            ledger: 1024,
+            recorded_attempts: 1024,
         }
     }
 }
@@ -122,10 +122,10 @@
 impl Engine {
     /// Starts an engine on the current runtime.
     pub async fn start(config: Config) -> io::Result<Handle> {
-        let listener = life::bind(config.addr).await?;
+        let listener = lifecycle::bind(config.addr).await?;
         let addr = listener.local_addr()?;
         let state = Arc::new(State::new(addr, config));
-        life::start(&state, listener);
+        lifecycle::start(&state, listener);
         Ok(Handle { addr, state })
     }
 }
@@ -140,72 +140,72 @@
 
 impl Handle {
     /// Dies now: the listener and all connections close, all state is lost.
-    pub fn die(&self) {
-        life::die(&self.state);
+    pub fn crash(&self) {
+        lifecycle::crash(&self.state);
     }
 
     /// Dies while it computes the `count`-th step from now, 1 for the next one.
-    pub fn die_at_step(&self, count: u64) {
-        self.state.fault.die_at.store(count, Ordering::SeqCst);
+    pub fn crash_at_step(&self, count: u64) {
+        self.state.fault.crash_at.store(count, Ordering::SeqCst);
     }
 
     /// Dies each time it gets a prompt that contains `text`; an empty text switches this off.
-    pub fn die_on(&self, text: &str) {
-        self.state.fault.set_poison(text);
+    pub fn crash_on_prompt(&self, text: &str) {
+        self.state.fault.set_crash_text(text);
     }
 
     /// Comes back on the same address, with nothing cached.
     pub async fn restart(&self) -> io::Result<()> {
-        life::restart(&self.state).await
+        lifecycle::restart(&self.state).await
     }
 
     /// Goes silent on the connections open now; new ones work.
-    pub fn silence_open(&self) {
-        self.state.life.silence_open();
+    pub fn hang_open_connections(&self) {
+        self.state.lifecycle.hang_open_connections();
     }
 
     /// Goes silent wholly: connections are accepted and nothing is answered.
-    pub fn silence(&self, on: bool) {
-        self.state.life.silence(on);
+    pub fn set_unresponsive(&self, on: bool) {
+        self.state.lifecycle.set_unresponsive(on);
     }
 
     /// Answers each step this much late.
-    pub fn late(&self, by: Duration) {
-        self.state.fault.set_late(by);
+    pub fn set_delay(&self, delay: Duration) {
+        self.state.fault.set_delay(delay);
     }
 
     /// Holds all steps back until this is switched off.
-    pub fn hold(&self, on: bool) {
-        self.state.fault.hold.send_replace(on);
+    pub fn hold_steps(&self, on: bool) {
+        self.state.fault.hold_steps.send_replace(on);
     }
 
     /// Computes slower by a factor; 1 is its usual speed.
-    pub fn slow(&self, factor: f64) {
-        self.state.fault.set_slow(factor);
+    pub fn set_slowdown(&self, factor: f64) {
+        self.state.fault.set_slowdown(factor);
     }
 
     /// Answers with frames that belong elsewhere.
-    pub fn cross(&self, crossed: Option<Crossed>) {
-        self.state.fault.set_crossed(crossed);
+    pub fn set_reply_fault(&self, fault: Option<ReplyFault>) {
+        self.state.fault.set_reply_fault(fault);
     }
 
     /// Computes wrongly, for requests opened from now on.
-    pub fn break_with(&self, broken: Option<Broken>) {
-        self.state.fault.set_broken(broken);
+    pub fn set_compute_fault(&self, fault: Option<ComputeFault>) {
+        self.state.fault.set_compute_fault(fault);
     }
 
     /// Answers steps with "could not compute".
-    pub fn fail(&self, on: bool) {
-        self.state.fault.fail.store(on, Ordering::SeqCst);
+    pub fn set_failing(&self, on: bool) {
+        self.state.fault.failing.store(on, Ordering::SeqCst);
     }
 
     /// Refuses all new requests as busy.
-    pub fn busy(&self, on: bool) {
+    pub fn set_busy(&self, on: bool) {
         self.state.fault.busy.store(on, Ordering::SeqCst);
     }
 
     /// Refuses all new requests as leaving; those that run go on.
-    pub fn leave(&self, on: bool) {
+    pub fn set_leaving(&self, on: bool) {
         self.state.fault.leaving.store(on, Ordering::SeqCst);
     }
 
@@ -215,13 +215,13 @@
     }
 
     /// Deaths so far.
-    pub fn deaths(&self) -> u64 {
-        self.state.life.deaths()
+    pub fn crash_count(&self) -> u64 {
+        self.state.lifecycle.crash_count()
     }
 
     /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
-        self.state.life.connections()
+    pub fn connection_count(&self) -> u64 {
+        self.state.lifecycle.connection_count()
     }
 
     /// Requests that hold a slot now.
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -4,27 +4,27 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Events that a report carries at most.
-const EVENTS: usize = 128;
+const MAX_EVENTS: usize = 128;
 
 /// A cache of bounded size; the block used longest ago goes first.
 #[derive(Debug)]
 pub(super) struct Cache {
     size: usize,
     /// One event in so many is lost; 0 loses none.
-    loss: u64,
-    used: HashMap<u64, u64>,
+    loss_interval: u64,
+    last_used: HashMap<u64, u64>,
     clock: u64,
     number: u64,
     events: VecDeque<CacheEvent>,
 }
 
 impl Cache {
-    pub(super) fn new(size: usize, loss: u64) -> Self {
-        let (used, events) = (HashMap::new(), VecDeque::new());
+    pub(super) fn new(size: usize, loss_interval: u64) -> Self {
+        let (last_used, events) = (HashMap::new(), VecDeque::new());
         Self {
             size,
-            loss,
-            used,
+            loss_interval,
+            last_used,
             clock: 0,
             number: 0,
             events,
@@ -35,12 +35,12 @@
     pub(super) fn touch(&mut self, prefix: &[u64]) -> usize {
         let hits = prefix
             .iter()
-            .take_while(|block| self.used.contains_key(block))
+            .take_while(|block| self.last_used.contains_key(block))
             .count();
         for block in prefix.iter().take(self.size) {
             self.clock += 1;
-            if self.used.insert(*block, self.clock).is_none() {
-                self.report(*block, true);
+            if self.last_used.insert(*block, self.clock).is_none() {
+                self.record_event(*block, true);
             }
         }
         self.evict();
@@ -54,33 +54,33 @@
 
     /// Forgets all blocks, as a restart does.
     pub(super) fn clear(&mut self) {
-        self.used.clear();
+        self.last_used.clear();
         self.events.clear();
     }
 
     fn evict(&mut self) {
-        let excess = self.used.len().saturating_sub(self.size);
+        let excess = self.last_used.len().saturating_sub(self.size);
         if excess == 0 {
             return;
         }
         let mut oldest: Vec<_> = self
-            .used
+            .last_used
             .iter()
             .map(|(block, used)| (*used, *block))
             .collect();
         oldest.sort_unstable();
         for (_, block) in oldest.into_iter().take(excess) {
-            self.used.remove(&block);
-            self.report(block, false);
+            self.last_used.remove(&block);
+            self.record_event(block, false);
         }
     }
 
-    fn report(&mut self, block: u64, stored: bool) {
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.number += 1;
-        if self.loss > 0 && self.number.is_multiple_of(self.loss) {
+        if self.loss_interval > 0 && self.number.is_multiple_of(self.loss_interval) {
             return;
         }
-        if self.events.len() == EVENTS {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(CacheEvent {
--- a/crates/standin/src/engine/counts.rs
+++ b/crates/standin/src/engine/counts.rs
@@ -22,7 +22,7 @@
     /// Orders carried out.
     pub orders: AtomicU64,
     /// Orders refused for their fencing number.
-    pub old_fences: AtomicU64,
+    pub stale_fences: AtomicU64,
 }
 
 impl Counters {
@@ -53,7 +53,7 @@
         self.counts.iter().all(once)
     }
 
-    fn enter(&mut self, layer: u16, position: u64) {
+    fn record(&mut self, layer: u16, position: u64) {
         let Some(layer) = self.counts.get_mut(usize::from(layer - self.from)) else {
             return;
         };
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Records {
     runs: BTreeMap<Key, Runs>,
     order: VecDeque<Key>,
 }
@@ -81,23 +81,23 @@
 #[derive(Debug)]
 pub(super) struct Ledger {
     size: usize,
-    kept: Mutex<Kept>,
+    records: Mutex<Records>,
 }
 
 impl Ledger {
     pub(super) fn new(size: usize) -> Self {
         Self {
             size,
-            kept: Mutex::default(),
+            records: Mutex::default(),
         }
     }
 
     /// Whether anything is kept.
-    pub(super) fn is_on(&self) -> bool {
+    pub(super) fn is_enabled(&self) -> bool {
         self.size > 0
     }
 
-    pub(super) fn enter(
+    pub(super) fn record(
         &self,
         request: u128,
         attempt: u32,
@@ -105,24 +105,26 @@
         layers: &[u16],
         position: u64,
     ) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         let key = Key { request, attempt };
-        if !kept.runs.contains_key(&key) {
-            kept.order.push_back(key);
-            if kept.order.len() > self.size {
-                let oldest = kept.order.pop_front();
-                oldest.map(|oldest| kept.runs.remove(&oldest));
+        if !records.runs.contains_key(&key) {
+            records.order.push_back(key);
+            if records.order.len() > self.size {
+                let oldest = records.order.pop_front();
+                oldest.map(|oldest| records.runs.remove(&oldest));
             }
         }
-        let runs = kept.runs.entry(key).or_insert_with(|| Runs {
+        let runs = records.runs.entry(key).or_insert_with(|| Runs {
             from: range.start,
             counts: vec![Vec::new(); range.len()],
         });
-        layers.iter().for_each(|layer| runs.enter(*layer, position));
+        layers
+            .iter()
+            .for_each(|layer| runs.record(*layer, position));
     }
 
     pub(super) fn get(&self, request: u128, attempt: u32) -> Option<Runs> {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.runs.get(&Key { request, attempt }).cloned()
+        let records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
+        records.runs.get(&Key { request, attempt }).cloned()
     }
 }
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -1,6 +1,6 @@
 //! Switches for faults.
 
-use super::kv::Broken;
+use super::kv::ComputeFault;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -8,113 +8,116 @@
 
 /// Frames that belong elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Crossed {
+pub enum ReplyFault {
     /// Before each right answer comes one of the attempt before.
-    OldAttempt,
+    StaleAttempt,
     /// Each answer names another request.
     OtherRequest,
     /// Each answer names the step before.
-    OldStep,
+    StaleStep,
     /// Each answer names another range of layers.
     OtherLayers,
     /// Each answer comes twice.
-    Twice,
+    Duplicate,
     /// Bytes that are no frame come instead of an answer.
     Garbled,
     /// The stream ends instead of an answer, as it does after a whole one.
-    Ended,
+    EndOfStream,
 }
 
 #[derive(Debug)]
 struct Settings {
-    poison: Vec<u8>,
-    late: Duration,
-    slow: f64,
-    crossed: Option<Crossed>,
-    broken: Option<Broken>,
+    crash_text: Vec<u8>,
+    delay: Duration,
+    slowdown: f64,
+    reply_fault: Option<ReplyFault>,
+    compute_fault: Option<ComputeFault>,
 }
 
 /// All switches of an engine.
 #[derive(Debug)]
 pub(super) struct Fault {
     /// Steps until death; 0 is off.
-    pub(super) die_at: AtomicU64,
+    pub(super) crash_at: AtomicU64,
     pub(super) busy: AtomicBool,
     pub(super) leaving: AtomicBool,
-    pub(super) fail: AtomicBool,
-    pub(super) hold: watch::Sender<bool>,
+    pub(super) failing: AtomicBool,
+    pub(super) hold_steps: watch::Sender<bool>,
     settings: Mutex<Settings>,
 }
 
 impl Default for Fault {
     fn default() -> Self {
         let settings = Settings {
-            poison: Vec::new(),
-            late: Duration::ZERO,
-            slow: 1.0,
-            crossed: None,
-            broken: None,
+            crash_text: Vec::new(),
+            delay: Duration::ZERO,
+            slowdown: 1.0,
+            reply_fault: None,
+            compute_fault: None,
         };
         Self {
-            die_at: AtomicU64::new(0),
+            crash_at: AtomicU64::new(0),
             busy: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            fail: AtomicBool::new(false),
-            hold: watch::Sender::new(false),
+            failing: AtomicBool::new(false),
+            hold_steps: watch::Sender::new(false),
             settings: Mutex::new(settings),
         }
     }
 }
 
 impl Fault {
-    pub(super) fn set_poison(&self, text: &str) {
-        self.lock().poison = text.as_bytes().to_vec();
+    pub(super) fn set_crash_text(&self, text: &str) {
+        self.lock().crash_text = text.as_bytes().to_vec();
     }
 
-    pub(super) fn set_late(&self, by: Duration) {
-        self.lock().late = by;
+    pub(super) fn set_delay(&self, delay: Duration) {
+        self.lock().delay = delay;
     }
 
-    pub(super) fn set_slow(&self, factor: f64) {
-        self.lock().slow = factor;
+    pub(super) fn set_slowdown(&self, factor: f64) {
+        self.lock().slowdown = factor;
     }
 
-    pub(super) fn set_crossed(&self, crossed: Option<Crossed>) {
-        self.lock().crossed = crossed;
+    pub(super) fn set_reply_fault(&self, reply_fault: Option<ReplyFault>) {
+        self.lock().reply_fault = reply_fault;
     }
 
-    pub(super) fn set_broken(&self, broken: Option<Broken>) {
-        self.lock().broken = broken;
+    pub(super) fn set_compute_fault(&self, compute_fault: Option<ComputeFault>) {
+        self.lock().compute_fault = compute_fault;
     }
 
-    pub(super) fn late(&self) -> Duration {
-        self.lock().late
+    pub(super) fn delay(&self) -> Duration {
+        self.lock().delay
     }
 
-    pub(super) fn slow(&self) -> f64 {
-        self.lock().slow
+    pub(super) fn slowdown(&self) -> f64 {
+        self.lock().slowdown
     }
 
-    pub(super) fn crossed(&self) -> Option<Crossed> {
-        self.lock().crossed
+    pub(super) fn reply_fault(&self) -> Option<ReplyFault> {
+        self.lock().reply_fault
     }
 
-    pub(super) fn broken(&self) -> Option<Broken> {
-        self.lock().broken
+    pub(super) fn compute_fault(&self) -> Option<ComputeFault> {
+        self.lock().compute_fault
     }
 
     /// Whether the prompt kills the engine.
-    pub(super) fn is_poison(&self, prompt: &[u8]) -> bool {
+    pub(super) fn matches_crash_text(&self, prompt: &[u8]) -> bool {
         let settings = self.lock();
-        let poison = settings.poison.as_slice();
-        !poison.is_empty() && prompt.windows(poison.len()).any(|part| part == poison)
+        let crash_text = settings.crash_text.as_slice();
+        !crash_text.is_empty()
+            && prompt
+                .windows(crash_text.len())
+                .any(|part| part == crash_text)
     }
 
     /// Counts a step; whether it is the one to die at.
-    pub(super) fn is_last_step(&self) -> bool {
+    pub(super) fn is_crash_step(&self) -> bool {
         let less = |left: u64| left.checked_sub(1);
         let before = self
-            .die_at
+            .crash_at
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, less);
         before == Ok(1)
     }
--- a/crates/standin/src/engine/hash.rs
+++ b/crates/standin/src/engine/hash.rs
@@ -3,15 +3,15 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Most words that are hashed at once.
-const WORDS: usize = 8;
+const MAX_WORDS: usize = 8;
 
 /// Hash of up to eight words, in order.
 pub fn mix(words: &[u64]) -> u64 {
-    let mut bytes = [0; WORDS * 8];
+    let mut bytes = [0; MAX_WORDS * 8];
     for (slot, word) in bytes.chunks_exact_mut(8).zip(words) {
         slot.copy_from_slice(&word.to_le_bytes());
     }
-    xxh3_64(&bytes[..words.len().min(WORDS) * 8])
+    xxh3_64(&bytes[..words.len().min(MAX_WORDS) * 8])
 }
 
 /// Hash of the weights' name.
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -5,7 +5,7 @@
 
 /// A deliberate error in the computation, which the oracle must catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum ComputeFault {
     /// The stage's first layer is left out.
     Skip,
     /// The stage's first layer runs twice.
@@ -13,11 +13,11 @@
     /// The stage's layers run in the reverse order.
     Reorder,
     /// The stage's input is the one that came before, often of another request.
-    Cross,
+    SwapInput,
 }
 
 /// Bytes that carry an activation; the rest of its size is padding.
-pub(super) const WORD: usize = 8;
+pub(super) const ACTIVATION_WORD_BYTES: usize = 8;
 
 /// Key-value state of one request at one stage.
 #[derive(Debug)]
@@ -26,23 +26,23 @@
     salt: u64,
     caches: Vec<u64>,
     position: u64,
-    broken: Option<Broken>,
+    fault: Option<ComputeFault>,
 }
 
 impl Kv {
-    pub(super) fn new(from: u16, to: u16, salt: u64, broken: Option<Broken>) -> Self {
+    pub(super) fn new(from: u16, to: u16, salt: u64, fault: Option<ComputeFault>) -> Self {
         Self {
             from,
             salt,
             caches: vec![0; (to - from).into()],
             position: 0,
-            broken,
+            fault,
         }
     }
 
     /// How it computes wrongly, if it does.
-    pub(super) fn broken(&self) -> Option<Broken> {
-        self.broken
+    pub(super) fn fault(&self) -> Option<ComputeFault> {
+        self.fault
     }
 
     /// Position that comes next.
@@ -50,16 +50,16 @@
         self.position
     }
 
-    /// Runs one position through the stage's layers; `ran` is told each layer.
-    pub(super) fn run(&mut self, activation: u64, mut ran: impl FnMut(u16)) -> u64 {
-        let order = order(self.caches.len(), self.broken);
+    /// Runs one position through the stage's layers; `on_layer` is told each layer.
+    pub(super) fn run(&mut self, activation: u64, mut on_layer: impl FnMut(u16)) -> u64 {
+        let order = order(self.caches.len(), self.fault);
         let mut activation = activation;
         for index in order {
             let layer = self.from + index as u16;
             let cache = &mut self.caches[index];
             *cache = mix(&[*cache, activation, layer.into(), self.position, self.salt]);
             activation = mix(&[activation, *cache, layer.into()]);
-            ran(layer);
+            on_layer(layer);
         }
         self.position += 1;
         activation
@@ -71,12 +71,12 @@
     }
 }
 
-fn order(layers: usize, broken: Option<Broken>) -> Vec<usize> {
-    match broken {
-        None | Some(Broken::Cross) => (0..layers).collect(),
-        Some(Broken::Skip) => (1..layers).collect(),
-        Some(Broken::Double) => std::iter::once(0).chain(0..layers).collect(),
-        Some(Broken::Reorder) => (0..layers).rev().collect(),
+fn order(layers: usize, fault: Option<ComputeFault>) -> Vec<usize> {
+    match fault {
+        None | Some(ComputeFault::SwapInput) => (0..layers).collect(),
+        Some(ComputeFault::Skip) => (1..layers).collect(),
+        Some(ComputeFault::Double) => std::iter::once(0).chain(0..layers).collect(),
+        Some(ComputeFault::Reorder) => (0..layers).rev().collect(),
     }
 }
 
@@ -103,7 +103,7 @@
 pub(super) fn pack(activations: &[u64], size: usize) -> Bytes {
     let mut bytes = BytesMut::zeroed(activations.len() * size);
     for (slot, activation) in bytes.chunks_exact_mut(size).zip(activations) {
-        slot[..WORD].copy_from_slice(&activation.to_le_bytes());
+        slot[..ACTIVATION_WORD_BYTES].copy_from_slice(&activation.to_le_bytes());
     }
     bytes.freeze()
 }
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -2,7 +2,7 @@
 
 use super::state::{State, lock};
 use super::{stage, status};
-use crate::life::{Gate, Life, Serve};
+use crate::lifecycle::{Connection, Lifecycle, Serve};
 use bytes::Bytes;
 use h2::RecvStream;
 use h2::server::SendResponse;
@@ -10,26 +10,26 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-const FRAME: u32 = 64 << 10;
-const STREAM_WINDOW: u32 = 1 << 20;
-const CONNECTION_WINDOW: u32 = 16 << 20;
+const MAX_FRAME_BYTES: u32 = 64 << 10;
+const STREAM_WINDOW_BYTES: u32 = 1 << 20;
+const CONNECTION_WINDOW_BYTES: u32 = 16 << 20;
 
 impl Serve for State {
-    fn life(&self) -> &Life {
-        &self.life
+    fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
-    fn begin(self: &Arc<Self>) {
+    fn on_start(self: &Arc<Self>) {
         lock(&self.cache).clear();
-        self.life.spawn(status::keep(self.clone()));
+        self.lifecycle.spawn(status::refresh_report(self.clone()));
     }
 
-    async fn serve(self: Arc<Self>, gate: Gate) {
+    async fn serve(self: Arc<Self>, connection: Connection) {
         let mut builder = h2::server::Builder::new();
-        builder.initial_window_size(STREAM_WINDOW);
-        builder.initial_connection_window_size(CONNECTION_WINDOW);
-        builder.max_frame_size(FRAME);
-        let Ok(mut connection) = builder.handshake::<_, Bytes>(gate).await else {
+        builder.initial_window_size(STREAM_WINDOW_BYTES);
+        builder.initial_connection_window_size(CONNECTION_WINDOW_BYTES);
+        builder.max_frame_size(MAX_FRAME_BYTES);
+        let Ok(mut connection) = builder.handshake::<_, Bytes>(connection).await else {
             return;
         };
         // Dropped with the connection, which stops its requests.
--- a/crates/standin/src/engine/stage.rs
+++ b/crates/standin/src/engine/stage.rs
@@ -10,56 +10,59 @@
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
 use http::Response;
-use io::Io;
+use io::FrameStream;
 use std::sync::Arc;
 use work::Stage;
 
 /// The caller reset the stream, or broke the protocol.
-struct Gone;
+struct StreamClosed;
 
 /// Result of a part of a stream.
-type Result<T> = std::result::Result<T, Gone>;
+type Result<T> = std::result::Result<T, StreamClosed>;
 
 /// Serves a stream to its end.
 pub(super) async fn serve(state: Arc<State>, body: RecvStream, mut respond: SendResponse<Bytes>) {
     let Ok(sender) = respond.send_response(Response::new(()), false) else {
         return;
     };
-    let mut io = Io::new(sender, body);
+    let mut io = FrameStream::new(sender, body);
     let Ok(Some(Call::Open(open))) = io.call().await else {
         io.abort(Reason::PROTOCOL_ERROR);
         return;
     };
     let (slot, span) = match state.admit(&open) {
         Ok(admitted) => admitted,
-        Err(Refusal { reason, wait }) => {
+        Err(Refusal {
+            reason,
+            retry_after,
+        }) => {
             Counters::add(&state.counters.refused);
-            let _ = io.reply(&Reply::Refused(reason, wait), Bytes::new(), true);
+            let _ = io.reply(&Reply::Refused(reason, retry_after), Bytes::new(), true);
             return;
         }
     };
     Counters::add(&state.counters.opened);
     let stage = Stage::new(state.clone(), open, span, slot);
     // Counted also when the connection dies and this task is dropped on the way.
-    let mut end = End {
+    let mut completion = Completion {
         state: state.clone(),
-        is_whole: false,
+        is_complete: false,
     };
     match stage.run(&mut io).await {
-        Ok(()) => end.is_whole = true,
-        Err(Gone) => io.abort(Reason::CANCEL),
+        Ok(()) => completion.is_complete = true,
+        Err(StreamClosed) => io.abort(Reason::CANCEL),
     }
 }
 
-struct End {
+struct Completion {
     state: Arc<State>,
-    is_whole: bool,
+    is_complete: bool,
 }
 
-impl Drop for End {
+impl Drop for Completion {
     fn drop(&mut self) {
         let counters = &self.state.counters;
-        let counter = if self.is_whole {
+        let counter = if self.is_complete {
             &counters.finished
         } else {
             &counters.cancelled
--- a/crates/standin/src/engine/stage/io.rs
+++ b/crates/standin/src/engine/stage/io.rs
@@ -1,19 +1,19 @@
 //! Frames of a stream, as the stage sees them.
 
-use super::{Gone, Result};
+use super::{Result, StreamClosed};
 use bytes::{Bytes, BytesMut};
 use engine::frame::{self, Call, Item, Reader, Reply};
 use h2::{Reason, RecvStream, SendStream};
 use std::future::poll_fn;
 
 /// Both directions of a stream.
-pub(super) struct Io {
+pub(super) struct FrameStream {
     sender: SendStream<Bytes>,
     body: RecvStream,
     reader: Reader<Call>,
 }
 
-impl Io {
+impl FrameStream {
     pub(super) fn new(sender: SendStream<Bytes>, body: RecvStream) -> Self {
         Self {
             sender,
@@ -29,7 +29,7 @@
 
     /// Sends bytes that need not be a frame.
     pub(super) fn send(&mut self, bytes: Bytes, end: bool) -> Result<()> {
-        self.sender.send_data(bytes, end).map_err(|_| Gone)
+        self.sender.send_data(bytes, end).map_err(|_| StreamClosed)
     }
 
     /// The next call; `None` when the caller ended its side.
@@ -37,7 +37,7 @@
         match self.item().await? {
             None => Ok(None),
             Some(Item::Head(call)) => Ok(Some(call)),
-            Some(Item::Payload(_)) => Err(Gone),
+            Some(Item::Payload(_)) => Err(StreamClosed),
         }
     }
 
@@ -48,7 +48,7 @@
             match self.item().await? {
                 Some(Item::Payload(piece)) if piece.len() == length => return Ok(piece),
                 Some(Item::Payload(piece)) => bytes.extend_from_slice(&piece),
-                _ => return Err(Gone),
+                _ => return Err(StreamClosed),
             }
         }
         Ok(bytes.freeze())
@@ -56,17 +56,17 @@
 
     async fn item(&mut self) -> Result<Option<Item<Call>>> {
         loop {
-            if let Some(item) = self.reader.read().map_err(|_| Gone)? {
+            if let Some(item) = self.reader.read().map_err(|_| StreamClosed)? {
                 return Ok(Some(item));
             }
             let Some(chunk) = self.body.data().await else {
                 return if self.reader.is_at_frame_end() {
                     Ok(None)
                 } else {
-                    Err(Gone)
+                    Err(StreamClosed)
                 };
             };
-            let chunk = chunk.map_err(|_| Gone)?;
+            let chunk = chunk.map_err(|_| StreamClosed)?;
             let _ = self.body.flow_control().release_capacity(chunk.len());
             self.reader.push(chunk);
         }
@@ -75,9 +75,11 @@
     /// Queues a reply; the connection sends it as the caller's window allows.
     pub(super) fn reply(&mut self, reply: &Reply, payload: Bytes, end: bool) -> Result<()> {
         let mut buf = BytesMut::new();
-        frame::encode(reply, &mut buf).map_err(|_| Gone)?;
+        frame::encode(reply, &mut buf).map_err(|_| StreamClosed)?;
         buf.extend_from_slice(&payload);
-        self.sender.send_data(buf.freeze(), end).map_err(|_| Gone)
+        self.sender
+            .send_data(buf.freeze(), end)
+            .map_err(|_| StreamClosed)
     }
 
     /// Waits until the caller resets the stream.
@@ -89,7 +91,7 @@
     pub(super) async fn until_reset<T>(&mut self, work: impl Future<Output = T>) -> Result<T> {
         tokio::select! {
             biased;
-            () = self.reset() => Err(Gone),
+            () = self.reset() => Err(StreamClosed),
             done = work => Ok(done),
         }
     }
--- a/crates/standin/src/engine/stage/work.rs
+++ b/crates/standin/src/engine/stage/work.rs
@@ -1,15 +1,15 @@
 //! The steps of a request at a stage.
 
-use super::io::Io;
-use super::{Gone, Result};
+use super::io::FrameStream;
+use super::{Result, StreamClosed};
 use crate::engine::Span;
 use crate::engine::counts::Counters;
-use crate::engine::fault::Crossed;
+use crate::engine::fault::ReplyFault;
 use crate::engine::hash;
-use crate::engine::kv::{self, Broken, Kv};
+use crate::engine::kv::{self, ComputeFault, Kv};
 use crate::engine::state::{Slot, State, lock};
 use crate::engine::vocabulary;
-use crate::life;
+use crate::lifecycle;
 use bytes::Bytes;
 use engine::frame::{Call, Input, Open, Place, Reply, Step};
 use engine::prefix;
@@ -20,9 +20,9 @@
 use tokio::time::{Instant, sleep};
 
 /// A step that runs longer says so as often as this.
-const WORKING: Duration = Duration::from_millis(250);
+const WORKING_INTERVAL: Duration = Duration::from_millis(250);
 /// Weight of a new sample in the mean time between tokens, as one part in so many.
-const SMOOTHING: u64 = 8;
+const MEAN_WINDOW: u64 = 8;
 
 /// A request at this stage.
 pub(super) struct Stage {
@@ -35,7 +35,7 @@
 }
 
 /// What a step made.
-struct Made {
+struct StepOutput {
     reply: Reply,
     payload: Bytes,
 }
@@ -43,7 +43,7 @@
 impl Stage {
     pub(super) fn new(state: Arc<State>, open: Open, span: Span, slot: Slot) -> Self {
         let salt = hash::name(&open.model, &open.version, open.adapter.as_deref());
-        let kv = Kv::new(open.from, open.to, salt, state.fault.broken());
+        let kv = Kv::new(open.from, open.to, salt, state.fault.compute_fault());
         Self {
             state,
             open,
@@ -54,14 +54,14 @@
         }
     }
 
-    pub(super) async fn run(mut self, io: &mut Io) -> Result<()> {
+    pub(super) async fn run(mut self, io: &mut FrameStream) -> Result<()> {
         let Open {
             request, attempt, ..
         } = self.open;
         io.reply(&Reply::Opened(request, attempt), Bytes::new(), false)?;
         while let Some(call) = io.call().await? {
             let Call::Step(step) = call else {
-                return Err(Gone);
+                return Err(StreamClosed);
             };
             let payload = io.payload(step.payload).await?;
             self.step(io, step, payload).await?;
@@ -69,7 +69,7 @@
         io.send(Bytes::new(), true)
     }
 
-    async fn step(&mut self, io: &mut Io, step: Step, payload: Bytes) -> Result<()> {
+    async fn step(&mut self, io: &mut FrameStream, step: Step, payload: Bytes) -> Result<()> {
         let Open {
             request,
             attempt,
@@ -85,14 +85,14 @@
             to,
         };
         if step.place != place {
-            return Err(Gone);
+            return Err(StreamClosed);
         }
         self.crash(&step, &payload).await;
         let Some(inputs) = self.inputs(&step.input, &payload) else {
             return io.reply(&Reply::Failed(place), Bytes::new(), false);
         };
-        self.pace(io, place, inputs.len()).await?;
-        if self.state.fault.fail.load(Ordering::SeqCst) {
+        self.wait_for_step(io, place, inputs.len()).await?;
+        if self.state.fault.failing.load(Ordering::SeqCst) {
             return io.reply(&Reply::Failed(place), Bytes::new(), false);
         }
         let made = self.compute(place, &step.input, inputs);
@@ -103,9 +103,9 @@
     /// Dies if this is the step or the prompt to die at.
     async fn crash(&self, step: &Step, payload: &[u8]) {
         let is_prompt = matches!(step.input, Input::Prompt(_));
-        let is_poison = is_prompt && self.state.fault.is_poison(payload);
-        if is_poison || self.state.fault.is_last_step() {
-            life::die(&self.state);
+        let is_crash_prompt = is_prompt && self.state.fault.matches_crash_text(payload);
+        if is_crash_prompt || self.state.fault.is_crash_step() {
+            lifecycle::crash(&self.state);
             future::pending::<()>().await;
         }
     }
@@ -115,33 +115,38 @@
         match input {
             Input::Prompt(tokens) => Some(kv::embed(payload, tokens)),
             Input::Token(id) => Some(vec![kv::token(*id)]),
-            Input::Activations => kv::unpack(payload, self.state.config.activation),
+            Input::Activations => kv::unpack(payload, self.state.config.activation_bytes),
         }
     }
 
     /// Waits as long as the step takes, and says so if that is long.
-    async fn pace(&mut self, io: &mut Io, place: Place, positions: usize) -> Result<()> {
+    async fn wait_for_step(
+        &mut self,
+        io: &mut FrameStream,
+        place: Place,
+        positions: usize,
+    ) -> Result<()> {
         let cost = self.cost(positions);
-        let late = self.state.fault.late();
+        let delay = self.state.fault.delay();
         let lanes = self.state.lanes.clone();
-        let mut hold = self.state.fault.hold.subscribe();
+        let mut hold = self.state.fault.hold_steps.subscribe();
         let is_held = *hold.borrow();
         let rank = self.open.priority;
         let work = async move {
             if !cost.is_zero() {
                 lanes.run(rank, cost).await;
             }
-            if !late.is_zero() {
-                sleep(late).await;
+            if !delay.is_zero() {
+                sleep(delay).await;
             }
             let _ = hold.wait_for(|on| !on).await;
         };
-        if cost.is_zero() && late.is_zero() && !is_held {
+        if cost.is_zero() && delay.is_zero() && !is_held {
             return Ok(());
         }
         tokio::pin!(work);
         while io
-            .until_reset(tokio::time::timeout(WORKING, &mut work))
+            .until_reset(tokio::time::timeout(WORKING_INTERVAL, &mut work))
             .await?
             .is_err()
         {
@@ -155,20 +160,20 @@
         let state = self.state.clone();
         let config = &state.config;
         let layers = u32::from(self.open.to - self.open.from);
-        let slow = state.fault.slow();
+        let slowdown = state.fault.slowdown();
         if self.kv.position() > 0 {
-            self.sample();
-            return (config.layer_time * layers).mul_f64(slow);
+            self.record_step_interval();
+            return (config.layer_time * layers).mul_f64(slowdown);
         }
         self.last = Some(Instant::now());
         let hits = lock(&state.cache).touch(&self.open.prefix);
         let cached = hits * prefix::BLOCK_BYTES / 4;
         let fresh = positions.saturating_sub(cached).max(1) as u32;
-        (config.prefill_time * layers * fresh).mul_f64(slow)
+        (config.prefill_time * layers * fresh).mul_f64(slowdown)
     }
 
     /// Enters the time since the step before into the mean.
-    fn sample(&mut self) {
+    fn record_step_interval(&mut self) {
         let now = Instant::now();
         let Some(last) = self.last.replace(now) else {
             return;
@@ -178,31 +183,31 @@
         let next = if mean == 0 {
             nanos
         } else {
-            mean - mean / SMOOTHING + nanos / SMOOTHING
+            mean - mean / MEAN_WINDOW + nanos / MEAN_WINDOW
         };
         self.state.inter_token.store(next, Ordering::Relaxed);
     }
 
-    fn compute(&mut self, place: Place, input: &Input, inputs: Vec<u64>) -> Made {
+    fn compute(&mut self, place: Place, input: &Input, inputs: Vec<u64>) -> StepOutput {
         let is_prompt = matches!(input, Input::Prompt(_));
-        let had = if let Input::Prompt(tokens) = input {
+        let resumed_tokens = if let Input::Prompt(tokens) = input {
             tokens.len()
         } else {
             0
         };
         let prompt_tokens = if is_prompt {
-            (inputs.len() - had) as u32
+            (inputs.len() - resumed_tokens) as u32
         } else {
             0
         };
         let outputs: Vec<u64> = inputs
             .into_iter()
-            .map(|input| self.position(input))
+            .map(|input| self.run_position(input))
             .collect();
         if self.open.to < self.span.layers {
-            let payload = kv::pack(&outputs, self.state.config.activation);
+            let payload = kv::pack(&outputs, self.state.config.activation_bytes);
             let length = payload.len() as u32;
-            return Made {
+            return StepOutput {
                 reply: Reply::Done {
                     place,
                     prompt_tokens,
@@ -214,7 +219,7 @@
         let last = outputs.last().copied().unwrap_or_default();
         let (token, end) = vocabulary::pick(self.kv.draw(last, self.open.seed));
         let (id, text) = (token.id, token.text);
-        Made {
+        StepOutput {
             reply: Reply::Token {
                 place,
                 prompt_tokens,
@@ -227,14 +232,14 @@
     }
 
     /// Runs one position, and enters the layers that ran.
-    fn position(&mut self, input: u64) -> u64 {
+    fn run_position(&mut self, input: u64) -> u64 {
         Counters::add(&self.state.counters.positions);
-        let input = match self.kv.broken() {
-            Some(Broken::Cross) => self.state.crossed.swap(input, Ordering::SeqCst),
+        let input = match self.kv.fault() {
+            Some(ComputeFault::SwapInput) => self.state.swapped_input.swap(input, Ordering::SeqCst),
             _ => input,
         };
         let position = self.kv.position();
-        if !self.state.ledger.is_on() {
+        if !self.state.ledger.is_enabled() {
             return self.kv.run(input, |_| {});
         }
         let mut ran = Vec::new();
@@ -248,44 +253,44 @@
         } = self.open;
         self.state
             .ledger
-            .enter(request, attempt, from..to, &ran, position);
+            .record(request, attempt, from..to, &ran, position);
         output
     }
 
     /// Sends the reply, or what a fault makes of it.
-    fn respond(&self, io: &mut Io, made: Made) -> Result<()> {
-        let Made { reply, payload } = made;
-        let Some(crossed) = self.state.fault.crossed() else {
+    fn respond(&self, io: &mut FrameStream, made: StepOutput) -> Result<()> {
+        let StepOutput { reply, payload } = made;
+        let Some(fault) = self.state.fault.reply_fault() else {
             return io.reply(&reply, payload, false);
         };
-        let other = elsewhere(&reply, crossed);
-        match crossed {
-            Crossed::OldAttempt | Crossed::Twice => {
+        let other = misdirect(&reply, fault);
+        match fault {
+            ReplyFault::StaleAttempt | ReplyFault::Duplicate => {
                 io.reply(&other, payload.clone(), false)?;
                 io.reply(&reply, payload, false)
             }
-            Crossed::Garbled => {
+            ReplyFault::Garbled => {
                 let garbage = Bytes::from_static(&[0, 0, 0, 3, 255, 255, 255]);
                 io.send(garbage, false)
             }
-            Crossed::Ended => io.send(Bytes::new(), true),
+            ReplyFault::EndOfStream => io.send(Bytes::new(), true),
             _ => io.reply(&other, payload, false),
         }
     }
 }
 
 /// The reply with the place that a fault gives it.
-fn elsewhere(reply: &Reply, crossed: Crossed) -> Reply {
+fn misdirect(reply: &Reply, fault: ReplyFault) -> Reply {
     let mut reply = reply.clone();
     let (Reply::Done { place, .. } | Reply::Token { place, .. }) = &mut reply else {
         return reply;
     };
-    match crossed {
-        Crossed::OldAttempt => place.attempt = place.attempt.saturating_sub(1).max(1),
-        Crossed::OtherRequest => place.request ^= 1,
-        Crossed::OldStep => place.step = place.step.saturating_sub(1).max(1),
-        Crossed::OtherLayers => place.to += 1,
-        Crossed::Twice | Crossed::Garbled | Crossed::Ended => {}
+    match fault {
+        ReplyFault::StaleAttempt => place.attempt = place.attempt.saturating_sub(1).max(1),
+        ReplyFault::OtherRequest => place.request ^= 1,
+        ReplyFault::StaleStep => place.step = place.step.saturating_sub(1).max(1),
+        ReplyFault::OtherLayers => place.to += 1,
+        ReplyFault::Duplicate | ReplyFault::Garbled | ReplyFault::EndOfStream => {}
     }
     reply
 }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -5,8 +5,8 @@
 use super::fault::Fault;
 use super::lanes::Lanes;
 use super::{Config, Span};
-use crate::life::Life;
-pub(super) use crate::life::lock;
+use crate::lifecycle::Lifecycle;
+pub(super) use crate::lifecycle::lock;
 use engine::frame::{Open, Reason};
 use engine::load::Report;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 use tokio::time::Instant;
 
 /// Wait that a full engine asks for.
-const BUSY_WAIT: Duration = Duration::from_millis(50);
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// A load report and when it was made.
 #[derive(Clone, Debug)]
 pub(super) struct Snapshot {
     pub(super) report: Report,
-    pub(super) made: Instant,
+    pub(super) taken_at: Instant,
 }
 
 /// A range that is held, or will be.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct Holding {
     pub(super) span: Span,
     pub(super) ready_at: Instant,
 }
@@ -41,14 +41,14 @@
     pub(super) ledger: Ledger,
     pub(super) cache: Mutex<Cache>,
     pub(super) lanes: Arc<Lanes>,
-    pub(super) life: Life,
-    pub(super) held: Mutex<Vec<Held>>,
+    pub(super) lifecycle: Lifecycle,
+    pub(super) held: Mutex<Vec<Holding>>,
     pub(super) fence: AtomicU64,
     pub(super) snapshot: Mutex<Option<Snapshot>>,
     /// Mean time between two steps of one request, in nanoseconds.
     pub(super) inter_token: AtomicU64,
-    /// Input that [`super::Broken::Cross`] gives to the position that comes next.
-    pub(super) crossed: AtomicU64,
+    /// Input that [`super::ComputeFault::SwapInput`] gives to the position that comes next.
+    pub(super) swapped_input: AtomicU64,
     running: AtomicUsize,
 }
 
@@ -56,12 +56,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub(super) reason: Reason,
-    pub(super) wait: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
 }
 
 impl Refusal {
     fn new(reason: Reason) -> Self {
-        Self { reason, wait: None }
+        Self {
+            reason,
+            retry_after: None,
+        }
     }
 }
 
@@ -77,29 +80,31 @@
 
 impl State {
     pub(super) fn new(addr: SocketAddr, mut config: Config) -> Self {
-        config.activation = config.activation.max(super::kv::WORD);
+        config.activation_bytes = config
+            .activation_bytes
+            .max(super::kv::ACTIVATION_WORD_BYTES);
         let batch = if config.batch == 0 {
             config.slots
         } else {
             config.batch
         };
         let now = Instant::now();
-        let held = config.models.iter().cloned().map(|span| Held {
+        let held = config.models.iter().cloned().map(|span| Holding {
             span,
             ready_at: now,
         });
         Self {
             fault: Fault::default(),
             counters: Counters::default(),
-            ledger: Ledger::new(config.ledger),
+            ledger: Ledger::new(config.recorded_attempts),
             cache: Mutex::new(Cache::new(config.prefix_blocks, config.event_loss)),
             lanes: Lanes::new(batch.max(1)),
-            life: Life::new(addr, config.restart_after),
+            lifecycle: Lifecycle::new(addr, config.restart_after),
             held: Mutex::new(held.collect()),
             fence: AtomicU64::new(0),
             snapshot: Mutex::new(None),
             inter_token: AtomicU64::new(0),
-            crossed: AtomicU64::new(0),
+            swapped_input: AtomicU64::new(0),
             running: AtomicUsize::new(0),
             config,
         }
@@ -113,7 +118,7 @@
         let span = self.find(open).ok_or(Refusal::new(Reason::Unfit))?;
         let busy = Refusal {
             reason: Reason::Busy,
-            wait: Some(BUSY_WAIT),
+            retry_after: Some(BUSY_RETRY_AFTER),
         };
         if self.fault.busy.load(Ordering::SeqCst) {
             return Err(busy);
@@ -128,7 +133,7 @@
     fn find(&self, open: &Open) -> Option<Span> {
         let now = Instant::now();
         let held = lock(&self.held);
-        let fits = |held: &&Held| {
+        let fits = |held: &&Holding| {
             let Span {
                 model,
                 version,
--- a/crates/standin/src/engine/status.rs
+++ b/crates/standin/src/engine/status.rs
@@ -2,7 +2,7 @@
 
 use super::Span;
 use super::counts::Counters;
-use super::state::{Held, Snapshot, State, lock};
+use super::state::{Holding, Snapshot, State, lock};
 use bytes::{Bytes, BytesMut};
 use engine::load::{Loaded, Report};
 use engine::order::{Answer, Command, Order};
@@ -15,10 +15,10 @@
 use tokio::time::{Instant, sleep};
 
 /// Longest order in bytes.
-const ORDER_LIMIT: usize = 64 << 10;
+const MAX_ORDER_BYTES: usize = 64 << 10;
 
 /// Renews the load report as often as the lag says.
-pub(super) async fn keep(state: Arc<State>) {
+pub(super) async fn refresh_report(state: Arc<State>) {
     let lag = state.config.report_lag;
     if lag.is_zero() {
         *lock(&state.snapshot) = None;
@@ -27,7 +27,7 @@
     loop {
         let snapshot = Snapshot {
             report: report(&state),
-            made: Instant::now(),
+            taken_at: Instant::now(),
         };
         *lock(&state.snapshot) = Some(snapshot);
         sleep(lag).await;
@@ -61,8 +61,8 @@
 pub(super) fn load(state: &State, mut respond: SendResponse<Bytes>) {
     let kept = lock(&state.snapshot).clone();
     let report = match kept {
-        Some(Snapshot { report, made }) => Report {
-            age: made.elapsed(),
+        Some(Snapshot { report, taken_at }) => Report {
+            age: taken_at.elapsed(),
             ..report
         },
         None => report(state),
@@ -81,21 +81,21 @@
     while let Some(Ok(chunk)) = body.data().await {
         let _ = body.flow_control().release_capacity(chunk.len());
         bytes.extend_from_slice(&chunk);
-        if bytes.len() > ORDER_LIMIT {
+        if bytes.len() > MAX_ORDER_BYTES {
             return answer(&mut respond, StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
         }
     }
     let Ok(order) = serde_json::from_slice::<Order>(&bytes) else {
         return answer(&mut respond, StatusCode::BAD_REQUEST, Bytes::new());
     };
-    let body = serde_json::to_vec(&obey(&state, order)).unwrap_or_default();
+    let body = serde_json::to_vec(&execute(&state, order)).unwrap_or_default();
     answer(&mut respond, StatusCode::OK, body.into());
 }
 
-fn obey(state: &State, order: Order) -> Answer {
+fn execute(state: &State, order: Order) -> Answer {
     let highest = state.fence.fetch_max(order.fence, Ordering::SeqCst);
     if state.config.fenced && order.fence < highest {
-        Counters::add(&state.counters.old_fences);
+        Counters::add(&state.counters.stale_fences);
         return Answer::OldFence;
     }
     Counters::add(&state.counters.orders);
@@ -109,7 +109,7 @@
             to,
         } => {
             let adapters = Some(adapters);
-            hold(
+            load_span(
                 state,
                 Span {
                     model,
@@ -123,7 +123,7 @@
         }
         Command::Unload { model, version } => {
             let is_other =
-                |held: &Held| (&held.span.model, &held.span.version) != (&model, &version);
+                |held: &Holding| (&held.span.model, &held.span.version) != (&model, &version);
             lock(&state.held).retain(is_other);
             Answer::Done
         }
@@ -134,7 +134,7 @@
     }
 }
 
-fn hold(state: &State, span: Span) -> Answer {
+fn load_span(state: &State, span: Span) -> Answer {
     if span.from >= span.to || span.to > span.layers {
         return Answer::Refused;
     }
@@ -143,7 +143,7 @@
         return Answer::Done;
     }
     held.retain(|other| (&other.span.model, &other.span.version) != (&span.model, &span.version));
-    held.push(Held {
+    held.push(Holding {
         span,
         ready_at: Instant::now() + state.config.load_time,
     });
--- a/crates/standin/src/engine/vocabulary.rs
+++ b/crates/standin/src/engine/vocabulary.rs
@@ -5,7 +5,7 @@
 /// Tokens in the vocabulary.
 pub const SIZE: u32 = 32 << 10;
 /// One draw in so many ends the answer.
-pub const END_ODDS: u64 = 512;
+pub const DRAWS_PER_END: u64 = 512;
 
 const WORDS: [&str; 32] = [
     " oat",
@@ -51,6 +51,6 @@
 /// The token that a draw picks, and whether it ends the answer.
 pub fn pick(draw: u64) -> (Token, bool) {
     let id = (draw % u64::from(SIZE)) as u32;
-    let end = (draw >> 32).is_multiple_of(END_ODDS);
+    let end = (draw >> 32).is_multiple_of(DRAWS_PER_END);
     (Token { id, text: text(id) }, end)
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -16,9 +16,9 @@
 use tokio_util::sync::CancellationToken;
 
 /// Largest body a stand-in takes, in bytes.
-const MAX_BODY: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 /// How often a request held by a silent service looks whether it speaks again.
-const SILENT_STEP: Duration = Duration::from_millis(20);
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a service behaves as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,16 +28,16 @@
     /// It closes every connection without an answer or an effect.
     Down,
     /// It takes connections and requests, and neither acts nor answers.
-    Silent,
+    Unresponsive,
 }
 
 /// Switches of one stand-in.
 #[derive(Debug, Default)]
 pub struct Faults {
     mode: AtomicU8,
-    delay: AtomicU64,
-    lose: AtomicU32,
-    lost: AtomicU64,
+    delay_us: AtomicU64,
+    answers_to_drop: AtomicU32,
+    dropped_answers: AtomicU64,
     calls: AtomicU64,
     connections: AtomicU64,
     cut: Mutex<CancellationToken>,
@@ -45,11 +45,11 @@
 
 impl Faults {
     /// Sets the mode; leaving [`Mode::Up`] for [`Mode::Down`] closes what is open.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.store(mode as u8, Relaxed);
         if mode == Mode::Down {
-            let fresh = CancellationToken::new();
-            std::mem::replace(&mut *lock(&self.cut), fresh).cancel();
+            let renewed = CancellationToken::new();
+            std::mem::replace(&mut *lock(&self.cut), renewed).cancel();
         }
     }
 
@@ -58,26 +58,26 @@
         match self.mode.load(Relaxed) {
             0 => Mode::Up,
             1 => Mode::Down,
-            _ => Mode::Silent,
+            _ => Mode::Unresponsive,
         }
     }
 
     /// Makes each call take this much longer before its effect.
-    pub fn slow(&self, delay: Duration) {
-        self.delay.store(
+    pub fn set_delay(&self, delay: Duration) {
+        self.delay_us.store(
             u64::try_from(delay.as_micros()).unwrap_or(u64::MAX),
             Relaxed,
         );
     }
 
     /// Loses the answers of the next `count` writes, after their effect.
-    pub fn lose(&self, count: u32) {
-        self.lose.store(count, Relaxed);
+    pub fn drop_answers(&self, count: u32) {
+        self.answers_to_drop.store(count, Relaxed);
     }
 
     /// Answers lost so far.
-    pub fn lost(&self) -> u64 {
-        self.lost.load(Relaxed)
+    pub fn dropped_answers(&self) -> u64 {
+        self.dropped_answers.load(Relaxed)
     }
 
     /// Calls that came so far.
@@ -90,28 +90,29 @@
         self.connections.load(Relaxed)
     }
 
-    fn loses(&self) -> bool {
-        let taken = self
-            .lose
+    fn take_answer_drop(&self) -> bool {
+        let is_dropped = self
+            .answers_to_drop
             .fetch_update(Relaxed, Relaxed, |n| n.checked_sub(1))
             .is_ok();
-        self.lost.fetch_add(u64::from(taken), Relaxed);
-        taken
+        self.dropped_answers
+            .fetch_add(u64::from(is_dropped), Relaxed);
+        is_dropped
     }
 
     fn token(&self) -> CancellationToken {
         lock(&self.cut).clone()
     }
 
-    async fn hold(&self) {
-        while self.mode() == Mode::Silent {
-            tokio::time::sleep(SILENT_STEP).await;
+    async fn wait(&self) {
+        while self.mode() == Mode::Unresponsive {
+            tokio::time::sleep(MODE_POLL_INTERVAL).await;
         }
-        tokio::time::sleep(Duration::from_micros(self.delay.load(Relaxed))).await;
+        tokio::time::sleep(Duration::from_micros(self.delay_us.load(Relaxed))).await;
     }
 }
 
-/// A service's answer, and whether it is to a write, so that [`Faults::lose`] applies.
+/// A service's answer, and whether it is to a write, so that [`Faults::drop_answers`] applies.
 #[derive(Debug)]
 pub struct Answer {
     /// The response.
@@ -232,18 +233,18 @@
     service: Arc<S>,
 ) -> io::Result<Response<Full<Bytes>>> {
     faults.calls.fetch_add(1, Relaxed);
-    faults.hold().await;
+    faults.wait().await;
     if faults.mode() == Mode::Down {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let (parts, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, MAX_BODY).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return Ok(Answer::new(StatusCode::PAYLOAD_TOO_LARGE, "").response);
     };
     let answer = service
         .answer(Request::from_parts(parts, body.to_bytes()))
         .await;
-    if answer.written && faults.loses() {
+    if answer.written && faults.take_answer_drop() {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     Ok(answer.response)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod engine;
 pub mod fault;
-mod life;
+mod lifecycle;
 pub mod list;
 pub mod log;
 pub mod oracle;
--- a/crates/standin/src/life/gate.rs
+++ b/crates/standin/src/lifecycle/connection.rs
@@ -10,14 +10,14 @@
 
 /// Whether a connection, or the whole endpoint, is silent.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Silence {
+pub(crate) struct HangSwitch {
     pub(crate) own: Arc<AtomicBool>,
     pub(crate) all: Arc<AtomicBool>,
 }
 
-impl Silence {
+impl HangSwitch {
     /// Once silent, a connection stays so: the bytes it lost can't come back.
-    fn holds(&self) -> bool {
+    fn is_hung(&self) -> bool {
         if self.all.load(Ordering::Relaxed) {
             self.own.store(true, Ordering::Relaxed);
         }
@@ -25,33 +25,33 @@
     }
 }
 
-/// A socket behind a [`Silence`].
+/// A socket behind a [`HangSwitch`].
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct Connection {
     pub(crate) socket: TcpStream,
-    pub(crate) silence: Silence,
+    pub(crate) hang: HangSwitch,
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silence.holds() {
+        if self.hang.is_hung() {
             return Poll::Pending;
         }
         Pin::new(&mut self.socket).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.silence.holds() {
+        if self.hang.is_hung() {
             return Poll::Ready(Ok(buf.len()));
         }
         Pin::new(&mut self.socket).poll_write(cx, buf)
@@ -62,7 +62,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silence.holds() {
+        if self.hang.is_hung() {
             return Poll::Pending;
         }
         Pin::new(&mut self.socket).poll_shutdown(cx)
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -38,12 +38,12 @@
     }
 
     /// Sets how long a change takes until the list shows it.
-    pub fn lag(&self, lag: Duration) {
+    pub fn set_lag(&self, lag: Duration) {
         lock(&self.store.state).lag = lag;
     }
 
     /// Changes what is true; the list shows it after its lag.
-    pub fn set(&self, instances: Vec<Instance>) {
+    pub fn set_instances(&self, instances: Vec<Instance>) {
         let mut state = lock(&self.store.state);
         let due = Instant::now() + state.lag;
         state.changes.push((due, instances));
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Largest page given, in bytes of bodies; a page holds at least one record.
-const MAX_PAGE: usize = 1 << 20;
+const MAX_PAGE_BYTES: usize = 1 << 20;
 /// Longest wait of a read.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
@@ -45,7 +45,7 @@
     }
 
     /// Allows this many appends a second; 0 lifts the limit.
-    pub fn limit(&self, appends: u32) {
+    pub fn set_append_rate(&self, appends: u32) {
         self.store.rate.store(appends, Relaxed);
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Keeps at most this many records of every stream from now on; 0 keeps all.
-    pub fn retain(&self, records: usize) {
+    pub fn set_retention(&self, records: usize) {
         lock(&self.store.state).retain = records;
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Appends that took effect, over all streams.
-    pub fn appends(&self) -> u64 {
+    pub fn append_count(&self) -> u64 {
         *self.store.changed.borrow()
     }
 }
@@ -99,13 +99,13 @@
     fn page(&self, from: Offset) -> Page {
         let start = from.max(self.first);
         let skip = usize::try_from(start - self.first).unwrap_or(usize::MAX);
-        let mut room = MAX_PAGE;
+        let mut remaining_bytes = MAX_PAGE_BYTES;
         let mut records = Vec::new();
         for (offset, body) in (start..).zip(self.records.iter().skip(skip)) {
-            if !records.is_empty() && body.len() > room {
+            if !records.is_empty() && body.len() > remaining_bytes {
                 break;
             }
-            room = room.saturating_sub(body.len());
+            remaining_bytes = remaining_bytes.saturating_sub(body.len());
             records.push(Record {
                 offset,
                 body: body.to_vec(),
@@ -125,7 +125,7 @@
     streams: BTreeMap<String, Stream>,
     retain: usize,
     tokens: f64,
-    filled: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl State {
@@ -140,8 +140,8 @@
         }
         let now = Instant::now();
         let rate = f64::from(rate);
-        let passed = self.filled.map_or(1.0, |t| (now - t).as_secs_f64());
-        self.filled = Some(now);
+        let passed = self.refilled_at.map_or(1.0, |t| (now - t).as_secs_f64());
+        self.refilled_at = Some(now);
         self.tokens = (self.tokens + passed * rate).min(rate);
         let enough = self.tokens >= 1.0;
         if enough {
@@ -206,8 +206,8 @@
         loop {
             changed.borrow_and_update();
             let page = self.page(stream, from);
-            let news = !page.records.is_empty() || page.first > from;
-            if news || timeout_at(end, changed.changed()).await.is_err() {
+            let has_update = !page.records.is_empty() || page.first > from;
+            if has_update || timeout_at(end, changed.changed()).await.is_err() {
                 return Answer::new(StatusCode::OK, page.encode());
             }
         }
--- a/crates/standin/src/oracle.rs
+++ b/crates/standin/src/oracle.rs
@@ -23,7 +23,7 @@
     /// Seed of the draws.
     pub seed: u64,
     /// Most tokens of the answer.
-    pub most: u32,
+    pub max_tokens: u32,
 }
 
 /// The tokens of the whole answer.
@@ -47,7 +47,7 @@
         draw = run(mix(&[1, u32::from_le_bytes(bytes).into()]));
     }
     let mut tokens = Vec::new();
-    while tokens.len() < question.most as usize {
+    while tokens.len() < question.max_tokens as usize {
         let (token, end) = vocabulary::pick(draw);
         draw = run(mix(&[2, token.id.into()]));
         tokens.push(token);
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -3,10 +3,10 @@
 
 mod fault;
 
-use crate::life::{self, Gate, Life, Serve, lock};
+use crate::lifecycle::{self, Connection, Lifecycle, Serve, lock};
 use bytes::Bytes;
+pub use fault::CrashPoint;
 use fault::Fault;
-pub use fault::Moment;
 use futures::{StreamExt, stream};
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
@@ -27,10 +27,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Header that names a call, so that a second one with the same name can be told.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Longest body of a call.
-const BODY_LIMIT: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// How a service is set up.
 #[derive(Clone, Debug)]
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 struct State {
     config: Config,
-    life: Life,
+    lifecycle: Lifecycle,
     fault: Fault,
     effects: Mutex<BTreeMap<String, u64>>,
     calls: AtomicU64,
@@ -85,16 +85,16 @@
 impl Service {
     /// Starts a service on the current runtime.
     pub async fn start(config: Config) -> io::Result<Handle> {
-        let listener = life::bind(config.addr).await?;
+        let listener = lifecycle::bind(config.addr).await?;
         let addr = listener.local_addr()?;
         let state = Arc::new(State {
-            life: Life::new(addr, config.restart_after),
+            lifecycle: Lifecycle::new(addr, config.restart_after),
             fault: Fault::default(),
             effects: Mutex::default(),
             calls: AtomicU64::new(0),
             config,
         });
-        life::start(&state, listener);
+        lifecycle::start(&state, listener);
         Ok(Handle { addr, state })
     }
 }
@@ -122,52 +122,52 @@
     }
 
     /// Calls that arrived whole.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
     /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
-        self.state.life.connections()
+    pub fn connection_count(&self) -> u64 {
+        self.state.lifecycle.connection_count()
     }
 
     /// Dies now: the listener and all connections close. Counts of effects are kept.
-    pub fn die(&self) {
-        life::die(&self.state);
+    pub fn crash(&self) {
+        lifecycle::crash(&self.state);
     }
 
     /// Dies at this moment of each call.
-    pub fn die_at(&self, moment: Option<Moment>) {
-        self.state.fault.set_die(moment);
+    pub fn crash_at(&self, point: Option<CrashPoint>) {
+        self.state.fault.set_crash(point);
     }
 
     /// Comes back on the same address.
     pub async fn restart(&self) -> io::Result<()> {
-        life::restart(&self.state).await
+        lifecycle::restart(&self.state).await
     }
 
     /// Goes silent on the connections open now; new ones work.
-    pub fn silence_open(&self) {
-        self.state.life.silence_open();
+    pub fn hang_open_connections(&self) {
+        self.state.lifecycle.hang_open_connections();
     }
 
     /// Goes silent wholly: connections are accepted and nothing is answered.
-    pub fn silence(&self, on: bool) {
-        self.state.life.silence(on);
+    pub fn set_unresponsive(&self, on: bool) {
+        self.state.lifecycle.set_unresponsive(on);
     }
 
     /// Has its effect and begins its answer this much late.
-    pub fn late(&self, by: Duration) {
-        self.state.fault.set_late(by);
+    pub fn set_delay(&self, delay: Duration) {
+        self.state.fault.set_delay(delay);
     }
 
     /// Cuts each answer off in the middle.
-    pub fn halve(&self, on: bool) {
-        self.state.fault.half.store(on, Ordering::SeqCst);
+    pub fn truncate_answers(&self, on: bool) {
+        self.state.fault.truncate.store(on, Ordering::SeqCst);
     }
 
     /// Refuses each call with 503 and `retry-after: 1`, without an effect.
-    pub fn busy(&self, on: bool) {
+    pub fn set_busy(&self, on: bool) {
         self.state.fault.busy.store(on, Ordering::SeqCst);
     }
 }
@@ -176,19 +176,21 @@
 type Answer = StreamBody<Pin<Box<dyn futures::Stream<Item = Piece> + Send>>>;
 
 impl Serve for State {
-    fn life(&self) -> &Life {
-        &self.life
+    fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
-    fn begin(self: &Arc<Self>) {}
+    fn on_start(self: &Arc<Self>) {}
 
-    async fn serve(self: Arc<Self>, gate: Gate) {
+    async fn serve(self: Arc<Self>, connection: Connection) {
         let service = service_fn(move |request| {
             let state = self.clone();
             async move { Ok::<_, Infallible>(state.call(request).await) }
         });
         let server = auto::Builder::new(TokioExecutor::new());
-        let _ = server.serve_connection(TokioIo::new(gate), service).await;
+        let _ = server
+            .serve_connection(TokioIo::new(connection), service)
+            .await;
     }
 }
 
@@ -199,7 +201,7 @@
         if parts.method == Method::GET && path == "/health" {
             return plain(StatusCode::OK);
         }
-        let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
+        let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
             return plain(StatusCode::BAD_REQUEST);
         };
         let body = body.to_bytes();
@@ -209,20 +211,20 @@
             response.headers_mut().insert(RETRY_AFTER, 1.into());
             return response;
         }
-        self.crash(Moment::Before).await;
-        sleep(self.fault.late()).await;
+        self.crash_if_due(CrashPoint::Before).await;
+        sleep(self.fault.delay()).await;
         if parts.method == Method::POST {
             *lock(&self.effects)
                 .entry(key(&parts.headers, &body))
                 .or_default() += 1;
         }
-        self.crash(Moment::After).await;
+        self.crash_if_due(CrashPoint::After).await;
         self.answer(&path, &body)
     }
 
-    async fn crash(self: &Arc<Self>, moment: Moment) {
-        if self.fault.die() == Some(moment) {
-            life::die(self);
+    async fn crash_if_due(self: &Arc<Self>, point: CrashPoint) {
+        if self.fault.crash() == Some(point) {
+            lifecycle::crash(self);
             futures::future::pending::<()>().await;
         }
     }
@@ -234,8 +236,8 @@
             .collect();
         let length = answer(&self.config, path, body).concat().len();
         let is_single = pieces.len() == 1;
-        if self.fault.half.load(Ordering::SeqCst) {
-            cut(&mut pieces);
+        if self.fault.truncate.load(Ordering::SeqCst) {
+            truncate(&mut pieces);
         }
         let wait = self.config.piece_time;
         let pieces =
@@ -254,7 +256,7 @@
 }
 
 /// Leaves the first half, and an error that closes the connection.
-fn cut(pieces: &mut Vec<Piece>) {
+fn truncate(pieces: &mut Vec<Piece>) {
     let half = pieces.len() / 2;
     pieces.truncate(half.max(1));
     if let [Ok(frame)] = pieces.as_mut_slice()
@@ -267,7 +269,9 @@
 
 /// What names a call.
 fn key(headers: &HeaderMap, body: &[u8]) -> String {
-    let named = headers.get(KEY).and_then(|key| key.to_str().ok());
+    let named = headers
+        .get(IDEMPOTENCY_KEY)
+        .and_then(|key| key.to_str().ok());
     named.map_or_else(|| String::from_utf8_lossy(body).into_owned(), str::to_owned)
 }
 
--- a/crates/standin/src/service/fault.rs
+++ b/crates/standin/src/service/fault.rs
@@ -1,13 +1,13 @@
 //! Switches for faults of a service.
 
-use crate::life::lock;
+use crate::lifecycle::lock;
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
 /// A moment of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moment {
+pub enum CrashPoint {
     /// Before its effect.
     Before,
     /// After its effect, before the answer.
@@ -16,32 +16,32 @@
 
 #[derive(Debug, Default)]
 struct Settings {
-    die: Option<Moment>,
-    late: Duration,
+    crash: Option<CrashPoint>,
+    delay: Duration,
 }
 
 /// All switches of a service.
 #[derive(Debug, Default)]
 pub(super) struct Fault {
-    pub(super) half: AtomicBool,
+    pub(super) truncate: AtomicBool,
     pub(super) busy: AtomicBool,
     settings: Mutex<Settings>,
 }
 
 impl Fault {
-    pub(super) fn set_die(&self, moment: Option<Moment>) {
-        lock(&self.settings).die = moment;
+    pub(super) fn set_crash(&self, point: Option<CrashPoint>) {
+        lock(&self.settings).crash = point;
     }
 
-    pub(super) fn set_late(&self, by: Duration) {
-        lock(&self.settings).late = by;
+    pub(super) fn set_delay(&self, delay: Duration) {
+        lock(&self.settings).delay = delay;
     }
 
-    pub(super) fn die(&self) -> Option<Moment> {
-        lock(&self.settings).die
+    pub(super) fn crash(&self) -> Option<CrashPoint> {
+        lock(&self.settings).crash
     }
 
-    pub(super) fn late(&self) -> Duration {
-        lock(&self.settings).late
+    pub(super) fn delay(&self) -> Duration {
+        lock(&self.settings).delay
     }
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -37,7 +37,7 @@
     }
 
     /// Changes the rate.
-    pub fn set(&self, rate: Rate) {
+    pub fn set_rate(&self, rate: Rate) {
         *lock(&self.store.rate) = rate;
     }
 }
--- a/crates/standin/tests/driver/common.rs
+++ b/crates/standin/tests/driver/common.rs
@@ -66,7 +66,7 @@
         layers: LAYERS,
         prompt: &job.prompt,
         seed: job.seed,
-        most: job.max_tokens,
+        max_tokens: job.max_tokens,
     })
 }
 
--- a/crates/standin/tests/driver/crossed.rs
+++ b/crates/standin/tests/driver/crossed.rs
@@ -4,7 +4,7 @@
 use engine::chain::{Cause, Event};
 use engine::pool::{Counters as PoolCounters, Limits, Pool};
 use futures::future::join_all;
-use standin::engine::{Broken, Config, Counters, Crossed};
+use standin::engine::{ComputeFault, Config, Counters, ReplyFault};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     // They are told by the attempt's number, and the caller's answer is whole.
     for hop in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-        engines[hop].cross(Some(Crossed::OldAttempt));
+        engines[hop].set_reply_fault(Some(ReplyFault::StaleAttempt));
         let pool = Pool::default();
         let mut job = job(1, &engines, "soup", 8);
         job.attempt = 2;
@@ -32,17 +32,17 @@
     // A stage answers for another request, step or range, answers twice, sends no frame, or ends
     // the stream early. The attempt fails at that hop; the caller has no token that isn't its own.
     let cases = [
-        Crossed::OtherRequest,
-        Crossed::OldStep,
-        Crossed::OtherLayers,
-        Crossed::Twice,
-        Crossed::Garbled,
-        Crossed::Ended,
+        ReplyFault::OtherRequest,
+        ReplyFault::StaleStep,
+        ReplyFault::OtherLayers,
+        ReplyFault::Duplicate,
+        ReplyFault::Garbled,
+        ReplyFault::EndOfStream,
     ];
     for crossed in cases {
         for hop in 0..3 {
             let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-            engines[hop].cross(Some(crossed));
+            engines[hop].set_reply_fault(Some(crossed));
             let job = job(1, &engines, "soup", 8);
             let events = run(&Pool::default(), &job).await;
             let had = tokens(&events);
@@ -65,15 +65,20 @@
 async fn the_oracle_catches_each_broken_computation() {
     // The check itself: an engine that leaves out, doubles, reorders or crosses its layers, and
     // reports all as done, must give another answer than the oracle.
-    for broken in [Broken::Skip, Broken::Double, Broken::Reorder, Broken::Cross] {
+    for broken in [
+        ComputeFault::Skip,
+        ComputeFault::Double,
+        ComputeFault::Reorder,
+        ComputeFault::SwapInput,
+    ] {
         for hop in 0..3 {
             let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-            engines[hop].break_with(Some(broken));
+            engines[hop].set_compute_fault(Some(broken));
             let job = job(1, &engines, "soup", 8);
             let made = tokens(&run(&Pool::default(), &job).await);
             assert!(!made.is_empty());
             assert_ne!(made[0], expected(&job)[0], "{broken:?} at {hop}");
-            let is_counted = matches!(broken, Broken::Skip | Broken::Double);
+            let is_counted = matches!(broken, ComputeFault::Skip | ComputeFault::Double);
             let runs = engines[hop].runs(1, 1).expect("kept");
             let positions = runs.counts.iter().map(Vec::len).max().expect("some");
             assert_eq!(runs.is_once(positions), !is_counted, "{broken:?} at {hop}");
@@ -111,7 +116,7 @@
     // A prefill's activations are far larger than a stream's window: they are relayed piece by
     // piece, and arrive whole.
     let config = Config {
-        activation: 8 << 10,
+        activation_bytes: 8 << 10,
         ..Config::default()
     };
     let engines = pipeline(&[0, 4, 8, LAYERS], config).await;
@@ -130,7 +135,7 @@
     // activations stay unread on the connection to the first. A request whose next stage is well
     // uses the same connection, and must get its answer.
     let config = Config {
-        activation: 8 << 10,
+        activation_bytes: 8 << 10,
         slots: 128,
         ..Config::default()
     };
@@ -142,13 +147,13 @@
         .map(|request| job(request, &engines, &prompt, 4))
         .collect();
     let sent = std::cell::Cell::new(0);
-    engines[0].hold(true);
+    engines[0].hold_steps(true);
     let stalled = jobs.iter().map(|job| {
         run_with(&pool, job, |event, _| {
             sent.set(sent.get() + usize::from(*event == Event::Sent));
             if sent.get() == 60 {
-                engines[1].silence(true);
-                engines[0].hold(false);
+                engines[1].set_unresponsive(true);
+                engines[0].hold_steps(false);
             }
         })
     });
@@ -157,7 +162,7 @@
         until(|| Counters::get(&engines[0].counters().steps) == 60).await;
         let job = job(100, &[engines[0].clone(), other], &prompt, 4);
         assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
-        assert_eq!(engines[0].connections(), 1);
+        assert_eq!(engines[0].connection_count(), 1);
         pool.drop_connections(engines[1].addr);
     };
     let (ends, ()) = tokio::join!(stalled, well);
@@ -201,5 +206,5 @@
     })
     .await;
     assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
-    assert!(engines.iter().all(|engine| engine.connections() == 2));
+    assert!(engines.iter().all(|engine| engine.connection_count() == 2));
 }
--- a/crates/standin/tests/driver/died.rs
+++ b/crates/standin/tests/driver/died.rs
@@ -26,7 +26,7 @@
             let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
             let spare = pipeline(&[0, 6, LAYERS], Config::default()).await;
             let job = job(40 + u128::from(step), &engines, "check for sesame", 16);
-            engines[hop].die_at_step(step);
+            engines[hop].crash_at_step(step);
             let events = run(&pool, &job).await;
             let had = tokens(&events);
             assert_eq!(had, expected(&job)[..step as usize - 1]);
@@ -59,11 +59,11 @@
     // The last stage is in a long prefill when the first one dies. The driver waits for the last
     // one, but watches all: the failure names the first stage, without waiting for its turn.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-    engines[2].late(Duration::from_secs(600));
+    engines[2].set_delay(Duration::from_secs(600));
     let job = job(1, &engines, "soup", 8);
     let events = run_with(&Pool::default(), &job, |event, _| {
         if *event == (Event::Progress { hop: 1, step: 1 }) {
-            engines[0].die();
+            engines[0].crash();
         }
     })
     .await;
@@ -86,7 +86,7 @@
         ..Config::default()
     };
     let engines = pipeline(&[0, 4, LAYERS], config).await;
-    engines[0].die_on("ghost pepper");
+    engines[0].crash_on_prompt("ghost pepper");
     let pool = Pool::default();
     for round in 1..=3 {
         let bad = job(round, &engines, "add ghost pepper to it", 8);
@@ -100,7 +100,7 @@
                 ..
             })
         ));
-        assert_eq!(engines[0].deaths(), round as u64);
+        assert_eq!(engines[0].crash_count(), round as u64);
         let good = job(100 + round, &engines, "add sweet pepper to it", 8);
         let mut made = Vec::new();
         while made.is_empty() {
@@ -113,7 +113,7 @@
 #[tokio::test]
 async fn a_stage_that_cannot_compute_says_so() {
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
-    engines[1].fail(true);
+    engines[1].set_failing(true);
     let events = run(&Pool::default(), &job(1, &engines, "soup", 8)).await;
     let end = Event::Failed {
         hop: 1,
@@ -130,7 +130,7 @@
     // gives up its slot though its step had long to go.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let pool = Pool::default();
-    engines[1].late(Duration::from_secs(600));
+    engines[1].set_delay(Duration::from_secs(600));
     let first = job(1, &engines, "soup", 8);
     let events = run_with(&pool, &first, |event, cancel| {
         if *event == (Event::Progress { hop: 0, step: 1 }) {
@@ -141,7 +141,7 @@
     assert_eq!(events.last(), Some(&Event::Progress { hop: 0, step: 1 }));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
 
-    engines[1].late(Duration::ZERO);
+    engines[1].set_delay(Duration::ZERO);
     let second = job(2, &engines, "rye bread", 4000);
     assert!(
         expected(&second).len() > 3,
--- a/crates/standin/tests/driver/random.rs
+++ b/crates/standin/tests/driver/random.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standin::engine::{Config, Crossed, Handle};
+use standin::engine::{Config, Handle, ReplyFault};
 use standin::oracle::prompt_tokens;
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 async fn fleet() -> Vec<Vec<Handle>> {
     let config = Config {
         slots: 64,
-        ledger: 1 << 16,
+        recorded_attempts: 1 << 16,
         ..Config::default()
     };
     let cuts: [&[u16]; 3] = [&[0, 4, 8, LAYERS], &[0, 6, LAYERS], &[0, 2, 5, LAYERS]];
@@ -33,24 +33,24 @@
 async fn fault(engines: &[Handle], rng: &mut ChaCha8Rng) {
     let engine = &engines[rng.random_range(0..engines.len())];
     let crossings = [
-        Crossed::OldAttempt,
-        Crossed::OtherRequest,
-        Crossed::OldStep,
-        Crossed::OtherLayers,
-        Crossed::Twice,
-        Crossed::Garbled,
-        Crossed::Ended,
+        ReplyFault::StaleAttempt,
+        ReplyFault::OtherRequest,
+        ReplyFault::StaleStep,
+        ReplyFault::OtherLayers,
+        ReplyFault::Duplicate,
+        ReplyFault::Garbled,
+        ReplyFault::EndOfStream,
     ];
     match rng.random_range(0..9) {
-        0 => engine.die(),
-        1 => engine.die_at_step(rng.random_range(1..20)),
-        2 => engine.silence_open(),
-        3 => engine.silence(true),
-        4 => engine.cross(Some(crossings[rng.random_range(0..crossings.len())])),
-        5 => engine.late(Duration::from_millis(rng.random_range(1..20))),
-        6 => engine.busy(true),
-        7 => engine.leave(true),
-        _ => engine.fail(true),
+        0 => engine.crash(),
+        1 => engine.crash_at_step(rng.random_range(1..20)),
+        2 => engine.hang_open_connections(),
+        3 => engine.set_unresponsive(true),
+        4 => engine.set_reply_fault(Some(crossings[rng.random_range(0..crossings.len())])),
+        5 => engine.set_delay(Duration::from_millis(rng.random_range(1..20))),
+        6 => engine.set_busy(true),
+        7 => engine.set_leaving(true),
+        _ => engine.set_failing(true),
     }
     sleep(Duration::from_millis(rng.random_range(1..30))).await;
     if rng.random_bool(0.7) {
@@ -59,13 +59,13 @@
 }
 
 async fn heal(engine: &Handle) {
-    engine.die_at_step(0);
-    engine.silence(false);
-    engine.cross(None);
-    engine.late(Duration::ZERO);
-    engine.busy(false);
-    engine.leave(false);
-    engine.fail(false);
+    engine.crash_at_step(0);
+    engine.set_unresponsive(false);
+    engine.set_reply_fault(None);
+    engine.set_delay(Duration::ZERO);
+    engine.set_busy(false);
+    engine.set_leaving(false);
+    engine.set_failing(false);
     engine.restart().await.expect("restarts");
 }
 
@@ -178,7 +178,7 @@
         });
         let all = async { tokio::join!(faults, join_all(lanes)) };
         timeout(LIMIT, all).await.expect("all answers come");
-        deaths.set(deaths.get() + engines.iter().map(Handle::deaths).sum::<u64>());
+        deaths.set(deaths.get() + engines.iter().map(Handle::crash_count).sum::<u64>());
     }
     let (attempts, requests, deaths) = (attempts.get(), requests.get(), deaths.get());
     println!("{requests} requests, {attempts} attempts, {deaths} deaths");
--- a/crates/standin/tests/driver/refused.rs
+++ b/crates/standin/tests/driver/refused.rs
@@ -37,7 +37,7 @@
     // between them can't be reached; since no step leaves before all have accepted, no layer ran.
     for dead in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-        engines[dead].die();
+        engines[dead].crash();
         let job = job(1, &engines, "soup", 8);
         refused(&job, &engines, dead as u8, Cause::Connect).await;
     }
@@ -47,7 +47,7 @@
 async fn a_full_stage_costs_nothing() {
     // As above, but the stage answers that it is full, and when to come back.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-    engines[2].busy(true);
+    engines[2].set_busy(true);
     let job = job(1, &engines, "soup", 8);
     refused(&job, &engines, 2, Cause::Busy).await;
     let events = run(&Pool::default(), &job).await;
@@ -61,7 +61,7 @@
 async fn a_leaving_stage_costs_nothing() {
     // A stage that leaves refuses new streams at once, and goes on with those that run.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-    engines[0].leave(true);
+    engines[0].set_leaving(true);
     refused(&job(1, &engines, "soup", 8), &engines, 0, Cause::Leaving).await;
 }
 
@@ -107,7 +107,7 @@
     for (hop, job) in cases {
         refused(&job, &engines, hop, Cause::Unfit).await;
     }
-    assert!(engines.iter().all(|engine| engine.connections() == 0));
+    assert!(engines.iter().all(|engine| engine.connection_count() == 0));
 }
 
 #[tokio::test]
@@ -138,7 +138,7 @@
     let engines = pipeline(&[0, LAYERS], config).await;
     let pool = Pool::default();
     let long = [job(1, &engines, "soup", 4), job(2, &engines, "bread", 4)];
-    engines[0].late(Duration::from_millis(100));
+    engines[0].set_delay(Duration::from_millis(100));
     let third = async {
         until(|| engines[0].running() == 2).await;
         run(&pool, &job(3, &engines, "rice", 4)).await
@@ -154,7 +154,7 @@
             ..
         })
     ));
-    engines[0].late(Duration::ZERO);
+    engines[0].set_delay(Duration::ZERO);
     until(|| engines[0].running() == 0).await;
     let again = job(3, &engines, "rice", 4);
     assert_eq!(tokens(&run(&pool, &again).await), expected(&again));
@@ -170,10 +170,10 @@
         let job = job(request, &engines, "soup", 8);
         assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
         let engine = &engines[request as usize % 2];
-        engine.die();
+        engine.crash();
         engine.restart().await.expect("restarts");
     }
-    assert_eq!(engines[0].deaths() + engines[1].deaths(), 10);
+    assert_eq!(engines[0].crash_count() + engines[1].crash_count(), 10);
     assert_eq!(hops(&engines).len(), 2);
     assert_eq!(engines[0].spans()[0].model, MODEL);
 }
--- a/crates/standin/tests/driver/silent.rs
+++ b/crates/standin/tests/driver/silent.rs
@@ -23,7 +23,7 @@
     let attempt = run_with(&pool, &first, |event, _| {
         count += usize::from(matches!(event, Event::Token(_)));
         if count == 2 {
-            engines[1].silence_open();
+            engines[1].hang_open_connections();
         }
     });
     let router = async {
@@ -55,7 +55,7 @@
     let first = job(1, &engines, "soup", 4);
     assert_eq!(tokens(&run(&pool, &first).await), expected(&first));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
-    engines[1].silence_open();
+    engines[1].hang_open_connections();
     let second = job(2, &engines, "bread", 4);
     let events = run_with(&pool, &second, |event, cancel| {
         if *event == (Event::Progress { hop: 0, step: 0 }) {
@@ -76,11 +76,11 @@
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
     let pool = Pool::default();
     assert!(pool.probe(engines[0].addr, LIMIT).await);
-    engines[0].silence(true);
+    engines[0].set_unresponsive(true);
     assert!(!pool.probe(engines[0].addr, NEVER).await);
-    engines[0].silence(false);
+    engines[0].set_unresponsive(false);
     assert!(pool.probe(engines[0].addr, LIMIT).await);
-    engines[0].die();
+    engines[0].crash();
     assert!(!pool.probe(engines[0].addr, LIMIT).await);
 }
 
@@ -90,7 +90,7 @@
     // and leaves the attempt alone, and the answer is whole. What is named is the hop before the
     // one that works.
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
-    engines[1].late(Duration::from_millis(600));
+    engines[1].set_delay(Duration::from_millis(600));
     let job = job(1, &engines, "soup", 2);
     let events = run(&Pool::default(), &job).await;
     assert_eq!(tokens(&events), expected(&job));
--- a/crates/standin/tests/driver/whole.rs
+++ b/crates/standin/tests/driver/whole.rs
@@ -30,7 +30,7 @@
     for engine in &engines {
         assert_eq!(Counters::get(&engine.counters().finished), 20);
         assert_eq!(Counters::get(&engine.counters().cancelled), 0);
-        assert_eq!(engine.connections(), 1);
+        assert_eq!(engine.connection_count(), 1);
     }
 }
 
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -71,10 +71,10 @@
 async fn a_lost_answer_is_unsure_and_settled_by_reading_back() {
     let (log, client) = pair().await;
     client.append("a", body("warm")).await.unwrap();
-    log.faults.lose(1);
+    log.faults.drop_answers(1);
     let error = client.append("a", body("x")).await.unwrap_err();
     assert!(error.unsure(), "{error}");
-    assert_eq!(log.faults.lost(), 1);
+    assert_eq!(log.faults.dropped_answers(), 1);
     assert_eq!(client.read("a", 1, NOW).await.unwrap().records.len(), 1);
 }
 
@@ -84,10 +84,10 @@
 async fn an_outage_gives_errors_and_the_client_recovers() {
     let (log, client) = pair().await;
     client.append("a", body("x")).await.unwrap();
-    log.faults.set(Mode::Down);
+    log.faults.set_mode(Mode::Down);
     assert!(client.append("a", body("y")).await.is_err());
     assert!(client.read("a", 0, NOW).await.is_err());
-    log.faults.set(Mode::Up);
+    log.faults.set_mode(Mode::Up);
     assert_eq!(client.append("a", body("z")).await, Ok(1));
 }
 
@@ -101,11 +101,11 @@
         ..Limits::default()
     };
     let client = http::Log::new(log.addr, short);
-    log.faults.set(Mode::Silent);
+    log.faults.set_mode(Mode::Unresponsive);
     let error = client.append("a", body("x")).await.unwrap_err();
     assert_eq!(error.cause, Cause::Timeout);
     assert!(error.unsure());
-    log.faults.set(Mode::Up);
+    log.faults.set_mode(Mode::Up);
     let patient = http::Log::new(log.addr, limits());
     assert!(patient.append("a", body("y")).await.is_ok());
 }
@@ -123,7 +123,7 @@
 #[tokio::test]
 async fn over_its_rate_the_log_refuses_without_effect() {
     let (log, client) = pair().await;
-    log.limit(5);
+    log.set_append_rate(5);
     let mut refused = 0;
     for _ in 0..40 {
         let Err(error) = client.append("a", body("x")).await else {
@@ -186,10 +186,10 @@
         .await
         .unwrap();
     let client = http::List::new(list.addr, limits());
-    list.lag(Duration::from_secs(3600));
-    list.set(vec![one(State::Leaving)]);
+    list.set_lag(Duration::from_secs(3600));
+    list.set_instances(vec![one(State::Leaving)]);
     assert_eq!(client.instances().await, Ok(vec![one(State::Live)]));
-    list.faults.set(Mode::Down);
+    list.faults.set_mode(Mode::Down);
     assert!(client.instances().await.is_err());
 }
 
@@ -202,7 +202,7 @@
     let store = weights::Weights::start(any(), rate).await.unwrap();
     let client = http::Weights::new(store.addr, limits());
     assert_eq!(client.rate().await, Ok(rate));
-    store.set(Rate {
+    store.set_rate(Rate {
         per_minute: 1,
         at_once: 1,
     });
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -5,7 +5,7 @@
 use engine::service::{self, Body, CallOptions, Cause, Failure};
 use http::{Request, Response};
 use http_body_util::BodyExt;
-use standin::service::{Config, Handle, KEY, Moment, Service, answer};
+use standin::service::{Config, CrashPoint, Handle, IDEMPOTENCY_KEY, Service, answer};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -23,7 +23,7 @@
 };
 
 fn post(key: &str, body: &str) -> Request<Bytes> {
-    let request = Request::post("/locks/tower-4").header(KEY, key);
+    let request = Request::post("/locks/tower-4").header(IDEMPOTENCY_KEY, key);
     request
         .body(Bytes::from(body.to_owned()))
         .expect("a request")
@@ -79,18 +79,18 @@
             assert_eq!(text(response).await, Ok(whole(&config)));
             assert_eq!(service.effects(&key), 1);
         }
-        assert_eq!(service.connections(), 1);
+        assert_eq!(service.connection_count(), 1);
         call(&pool, service.addr, "5", NEW_CONNECTION)
             .await
             .expect("answers");
-        assert_eq!(service.connections(), 2);
+        assert_eq!(service.connection_count(), 2);
     }
 }
 
 #[tokio::test]
 async fn a_service_that_cannot_be_reached_was_not_sent_the_call() {
     let (service, _) = start(1).await;
-    service.die();
+    service.crash();
     let failure = call(&Pool::default(), service.addr, "1", OPTIONS)
         .await
         .expect_err("dead");
@@ -107,12 +107,12 @@
 async fn a_service_that_dies_leaves_the_outcome_open() {
     // It dies before or after its effect: the caller can't tell which, and is told so. The call is
     // made once; the library doesn't repeat it on another connection.
-    for (moment, effects) in [(Moment::Before, 0), (Moment::After, 1)] {
+    for (moment, effects) in [(CrashPoint::Before, 0), (CrashPoint::After, 1)] {
         let (service, _) = start(1).await;
         let pool = Pool::default();
         for limit in [OPTIONS, NEW_CONNECTION] {
-            service.die_at(Some(moment));
-            let calls = service.calls();
+            service.crash_at(Some(moment));
+            let calls = service.call_count();
             let key = format!("{moment:?} {}", limit.new_connection);
             let failure = call(&pool, service.addr, &key, limit)
                 .await
@@ -125,9 +125,9 @@
                 }
             );
             service.restart().await.expect("restarts");
-            assert_eq!(service.calls(), calls + 1);
+            assert_eq!(service.call_count(), calls + 1);
             assert_eq!(service.effects(&key), effects);
-            service.die_at(None);
+            service.crash_at(None);
         }
     }
 }
@@ -137,7 +137,7 @@
     // The service breaks off in the middle, of an answer with a length and of a chunked one.
     for pieces in [1, 4] {
         let (service, _) = start(pieces).await;
-        service.halve(true);
+        service.truncate_answers(true);
         let response = call(&Pool::default(), service.addr, "1", OPTIONS).await;
         let failure = match response {
             Ok(response) => text(response).await.expect_err("cut off"),
@@ -179,7 +179,7 @@
 #[tokio::test]
 async fn a_silent_service_is_given_up_with_its_outcome_open() {
     let (service, _) = start(1).await;
-    service.silence(true);
+    service.set_unresponsive(true);
     let options = CallOptions {
         head_timeout: Duration::from_millis(100),
         new_connection: true,
@@ -208,9 +208,9 @@
             .expect("answers");
         text(kept).await.expect("whole");
         if round % 2 == 0 {
-            service.silence_open();
+            service.hang_open_connections();
         } else {
-            service.die();
+            service.crash();
             service.restart().await.expect("restarts");
         }
         let key = round.to_string();
@@ -241,7 +241,7 @@
             Err(Failure { sent: false, .. }) => assert_eq!(effects, 0),
             Err(_) => assert!(effects <= 1),
         }
-        service.die();
+        service.crash();
         service.restart().await.expect("restarts");
     }
 }
@@ -255,21 +255,21 @@
         .await
         .expect("answers");
     text(response).await.expect("whole");
-    service.silence_open();
+    service.hang_open_connections();
     assert!(pool.probe(service.addr, OPTIONS.head_timeout).await);
     pool.drop_connections(service.addr);
     let response = call(&pool, service.addr, "2", OPTIONS)
         .await
         .expect("answers");
     text(response).await.expect("whole");
-    service.die();
+    service.crash();
     assert!(!pool.probe(service.addr, OPTIONS.head_timeout).await);
 }
 
 #[tokio::test]
 async fn a_busy_service_answers_without_an_effect() {
     let (service, _) = start(1).await;
-    service.busy(true);
+    service.set_busy(true);
     let response = call(&Pool::default(), service.addr, "1", OPTIONS)
         .await
         .expect("answers");
@@ -317,5 +317,5 @@
         .await
         .expect("answers");
     assert_eq!(text(second).await, Ok(whole(&config)));
-    assert_eq!(service.connections(), 2);
+    assert_eq!(service.connection_count(), 2);
 }
--- a/crates/standin/tests/status.rs
+++ b/crates/standin/tests/status.rs
@@ -151,7 +151,7 @@
 #[tokio::test]
 async fn questions_to_a_dead_engine_fail() {
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
-    engines[0].die();
+    engines[0].crash();
     let answer = load::fetch(&Pool::default(), engines[0].addr).await;
     assert_eq!(answer, Err(Error::Connect));
 }
