--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,8 @@
 //! A stand-in for a model engine that holds ranges of layers.
 //!
-//! It computes a running hash over token, position and layer, with a state per layer that stands
-//! for the key-value cache. A layer that is skipped, doubled, out of order or fed by another request
-//! changes every later token; [`crate::oracle`] tells what the tokens must be.
+//! It computes a running hash over token, position and layer, with one state per layer in place of
+//! the key-value cache. A layer that is skipped, run twice, run out of order or given the input of
+//! another request changes every later token; [`crate::oracle`] computes the expected tokens.
 
 mod cache;
 mod counts;
@@ -31,22 +31,22 @@
 /// A range of layers of one model that an engine holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: String,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub layers: u16,
     /// First layer held.
     pub from: u16,
     /// One past the last layer held.
     pub to: u16,
-    /// Adapters loaded; `None` takes any.
+    /// Adapters loaded; `None` accepts any adapter.
     pub adapters: Option<Vec<String>>,
 }
 
 impl Span {
-    /// A range that takes any adapter.
+    /// Creates a range of layers that accepts any adapter.
     pub fn new(model: &str, version: &str, layers: u16, from: u16, to: u16) -> Self {
         let (model, version) = (model.to_owned(), version.to_owned());
         Self {
@@ -60,37 +60,37 @@
     }
 }
 
-/// How an engine is set up.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where to listen; port 0 takes any.
+    /// Address to listen on; port 0 picks a free port.
     pub addr: SocketAddr,
-    /// What it holds from the start.
+    /// Ranges of layers loaded at the start.
     pub models: Vec<Span>,
-    /// Requests that hold a slot at once; others are refused as busy.
+    /// Maximum number of concurrent requests; further ones are refused as busy.
     pub slots: usize,
-    /// Steps computed at once; 0 means as many as slots. The bound of its throughput is
-    /// `batch / (layers * layer_time)` steps a second.
+    /// Number of steps computed concurrently; 0 uses `slots`. Throughput is at most
+    /// `batch / (layers * layer_time)` steps per second.
     pub batch: usize,
-    /// Time for one layer and token.
+    /// Compute time per layer and token in decode.
     pub layer_time: Duration,
-    /// Time for one layer and token of a prompt, where the prefix cache doesn't hold it.
+    /// Compute time per layer and token in prefill, for tokens that miss the prefix cache.
     pub prefill_time: Duration,
-    /// Bytes of activation per token, at least 8.
+    /// Size of the activation of one token, in bytes; raised to 8 if lower.
     pub activation_bytes: usize,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub prefix_blocks: usize,
-    /// One cache event in so many is lost; 0 loses none.
+    /// Drops every n-th cache event; 0 drops none.
     pub event_loss: u64,
-    /// How old a load report may be.
+    /// Interval at which the load report is refreshed; zero builds one for each request.
     pub report_lag: Duration,
-    /// Time to load a range of layers.
+    /// Time that loading a range of layers takes.
     pub load_time: Duration,
-    /// Whether an order with an old fencing number is refused; otherwise the number is ignored.
+    /// Whether orders with a stale fencing number are refused; if false, the number is ignored.
     pub fenced: bool,
-    /// When it comes back by itself after a crash; `None` waits for [`Handle::restart`].
+    /// Delay of the automatic restart after a crash; `None` waits for [`Handle::restart`].
     pub restart_after: Option<Duration>,
-    /// Attempts whose runs of layers are kept for [`Handle::runs`]; 0 keeps none.
+    /// Number of latest attempts recorded for [`Handle::runs`]; 0 records none.
     pub recorded_attempts: usize,
 }
 
@@ -130,111 +130,114 @@
     }
 }
 
-/// A running engine: its switches for faults and its counts. Dropping it leaves the engine running.
+/// Controls the faults of a running engine and reads its counters. Dropping the handle leaves the
+/// engine running.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
 
 impl Handle {
-    /// Dies now: the listener and all connections close, all state is lost.
+    /// Crashes the engine: the listener and all connections close, and requests in flight and the
+    /// prefix cache are lost.
     pub fn crash(&self) {
         lifecycle::crash(&self.state);
     }
 
-    /// Dies while it computes the `count`-th step from now, 1 for the next one.
+    /// Crashes the engine during the `count`-th step from now; 1 is the next step, 0 turns this off.
     pub fn crash_at_step(&self, count: u64) {
         self.state.fault.crash_at.store(count, Ordering::SeqCst);
     }
 
-    /// Dies each time it gets a prompt that contains `text`; an empty text switches this off.
+    /// Crashes the engine on every prompt that contains `text`; an empty text turns this off.
     pub fn crash_on_prompt(&self, text: &str) {
         self.state.fault.set_crash_text(text);
     }
 
-    /// Comes back on the same address, with nothing cached.
+    /// Restarts a crashed engine on the same address, with an empty prefix cache.
     pub async fn restart(&self) -> io::Result<()> {
         lifecycle::restart(&self.state).await
     }
 
-    /// Goes silent on the connections open now; new ones work.
+    /// Stops answering on the connections that are open now; new connections work.
     pub fn hang_open_connections(&self) {
         self.state.lifecycle.hang_open_connections();
     }
 
-    /// Goes silent wholly: connections are accepted and nothing is answered.
+    /// Accepts connections but answers nothing on any of them while `on`. Connections that were
+    /// used meanwhile stay unresponsive after it is turned off.
     pub fn set_unresponsive(&self, on: bool) {
         self.state.lifecycle.set_unresponsive(on);
     }
 
-    /// Answers each step this much late.
+    /// Delays the reply to each step by `delay`.
     pub fn set_delay(&self, delay: Duration) {
         self.state.fault.set_delay(delay);
     }
 
-    /// Holds all steps back until this is switched off.
+    /// Holds back all steps while `on`.
     pub fn hold_steps(&self, on: bool) {
         self.state.fault.hold_steps.send_replace(on);
     }
 
-    /// Computes slower by a factor; 1 is its usual speed.
+    /// Multiplies the compute time by `factor`; 1 is the configured speed.
     pub fn set_slowdown(&self, factor: f64) {
         self.state.fault.set_slowdown(factor);
     }
 
-    /// Answers with frames that belong elsewhere.
+    /// Sends misdirected, duplicate or malformed replies; `None` sends correct ones.
     pub fn set_reply_fault(&self, fault: Option<ReplyFault>) {
         self.state.fault.set_reply_fault(fault);
     }
 
-    /// Computes wrongly, for requests opened from now on.
+    /// Introduces an error into the computation of requests that are opened from now on.
     pub fn set_compute_fault(&self, fault: Option<ComputeFault>) {
         self.state.fault.set_compute_fault(fault);
     }
 
-    /// Answers steps with "could not compute".
+    /// Answers every step with [`engine::frame::Reply::Failed`] while `on`.
     pub fn set_failing(&self, on: bool) {
         self.state.fault.failing.store(on, Ordering::SeqCst);
     }
 
-    /// Refuses all new requests as busy.
+    /// Refuses new requests as busy while `on`.
     pub fn set_busy(&self, on: bool) {
         self.state.fault.busy.store(on, Ordering::SeqCst);
     }
 
-    /// Refuses all new requests as leaving; those that run go on.
+    /// Refuses new requests as leaving while `on`; requests in flight continue.
     pub fn set_leaving(&self, on: bool) {
         self.state.fault.leaving.store(on, Ordering::SeqCst);
     }
 
-    /// Its counts.
+    /// Counters of the engine.
     pub fn counters(&self) -> &Counters {
         &self.state.counters
     }
 
-    /// Deaths so far.
+    /// Number of crashes so far.
     pub fn crash_count(&self) -> u64 {
         self.state.lifecycle.crash_count()
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connection_count(&self) -> u64 {
         self.state.lifecycle.connection_count()
     }
 
-    /// Requests that hold a slot now.
+    /// Number of requests that hold a slot.
     pub fn running(&self) -> usize {
         self.state.running()
     }
 
-    /// Which layers ran how often for an attempt, if it is still kept.
+    /// Number of times that each layer ran in an attempt, or `None` if the attempt is not recorded.
     pub fn runs(&self, request: u128, attempt: u32) -> Option<Runs> {
         self.state.ledger.get(request, attempt)
     }
 
-    /// What it holds now.
+    /// Ranges of layers that are loaded or being loaded.
     pub fn spans(&self) -> Vec<Span> {
         self.state.spans()
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,16 +1,16 @@
-//! Prefix cache: which prompt blocks an engine still holds, and its events.
+//! Prefix cache: the prompt blocks that an engine holds, and the events that report changes.
 
 use engine::load::CacheEvent;
 use std::collections::{HashMap, VecDeque};
 
-/// Events that a report carries at most.
+/// Maximum number of events in a load report.
 const MAX_EVENTS: usize = 128;
 
-/// A cache of bounded size; the block used longest ago goes first.
+/// A cache of bounded size with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     size: usize,
-    /// One event in so many is lost; 0 loses none.
+    /// Every n-th event is dropped; 0 drops none.
     loss_interval: u64,
     last_used: HashMap<u64, u64>,
     clock: u64,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Blocks of the prefix that were held; all of them are held afterwards.
+    /// Returns the number of leading blocks of `prefix` that were cached, and caches the prefix up to
+    /// the capacity.
     pub(super) fn touch(&mut self, prefix: &[u64]) -> usize {
         let hits = prefix
             .iter()
@@ -47,12 +48,12 @@
         hits
     }
 
-    /// The last events.
+    /// The most recent events, oldest first.
     pub(super) fn events(&self) -> Vec<CacheEvent> {
         self.events.iter().copied().collect()
     }
 
-    /// Forgets all blocks, as a restart does.
+    /// Removes all blocks and events, as after a restart. Event numbers continue.
     pub(super) fn clear(&mut self) {
         self.last_used.clear();
         self.events.clear();
--- a/crates/standin/src/engine/counts.rs
+++ b/crates/standin/src/engine/counts.rs
@@ -1,27 +1,27 @@
-//! Counts and the account of layers that ran.
+//! Counters of an engine, and the record of the layers that ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Counts since the engine was made; a restart doesn't reset them.
+/// Counters since the engine was created; a restart does not reset them.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests that got a slot.
+    /// Requests admitted to a slot.
     pub opened: AtomicU64,
-    /// Requests that were refused.
+    /// Requests refused.
     pub refused: AtomicU64,
-    /// Steps run.
+    /// Steps computed.
     pub steps: AtomicU64,
-    /// Positions run through all layers held for them, prefill included.
+    /// Token positions computed through the layers of their request, prefill included.
     pub positions: AtomicU64,
-    /// Requests whose caller ended them after its last step.
+    /// Requests that the caller ended normally after the last step.
     pub finished: AtomicU64,
-    /// Requests that were reset while they held a slot.
+    /// Admitted requests that ended by a reset, a protocol error or a crash.
     pub cancelled: AtomicU64,
-    /// Orders carried out.
+    /// Orders that passed the fencing check.
     pub orders: AtomicU64,
-    /// Orders refused for their fencing number.
+    /// Orders refused for a stale fencing number.
     pub stale_fences: AtomicU64,
 }
 
@@ -30,24 +30,24 @@
         counter.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Reads a count.
+    /// Reads a counter.
     pub fn get(counter: &AtomicU64) -> u64 {
         counter.load(Ordering::SeqCst)
     }
 }
 
-/// How often each layer ran for each position, in one attempt.
+/// Number of times that each layer ran for each position in one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
     /// First layer of the range.
     pub from: u16,
-    /// By layer of the range, then by position.
+    /// Counts, indexed by layer of the range and then by position.
     pub counts: Vec<Vec<u32>>,
 }
 
 impl Runs {
-    /// Whether each layer ran exactly once for each of the first `positions` positions, and for
-    /// none beyond.
+    /// Returns whether each layer ran exactly once for each of the first `positions` positions and
+    /// for no further position.
     pub fn is_once(&self, positions: usize) -> bool {
         let once = |layer: &Vec<u32>| layer.len() == positions && layer.iter().all(|n| *n == 1);
         self.counts.iter().all(once)
@@ -77,7 +77,7 @@
     order: VecDeque<Key>,
 }
 
-/// The runs of the last attempts.
+/// Records the layer runs of the latest attempts, up to `size` attempts.
 #[derive(Debug)]
 pub(super) struct Ledger {
     size: usize,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether anything is kept.
+    /// Returns whether runs are recorded.
     pub(super) fn is_enabled(&self) -> bool {
         self.size > 0
     }
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -1,4 +1,4 @@
-//! Switches for faults.
+//! Fault switches of an engine.
 
 use super::kv::ComputeFault;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -6,22 +6,22 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Frames that belong elsewhere.
+/// Faults in the replies to steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyFault {
-    /// Before each right answer comes one of the attempt before.
+    /// Precedes each correct reply with one that names the previous attempt.
     StaleAttempt,
-    /// Each answer names another request.
+    /// Names another request in each reply.
     OtherRequest,
-    /// Each answer names the step before.
+    /// Names the previous step in each reply.
     StaleStep,
-    /// Each answer names another range of layers.
+    /// Names another range of layers in each reply.
     OtherLayers,
-    /// Each answer comes twice.
+    /// Sends each reply twice.
     Duplicate,
-    /// Bytes that are no frame come instead of an answer.
+    /// Sends bytes that are not a valid frame instead of a reply.
     Garbled,
-    /// The stream ends instead of an answer, as it does after a whole one.
+    /// Ends the stream instead of a reply, in the way a complete answer ends.
     EndOfStream,
 }
 
@@ -34,10 +34,10 @@
     compute_fault: Option<ComputeFault>,
 }
 
-/// All switches of an engine.
+/// State of all fault switches.
 #[derive(Debug)]
 pub(super) struct Fault {
-    /// Steps until death; 0 is off.
+    /// Steps until the crash; 0 is off.
     pub(super) crash_at: AtomicU64,
     pub(super) busy: AtomicBool,
     pub(super) leaving: AtomicBool,
@@ -103,7 +103,7 @@
         self.lock().compute_fault
     }
 
-    /// Whether the prompt kills the engine.
+    /// Returns whether the prompt contains the text that crashes the engine.
     pub(super) fn matches_crash_text(&self, prompt: &[u8]) -> bool {
         let settings = self.lock();
         let crash_text = settings.crash_text.as_slice();
@@ -113,7 +113,7 @@
                 .any(|part| part == crash_text)
     }
 
-    /// Counts a step; whether it is the one to die at.
+    /// Counts a step, and returns whether the engine crashes in it.
     pub(super) fn is_crash_step(&self) -> bool {
         let less = |left: u64| left.checked_sub(1);
         let before = self
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -1,25 +1,25 @@
-//! The computation of a stage: a running hash per layer stands for its key-value cache.
+//! The computation of a stage, with a running hash per layer in place of its key-value cache.
 
 use super::hash::mix;
 use bytes::{Bytes, BytesMut};
 
-/// A deliberate error in the computation, which the oracle must catch.
+/// A deliberate error in the computation, which a comparison with the oracle must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ComputeFault {
-    /// The stage's first layer is left out.
+    /// Skips the stage's first layer.
     Skip,
-    /// The stage's first layer runs twice.
+    /// Runs the stage's first layer twice.
     Double,
-    /// The stage's layers run in the reverse order.
+    /// Runs the stage's layers in reverse order.
     Reorder,
-    /// The stage's input is the one that came before, often of another request.
+    /// Replaces each input by the previous one on the engine, often of another request.
     SwapInput,
 }
 
-/// Bytes that carry an activation; the rest of its size is padding.
+/// Bytes of an encoded activation that carry its value; the rest is padding.
 pub(super) const ACTIVATION_WORD_BYTES: usize = 8;
 
-/// Key-value state of one request at one stage.
+/// State of one request at one stage, in place of its key-value cache.
 #[derive(Debug)]
 pub(super) struct Kv {
     from: u16,
@@ -40,17 +40,18 @@
         }
     }
 
-    /// How it computes wrongly, if it does.
+    /// Error in this request's computation, if any.
     pub(super) fn fault(&self) -> Option<ComputeFault> {
         self.fault
     }
 
-    /// Position that comes next.
+    /// Next position to compute.
     pub(super) fn position(&self) -> u64 {
         self.position
     }
 
-    /// Runs one position through the stage's layers; `on_layer` is told each layer.
+    /// Computes one position through the stage's layers and returns its output activation. Calls
+    /// `on_layer` for each layer that runs.
     pub(super) fn run(&mut self, activation: u64, mut on_layer: impl FnMut(u16)) -> u64 {
         let order = order(self.caches.len(), self.fault);
         let mut activation = activation;
@@ -65,12 +66,13 @@
         activation
     }
 
-    /// The draw that picks the next token.
+    /// Returns the draw that selects the next token.
     pub(super) fn draw(&self, activation: u64, seed: u64) -> u64 {
         mix(&[activation, seed, self.position])
     }
 }
 
+/// Returns the order in which the layers run, as indices.
 fn order(layers: usize, fault: Option<ComputeFault>) -> Vec<usize> {
     match fault {
         None | Some(ComputeFault::SwapInput) => (0..layers).collect(),
@@ -80,7 +82,7 @@
     }
 }
 
-/// Embeddings of a prompt and the tokens after it, by position.
+/// Returns the embeddings of a start marker, a prompt and the tokens generated so far, by position.
 pub(super) fn embed(prompt: &[u8], tokens: &[u32]) -> Vec<u64> {
     let start = std::iter::once(mix(&[0, 0]));
     let words = prompt.chunks(4).map(|chunk| {
@@ -94,12 +96,12 @@
         .collect()
 }
 
-/// Embedding of a made token.
+/// Returns the embedding of a generated token.
 pub(super) fn token(id: u32) -> u64 {
     mix(&[2, id.into()])
 }
 
-/// Activations as bytes, each padded to `size`.
+/// Encodes activations, each padded to `size` bytes.
 pub(super) fn pack(activations: &[u64], size: usize) -> Bytes {
     let mut bytes = BytesMut::zeroed(activations.len() * size);
     for (slot, activation) in bytes.chunks_exact_mut(size).zip(activations) {
@@ -108,7 +110,7 @@
     bytes.freeze()
 }
 
-/// Activations from bytes, if the length fits.
+/// Decodes activations of `size` bytes each; `None` if the length is zero or not a multiple of it.
 pub(super) fn unpack(bytes: &[u8], size: usize) -> Option<Vec<u64>> {
     if bytes.is_empty() || !bytes.len().is_multiple_of(size) {
         return None;
--- a/crates/standin/src/engine/lanes.rs
+++ b/crates/standin/src/engine/lanes.rs
@@ -1,7 +1,7 @@
-//! Pacing: how many steps an engine computes at once, and how long each takes.
+//! Limits how many steps an engine computes concurrently, and simulates their compute time.
 //!
-//! Timers fire up to a millisecond late. A lane is therefore accounted by the instant at which it
-//! would have been free, so that a busy engine's throughput is exactly lanes / cost.
+//! Timers fire up to a millisecond late. Each lane therefore tracks the instant at which it becomes
+//! free by calculation, not by timer, so that a busy engine's throughput is exactly lanes / cost.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// Lanes shared by an engine's requests.
+/// Compute lanes shared by the requests of an engine; each lane computes one step at a time.
 #[derive(Debug)]
 pub(super) struct Lanes {
     state: Mutex<State>,
@@ -23,7 +23,7 @@
     arrivals: u64,
 }
 
-/// A lane in use; free again when dropped.
+/// A lane in use; dropping it returns it to the free lanes.
 #[derive(Debug)]
 struct Lane {
     lanes: Arc<Lanes>,
@@ -51,12 +51,12 @@
         })
     }
 
-    /// Steps that wait for a lane.
+    /// Number of steps that wait for a lane.
     pub(super) fn waiting(&self) -> usize {
         self.lock().waiting.len()
     }
 
-    /// Takes a lane for `cost`; the lower rank goes first, then the earlier.
+    /// Waits for a lane and occupies it for `cost`. Lower `rank` goes first, then earlier arrival.
     pub(super) async fn run(self: &Arc<Self>, rank: u32, cost: Duration) {
         let arrived = Instant::now();
         let (grant, granted) = oneshot::channel();
@@ -74,8 +74,8 @@
         sleep_until(lane.until).await;
     }
 
-    /// Gives free lanes to waiting steps. A step that went away drops its lane, which dispatches
-    /// again.
+    /// Assigns free lanes to waiting steps. If a step was cancelled, its lane is dropped, which
+    /// dispatches again.
     fn dispatch(self: &Arc<Self>) {
         while let Some((grant, until)) = self.next() {
             let _ = grant.send(Lane {
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! An engine's connections, and the way of each request.
+//! HTTP/2 connections of an engine, and the routing of requests by method and path.
 
 use super::state::{State, lock};
 use super::{stage, status};
@@ -32,7 +32,7 @@
         let Ok(mut connection) = builder.handshake::<_, Bytes>(connection).await else {
             return;
         };
-        // Dropped with the connection, which stops its requests.
+        // Dropping the set when the connection ends aborts the tasks of its requests.
         let mut tasks = JoinSet::new();
         while let Some(Ok((request, respond))) = connection.accept().await {
             while tasks.try_join_next().is_some() {}
--- a/crates/standin/src/engine/stage.rs
+++ b/crates/standin/src/engine/stage.rs
@@ -1,4 +1,4 @@
-//! One request's stream at a stage.
+//! The stream of one request at a stage.
 
 mod io;
 mod work;
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use work::Stage;
 
-/// The caller reset the stream, or broke the protocol.
+/// The caller reset the stream or violated the protocol.
 struct StreamClosed;
 
-/// Result of a part of a stream.
+/// Result of an operation on a stream.
 type Result<T> = std::result::Result<T, StreamClosed>;
 
-/// Serves a stream to its end.
+/// Serves a stream until the caller ends or resets it.
 pub(super) async fn serve(state: Arc<State>, body: RecvStream, mut respond: SendResponse<Bytes>) {
     let Ok(sender) = respond.send_response(Response::new(()), false) else {
         return;
@@ -43,7 +43,7 @@
     };
     Counters::add(&state.counters.opened);
     let stage = Stage::new(state.clone(), open, span, slot);
-    // Counted also when the connection dies and this task is dropped on the way.
+    // Counts the request on drop, since a connection that closes drops this task midway.
     let mut completion = Completion {
         state: state.clone(),
         is_complete: false,
@@ -54,6 +54,7 @@
     }
 }
 
+/// Counts a request as finished or cancelled when it is dropped.
 struct Completion {
     state: Arc<State>,
     is_complete: bool,
--- a/crates/standin/src/engine/stage/io.rs
+++ b/crates/standin/src/engine/stage/io.rs
@@ -1,4 +1,4 @@
-//! Frames of a stream, as the stage sees them.
+//! Reads calls from a stage's stream and writes replies to it.
 
 use super::{Result, StreamClosed};
 use bytes::{Bytes, BytesMut};
@@ -6,7 +6,7 @@
 use h2::{Reason, RecvStream, SendStream};
 use std::future::poll_fn;
 
-/// Both directions of a stream.
+/// Framed reader and writer of both directions of a stream.
 pub(super) struct FrameStream {
     sender: SendStream<Bytes>,
     body: RecvStream,
@@ -27,12 +27,12 @@
         self.sender.send_reset(reason);
     }
 
-    /// Sends bytes that need not be a frame.
+    /// Sends raw bytes, which need not be a valid frame.
     pub(super) fn send(&mut self, bytes: Bytes, end: bool) -> Result<()> {
         self.sender.send_data(bytes, end).map_err(|_| StreamClosed)
     }
 
-    /// The next call; `None` when the caller ended its side.
+    /// Reads the next call; `None` when the caller ended its side.
     pub(super) async fn call(&mut self) -> Result<Option<Call>> {
         match self.item().await? {
             None => Ok(None),
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Reads a payload of `length` bytes.
     pub(super) async fn payload(&mut self, length: u32) -> Result<Bytes> {
         let length = length as usize;
         let mut bytes = BytesMut::new();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Queues a reply; the connection sends it as the caller's window allows.
+    /// Queues a reply; the connection sends it as the caller's flow-control window allows.
     pub(super) fn reply(&mut self, reply: &Reply, payload: Bytes, end: bool) -> Result<()> {
         let mut buf = BytesMut::new();
         frame::encode(reply, &mut buf).map_err(|_| StreamClosed)?;
@@ -87,7 +88,7 @@
         let _ = poll_fn(|cx| self.sender.poll_reset(cx)).await;
     }
 
-    /// Runs work until it is done or the caller resets the stream.
+    /// Runs `work` to completion, or fails when the caller resets the stream first.
     pub(super) async fn until_reset<T>(&mut self, work: impl Future<Output = T>) -> Result<T> {
         tokio::select! {
             biased;
--- a/crates/standin/src/engine/stage/work.rs
+++ b/crates/standin/src/engine/stage/work.rs
@@ -1,4 +1,4 @@
-//! The steps of a request at a stage.
+//! Execution of a request's steps at a stage.
 
 use super::io::FrameStream;
 use super::{Result, StreamClosed};
@@ -19,9 +19,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A step that runs longer says so as often as this.
+/// Interval between the progress replies of a long step.
 const WORKING_INTERVAL: Duration = Duration::from_millis(250);
-/// Weight of a new sample in the mean time between tokens, as one part in so many.
+/// Divisor of a new sample's weight in the moving average of the time between tokens: 8 weighs it
+/// by one eighth.
 const MEAN_WINDOW: u64 = 8;
 
 /// A request at this stage.
@@ -34,7 +35,7 @@
     _slot: Slot,
 }
 
-/// What a step made.
+/// Output of a step.
 struct StepOutput {
     reply: Reply,
     payload: Bytes,
@@ -100,7 +101,7 @@
         self.respond(io, made)
     }
 
-    /// Dies if this is the step or the prompt to die at.
+    /// Crashes the engine if a fault switch selects this step or prompt, and then never returns.
     async fn crash(&self, step: &Step, payload: &[u8]) {
         let is_prompt = matches!(step.input, Input::Prompt(_));
         let is_crash_prompt = is_prompt && self.state.fault.matches_crash_text(payload);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The activations that a step starts from, by position.
+    /// Returns the input activations of a step, by position; `None` if the payload is malformed.
     fn inputs(&self, input: &Input, payload: &[u8]) -> Option<Vec<u64>> {
         match input {
             Input::Prompt(tokens) => Some(kv::embed(payload, tokens)),
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Waits as long as the step takes, and says so if that is long.
+    /// Waits for the step's simulated compute time, added delay and release from hold. Sends a
+    /// progress reply every [`WORKING_INTERVAL`].
     async fn wait_for_step(
         &mut self,
         io: &mut FrameStream,
@@ -155,7 +157,8 @@
         Ok(())
     }
 
-    /// Time that the step takes: a prefill counts the positions that the prefix cache lacks.
+    /// Returns the compute time of the step. A prefill counts only the positions that miss the prefix
+    /// cache.
     fn cost(&mut self, positions: usize) -> Duration {
         let state = self.state.clone();
         let config = &state.config;
@@ -172,7 +175,7 @@
         (config.prefill_time * layers * fresh).mul_f64(slowdown)
     }
 
-    /// Enters the time since the step before into the mean.
+    /// Adds the time since the previous step to the moving average.
     fn record_step_interval(&mut self) {
         let now = Instant::now();
         let Some(last) = self.last.replace(now) else {
@@ -188,6 +191,8 @@
         self.state.inter_token.store(next, Ordering::Relaxed);
     }
 
+    /// Computes all positions of a step. The last stage of the model replies with a token, the others
+    /// with activations.
     fn compute(&mut self, place: Place, input: &Input, inputs: Vec<u64>) -> StepOutput {
         let is_prompt = matches!(input, Input::Prompt(_));
         let resumed_tokens = if let Input::Prompt(tokens) = input {
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Runs one position, and enters the layers that ran.
+    /// Computes one position, and records the layers that ran.
     fn run_position(&mut self, input: u64) -> u64 {
         Counters::add(&self.state.counters.positions);
         let input = match self.kv.fault() {
@@ -257,9 +262,9 @@
         output
     }
 
-    /// Sends the reply, or what a fault makes of it.
-    fn respond(&self, io: &mut FrameStream, made: StepOutput) -> Result<()> {
-        let StepOutput { reply, payload } = made;
+    /// Sends the reply, altered by the active reply fault if there is one.
+    fn respond(&self, io: &mut FrameStream, output: StepOutput) -> Result<()> {
+        let StepOutput { reply, payload } = output;
         let Some(fault) = self.state.fault.reply_fault() else {
             return io.reply(&reply, payload, false);
         };
@@ -279,7 +284,7 @@
     }
 }
 
-/// The reply with the place that a fault gives it.
+/// Returns the reply with its place altered by the fault.
 fn misdirect(reply: &Reply, fault: ReplyFault) -> Reply {
     let mut reply = reply.clone();
     let (Reply::Done { place, .. } | Reply::Token { place, .. }) = &mut reply else {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine's tasks share.
+//! State shared by an engine's tasks, and admission of requests.
 
 use super::cache::Cache;
 use super::counts::{Counters, Ledger};
@@ -15,24 +15,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Wait that a full engine asks for.
+/// Retry-after delay in the refusal of a busy engine.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// A load report and when it was made.
+/// A load report and the time it was taken.
 #[derive(Clone, Debug)]
 pub(super) struct Snapshot {
     pub(super) report: Report,
     pub(super) taken_at: Instant,
 }
 
-/// A range that is held, or will be.
+/// A range of layers that is loaded, or is being loaded until `ready_at`.
 #[derive(Clone, Debug)]
 pub(super) struct Holding {
     pub(super) span: Span,
     pub(super) ready_at: Instant,
 }
 
-/// State of an engine through all its lives.
+/// State of an engine, kept across restarts.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) config: Config,
@@ -45,14 +45,15 @@
     pub(super) held: Mutex<Vec<Holding>>,
     pub(super) fence: AtomicU64,
     pub(super) snapshot: Mutex<Option<Snapshot>>,
-    /// Mean time between two steps of one request, in nanoseconds.
+    /// Moving average of the time between two steps of one request, in nanoseconds; 0 before the
+    /// first sample.
     pub(super) inter_token: AtomicU64,
-    /// Input that [`super::ComputeFault::SwapInput`] gives to the position that comes next.
+    /// Previous input, which [`super::ComputeFault::SwapInput`] uses for the next position.
     pub(super) swapped_input: AtomicU64,
     running: AtomicUsize,
 }
 
-/// Why a request gets no slot.
+/// Reason for refusing a request, with an optional retry-after delay.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     pub(super) reason: Reason,
@@ -68,7 +69,7 @@
     }
 }
 
-/// A request's hold on the engine.
+/// A request's slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(super) struct Slot(Arc<State>);
 
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Reserves a slot, or says why not.
+    /// Reserves a slot and returns it with the loaded range that serves the request, or the reason
+    /// for a refusal.
     pub(super) fn admit(self: &Arc<Self>, open: &Open) -> Result<(Slot, Span), Refusal> {
         if self.fault.leaving.load(Ordering::SeqCst) {
             return Err(Refusal::new(Reason::Leaving));
@@ -130,6 +132,7 @@
         taken.map(|_| (Slot(self.clone()), span)).map_err(|_| busy)
     }
 
+    /// Finds a ready range that covers the request's layers, version and adapter.
     fn find(&self, open: &Open) -> Option<Span> {
         let now = Instant::now();
         let held = lock(&self.held);
--- a/crates/standin/src/engine/status.rs
+++ b/crates/standin/src/engine/status.rs
@@ -1,4 +1,4 @@
-//! Load reports and orders.
+//! Load reports, and the execution of orders.
 
 use super::Span;
 use super::counts::Counters;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest order in bytes.
+/// Maximum size of an order.
 const MAX_ORDER_BYTES: usize = 64 << 10;
 
-/// Renews the load report as often as the lag says.
+/// Takes a load report once per `report_lag`; with a zero lag, reports are built on request.
 pub(super) async fn refresh_report(state: Arc<State>) {
     let lag = state.config.report_lag;
     if lag.is_zero() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answers with the last report.
+/// Answers with the latest snapshot and its age, or with a new report if none is kept.
 pub(super) fn load(state: &State, mut respond: SendResponse<Bytes>) {
     let kept = lock(&state.snapshot).clone();
     let report = match kept {
@@ -71,7 +71,7 @@
     answer(&mut respond, StatusCode::OK, body.into());
 }
 
-/// Carries out an order.
+/// Reads an order from a request body, executes it and answers with the result.
 pub(super) async fn order(
     state: Arc<State>,
     mut body: RecvStream,
@@ -92,6 +92,7 @@
     answer(&mut respond, StatusCode::OK, body.into());
 }
 
+/// Checks an order's fencing number and applies its command.
 fn execute(state: &State, order: Order) -> Answer {
     let highest = state.fence.fetch_max(order.fence, Ordering::SeqCst);
     if state.config.fenced && order.fence < highest {
@@ -134,6 +135,8 @@
     }
 }
 
+/// Starts to load a range, which replaces the model version's previous range. A range that is
+/// already loaded or being loaded is left unchanged.
 fn load_span(state: &State, span: Span) -> Answer {
     if span.from >= span.to || span.to > span.layers {
         return Answer::Refused;
@@ -150,7 +153,7 @@
     Answer::Done
 }
 
-/// Sends a whole answer.
+/// Sends a complete response.
 pub(super) fn answer(respond: &mut SendResponse<Bytes>, status: StatusCode, body: Bytes) {
     let mut response = Response::new(());
     *response.status_mut() = status;
--- a/crates/standin/src/engine/vocabulary.rs
+++ b/crates/standin/src/engine/vocabulary.rs
@@ -1,10 +1,10 @@
-//! Tokens and their text.
+//! The vocabulary: tokens, their text and the choice of a token from a draw.
 
 use engine::chain::Token;
 
-/// Tokens in the vocabulary.
+/// Number of tokens in the vocabulary.
 pub const SIZE: u32 = 32 << 10;
-/// One draw in so many ends the answer.
+/// Mean number of draws per end of an answer: one draw in this many ends it.
 pub const DRAWS_PER_END: u64 = 512;
 
 const WORDS: [&str; 32] = [
@@ -42,13 +42,13 @@
     "\n",
 ];
 
-/// The text of a token.
+/// Returns the text of a token.
 pub fn text(id: u32) -> String {
     let word = WORDS[id as usize % WORDS.len()];
     format!("{word}{}", id as usize / WORDS.len())
 }
 
-/// The token that a draw picks, and whether it ends the answer.
+/// Returns the token that a draw selects, and whether it ends the answer.
 pub fn pick(draw: u64) -> (Token, bool) {
     let id = (draw % u64::from(SIZE)) as u32;
     let end = (draw >> 32).is_multiple_of(DRAWS_PER_END);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults shared by the stand-ins, and the server that brings them about.
+//! Faults of the platform stand-ins, and the HTTP server that injects them.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -15,23 +15,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Largest body a stand-in takes, in bytes.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// How often a request held by a silent service looks whether it speaks again.
+/// Interval at which a request to an unresponsive service checks whether the mode has changed.
 const MODE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a service behaves as a whole.
+/// Availability of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// Answers requests.
     Up,
-    /// It closes every connection without an answer or an effect.
+    /// Closes every connection without an answer or an effect.
     Down,
-    /// It takes connections and requests, and neither acts nor answers.
+    /// Accepts connections and requests but neither executes nor answers them.
     Unresponsive,
 }
 
-/// Switches of one stand-in.
+/// Fault switches and counters of one stand-in.
 #[derive(Debug, Default)]
 pub struct Faults {
     mode: AtomicU8,
@@ -44,7 +44,7 @@
 }
 
 impl Faults {
-    /// Sets the mode; leaving [`Mode::Up`] for [`Mode::Down`] closes what is open.
+    /// Sets the mode. [`Mode::Down`] also closes all open connections.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.store(mode as u8, Relaxed);
         if mode == Mode::Down {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The mode.
+    /// Current mode.
     pub fn mode(&self) -> Mode {
         match self.mode.load(Relaxed) {
             0 => Mode::Up,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Makes each call take this much longer before its effect.
+    /// Delays each call by `delay` before its effect.
     pub fn set_delay(&self, delay: Duration) {
         self.delay_us.store(
             u64::try_from(delay.as_micros()).unwrap_or(u64::MAX),
@@ -70,26 +70,27 @@
         );
     }
 
-    /// Loses the answers of the next `count` writes, after their effect.
+    /// Drops the answers to the next `count` writes, after their effect, by closing the connection.
     pub fn drop_answers(&self, count: u32) {
         self.answers_to_drop.store(count, Relaxed);
     }
 
-    /// Answers lost so far.
+    /// Number of answers dropped so far.
     pub fn dropped_answers(&self) -> u64 {
         self.dropped_answers.load(Relaxed)
     }
 
-    /// Calls that came so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Relaxed)
     }
 
-    /// Connections taken so far.
+    /// Number of connections accepted so far, except those closed at once in [`Mode::Down`].
     pub fn connections(&self) -> u64 {
         self.connections.load(Relaxed)
     }
 
+    /// Returns whether the answer to this write is to be dropped, and counts it.
     fn take_answer_drop(&self) -> bool {
         let is_dropped = self
             .answers_to_drop
@@ -104,6 +105,7 @@
         lock(&self.cut).clone()
     }
 
+    /// Waits while the service is unresponsive, and then for the configured delay.
     async fn wait(&self) {
         while self.mode() == Mode::Unresponsive {
             tokio::time::sleep(MODE_POLL_INTERVAL).await;
@@ -112,17 +114,17 @@
     }
 }
 
-/// A service's answer, and whether it is to a write, so that [`Faults::drop_answers`] applies.
+/// A service's answer; [`Faults::drop_answers`] applies to it if it answers a write.
 #[derive(Debug)]
 pub struct Answer {
-    /// The response.
+    /// HTTP response.
     pub response: Response<Full<Bytes>>,
-    /// Whether a write took effect.
+    /// Whether the request was a write that took effect.
     pub written: bool,
 }
 
 impl Answer {
-    /// An answer with a status and a body.
+    /// Creates an answer with a status and a body.
     pub fn new(status: StatusCode, body: impl Into<Bytes>) -> Self {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A JSON answer.
+    /// Creates an answer with a JSON body.
     pub fn json(value: &impl serde::Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self::new(StatusCode::OK, body),
@@ -140,7 +142,7 @@
         }
     }
 
-    /// The same answer, to a write that took effect.
+    /// Marks the answer as that of a write that took effect.
     pub fn written(self) -> Self {
         Self {
             written: true,
@@ -149,22 +151,22 @@
     }
 }
 
-/// What a stand-in does with a request.
+/// Request handler of a stand-in.
 pub trait Service: Send + Sync + 'static {
-    /// Answers a request whose body has been read.
+    /// Answers a request whose body was read completely.
     fn answer(&self, request: Request<Bytes>) -> impl Future<Output = Answer> + Send;
 }
 
-/// A running stand-in's listener; it stops when this is dropped.
+/// Listener of a running stand-in; dropping it stops the stand-in.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
     stop: CancellationToken,
 }
 
 impl Server {
-    /// Listens on `addr` and serves until dropped.
+    /// Listens on `addr` and serves requests until dropped.
     pub async fn start<S: Service>(
         addr: SocketAddr,
         faults: Arc<Faults>,
@@ -219,14 +221,14 @@
 async fn serve<S: Service>(stream: TcpStream, faults: Arc<Faults>, service: Arc<S>) {
     stream.set_nodelay(true).ok();
     let handler = service_fn(move |request| respond(request, faults.clone(), service.clone()));
-    // An error here is a connection that ended early, which is the client's to notice.
+    // An error means that the connection ended early; the client sees that itself.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), handler)
         .await;
 }
 
-/// An error closes the connection without an answer.
+/// Handles one request; an error closes the connection without an answer.
 async fn respond<S: Service>(
     request: Request<Incoming>,
     faults: Arc<Faults>,
@@ -250,7 +252,7 @@
     Ok(answer.response)
 }
 
-/// Locks a mutex that no holder leaves half-changed.
+/// Locks a mutex and ignores poisoning: no holder leaves the data inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins of what surrounds the system, over loopback sockets, for tests, measurements
-//! and the demo.
+//! Test doubles of the systems around the router: engines, plain services, the log service, the
+//! instance list and the weight store. Tests, benchmarks and the demo use them.
 //!
-//! Each listens on an address of its own, answers in the formats of `docs/PLATFORM.md` and
-//! `docs/ENGINE.md`, and has faults that are switched at run time. They keep everything in memory,
-//! run many in one process, and simulate no cluster.
+//! Each one listens on its own loopback address, speaks the formats of `docs/PLATFORM.md` and
+//! `docs/ENGINE.md`, and injects faults that can be switched at run time. All state is in memory,
+//! many of them run in one process, and no cluster is simulated.
 
 pub mod engine;
 pub mod fault;
--- a/crates/standin/src/lifecycle.rs
+++ b/crates/standin/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! Lives of an endpoint: it listens, dies with all its connections, and comes back on the same
-//! address.
+//! Lifecycle of an endpoint: start, crash with the loss of all connections, and restart on the
+//! same address.
 
 mod connection;
 
@@ -15,24 +15,24 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Tries to listen again on the address of a former life.
+/// Maximum number of retries to bind an address that is still in use.
 const MAX_BIND_RETRIES: u32 = 300;
-/// Wait between two tries to listen or accept.
+/// Delay between two attempts to bind or accept.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An endpoint that can die and come back.
+/// An endpoint that can crash and restart.
 pub(crate) trait Serve: Send + Sync + Sized + 'static {
-    /// Its lifecycle.
+    /// Lifecycle of the endpoint.
     fn lifecycle(&self) -> &Lifecycle;
 
-    /// Called as each life begins.
+    /// Called at each start and restart.
     fn on_start(self: &Arc<Self>);
 
     /// Serves one connection.
     fn serve(self: Arc<Self>, connection: Connection) -> impl Future<Output = ()> + Send;
 }
 
-/// The current life, and the silence of its connections.
+/// Run state of an endpoint, and the switches that make its connections unresponsive.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     addr: SocketAddr,
@@ -59,29 +59,29 @@
         }
     }
 
-    /// Deaths so far.
+    /// Number of crashes so far.
     pub(crate) fn crash_count(&self) -> u64 {
         self.crash_count.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub(crate) fn connection_count(&self) -> u64 {
         self.connection_count.load(Ordering::SeqCst)
     }
 
-    /// Goes silent on the connections open now.
+    /// Stops answering on the connections that are open now.
     pub(crate) fn hang_open_connections(&self) {
         let open = lock(&self.open);
         let live = open.iter().filter_map(Weak::upgrade);
         live.for_each(|hung| hung.store(true, Ordering::SeqCst));
     }
 
-    /// Goes silent wholly, or ends that for new connections.
+    /// Makes the whole endpoint unresponsive, or ends that for new connections.
     pub(crate) fn set_unresponsive(&self, on: bool) {
         self.unresponsive.store(on, Ordering::SeqCst);
     }
 
-    /// Runs work on the endpoint's runtime until this life ends.
+    /// Runs `work` on the endpoint's runtime until it completes or the endpoint crashes.
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         let token = lock(&self.token).clone();
         self.runtime.spawn(token.run_until_cancelled_owned(work));
@@ -91,7 +91,7 @@
         lock(&self.token).is_cancelled()
     }
 
-    /// The switches for a new connection's silence.
+    /// Counts a new connection and creates its hang switch.
     fn register_connection(&self) -> HangSwitch {
         self.connection_count.fetch_add(1, Ordering::SeqCst);
         let own = Arc::new(AtomicBool::new(false));
@@ -105,7 +105,8 @@
     }
 }
 
-/// Listens; the address of a former life may take a moment to be free.
+/// Binds a listener. Retries while the address is in use, since the listener of the previous run
+/// may take a moment to release it.
 pub(crate) async fn bind(addr: SocketAddr) -> io::Result<TcpListener> {
     let mut retries = MAX_BIND_RETRIES;
     loop {
@@ -117,14 +118,14 @@
     }
 }
 
-/// Begins a life with this listener.
+/// Starts the endpoint on a bound listener.
 pub(crate) fn start<S: Serve>(server: &Arc<S>, listener: TcpListener) {
     *lock(&server.lifecycle().token) = CancellationToken::new();
     server.on_start();
     server.lifecycle().spawn(accept(server.clone(), listener));
 }
 
-/// Begins a new life on the same address, unless one is under way.
+/// Restarts a crashed endpoint on the same address; does nothing if it is running.
 pub(crate) async fn restart<S: Serve>(server: &Arc<S>) -> io::Result<()> {
     if !server.lifecycle().is_stopped() {
         return Ok(());
@@ -134,7 +135,8 @@
     Ok(())
 }
 
-/// Ends the life: the listener and all connections close.
+/// Crashes the endpoint: the listener and all connections close. Schedules the restart if one is
+/// configured.
 pub(crate) fn crash<S: Serve>(server: &Arc<S>) {
     let lifecycle = server.lifecycle();
     if lifecycle.is_stopped() {
@@ -165,7 +167,8 @@
     }
 }
 
-/// Locks, also after a panic elsewhere: the data are counts and settings, whole at any time.
+/// Locks a mutex and ignores poisoning: the data are counters and settings, which are consistent
+/// at any time.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/lifecycle/connection.rs
+++ b/crates/standin/src/lifecycle/connection.rs
@@ -1,4 +1,5 @@
-//! Sockets that can go silent: bytes are taken and never answered, and the connection stays open.
+//! Sockets that can hang: nothing more is read, written bytes are discarded, and the connection
+//! stays open.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a connection, or the whole endpoint, is silent.
+/// Switches that hang one connection (`own`) or the whole endpoint (`all`).
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HangSwitch {
     pub(crate) own: Arc<AtomicBool>,
@@ -16,7 +17,8 @@
 }
 
 impl HangSwitch {
-    /// Once silent, a connection stays so: the bytes it lost can't come back.
+    /// Returns whether the connection hangs. Once it hangs it stays so, since the bytes that it
+    /// discarded cannot be recovered.
     fn is_hung(&self) -> bool {
         if self.all.load(Ordering::Relaxed) {
             self.own.store(true, Ordering::Relaxed);
@@ -25,7 +27,7 @@
     }
 }
 
-/// A socket behind a [`HangSwitch`].
+/// A socket that hangs when its [`HangSwitch`] is on.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) socket: TcpStream,
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,4 +1,4 @@
-//! The instance list.
+//! A stand-in for the platform's instance list.
 
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A running instance list; it stops when this is dropped.
+/// A running instance list; dropping it stops the server.
 #[derive(Debug)]
 pub struct List {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Fault switches of the server.
     pub faults: Arc<Faults>,
     store: Arc<Store>,
     _server: Server,
 }
 
 impl List {
-    /// Starts a list with these instances.
+    /// Starts a list that shows `instances`.
     pub async fn start(addr: SocketAddr, instances: Vec<Instance>) -> io::Result<Self> {
         let faults = Arc::new(Faults::default());
         let store = Arc::new(Store::default());
@@ -37,12 +37,12 @@
         })
     }
 
-    /// Sets how long a change takes until the list shows it.
+    /// Sets the delay until the list shows a change; applies to later changes.
     pub fn set_lag(&self, lag: Duration) {
         lock(&self.store.state).lag = lag;
     }
 
-    /// Changes what is true; the list shows it after its lag.
+    /// Changes the instances; the list shows the change after its lag.
     pub fn set_instances(&self, instances: Vec<Instance>) {
         let mut state = lock(&self.store.state);
         let due = Instant::now() + state.lag;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! A stand-in for the platform's log service.
 
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
@@ -14,17 +14,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// Largest page given, in bytes of bodies; a page holds at least one record.
+/// Maximum size of a page, in bytes of record bodies. A page always includes the first available
+/// record, even if that is larger.
 const MAX_PAGE_BYTES: usize = 1 << 20;
-/// Longest wait of a read.
+/// Maximum time that a read waits for records.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// A running log service; it stops when this is dropped.
+/// A running log service; dropping it stops the server.
 #[derive(Debug)]
 pub struct Log {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Fault switches of the server.
     pub faults: Arc<Faults>,
     store: Arc<Store>,
     _server: Server,
@@ -44,27 +45,27 @@
         })
     }
 
-    /// Allows this many appends a second; 0 lifts the limit.
+    /// Limits the appends per second; 0 removes the limit.
     pub fn set_append_rate(&self, appends: u32) {
         self.store.rate.store(appends, Relaxed);
     }
 
-    /// Drops the records of a stream below `first`, as retention does.
+    /// Drops the records of a stream below the offset `first`, as retention does.
     pub fn trim(&self, stream: &str, first: Offset) {
         lock(&self.store.state).stream(stream).trim(first);
     }
 
-    /// Keeps at most this many records of every stream from now on; 0 keeps all.
+    /// Retains at most `records` records of each stream at later appends; 0 retains all.
     pub fn set_retention(&self, records: usize) {
         lock(&self.store.state).retain = records;
     }
 
-    /// Appends past all faults, as another program would have done.
+    /// Appends a record directly, without faults or rate limit, as if by another client.
     pub fn append(&self, stream: &str, body: Bytes) -> Offset {
         self.store.append(stream, body)
     }
 
-    /// The records that a stream holds, with their offsets.
+    /// Returns the retained records of a stream with their offsets.
     pub fn records(&self, stream: &str) -> Vec<(Offset, Bytes)> {
         let mut state = lock(&self.store.state);
         let stream = state.stream(stream);
@@ -73,7 +74,7 @@
             .collect()
     }
 
-    /// Appends that took effect, over all streams.
+    /// Number of appends that took effect, over all streams.
     pub fn append_count(&self) -> u64 {
         *self.store.changed.borrow()
     }
@@ -133,7 +134,7 @@
         self.streams.entry(name.to_owned()).or_default()
     }
 
-    /// Takes one append from a bucket that holds a second's worth.
+    /// Takes one token from a token bucket that holds the tokens of one second.
     fn admit(&mut self, rate: u32) -> bool {
         if rate == 0 {
             return true;
@@ -155,7 +156,7 @@
 struct Store {
     state: Mutex<State>,
     rate: AtomicU32,
-    /// Number of appends, watched by reads that wait.
+    /// Number of appends; waiting reads watch it.
     changed: watch::Sender<u64>,
 }
 
--- a/crates/standin/src/oracle.rs
+++ b/crates/standin/src/oracle.rs
@@ -1,32 +1,32 @@
-//! The answer that a model of stand-in engines must give, computed in one straight line.
+//! Computes the answer expected of stand-in engines, without stages.
 //!
-//! Shares the hash function and the vocabulary with [`crate::engine`], and nothing else: a fault in
-//! the staged computation, in the frames or in the driver shows as a different answer.
+//! Shares only the hash function and the vocabulary with [`crate::engine`], so that a fault in the
+//! staged computation, in the frames or in the driver shows as a different answer.
 
 use crate::engine::hash::{mix, name};
 use crate::engine::vocabulary;
 use engine::chain::Token;
 
-/// What is asked of a model.
+/// A request to a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question<'a> {
-    /// Model.
+    /// Name of the model.
     pub model: &'a str,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: &'a str,
     /// Adapter, if any.
     pub adapter: Option<&'a str>,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub layers: u16,
-    /// Prompt.
+    /// Prompt, as bytes.
     pub prompt: &'a [u8],
-    /// Seed of the draws.
+    /// Seed of the token draws.
     pub seed: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
 }
 
-/// The tokens of the whole answer.
+/// Returns all tokens of the expected answer.
 pub fn answer(question: &Question) -> Vec<Token> {
     let salt = name(question.model, question.version, question.adapter);
     let mut caches = vec![0_u64; question.layers.into()];
@@ -58,7 +58,7 @@
     tokens
 }
 
-/// Tokens of a prompt.
+/// Returns the number of tokens of a prompt: a start marker and one for each four bytes.
 pub fn prompt_tokens(prompt: &[u8]) -> u32 {
     1 + prompt.len().div_ceil(4) as u32
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a plain service. A `POST` has an effect, which is counted by its idempotency key,
-//! or by its body where it has none; the answer is text that only this path and body give.
+//! A stand-in for a plain service. The effect of a `POST` is counted by its idempotency key, or by its
+//! body if it has no key. The answer is text derived from the path and the body.
 
 mod fault;
 
@@ -26,24 +26,24 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Header that names a call, so that a second one with the same name can be told.
+/// Header with the idempotency key, which identifies retries of the same call.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Longest body of a call.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How a service is set up.
+/// Configuration of a service.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where to listen; port 0 takes any.
+    /// Address to listen on; port 0 picks a free port.
     pub addr: SocketAddr,
-    /// Pieces that an answer is sent in; one piece has a length, more are chunked.
+    /// Number of pieces of an answer. One piece is sent with a content length, several are chunked.
     pub pieces: usize,
-    /// Wait before each piece but the first.
+    /// Delay before each piece except the first.
     pub piece_time: Duration,
-    /// Bytes of each piece, at least.
+    /// Minimum size of a piece, in bytes.
     pub piece_bytes: usize,
-    /// When it comes back by itself after a crash; `None` waits for [`Handle::restart`].
+    /// Delay of the automatic restart after a crash; `None` waits for [`Handle::restart`].
     pub restart_after: Option<Duration>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The text that answers a call, by piece.
+/// Returns the expected answer to a call, by piece.
 pub fn answer(config: &Config, path: &str, body: &[u8]) -> Vec<String> {
     let hash = xxh3_64(body);
     let piece = |number: usize| {
@@ -99,16 +99,16 @@
     }
 }
 
-/// A running service: its switches for faults and its counts.
+/// Controls the faults of a running service and reads its counters.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
 
 impl Handle {
-    /// Effects of calls with this key, or this body where they have no key.
+    /// Number of effects of calls with this idempotency key, or with this body if they had no key.
     pub fn effects(&self, key: &str) -> u64 {
         lock(&self.state.effects)
             .get(key)
@@ -116,57 +116,58 @@
             .unwrap_or_default()
     }
 
-    /// Effects of all calls.
+    /// Number of effects by idempotency key or body, of all calls.
     pub fn all_effects(&self) -> BTreeMap<String, u64> {
         lock(&self.state.effects).clone()
     }
 
-    /// Calls that arrived whole.
+    /// Number of calls received completely, health checks excluded.
     pub fn call_count(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn connection_count(&self) -> u64 {
         self.state.lifecycle.connection_count()
     }
 
-    /// Dies now: the listener and all connections close. Counts of effects are kept.
+    /// Crashes the service: the listener and all connections close. Counts of effects are kept.
     pub fn crash(&self) {
         lifecycle::crash(&self.state);
     }
 
-    /// Dies at this moment of each call.
+    /// Crashes the service at this point of each call; `None` turns this off.
     pub fn crash_at(&self, point: Option<CrashPoint>) {
         self.state.fault.set_crash(point);
     }
 
-    /// Comes back on the same address.
+    /// Restarts a crashed service on the same address.
     pub async fn restart(&self) -> io::Result<()> {
         lifecycle::restart(&self.state).await
     }
 
-    /// Goes silent on the connections open now; new ones work.
+    /// Stops answering on the connections that are open now; new connections work.
     pub fn hang_open_connections(&self) {
         self.state.lifecycle.hang_open_connections();
     }
 
-    /// Goes silent wholly: connections are accepted and nothing is answered.
+    /// Accepts connections but answers nothing on any of them while `on`. Connections that were
+    /// used meanwhile stay unresponsive after it is turned off.
     pub fn set_unresponsive(&self, on: bool) {
         self.state.lifecycle.set_unresponsive(on);
     }
 
-    /// Has its effect and begins its answer this much late.
+    /// Delays the effect and the answer of each call by `delay`.
     pub fn set_delay(&self, delay: Duration) {
         self.state.fault.set_delay(delay);
     }
 
-    /// Cuts each answer off in the middle.
+    /// Truncates each answer to about half and then closes the connection, while `on`.
     pub fn truncate_answers(&self, on: bool) {
         self.state.fault.truncate.store(on, Ordering::SeqCst);
     }
 
-    /// Refuses each call with 503 and `retry-after: 1`, without an effect.
+    /// Refuses each call with status 503 and `retry-after: 1`, without an effect, while `on`.
     pub fn set_busy(&self, on: bool) {
         self.state.fault.busy.store(on, Ordering::SeqCst);
     }
@@ -255,7 +256,8 @@
     }
 }
 
-/// Leaves the first half, and an error that closes the connection.
+/// Keeps the first half of the pieces, or of a single piece, and appends an error that closes the
+/// connection.
 fn truncate(pieces: &mut Vec<Piece>) {
     let half = pieces.len() / 2;
     pieces.truncate(half.max(1));
@@ -267,7 +269,7 @@
     pieces.push(Err(io::ErrorKind::ConnectionReset.into()));
 }
 
-/// What names a call.
+/// Returns the idempotency key of a call, or its body if it has none.
 fn key(headers: &HeaderMap, body: &[u8]) -> String {
     let named = headers
         .get(IDEMPOTENCY_KEY)
@@ -275,6 +277,7 @@
     named.map_or_else(|| String::from_utf8_lossy(body).into_owned(), str::to_owned)
 }
 
+/// Creates a response without a body.
 fn plain(status: StatusCode) -> Response<Answer> {
     let mut response = Response::new(StreamBody::new(stream::empty().boxed()));
     *response.status_mut() = status;
--- a/crates/standin/src/service/fault.rs
+++ b/crates/standin/src/service/fault.rs
@@ -1,16 +1,16 @@
-//! Switches for faults of a service.
+//! Fault switches of a service.
 
 use crate::lifecycle::lock;
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// A moment of a call.
+/// Point in a call at which the service crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Before its effect.
+    /// Before the call's effect.
     Before,
-    /// After its effect, before the answer.
+    /// After the call's effect and before its answer.
     After,
 }
 
@@ -20,7 +20,7 @@
     delay: Duration,
 }
 
-/// All switches of a service.
+/// State of all fault switches.
 #[derive(Debug, Default)]
 pub(super) struct Fault {
     pub(super) truncate: AtomicBool,
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, as far as nodes ask it anything: its rate.
+//! A stand-in for the weight store, reduced to the rate limit that nodes request from it.
 
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// A running weight store; it stops when this is dropped.
+/// A running weight store; dropping it stops the server.
 #[derive(Debug)]
 pub struct Weights {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Fault switches of the server.
     pub faults: Arc<Faults>,
     store: Arc<Store>,
     _server: Server,
 }
 
 impl Weights {
-    /// Starts a weight store that allows `rate`.
+    /// Starts a weight store that allows loads at `rate`.
     pub async fn start(addr: SocketAddr, rate: Rate) -> io::Result<Self> {
         let faults = Arc::new(Faults::default());
         let store = Arc::new(Store {
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Changes the rate.
+    /// Changes the allowed rate.
     pub fn set_rate(&self, rate: Rate) {
         *lock(&self.store.rate) = rate;
     }
