--- a/crates/standin/tests/driver.rs
+++ b/crates/standin/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a pipeline against stand-in engines, over real sockets on loopback.
+//! Tests of the pipeline driver against stand-in engines, over loopback sockets.
 
 #[path = "driver/common.rs"]
 mod common;
--- a/crates/standin/tests/driver/common.rs
+++ b/crates/standin/tests/driver/common.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests over real sockets.
+//! Helpers for tests with stand-in engines on loopback sockets.
 
 use engine::chain::{self, Event, Hop, Job, Token};
 use engine::pool::Pool;
@@ -11,10 +11,10 @@
 pub const MODEL: &str = "menu";
 pub const VERSION: &str = "3";
 pub const LAYERS: u16 = 12;
-/// Generous: no test depends on how fast it is.
+/// Upper bound of a wait, long enough that no test depends on the speed of the system.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// Engines with the ranges of layers that follow from the cuts.
+/// Starts one engine for each range of layers between two adjacent cuts.
 pub async fn pipeline(cuts: &[u16], config: Config) -> Vec<Handle> {
     let mut engines = Vec::new();
     for pair in cuts.windows(2) {
@@ -28,7 +28,7 @@
     engines
 }
 
-/// The chain over engines that hold one range each.
+/// Returns the chain over engines that hold one range each.
 pub fn hops(engines: &[Handle]) -> Vec<Hop> {
     let hop = |engine: &Handle| {
         let span = engine.spans().remove(0);
@@ -41,7 +41,7 @@
     engines.iter().map(hop).collect()
 }
 
-pub fn job(request: u128, engines: &[Handle], prompt: &str, most: u32) -> Job {
+pub fn job(request: u128, engines: &[Handle], prompt: &str, max_tokens: u32) -> Job {
     Job {
         request,
         attempt: 1,
@@ -50,14 +50,14 @@
         adapter: None,
         prompt: prompt.to_owned().into(),
         tokens: Vec::new(),
-        max_tokens: most,
+        max_tokens,
         seed: request as u64,
         priority: 0,
         hops: hops(engines),
     }
 }
 
-/// What the job's answer must be.
+/// Returns the tokens expected of the job.
 pub fn expected(job: &Job) -> Vec<Token> {
     oracle::answer(&Question {
         model: &job.model,
@@ -70,12 +70,12 @@
     })
 }
 
-/// Runs a job to its end; all events.
+/// Runs a job to its end and returns all events.
 pub async fn run(pool: &Pool, job: &Job) -> Vec<Event> {
     run_with(pool, job, |_, _| {}).await
 }
 
-/// Runs a job; `watch` sees each event and may cancel.
+/// Runs a job and returns all events; `watch` is called with each event and may cancel.
 pub async fn run_with(
     pool: &Pool,
     job: &Job,
@@ -94,7 +94,7 @@
     events
 }
 
-/// The tokens among events.
+/// Returns the tokens among the events.
 pub fn tokens(events: &[Event]) -> Vec<Token> {
     let token = |event: &Event| match event {
         Event::Token(token) => Some(token.clone()),
@@ -103,7 +103,7 @@
     events.iter().filter_map(token).collect()
 }
 
-/// Waits until a condition holds.
+/// Polls until a condition holds; panics after [`LIMIT`].
 pub async fn until(mut holds: impl FnMut() -> bool) {
     let wait = async {
         while !holds() {
--- a/crates/standin/tests/driver/crossed.rs
+++ b/crates/standin/tests/driver/crossed.rs
@@ -1,4 +1,4 @@
-//! Answers that belong elsewhere, computations that go wrong, and many requests at once.
+//! Misdirected replies, wrong computations, and many concurrent requests.
 
 use crate::common::{LAYERS, expected, job, pipeline, run, run_with, tokens, until};
 use engine::chain::{Cause, Event};
@@ -8,14 +8,14 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-fn stale(counters: &PoolCounters) -> u64 {
+fn stale_frame_count(counters: &PoolCounters) -> u64 {
     counters.stale_frames.load(Ordering::Relaxed)
 }
 
 #[tokio::test]
 async fn frames_of_an_ended_attempt_are_dropped() {
-    // Before each right answer comes one of the attempt before, as when a stage was slow to stop.
-    // They are told by the attempt's number, and the caller's answer is whole.
+    // Each correct reply is preceded by one of the previous attempt, as from a stage that stops late.
+    // The driver drops those by their attempt number, and the caller's answer is complete.
     for hop in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
         engines[hop].set_reply_fault(Some(ReplyFault::StaleAttempt));
@@ -23,14 +23,15 @@
         let mut job = job(1, &engines, "soup", 8);
         job.attempt = 2;
         assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
-        assert!(stale(pool.counters()) >= 8);
+        assert!(stale_frame_count(pool.counters()) >= 8);
     }
 }
 
 #[tokio::test]
-async fn an_answer_that_belongs_elsewhere_ends_the_attempt() {
-    // A stage answers for another request, step or range, answers twice, sends no frame, or ends
-    // the stream early. The attempt fails at that hop; the caller has no token that isn't its own.
+async fn a_misdirected_or_malformed_reply_ends_the_attempt() {
+    // A stage replies for another request, step or range, replies twice, sends an invalid frame, or
+    // ends the stream early. The attempt fails at that hop, and the caller gets no token of another
+    // request.
     let cases = [
         ReplyFault::OtherRequest,
         ReplyFault::StaleStep,
@@ -39,15 +40,19 @@
         ReplyFault::Garbled,
         ReplyFault::EndOfStream,
     ];
-    for crossed in cases {
+    for fault in cases {
         for hop in 0..3 {
             let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-            engines[hop].set_reply_fault(Some(crossed));
+            engines[hop].set_reply_fault(Some(fault));
             let job = job(1, &engines, "soup", 8);
             let events = run(&Pool::default(), &job).await;
-            let had = tokens(&events);
-            assert_eq!(had, expected(&job)[..had.len()], "{crossed:?} at {hop}");
-            assert!(had.len() <= 1, "{crossed:?} at {hop}");
+            let received = tokens(&events);
+            assert_eq!(
+                received,
+                expected(&job)[..received.len()],
+                "{fault:?} at {hop}"
+            );
+            assert!(received.len() <= 1, "{fault:?} at {hop}");
             let cause = Cause::Protocol;
             let end = Event::Failed {
                 hop: hop as u8,
@@ -55,17 +60,17 @@
                 sent: true,
                 retry_after: None,
             };
-            assert_eq!(events.last(), Some(&end), "{crossed:?} at {hop}");
+            assert_eq!(events.last(), Some(&end), "{fault:?} at {hop}");
             until(|| engines.iter().all(|engine| engine.running() == 0)).await;
         }
     }
 }
 
 #[tokio::test]
-async fn the_oracle_catches_each_broken_computation() {
-    // The check itself: an engine that leaves out, doubles, reorders or crosses its layers, and
-    // reports all as done, must give another answer than the oracle.
-    for broken in [
+async fn the_oracle_detects_each_compute_fault() {
+    // Checks the oracle itself: an engine that skips, repeats or reorders its layers or swaps their
+    // input, and reports all steps as done, must give an answer that differs from the oracle's.
+    for fault in [
         ComputeFault::Skip,
         ComputeFault::Double,
         ComputeFault::Reorder,
@@ -73,22 +78,27 @@
     ] {
         for hop in 0..3 {
             let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
-            engines[hop].set_compute_fault(Some(broken));
+            engines[hop].set_compute_fault(Some(fault));
             let job = job(1, &engines, "soup", 8);
             let made = tokens(&run(&Pool::default(), &job).await);
             assert!(!made.is_empty());
-            assert_ne!(made[0], expected(&job)[0], "{broken:?} at {hop}");
-            let is_counted = matches!(broken, ComputeFault::Skip | ComputeFault::Double);
-            let runs = engines[hop].runs(1, 1).expect("kept");
-            let positions = runs.counts.iter().map(Vec::len).max().expect("some");
-            assert_eq!(runs.is_once(positions), !is_counted, "{broken:?} at {hop}");
+            assert_ne!(made[0], expected(&job)[0], "{fault:?} at {hop}");
+            let is_counted = matches!(fault, ComputeFault::Skip | ComputeFault::Double);
+            let runs = engines[hop].runs(1, 1).expect("attempt is recorded");
+            let positions = runs
+                .counts
+                .iter()
+                .map(Vec::len)
+                .max()
+                .expect("stage has layers");
+            assert_eq!(runs.is_once(positions), !is_counted, "{fault:?} at {hop}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn two_hundred_requests_at_once_each_get_their_own_answer() {
-    // All share the connections and stages; no token of one may reach another.
+    // All requests share the connections and stages; no token of one may reach another.
     let config = Config {
         slots: 256,
         ..Config::default()
@@ -113,8 +123,8 @@
 
 #[tokio::test]
 async fn long_prompts_pass_through_narrow_windows() {
-    // A prefill's activations are far larger than a stream's window: they are relayed piece by
-    // piece, and arrive whole.
+    // The activations of a prefill are far larger than a stream's flow-control window: they are
+    // relayed in pieces, and arrive complete.
     let config = Config {
         activation_bytes: 8 << 10,
         ..Config::default()
@@ -131,9 +141,9 @@
 
 #[tokio::test]
 async fn stalled_streams_do_not_hold_up_others_on_their_connection() {
-    // Sixty prefills come from the first stage; their next one takes nothing, so that their
-    // activations stay unread on the connection to the first. A request whose next stage is well
-    // uses the same connection, and must get its answer.
+    // Sixty prefills leave the first stage, and their second stage reads nothing, so that their
+    // activations stay unread on the connection to the first stage. A request with a responsive
+    // second stage uses the same connection, and must get its answer.
     let config = Config {
         activation_bytes: 8 << 10,
         slots: 128,
@@ -158,14 +168,14 @@
         })
     });
     let stalled = join_all(stalled);
-    let well = async {
+    let unaffected = async {
         until(|| Counters::get(&engines[0].counters().steps) == 60).await;
         let job = job(100, &[engines[0].clone(), other], &prompt, 4);
         assert_eq!(tokens(&run(&pool, &job).await), expected(&job));
         assert_eq!(engines[0].connection_count(), 1);
         pool.drop_connections(engines[1].addr);
     };
-    let (ends, ()) = tokio::join!(stalled, well);
+    let (ends, ()) = tokio::join!(stalled, unaffected);
     for events in ends {
         assert!(matches!(
             events.last(),
@@ -179,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn a_pool_shows_its_connections_and_closes_the_unused() {
+async fn a_pool_lists_its_connections_and_closes_idle_ones() {
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let limits = Limits {
         idle_timeout: Duration::from_millis(20),
--- a/crates/standin/tests/driver/died.rs
+++ b/crates/standin/tests/driver/died.rs
@@ -1,4 +1,4 @@
-//! Stages that die while an attempt runs, and attempts that go on elsewhere.
+//! Stages that crash during an attempt, and retries that resume on other engines.
 
 use crate::common::{LAYERS, expected, job, pipeline, run, run_with, tokens, until};
 use engine::chain::{Cause, Event, Job, Token};
@@ -7,19 +7,20 @@
 use standin::oracle::prompt_tokens;
 use std::time::Duration;
 
-/// The same request on another chain, after the tokens it already has.
-fn resumed(job: &Job, engines: &[Handle], had: Vec<Token>) -> Job {
+/// Returns the next attempt of a request on another chain, resumed after the tokens it has.
+fn resumed(job: &Job, engines: &[Handle], received: Vec<Token>) -> Job {
     let mut next = crate::common::job(job.request, engines, "", job.max_tokens);
     next.prompt = job.prompt.clone();
     next.attempt = job.attempt + 1;
-    next.tokens = had;
+    next.tokens = received;
     next
 }
 
 #[tokio::test]
-async fn a_stage_dies_before_in_and_after_the_first_token() {
-    // The stage dies in its n-th step. The caller has the tokens before it, none of them wrong; the
-    // next attempt starts from them on other engines, and the whole is what one engine would give.
+async fn a_retry_resumes_after_a_stage_crashes_in_any_step() {
+    // A stage crashes in its n-th step. The caller has the correct tokens of the steps before it. The
+    // next attempt resumes from them on other engines, and the joined answer equals that of an
+    // attempt without a failure.
     let pool = Pool::default();
     for hop in 0..3 {
         for step in [1, 2, 3, 9] {
@@ -28,8 +29,8 @@
             let job = job(40 + u128::from(step), &engines, "check for sesame", 16);
             engines[hop].crash_at_step(step);
             let events = run(&pool, &job).await;
-            let had = tokens(&events);
-            assert_eq!(had, expected(&job)[..step as usize - 1]);
+            let received = tokens(&events);
+            assert_eq!(received, expected(&job)[..step as usize - 1]);
             let end = Event::Failed {
                 hop: hop as u8,
                 cause: Cause::Reset,
@@ -38,15 +39,15 @@
             };
             assert_eq!(events.last(), Some(&end));
 
-            let next = resumed(&job, &spare, had.clone());
+            let next = resumed(&job, &spare, received.clone());
             let more = tokens(&run(&pool, &next).await);
-            assert_eq!([had, more].concat(), expected(&job));
+            assert_eq!([received, more].concat(), expected(&job));
             let positions = prompt_tokens(&job.prompt) as usize + expected(&job).len() - 1;
             for engine in &spare {
                 assert!(
                     engine
                         .runs(job.request, 2)
-                        .expect("kept")
+                        .expect("attempt is recorded")
                         .is_once(positions)
                 );
             }
@@ -55,9 +56,9 @@
 }
 
 #[tokio::test]
-async fn a_stage_dies_while_another_works() {
-    // The last stage is in a long prefill when the first one dies. The driver waits for the last
-    // one, but watches all: the failure names the first stage, without waiting for its turn.
+async fn a_stage_that_crashes_while_another_computes_is_reported_at_once() {
+    // The first stage crashes during a long prefill of the last one. The driver waits for the last
+    // stage but watches all of them, so it reports the first stage's failure at once.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     engines[2].set_delay(Duration::from_secs(600));
     let job = job(1, &engines, "soup", 8);
@@ -79,8 +80,8 @@
 
 #[tokio::test]
 async fn a_prompt_that_crashes_its_stage_crashes_it_each_time() {
-    // The engine dies on each prompt that holds the text, and comes back. Other prompts, sent to
-    // the same engine after it came back, get whole answers.
+    // The engine crashes on each prompt that contains the text, and restarts. Other prompts that are
+    // sent to it after the restart get complete answers.
     let config = Config {
         restart_after: Some(Duration::from_millis(20)),
         ..Config::default()
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_stage_that_cannot_compute_says_so() {
+async fn a_stage_that_cannot_compute_reports_an_internal_failure() {
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     engines[1].set_failing(true);
     let events = run(&Pool::default(), &job(1, &engines, "soup", 8)).await;
@@ -126,8 +127,8 @@
 
 #[tokio::test]
 async fn a_cancelled_attempt_stops_its_stages_at_once() {
-    // The caller goes away in a long prefill, or after some tokens. No event follows, and each stage
-    // gives up its slot though its step had long to go.
+    // The caller cancels during a long prefill, or after some tokens. No event follows, and each
+    // stage frees its slot although its step is far from done.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let pool = Pool::default();
     engines[1].set_delay(Duration::from_secs(600));
--- a/crates/standin/tests/driver/random.rs
+++ b/crates/standin/tests/driver/random.rs
@@ -1,4 +1,5 @@
-//! Randomised runs: faults of all kinds while requests run, with the promises checked throughout.
+//! Randomised runs: injects faults of all kinds during requests, and checks the guarantees of every
+//! attempt.
 
 use crate::common::{LAYERS, LIMIT, expected, hops, job, pipeline, tokens};
 use engine::chain::{self, Event, Job};
@@ -13,12 +14,14 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Time without progress after which an attempt is given up.
-const SILENCE: Duration = Duration::from_millis(250);
+/// Time without progress after which an attempt is abandoned.
+const PROGRESS_TIMEOUT: Duration = Duration::from_millis(250);
+/// Number of concurrent sequences of requests.
 const LANES: u128 = 8;
+/// Number of faults injected in a run.
 const FAULTS: usize = 40;
 
-/// Engines that hold the same layers, three ways to cut them.
+/// Starts three pipelines over the same layers, each with other boundaries between the stages.
 async fn fleet() -> Vec<Vec<Handle>> {
     let config = Config {
         slots: 64,
@@ -29,10 +32,10 @@
     join_all(cuts.map(|cuts| pipeline(cuts, config.clone()))).await
 }
 
-/// One fault, somewhere.
-async fn fault(engines: &[Handle], rng: &mut ChaCha8Rng) {
+/// Injects a random fault into a random engine, and clears it with a probability of 0.7.
+async fn inject_fault(engines: &[Handle], rng: &mut ChaCha8Rng) {
     let engine = &engines[rng.random_range(0..engines.len())];
-    let crossings = [
+    let reply_faults = [
         ReplyFault::StaleAttempt,
         ReplyFault::OtherRequest,
         ReplyFault::StaleStep,
@@ -46,7 +49,7 @@
         1 => engine.crash_at_step(rng.random_range(1..20)),
         2 => engine.hang_open_connections(),
         3 => engine.set_unresponsive(true),
-        4 => engine.set_reply_fault(Some(crossings[rng.random_range(0..crossings.len())])),
+        4 => engine.set_reply_fault(Some(reply_faults[rng.random_range(0..reply_faults.len())])),
         5 => engine.set_delay(Duration::from_millis(rng.random_range(1..20))),
         6 => engine.set_busy(true),
         7 => engine.set_leaving(true),
@@ -58,6 +61,7 @@
     }
 }
 
+/// Clears all faults of an engine and restarts it if it has crashed.
 async fn heal(engine: &Handle) {
     engine.crash_at_step(0);
     engine.set_unresponsive(false);
@@ -69,7 +73,7 @@
     engine.restart().await.expect("restarts");
 }
 
-/// Runs one attempt, and gives it up when it makes no progress.
+/// Runs one attempt, and abandons it if it makes no progress.
 async fn attempt(pool: &Pool, job: &Job) -> Vec<Event> {
     let events = RefCell::new(Vec::new());
     let cancel = CancellationToken::new();
@@ -78,10 +82,10 @@
         let mut seen = usize::MAX;
         while seen != events.borrow().len() {
             seen = events.borrow().len();
-            sleep(SILENCE).await;
+            sleep(PROGRESS_TIMEOUT).await;
         }
         cancel.cancel();
-        // What a router does once a probe on a new connection has answered.
+        // A router does the same once a probe on a new connection was answered.
         job.hops
             .iter()
             .for_each(|hop| pool.drop_connections(hop.addr));
@@ -94,12 +98,12 @@
     events.into_inner()
 }
 
-/// What must hold of an attempt, whatever happened.
+/// Checks the guarantees that hold for an attempt under any fault.
 fn check(job: &Job, events: &[Event], engines: &[Handle]) {
-    let made = [job.tokens.clone(), tokens(events)].concat();
+    let produced = [job.tokens.clone(), tokens(events)].concat();
     assert_eq!(
-        made,
-        expected(job)[..made.len()],
+        produced,
+        expected(job)[..produced.len()],
         "a token of the answer is wrong"
     );
     let runs = engines
@@ -107,7 +111,10 @@
         .filter_map(|engine| engine.runs(job.request, job.attempt));
     let runs: Vec<_> = runs.collect();
     let is_sent = events.contains(&Event::Sent);
-    assert!(is_sent || runs.is_empty(), "ran, though it was not sent");
+    assert!(
+        is_sent || runs.is_empty(),
+        "layers ran in an attempt that was not sent"
+    );
     let mut counts = runs.iter().flat_map(|runs| &runs.counts).flatten();
     assert!(
         counts.all(|count| *count <= 1),
@@ -116,8 +123,8 @@
     match events.last() {
         Some(Event::Failed { sent, .. }) => assert_eq!(*sent, is_sent),
         Some(Event::Finished { .. }) => {
-            assert_eq!(made, expected(job), "a whole answer is not whole");
-            let positions = prompt_tokens(&job.prompt) as usize + made.len() - 1;
+            assert_eq!(produced, expected(job), "a finished answer is incomplete");
+            let positions = prompt_tokens(&job.prompt) as usize + produced.len() - 1;
             assert!(runs.iter().all(|runs| runs.is_once(positions)));
             assert_eq!(runs.len(), job.hops.len());
         }
@@ -125,7 +132,8 @@
     }
 }
 
-/// Repeats a request on one pipeline after another until its answer is whole.
+/// Retries a request on alternating pipelines until its answer is complete; returns the number of
+/// attempts.
 async fn request(pool: &Pool, number: u128, fleet: &[Vec<Handle>], engines: &[Handle]) -> u32 {
     let mut job = job(number, &fleet[0], &format!("menu of week {number}"), 20);
     loop {
@@ -142,12 +150,12 @@
 }
 
 #[tokio::test]
-async fn answers_are_whole_whatever_fails() {
-    // Forty faults strike at random while requests run, one after the other in each of eight lanes,
-    // and then all engines are healed. Each request goes on from the tokens it has until its answer is
-    // whole. No token is wrong, no layer runs twice in an attempt, and nothing ran in an attempt
-    // that ended before it was sent.
-    let (attempts, requests, deaths) = (Cell::new(0), Cell::new(0), Cell::new(0));
+async fn answers_are_complete_under_random_faults() {
+    // Forty random faults are injected while requests run in eight concurrent lanes, one after the
+    // other in each lane; then all engines are healed. Each request is resumed from the tokens it has
+    // until its answer is complete. No token is wrong, no layer runs twice for a position in an
+    // attempt, and no layer runs in an attempt that was not sent.
+    let (attempts, requests, crashes) = (Cell::new(0), Cell::new(0), Cell::new(0));
     for seed in 1..=4 {
         let fleet = fleet().await;
         let engines = fleet.concat();
@@ -156,7 +164,7 @@
         let faults = async {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             for _ in 0..FAULTS {
-                fault(&engines, &mut rng).await;
+                inject_fault(&engines, &mut rng).await;
             }
             for engine in &engines {
                 heal(engine).await;
@@ -177,10 +185,15 @@
             }
         });
         let all = async { tokio::join!(faults, join_all(lanes)) };
-        timeout(LIMIT, all).await.expect("all answers come");
-        deaths.set(deaths.get() + engines.iter().map(Handle::crash_count).sum::<u64>());
+        timeout(LIMIT, all)
+            .await
+            .expect("all requests finish in time");
+        crashes.set(crashes.get() + engines.iter().map(Handle::crash_count).sum::<u64>());
     }
-    let (attempts, requests, deaths) = (attempts.get(), requests.get(), deaths.get());
-    println!("{requests} requests, {attempts} attempts, {deaths} deaths");
-    assert!(attempts > requests && deaths > 0, "the faults struck");
+    let (attempts, requests, crashes) = (attempts.get(), requests.get(), crashes.get());
+    println!("{requests} requests, {attempts} attempts, {crashes} crashes");
+    assert!(
+        attempts > requests && crashes > 0,
+        "the faults had an effect"
+    );
 }
--- a/crates/standin/tests/driver/refused.rs
+++ b/crates/standin/tests/driver/refused.rs
@@ -1,4 +1,4 @@
-//! Attempts that fail before anything ran.
+//! Attempts that fail before any layer has run.
 
 use crate::common::{LAYERS, MODEL, expected, hops, job, pipeline, run, tokens, until};
 use engine::chain::{Cause, Event, Job};
@@ -10,8 +10,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// Runs a job that must fail at `hop` with `cause` before it is sent, and checks that nothing ran.
-async fn refused(job: &Job, engines: &[Handle], hop: u8, cause: Cause) {
+/// Checks that a job fails at `hop` with `cause` before it is sent, and that no step ran.
+async fn expect_refusal(job: &Job, engines: &[Handle], hop: u8, cause: Cause) {
     let events = run(&Pool::default(), job).await;
     assert!(!events.contains(&Event::Sent));
     let Some(Event::Failed {
@@ -21,7 +21,7 @@
         ..
     }) = events.last()
     else {
-        panic!("no failure: {events:?}");
+        panic!("last event is not Failed: {events:?}");
     };
     assert_eq!((*at, *why, *sent), (hop, cause, false));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
@@ -32,42 +32,42 @@
 }
 
 #[tokio::test]
-async fn a_dead_stage_costs_nothing() {
-    // The caller can be told "not run". The first and last stages accept the stream, the one
-    // between them can't be reached; since no step leaves before all have accepted, no layer ran.
+async fn no_layer_runs_if_a_stage_is_unreachable() {
+    // One stage of three cannot be reached, and the others accept the stream. No step is sent before
+    // all stages have accepted, so no layer runs and "not run" may be reported to the caller.
     for dead in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
         engines[dead].crash();
         let job = job(1, &engines, "soup", 8);
-        refused(&job, &engines, dead as u8, Cause::Connect).await;
+        expect_refusal(&job, &engines, dead as u8, Cause::Connect).await;
     }
 }
 
 #[tokio::test]
-async fn a_full_stage_costs_nothing() {
-    // As above, but the stage answers that it is full, and when to come back.
+async fn no_layer_runs_if_a_stage_is_busy() {
+    // As with an unreachable stage, but the stage refuses as busy, with a retry-after delay.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     engines[2].set_busy(true);
     let job = job(1, &engines, "soup", 8);
-    refused(&job, &engines, 2, Cause::Busy).await;
+    expect_refusal(&job, &engines, 2, Cause::Busy).await;
     let events = run(&Pool::default(), &job).await;
     let Some(Event::Failed { retry_after, .. }) = events.last() else {
-        panic!("no failure: {events:?}");
+        panic!("last event is not Failed: {events:?}");
     };
     assert!(retry_after.is_some());
 }
 
 #[tokio::test]
-async fn a_leaving_stage_costs_nothing() {
-    // A stage that leaves refuses new streams at once, and goes on with those that run.
+async fn no_layer_runs_if_a_stage_is_leaving() {
+    // A leaving stage refuses new streams at once and continues those in flight.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     engines[0].set_leaving(true);
-    refused(&job(1, &engines, "soup", 8), &engines, 0, Cause::Leaving).await;
+    expect_refusal(&job(1, &engines, "soup", 8), &engines, 0, Cause::Leaving).await;
 }
 
 #[tokio::test]
-async fn what_a_stage_does_not_hold_costs_nothing() {
-    // The view of the fleet is old: the stage holds another version, or fewer layers.
+async fn no_layer_runs_if_a_stage_lacks_the_version_or_layers() {
+    // The router's view of the fleet is stale: the stage holds another version, or fewer layers.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let mut job = job(1, &engines, "soup", 8);
     job.version = "2".into();
@@ -83,12 +83,12 @@
     job.version = "3".into();
     job.hops[0].to = 5;
     job.hops[1].from = 5;
-    refused(&job, &engines, 0, Cause::Unfit).await;
+    expect_refusal(&job, &engines, 0, Cause::Unfit).await;
 }
 
 #[tokio::test]
 async fn a_chain_with_a_gap_never_opens_a_stream() {
-    // A routing error must not become a wrong answer: a layer would be left out or run twice.
+    // A routing error must not become a wrong answer, with a layer skipped or run twice.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let good = job(1, &engines, "soup", 8);
     let broken = |change: fn(&mut Job)| {
@@ -105,15 +105,15 @@
         (1, broken(|job| job.hops.swap(1, 2))),
     ];
     for (hop, job) in cases {
-        refused(&job, &engines, hop, Cause::Unfit).await;
+        expect_refusal(&job, &engines, hop, Cause::Unfit).await;
     }
     assert!(engines.iter().all(|engine| engine.connection_count() == 0));
 }
 
 #[tokio::test]
 async fn a_chain_that_stops_short_of_the_model_gives_no_token() {
-    // The chain's ranges join, but the model has more layers: the last stage answers activations
-    // where a token is due. The attempt fails, and no made-up token reaches the caller.
+    // The chain's ranges are contiguous, but the model has more layers: the last stage replies with
+    // activations instead of a token. The attempt fails, and no invented token reaches the caller.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let mut job = job(1, &engines, "soup", 8);
     job.hops.pop();
@@ -130,7 +130,7 @@
 
 #[tokio::test]
 async fn a_full_engine_refuses_the_next_request_only() {
-    // Two slots, three requests: the third is refused while the others run, and taken after them.
+    // With two slots, the third request is refused while the other two run, and accepted after them.
     let config = Config {
         slots: 2,
         ..Config::default()
@@ -162,8 +162,9 @@
 
 #[tokio::test]
 async fn a_restarted_stage_is_reached_again_through_the_same_pool() {
-    // The pool keeps a connection to a stage that has since restarted. The open on it fails; as an
-    // open runs nothing it is sent once more on a fresh connection, and the caller sees no failure.
+    // The pool holds a connection to a stage that has since restarted. Opening a stream on it fails;
+    // since an open runs nothing it is retried once on a new connection, and the caller sees no
+    // failure.
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let pool = Pool::default();
     for request in 1..=10 {
@@ -179,17 +180,17 @@
 }
 
 #[tokio::test]
-async fn a_burst_to_an_address_that_does_not_answer_waits_one_time_limit() {
-    // Packets to the endpoint vanish: connecting takes its whole time limit. Fifty requests come at
-    // once; they share the failure, as trying one after the other would keep the last one waiting
-    // fifty limits.
+async fn a_burst_to_an_unresponsive_address_waits_for_one_connect_timeout() {
+    // Packets to the endpoint are lost, so connecting takes the whole connect timeout. Fifty concurrent
+    // requests share the failure: attempts in sequence would make the last request wait for fifty
+    // timeouts.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
         .expect("binds");
     let listener = socket.listen(1).expect("listens");
     let addr = listener.local_addr().expect("has an address");
-    // Nothing is accepted: once the backlog is full, further connects get no answer.
+    // The listener never accepts: once its backlog is full, further connects get no answer.
     let mut backlog = Vec::new();
     while let Ok(open) = timeout(Duration::from_millis(200), TcpStream::connect(addr)).await {
         backlog.push(open.expect("connects"));
@@ -210,5 +211,5 @@
     };
     assert!(ends.iter().all(|events| events.last() == Some(&end)));
     let tried = pool.counters().connect_failures.load(Ordering::Relaxed);
-    assert!(tried < 5, "{tried} tries");
+    assert!(tried < 5, "{tried} failed connects");
 }
--- a/crates/standin/tests/driver/silent.rs
+++ b/crates/standin/tests/driver/silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent, and answers that come late.
+//! Unresponsive connections, and delayed answers.
 
 use crate::common::{LAYERS, LIMIT, expected, job, pipeline, run, run_with, tokens, until};
 use engine::chain::{Cause, Event};
@@ -6,14 +6,14 @@
 use standin::engine::{Config, Counters};
 use std::time::Duration;
 
-/// Short, since the answer is known never to come.
-const NEVER: Duration = Duration::from_millis(200);
+/// Timeout of a probe that is never answered; short, since no answer is expected.
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[tokio::test]
-async fn an_open_connection_goes_silent_while_new_ones_work() {
-    // Something between the two ends lost track of the connection: after two tokens nothing comes,
-    // and no error either. A probe on a new connection answers, so the endpoint isn't to blame; the
-    // pool forgets the connection, which ends the attempt, and the next one goes through.
+async fn an_unresponsive_connection_ends_the_attempt_while_new_connections_work() {
+    // The connection is lost without notice: after two tokens neither data nor an error arrives. A
+    // probe on a new connection is answered, so the endpoint works. The pool drops the connection,
+    // which ends the attempt, and the next request succeeds.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let pool = Pool::default();
     let first = job(1, &engines, "soup", 16);
@@ -47,9 +47,10 @@
 }
 
 #[tokio::test]
-async fn an_open_that_is_swallowed_was_not_sent() {
-    // The kept connection is silent when the request comes: the open vanishes. The router cancels
-    // for lack of progress. No step left, so the request may be called "not run".
+async fn a_lost_open_frame_is_not_sent() {
+    // The pooled connection is unresponsive when the request arrives, so the open frame is lost. The
+    // router cancels for lack of progress. No step was sent, so the request may be reported as "not
+    // run".
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let pool = Pool::default();
     let first = job(1, &engines, "soup", 4);
@@ -71,13 +72,13 @@
 }
 
 #[tokio::test]
-async fn a_probe_tells_a_silent_endpoint_from_a_live_one() {
-    // Connections to the silent endpoint are accepted, and nothing is answered on any of them.
+async fn a_probe_distinguishes_an_unresponsive_endpoint_from_a_live_one() {
+    // The unresponsive endpoint accepts connections but answers nothing on them.
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
     let pool = Pool::default();
     assert!(pool.probe(engines[0].addr, LIMIT).await);
     engines[0].set_unresponsive(true);
-    assert!(!pool.probe(engines[0].addr, NEVER).await);
+    assert!(!pool.probe(engines[0].addr, NO_RESPONSE_TIMEOUT).await);
     engines[0].set_unresponsive(false);
     assert!(pool.probe(engines[0].addr, LIMIT).await);
     engines[0].crash();
@@ -85,10 +86,10 @@
 }
 
 #[tokio::test]
-async fn a_late_stage_reports_that_it_works() {
-    // Each step takes longer than the time between two reports of work: the router sees progress
-    // and leaves the attempt alone, and the answer is whole. What is named is the hop before the
-    // one that works.
+async fn a_slow_stage_reports_progress() {
+    // Each step takes longer than the interval of progress replies: the router sees progress and
+    // does not cancel, and the answer is complete. Progress names the hop before the one that
+    // computes.
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     engines[1].set_delay(Duration::from_millis(600));
     let job = job(1, &engines, "soup", 2);
--- a/crates/standin/tests/driver/whole.rs
+++ b/crates/standin/tests/driver/whole.rs
@@ -1,4 +1,4 @@
-//! Whole answers through real sockets.
+//! Complete answers through loopback sockets.
 
 use crate::common::{LAYERS, expected, job, pipeline, run, tokens, until};
 use engine::chain::{Event, Stop};
@@ -7,7 +7,7 @@
 use standin::oracle::prompt_tokens;
 
 #[tokio::test]
-async fn three_stages_answer_as_the_oracle_does() {
+async fn three_stages_match_the_oracle() {
     let engines = pipeline(&[0, 5, 6, LAYERS], Config::default()).await;
     let pool = Pool::default();
     for request in 1..=20 {
@@ -19,7 +19,7 @@
             prompt_tokens: counted,
         }) = events.last()
         else {
-            panic!("no end: {:?}", events.last());
+            panic!("last event is not Finished: {:?}", events.last());
         };
         assert_eq!(*counted, prompt_tokens(&job.prompt));
         let is_full = expected(&job).len() == 40;
@@ -40,9 +40,14 @@
     let job = job(7, &engines, "is there sesame in it?", 16);
     let made = tokens(&run(&Pool::default(), &job).await);
     assert_eq!(made, expected(&job));
-    // The last token made is not fed back.
+    // The last generated token is not fed back into the pipeline.
     let positions = prompt_tokens(&job.prompt) as usize + made.len() - 1;
     for engine in &engines {
-        assert!(engine.runs(7, 1).expect("kept").is_once(positions));
+        assert!(
+            engine
+                .runs(7, 1)
+                .expect("attempt is recorded")
+                .is_once(positions)
+        );
     }
 }
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's clients against their stand-ins, over loopback sockets.
+//! Tests of the platform clients against the stand-in services, over loopback sockets.
 
 use bytes::Bytes;
 use platform::error::Cause;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const NOW: Duration = Duration::ZERO;
-const LONG: Duration = Duration::from_secs(10);
+const NO_WAIT: Duration = Duration::ZERO;
+const LONG_WAIT: Duration = Duration::from_secs(10);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -25,7 +25,7 @@
 }
 
 async fn pair() -> (log::Log, http::Log) {
-    let log = log::Log::start(any()).await.unwrap();
+    let log = log::Log::start(any_port()).await.unwrap();
     let client = http::Log::new(log.addr, limits());
     (log, client)
 }
@@ -40,7 +40,7 @@
     assert_eq!(client.append("a", body("x")).await, Ok(0));
     assert_eq!(client.append("a", body("y")).await, Ok(1));
     assert_eq!(client.append("b", body("z")).await, Ok(0));
-    let page = client.read("a", 0, NOW).await.unwrap();
+    let page = client.read("a", 0, NO_WAIT).await.unwrap();
     assert_eq!((page.first, page.next), (0, 2));
     let bodies: Vec<_> = page
         .records
@@ -48,14 +48,14 @@
         .map(|r| (r.offset, r.body.clone()))
         .collect();
     assert_eq!(bodies, [(0, body("x")), (1, body("y"))]);
-    let rest = client.read("a", 2, NOW).await.unwrap();
+    let rest = client.read("a", 2, NO_WAIT).await.unwrap();
     assert_eq!((rest.next, rest.records.len()), (2, 0));
 }
 
 #[tokio::test]
 async fn a_read_waits_for_the_next_append() {
     let (log, client) = pair().await;
-    let read = client.read("a", 0, LONG);
+    let read = client.read("a", 0, LONG_WAIT);
     let append = async {
         tokio::time::sleep(Duration::from_millis(20)).await;
         log.append("a", body("late"))
@@ -64,21 +64,20 @@
     assert_eq!(page.unwrap().records[0].body, body("late"));
 }
 
-/// The caller's append takes effect and its answer is lost with the connection. The client can't
-/// tell, says so, and the read-back finds the record exactly once: the client itself does not
-/// send it again.
+/// An append takes effect and its answer is lost with the connection. The client reports an unknown
+/// outcome, and reading back finds the record exactly once: the client itself does not retry.
 #[tokio::test]
-async fn a_lost_answer_is_unsure_and_settled_by_reading_back() {
+async fn a_lost_answer_is_of_unknown_outcome_and_resolved_by_reading_back() {
     let (log, client) = pair().await;
     client.append("a", body("warm")).await.unwrap();
     log.faults.drop_answers(1);
     let error = client.append("a", body("x")).await.unwrap_err();
     assert!(error.unsure(), "{error}");
     assert_eq!(log.faults.dropped_answers(), 1);
-    assert_eq!(client.read("a", 1, NOW).await.unwrap().records.len(), 1);
+    assert_eq!(client.read("a", 1, NO_WAIT).await.unwrap().records.len(), 1);
 }
 
-/// A service that is down closes what is open, then every new connection. Once it is up, the same
+/// A service that is down closes its open connections, and every new one. Once it is up, the same
 /// client works again.
 #[tokio::test]
 async fn an_outage_gives_errors_and_the_client_recovers() {
@@ -86,16 +85,16 @@
     client.append("a", body("x")).await.unwrap();
     log.faults.set_mode(Mode::Down);
     assert!(client.append("a", body("y")).await.is_err());
-    assert!(client.read("a", 0, NOW).await.is_err());
+    assert!(client.read("a", 0, NO_WAIT).await.is_err());
     log.faults.set_mode(Mode::Up);
     assert_eq!(client.append("a", body("z")).await, Ok(1));
 }
 
-/// A pooled connection goes silent for good: the call runs into its time limit, is unsure, and
-/// the next call takes a new connection.
+/// The service stops answering: the call times out with an unknown outcome. Once the service answers
+/// again, a new client succeeds.
 #[tokio::test]
-async fn silence_ends_at_the_time_limit() {
-    let log = log::Log::start(any()).await.unwrap();
+async fn a_call_to_an_unresponsive_service_times_out() {
+    let log = log::Log::start(any_port()).await.unwrap();
     let short = Limits {
         call_timeout: Duration::from_millis(200),
         ..Limits::default()
@@ -106,13 +105,13 @@
     assert_eq!(error.cause, Cause::Timeout);
     assert!(error.unsure());
     log.faults.set_mode(Mode::Up);
-    let patient = http::Log::new(log.addr, limits());
-    assert!(patient.append("a", body("y")).await.is_ok());
+    let recovered = http::Log::new(log.addr, limits());
+    assert!(recovered.append("a", body("y")).await.is_ok());
 }
 
 #[tokio::test]
-async fn nothing_listening_is_no_connection_and_not_unsure() {
-    let addr = log::Log::start(any()).await.unwrap().addr;
+async fn a_refused_connection_is_a_connect_error_with_no_effect() {
+    let addr = log::Log::start(any_port()).await.unwrap().addr;
     tokio::time::sleep(Duration::from_millis(50)).await;
     let client = http::Log::new(addr, limits());
     let error = client.append("a", body("x")).await.unwrap_err();
@@ -121,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn over_its_rate_the_log_refuses_without_effect() {
+async fn appends_over_the_rate_are_refused_without_effect() {
     let (log, client) = pair().await;
     log.set_append_rate(5);
     let mut refused = 0;
@@ -138,23 +137,23 @@
 }
 
 #[tokio::test]
-async fn a_reader_learns_what_retention_took() {
+async fn a_reader_detects_records_removed_by_retention() {
     let (log, client) = pair().await;
     for _ in 0..5 {
         log.append("a", body("x"));
     }
     log.trim("a", 3);
-    let page = client.read("a", 1, LONG).await.unwrap();
+    let page = client.read("a", 1, LONG_WAIT).await.unwrap();
     assert!(page.has_gap(1));
     assert_eq!((page.first, page.next, page.records.len()), (3, 5, 2));
     log.trim("a", 5);
-    let empty = client.read("a", 1, LONG).await.unwrap();
+    let empty = client.read("a", 1, LONG_WAIT).await.unwrap();
     assert_eq!((empty.first, empty.next, empty.records.len()), (5, 5, 0));
 }
 
 #[tokio::test]
-async fn bodies_over_their_bounds_are_refused() {
-    let log = log::Log::start(any()).await.unwrap();
+async fn bodies_over_the_size_limits_are_refused() {
+    let log = log::Log::start(any_port()).await.unwrap();
     let small = Limits {
         max_request_bytes: 4,
         max_response_bytes: 64,
@@ -168,7 +167,7 @@
     );
     log.append("a", Bytes::from(vec![0; 100]));
     assert_eq!(
-        client.read("a", 0, NOW).await.unwrap_err().cause,
+        client.read("a", 0, NO_WAIT).await.unwrap_err().cause,
         Cause::TooLarge(64)
     );
     assert!(!client.append("../b", body("x")).await.unwrap_err().unsure());
@@ -180,9 +179,9 @@
         name: "n1".into(),
         state,
         zone: "a".into(),
-        addr: Some(any()),
+        addr: Some(any_port()),
     };
-    let list = list::List::start(any(), vec![one(State::Live)])
+    let list = list::List::start(any_port(), vec![one(State::Live)])
         .await
         .unwrap();
     let client = http::List::new(list.addr, limits());
@@ -194,12 +193,12 @@
 }
 
 #[tokio::test]
-async fn the_weight_store_tells_its_rate() {
+async fn the_weight_store_returns_its_rate() {
     let rate = Rate {
         per_minute: 12,
         at_once: 3,
     };
-    let store = weights::Weights::start(any(), rate).await.unwrap();
+    let store = weights::Weights::start(any_port(), rate).await.unwrap();
     let client = http::Weights::new(store.addr, limits());
     assert_eq!(client.rate().await, Ok(rate));
     store.set_rate(Rate {
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, over real sockets on loopback.
+//! Calls to plain services, over loopback sockets.
 
 use bytes::Bytes;
 use engine::pool::Pool;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Generous: no test depends on how fast it is.
+/// Timeout long enough that no test depends on the speed of the system.
 const OPTIONS: CallOptions = CallOptions {
     head_timeout: Duration::from_secs(30),
     new_connection: false,
@@ -29,6 +29,7 @@
         .expect("a request")
 }
 
+/// Sends a `POST`, and checks that the `sent` flag agrees with the outcome.
 async fn call(
     pool: &Pool,
     addr: SocketAddr,
@@ -44,13 +45,13 @@
     answer
 }
 
-/// The whole body, or the failure that cut it off.
+/// Returns the complete body, or the failure that truncated it.
 async fn text(response: Response<Body>) -> Result<String, Failure> {
     let bytes = response.into_body().collect().await?.to_bytes();
     Ok(String::from_utf8(bytes.to_vec()).expect("text"))
 }
 
-fn whole(config: &Config) -> String {
+fn complete_text(config: &Config) -> String {
     answer(config, "/locks/tower-4", b"lock it").concat()
 }
 
@@ -67,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn answers_come_whole_on_a_kept_connection() {
+async fn answers_are_complete_on_a_pooled_connection() {
     for pieces in [1, 4] {
         let (service, config) = start(pieces).await;
         let pool = Pool::default();
@@ -76,7 +77,7 @@
             let response = call(&pool, service.addr, &key, OPTIONS)
                 .await
                 .expect("answers");
-            assert_eq!(text(response).await, Ok(whole(&config)));
+            assert_eq!(text(response).await, Ok(complete_text(&config)));
             assert_eq!(service.effects(&key), 1);
         }
         assert_eq!(service.connection_count(), 1);
@@ -88,12 +89,12 @@
 }
 
 #[tokio::test]
-async fn a_service_that_cannot_be_reached_was_not_sent_the_call() {
+async fn a_call_to_an_unreachable_service_is_not_sent() {
     let (service, _) = start(1).await;
     service.crash();
     let failure = call(&Pool::default(), service.addr, "1", OPTIONS)
         .await
-        .expect_err("dead");
+        .expect_err("unreachable");
     assert_eq!(
         failure,
         Failure {
@@ -104,19 +105,20 @@
 }
 
 #[tokio::test]
-async fn a_service_that_dies_leaves_the_outcome_open() {
-    // It dies before or after its effect: the caller can't tell which, and is told so. The call is
-    // made once; the library doesn't repeat it on another connection.
-    for (moment, effects) in [(CrashPoint::Before, 0), (CrashPoint::After, 1)] {
+async fn a_service_that_crashes_leaves_the_outcome_unknown() {
+    // The service crashes before or after the effect of the call. The caller cannot know which, and
+    // the failure says that the call was sent. The call is made once: the client does not retry it on
+    // another connection.
+    for (point, effects) in [(CrashPoint::Before, 0), (CrashPoint::After, 1)] {
         let (service, _) = start(1).await;
         let pool = Pool::default();
         for limit in [OPTIONS, NEW_CONNECTION] {
-            service.crash_at(Some(moment));
+            service.crash_at(Some(point));
             let calls = service.call_count();
-            let key = format!("{moment:?} {}", limit.new_connection);
+            let key = format!("{point:?} {}", limit.new_connection);
             let failure = call(&pool, service.addr, &key, limit)
                 .await
-                .expect_err("died");
+                .expect_err("crashed");
             assert_eq!(
                 failure,
                 Failure {
@@ -133,14 +135,14 @@
 }
 
 #[tokio::test]
-async fn half_an_answer_never_ends_like_a_whole_one() {
-    // The service breaks off in the middle, of an answer with a length and of a chunked one.
+async fn a_truncated_answer_is_a_failure() {
+    // The service truncates an answer with a content length, and a chunked one.
     for pieces in [1, 4] {
         let (service, _) = start(pieces).await;
         service.truncate_answers(true);
         let response = call(&Pool::default(), service.addr, "1", OPTIONS).await;
         let failure = match response {
-            Ok(response) => text(response).await.expect_err("cut off"),
+            Ok(response) => text(response).await.expect_err("truncated"),
             Err(failure) => failure,
         };
         assert_eq!(
@@ -154,8 +156,9 @@
 }
 
 #[tokio::test]
-async fn an_answer_without_an_end_mark_is_refused() {
-    // Its end is the connection's end, so that a cut would look like a whole answer.
+async fn an_answer_without_length_or_chunks_is_refused() {
+    // Without a length or chunks the answer ends with the connection, so that a truncated answer would
+    // look complete.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let addr = listener.local_addr().expect("has an address");
     let server = async {
@@ -177,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn a_silent_service_is_given_up_with_its_outcome_open() {
+async fn a_call_to_an_unresponsive_service_times_out_with_an_unknown_outcome() {
     let (service, _) = start(1).await;
     service.set_unresponsive(true);
     let options = CallOptions {
@@ -186,7 +189,7 @@
     };
     let failure = call(&Pool::default(), service.addr, "1", options)
         .await
-        .expect_err("silent");
+        .expect_err("unresponsive");
     assert_eq!(
         failure,
         Failure {
@@ -197,16 +200,16 @@
 }
 
 #[tokio::test]
-async fn a_call_on_a_fresh_connection_is_not_lost_with_a_kept_one() {
-    // The kept connection went silent, or its service restarted. A call that may not be repeated
-    // uses a fresh one: it goes through, once.
+async fn a_call_on_a_new_connection_does_not_depend_on_pooled_ones() {
+    // The pooled connection has become unresponsive, or its service has restarted. A call that must not
+    // be repeated uses a new connection, and takes effect exactly once.
     let (service, config) = start(1).await;
     let pool = Pool::default();
     for round in 0..6 {
-        let kept = call(&pool, service.addr, "kept", NEW_CONNECTION)
+        let pooled = call(&pool, service.addr, "kept", NEW_CONNECTION)
             .await
             .expect("answers");
-        text(kept).await.expect("whole");
+        text(pooled).await.expect("complete answer");
         if round % 2 == 0 {
             service.hang_open_connections();
         } else {
@@ -217,16 +220,16 @@
         let response = call(&pool, service.addr, &key, NEW_CONNECTION)
             .await
             .expect("answers");
-        assert_eq!(text(response).await, Ok(whole(&config)));
+        assert_eq!(text(response).await, Ok(complete_text(&config)));
         assert_eq!(service.effects(&key), 1);
     }
 }
 
 #[tokio::test]
 async fn a_call_on_a_lost_connection_is_never_sent_twice() {
-    // The service restarts while connections are kept. Whether a call fails, and with which
-    // outcome, depends on what this side has noticed; but "not sent" must be true, and no call may
-    // have two effects.
+    // The service restarts while its connections are pooled. Whether a call fails, and with which
+    // outcome, depends on whether the client has noticed the closed connection. A call reported as not
+    // sent must have had no effect, and no call may have two effects.
     let (service, _) = start(1).await;
     let pool = Pool::default();
     for round in 0..40 {
@@ -247,21 +250,21 @@
 }
 
 #[tokio::test]
-async fn a_probe_reaches_a_service_and_a_forgotten_connection_is_gone() {
+async fn a_probe_succeeds_and_dropped_connections_are_not_reused() {
     let (service, _) = start(1).await;
     let pool = Pool::default();
     assert!(pool.probe(service.addr, OPTIONS.head_timeout).await);
     let response = call(&pool, service.addr, "1", OPTIONS)
         .await
         .expect("answers");
-    text(response).await.expect("whole");
+    text(response).await.expect("complete answer");
     service.hang_open_connections();
     assert!(pool.probe(service.addr, OPTIONS.head_timeout).await);
     pool.drop_connections(service.addr);
     let response = call(&pool, service.addr, "2", OPTIONS)
         .await
         .expect("answers");
-    text(response).await.expect("whole");
+    text(response).await.expect("complete answer");
     service.crash();
     assert!(!pool.probe(service.addr, OPTIONS.head_timeout).await);
 }
@@ -280,8 +283,8 @@
 
 #[tokio::test]
 async fn a_probe_reaches_a_service_that_never_answers_http_2() {
-    // A server of HTTP/1.1 only, which takes the other protocol's opening for a request that goes
-    // on: it waits for the rest. It lives, and must not be taken for dead.
+    // A server that speaks only HTTP/1.1 takes the HTTP/2 preface for an incomplete request and waits
+    // for the rest. It is alive, and the probe must not report it as unreachable.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let addr = listener.local_addr().expect("has an address");
     let server = async {
@@ -304,9 +307,9 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_ends_the_connection() {
-    // The answer's body is dropped in the middle. What is left of it must not be read as the answer
-    // to the next call, so that the connection isn't kept.
+async fn a_dropped_answer_closes_its_connection() {
+    // The body of an answer is dropped before its end. The rest of it must not be read as the answer to
+    // the next call, so the connection is not reused.
     let (service, config) = start(4).await;
     let pool = Pool::default();
     let first = call(&pool, service.addr, "1", OPTIONS)
@@ -316,6 +319,6 @@
     let second = call(&pool, service.addr, "2", OPTIONS)
         .await
         .expect("answers");
-    assert_eq!(text(second).await, Ok(whole(&config)));
+    assert_eq!(text(second).await, Ok(complete_text(&config)));
     assert_eq!(service.connection_count(), 2);
 }
--- a/crates/standin/tests/status.rs
+++ b/crates/standin/tests/status.rs
@@ -1,4 +1,4 @@
-//! Load reports, orders and pacing of the stand-in engine, over real sockets on loopback.
+//! Load reports, orders and step scheduling of the stand-in engine, over loopback sockets.
 
 #[path = "driver/common.rs"]
 mod common;
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn orders_change_what_an_engine_holds() {
+async fn orders_load_and_unload_layers() {
     let engine = Engine::start(Config::default()).await.expect("starts");
     let pool = Pool::default();
     for _ in 0..2 {
@@ -72,9 +72,9 @@
 }
 
 #[tokio::test]
-async fn only_some_engines_refuse_an_old_fencing_number() {
-    // A lease holder that was paused sends its order late. A fenced engine refuses it; one that
-    // ignores the number carries it out, so that its sender must not rely on the refusal.
+async fn only_fenced_engines_refuse_a_stale_fencing_number() {
+    // A paused lease holder sends its order late, with a stale fencing number. A fenced engine refuses
+    // it. An engine that ignores the number executes it, so senders must not rely on the refusal.
     for (fenced, answer) in [(true, Answer::OldFence), (false, Answer::Done)] {
         let config = Config {
             fenced,
@@ -113,9 +113,9 @@
 }
 
 #[tokio::test]
-async fn reports_lag_and_cache_events_have_gaps() {
-    // Each third event is lost: the numbers that remain show the gaps. A report stays as it was
-    // until the lag has passed.
+async fn load_reports_lag_and_cache_events_have_gaps() {
+    // Every third event is dropped, and the numbers of the others show the gaps. A report does not
+    // change until the report lag has passed.
     let config = Config {
         event_loss: 3,
         prefix_blocks: 8,
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn questions_to_a_dead_engine_fail() {
+async fn a_load_report_of_an_unreachable_engine_fails() {
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
     engines[0].crash();
     let answer = load::fetch(&Pool::default(), engines[0].addr).await;
@@ -158,8 +158,8 @@
 
 #[tokio::test]
 async fn urgent_steps_go_first() {
-    // Eight requests of low priority keep a stage that computes one step at a time busy. An urgent
-    // one passes all that wait: it has its ten tokens while they had few.
+    // Eight requests of low priority saturate a stage that computes one step at a time. The steps of
+    // an urgent request go ahead of all waiting ones: it gets its ten tokens while the others get few.
     let config = Config {
         batch: 1,
         layer_time: Duration::from_millis(1),
@@ -197,7 +197,7 @@
         done.set(true);
     };
     let (counts, ()) = tokio::join!(futures::future::join_all(low), urgent);
-    // Without priorities each of the eight would have about as many tokens as the urgent one.
+    // Without priorities each of the eight would get about as many tokens as the urgent request.
     assert!(counts.iter().sum::<usize>() < 40, "{counts:?}");
     assert!(pool.probe(engines[0].addr, LIMIT).await);
 }
