--- a/crates/standin/examples/relay/bytes.rs
+++ b/crates/standin/examples/relay/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that pass the node.
+//! Measures the bytes that a node relays.
 
 use crate::engines::Engines;
 use crate::job;
@@ -9,20 +9,20 @@
 use std::sync::atomic::Ordering;
 use tokio_util::sync::CancellationToken;
 
-/// Bytes that pass the node for a token, and how many of them are the protocol's own.
+/// Prints the bytes relayed per token and link between stages, and the size of the frame heads.
 pub async fn print(engines: &Engines) {
     println!("bytes per token and link between stages");
     println!("{:>12} {:>12} {:>12}", "activation", "payload", "step+done");
-    for line in &engines.lines {
+    for pipeline in &engines.pipelines {
         let pool = Pool::default();
         let steps = RefCell::new(0_u64);
         let mut out = |event: Event| {
             *steps.borrow_mut() += u64::from(matches!(event, Event::Token(_)));
         };
-        // The prompt's positions are taken off: they pass in the first step.
+        // A run with one token gives the bytes of the prefill, which are subtracted below.
         chain::run(
             &pool,
-            job(1, &line.hops, 1),
+            job(1, &pipeline.hops, 1),
             &mut out,
             CancellationToken::new(),
         )
@@ -31,24 +31,25 @@
         let pool = Pool::default();
         chain::run(
             &pool,
-            job(1, &line.hops, 101),
+            job(1, &pipeline.hops, 101),
             &mut out,
             CancellationToken::new(),
         )
         .await;
         let relayed = pool.counters().relayed.load(Ordering::Relaxed) - prefill;
-        let links = (line.hops.len() as u64 - 1) * (*steps.borrow() - 2);
-        let heads = heads(line.activation as u32);
+        let links = (pipeline.hops.len() as u64 - 1) * (*steps.borrow() - 2);
+        let head_bytes = head_bytes(pipeline.activation as u32);
         println!(
             "{:>12} {:>12} {:>12}",
-            line.activation,
+            pipeline.activation,
             relayed / links,
-            heads
+            head_bytes
         );
     }
 }
 
-fn heads(payload: u32) -> usize {
+/// Returns the encoded size of the heads of a step and its reply.
+fn head_bytes(payload: u32) -> usize {
     let place = Place {
         request: u128::MAX / 3,
         attempt: 1,
@@ -61,15 +62,15 @@
         input: Input::Activations,
         payload,
     });
-    length(&step)
-        + length(&Reply::Done {
+    encoded_len(&step)
+        + encoded_len(&Reply::Done {
             place,
             prompt_tokens: 0,
             payload,
         })
 }
 
-fn length<H: Head>(head: &H) -> usize {
+fn encoded_len<H: Head>(head: &H) -> usize {
     let mut buf = bytes::BytesMut::new();
     frame::encode(head, &mut buf).map_or(0, |()| buf.len())
 }
--- a/crates/standin/examples/relay/direct.rs
+++ b/crates/standin/examples/relay/direct.rs
@@ -1,4 +1,4 @@
-//! The least that can ask the stages: one connection to each, no checks, no events.
+//! A minimal client of the stages as the baseline: one connection to each, no checks, no events.
 
 use bytes::{Bytes, BytesMut};
 use engine::chain::{Hop, Job};
@@ -12,6 +12,7 @@
 
 type Senders = Vec<SendRequest<Bytes>>;
 
+/// An open stream to a stage.
 struct Stage {
     sender: SendStream<Bytes>,
     body: RecvStream,
@@ -41,7 +42,12 @@
             if let Some(item) = self.reader.read().expect("a frame") {
                 return item;
             }
-            let chunk = self.body.data().await.expect("goes on").expect("is whole");
+            let chunk = self
+                .body
+                .data()
+                .await
+                .expect("stream continues")
+                .expect("stream is intact");
             let _ = self.body.flow_control().release_capacity(chunk.len());
             self.reader.push(chunk);
         }
@@ -50,7 +56,7 @@
     async fn head(&mut self) -> Reply {
         match self.item().await {
             Item::Head(head) => head,
-            Item::Payload(_) => panic!("payload where a head is due"),
+            Item::Payload(_) => panic!("received a payload instead of a head"),
         }
     }
 
@@ -62,6 +68,7 @@
     }
 }
 
+/// A stream to a stage that has not answered the open frame yet.
 struct Opening {
     sender: SendStream<Bytes>,
 }
@@ -105,12 +112,13 @@
     join_all(hops.iter().map(connect)).await
 }
 
-/// Times between the tokens of a job.
+/// Runs a job and returns the times between its tokens.
 pub async fn run(job: &Job) -> Vec<Duration> {
     let senders = connect(&job.hops).await;
     stream(&senders, job).await
 }
 
+/// Runs a job over existing connections and returns the times between its tokens.
 async fn stream(senders: &Senders, job: &Job) -> Vec<Duration> {
     let opens = senders
         .iter()
@@ -162,8 +170,8 @@
     times
 }
 
-/// Steps that many streams at once make until the end of the time.
-pub async fn all(count: usize, end: Instant, job: impl Fn(u128) -> Job) -> u64 {
+/// Runs `count` concurrent streams until `end`, and returns the number of steps.
+pub async fn run_streams(count: usize, end: Instant, job: impl Fn(u128) -> Job) -> u64 {
     let senders = connect(&job(1).hops).await;
     let streams = (0..count).map(|first| {
         let (senders, job) = (&senders, &job);
--- a/crates/standin/examples/relay/engines.rs
+++ b/crates/standin/examples/relay/engines.rs
@@ -1,4 +1,4 @@
-//! The stand-in engines, in a process of their own.
+//! Runs the stand-in engines in a child process.
 
 use crate::Error;
 use engine::chain::Hop;
@@ -8,58 +8,72 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Argument that makes this process the engines.
-pub const ROLE: &str = "--engines";
-/// Model that they hold.
+/// Argument that makes the process run the engines.
+pub const ENGINES_ARGUMENT: &str = "--engines";
+/// Model that the engines hold.
 pub const MODEL: &str = "menu";
-/// Version of its weights.
+/// Version of the model's weights.
 pub const VERSION: &str = "3";
-/// Its layers.
+/// Number of layers of the model.
 pub const LAYERS: u16 = 12;
-/// Where the ranges of the stages meet.
+/// Boundaries of the stages' ranges of layers.
 const CUTS: [u16; 4] = [0, 4, 8, LAYERS];
-/// Bytes of activation per token of the measured lines; 16 KiB is a model 8,192 wide in 16 bits.
+/// Activation sizes of the measured pipelines, in bytes per token; 16 KiB is a model with 8,192
+/// dimensions of 16 bits.
 const ACTIVATIONS: [usize; 4] = [8, 4 << 10, 8 << 10, 16 << 10];
 
-/// A pipeline whose activations have one size.
-pub struct Line {
-    /// Bytes per token.
+/// A pipeline with activations of one size.
+pub struct Pipeline {
+    /// Size of the activation of one token, in bytes.
     pub activation: usize,
-    /// Its stages.
+    /// Stages of the pipeline.
     pub hops: Vec<Hop>,
 }
 
-/// The engines' process; ends when dropped.
+/// The child process of the engines; killed when dropped.
 pub struct Engines {
     child: Child,
-    /// Pipelines that compute as fast as they can.
-    pub lines: Vec<Line>,
-    /// A pipeline whose first stage never comes to an end.
+    /// Pipelines without simulated compute time, one for each activation size.
+    pub pipelines: Vec<Pipeline>,
+    /// A pipeline whose first stage does not finish its prefill.
     pub slow: Vec<Hop>,
 }
 
 impl Engines {
-    /// Starts the process and reads where its engines listen.
+    /// Starts the process and reads the addresses of its engines.
     pub fn start() -> Result<Self, Error> {
         let mut child = Command::new(std::env::current_exe()?)
-            .arg(ROLE)
+            .arg(ENGINES_ARGUMENT)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()?;
-        let output = child.stdout.take().ok_or("no output")?;
-        let mut pipelines = BufReader::new(output).lines().take(ACTIVATIONS.len() + 1);
-        let mut next = || -> Result<Vec<Hop>, Error> { hops(&pipelines.next().ok_or("no line")??) };
+        let output = child
+            .stdout
+            .take()
+            .ok_or("child process has no standard output")?;
+        let mut output_lines = BufReader::new(output).lines().take(ACTIVATIONS.len() + 1);
+        let mut next = || -> Result<Vec<Hop>, Error> {
+            hops(
+                &output_lines
+                    .next()
+                    .ok_or("child process printed too few pipelines")??,
+            )
+        };
         let slow = next()?;
-        let lines = ACTIVATIONS
+        let pipelines = ACTIVATIONS
             .iter()
             .map(|activation| {
-                Ok(Line {
+                Ok(Pipeline {
                     activation: *activation,
                     hops: next()?,
                 })
             })
             .collect::<Result<_, Error>>()?;
-        Ok(Self { child, lines, slow })
+        Ok(Self {
+            child,
+            pipelines,
+            slow,
+        })
     }
 }
 
@@ -70,6 +84,7 @@
     }
 }
 
+/// Parses the space-separated addresses of a pipeline's stages.
 fn hops(line: &str) -> Result<Vec<Hop>, Error> {
     let addrs = line.split(' ').map(str::parse::<SocketAddr>);
     let hop = |(addr, cut): (_, &[u16])| {
@@ -82,7 +97,7 @@
     addrs.zip(CUTS.windows(2)).map(hop).collect()
 }
 
-/// Runs the engines until the input closes.
+/// Runs the engines until standard input closes.
 pub fn serve() -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
@@ -115,6 +130,7 @@
     }
 }
 
+/// Starts a pipeline and prints the addresses of its stages on one line.
 async fn pipeline(config: Config) -> Result<(), Error> {
     let mut addrs = Vec::new();
     for cut in CUTS.windows(2) {
