--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -1,4 +1,4 @@
-//! A node's admin API.
+//! Client of a node's admin API.
 
 use bytes::Bytes;
 use eyre::{Result, WrapErr, eyre};
@@ -12,26 +12,27 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time of a call. A node settles a publish itself before it answers, backing off from
-/// a slow log, so this is longer than the node's own limit.
+/// Timeout of a whole call. A node determines the outcome of a publish before it responds, and
+/// backs off while the log is slow, so this exceeds the node's own limit.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest time to make a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Largest answer, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// An answer.
+/// A response of a node.
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// The body, if the status says success.
+    /// Returns the body, or an error with the status and the start of the body unless the status is
+    /// a success.
     pub fn success(self) -> Result<Bytes> {
         if self.status.is_success() {
             return Ok(self.body);
@@ -40,39 +41,42 @@
         Err(eyre!("{}: {:.500}", self.status, text.trim()))
     }
 
-    /// The body as JSON, whatever the status: refusals carry one as well.
+    /// Decodes the body as JSON. The status isn't checked, since refusals carry a JSON body as
+    /// well.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_slice(&self.body)
-            .wrap_err_with(|| format!("status {}, unexpected answer", self.status))
+            .wrap_err_with(|| format!("status {}, unexpected response body", self.status))
     }
 }
 
-/// The admin API of one node.
+/// Admin API of one node, by the address of its admin listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Admin(pub SocketAddr);
 
 impl Admin {
-    /// The JSON or text under `path`.
+    /// Gets the resource at `path`; any status but a success is an error.
     pub async fn get(self, path: &str) -> Result<Bytes> {
         let answer = self.call(Method::GET, path, Bytes::new()).await?;
         answer.success().wrap_err_with(|| path.to_owned())
     }
 
-    /// Posts `body` to `path`.
+    /// Posts `body` to `path` and returns the response, whatever its status.
     pub async fn post(self, path: &str, body: Bytes) -> Result<Response> {
         self.call(Method::POST, path, body).await
     }
 
-    /// One call on a connection of its own, since a kept one may have gone silent.
+    /// Makes one call within [`CALL_TIMEOUT`]. Each call opens a connection of its own, since a
+    /// pooled one may have been closed by the peer without notice.
     async fn call(self, method: Method, path: &str, body: Bytes) -> Result<Response> {
         let call = timeout(CALL_TIMEOUT, self.exchange(method, path, body));
-        let answer = call.await.wrap_err("time limit passed")?;
+        let answer = call.await.wrap_err("the admin call timed out")?;
         answer.wrap_err_with(|| format!("node {}", self.0))
     }
 
+    /// Connects, sends the request and reads the whole response.
     async fn exchange(self, method: Method, path: &str, body: Bytes) -> Result<Response> {
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.0));
-        let stream = connect.await.wrap_err("no connection")??;
+        let stream = connect.await.wrap_err("connecting timed out")??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
         let request = Request::builder()
@@ -84,7 +88,9 @@
         let response = sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
         let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
-        let body = body.map_err(|e| eyre!("answer: {e}"))?.to_bytes();
+        let body = body
+            .map_err(|e| eyre!("reading the response body: {e}"))?
+            .to_bytes();
         Ok(Response {
             status: parts.status,
             body,
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl check`
+//! `wigeonctl check`: validates the text of a bundle.
 
 use crate::failure::{Failure, Result};
 use crate::files;
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A sound bundle in numbers, and what was warned of.
+/// Counts of a valid bundle's sections, and its warnings.
 #[derive(Serialize)]
 struct Summary {
     digest: String,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Checks a bundle's text.
+/// Checks the text of a bundle and prints its summary; fails with all findings if it is invalid.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
     let sections = files::sections(files::path_arg(args, "file"))?;
     let report = verify::verify(&sections);
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,11 +1,11 @@
-//! The command line's shape.
+//! Definition of the command line.
 
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, ArgGroup, Command, crate_version, value_parser};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole command line.
+/// Returns the definition of all subcommands and flags.
 pub fn command() -> Command {
     Command::new("wigeonctl")
         .version(crate_version!())
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl diff`
+//! `wigeonctl diff`: lists the sections in which two bundles differ.
 
 use crate::failure::{Result, input};
 use crate::files;
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::path::Path;
 
-/// Headers of the sections that differ.
+/// Headers of the sections that were added, changed or removed.
 #[derive(Serialize)]
 struct Difference {
     added: Vec<String>,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Shows what turns one bundle into another.
+/// Prints the sections that differ between the old and the new bundle.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
     let old = old_sections(files::path_arg(args, "old"))?;
     let new = files::sections(files::path_arg(args, "new"))?;
@@ -50,16 +50,21 @@
     Ok(())
 }
 
-/// The sections of a text, or of a record with a full bundle.
+/// Reads the sections of a bundle's text, or of a record that holds a complete bundle. A file that
+/// starts with `{` is taken for a record.
 fn old_sections(path: &Path) -> Result<Sections> {
     if !files::bytes(path)?.trim_ascii_start().starts_with(b"{") {
         return files::sections(path);
     }
     let sections = files::record(path)?.sections();
-    sections.map_err(|e| input(eyre::eyre!("not a whole bundle: it {e}")))
+    sections.map_err(|e| {
+        input(eyre::eyre!(
+            "the record does not hold a complete bundle: it {e}"
+        ))
+    })
 }
 
-/// Headers as text.
+/// Formats section headers.
 fn to_text<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
     keys.into_iter().map(Key::to_string).collect()
 }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,9 +1,9 @@
-//! The story of one request, from the log lines of nodes on standard input.
+//! `wigeonctl explain`: the timeline of one request, from nodes' log lines on standard input.
 //!
-//! Lines of all nodes may come in any order and with any text before the JSON object, such as a
-//! node's name and a time. Beside the request's own lines, the last changes before it of what its
-//! node depends on and of the endpoints that it was sent to are part of the story: they are the
-//! changes that decided.
+//! Lines of all nodes may arrive in any order and with any text before the JSON object, such as a
+//! node's name and a time. Beside the request's own lines, the timeline includes the state changes
+//! shortly before and during the request that may have influenced its routing: those of the
+//! endpoints that it was sent to, and those of nodes and their dependencies.
 
 use crate::failure::{Result, failed};
 use crate::line::{Line, Reader};
@@ -13,17 +13,19 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Changes of belief before the request that are shown, at the most.
+/// Maximum number of state changes in a timeline; the latest ones are kept.
 const MAX_STATE_CHANGES: usize = 12;
-/// Milliseconds before the request from which on changes of belief are shown.
+/// Time before the request's first line in which state changes are included, in milliseconds.
 const LOOKBACK_MS: u64 = 10_000;
 
 impl Line {
+    /// Whether the line belongs to request `id`.
     fn is_about(&self, id: &str) -> bool {
         self.text("id") == id
     }
 
-    /// Whether it changes what decides about a request that used these stages.
+    /// Whether the line records a state change that can influence the routing of a request whose
+    /// attempts used `stages`, the joined `stages` fields of its lines.
     fn is_relevant_change(&self, stages: &str) -> bool {
         match self.event.as_str() {
             "endpoint" | "order" => {
@@ -35,7 +37,7 @@
         }
     }
 
-    /// The line for a reader, with its time after `start`.
+    /// Formats the line for output, with its time relative to `start` (both Unix milliseconds).
     fn describe(&self, start: u64) -> String {
         let fields = self.fields.iter().filter(|(name, _)| *name != "id");
         let fields: Vec<String> = fields
@@ -54,7 +56,7 @@
     }
 }
 
-/// Reads standard input and prints the story.
+/// Reads standard input and prints the timeline of the request.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
     let id: &String = args.get_one("id").expect("clap requires it");
     let mut reader = Reader::new(std::io::stdin().lock(), "standard input");
@@ -62,14 +64,15 @@
     reader.finish()?;
     let timeline = timeline(lines, id).ok_or_else(|| {
         failed(eyre::eyre!(
-            "no line is about {id}; another node may have had it, or its lines were dropped"
+            "no log line has the request id {id}; another node may have handled the request, or \
+             its lines were dropped"
         ))
     })?;
     output.show(&timeline);
     Ok(())
 }
 
-/// A request's story, a line each.
+/// Formatted log lines of a request and of the state changes around it, in order of time.
 #[derive(Debug, Serialize)]
 struct Timeline {
     lines: Vec<String>,
@@ -81,7 +84,7 @@
     }
 }
 
-/// The lines of a request in the order of their times; nothing if there are none.
+/// Builds the timeline of request `id`; `None` if no line has this id.
 fn timeline(mut lines: Vec<Line>, id: &str) -> Option<Timeline> {
     lines.sort_by_key(|l| l.time);
     let own: Vec<&Line> = lines.iter().filter(|l| l.is_about(id)).collect();
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -1,25 +1,25 @@
-//! Why a command ended early, and the exit code for it.
+//! Failures of commands, and their exit codes.
 
 use bundle::finding::Findings;
 use eyre::Report;
 use std::process::ExitCode;
 
-/// A result of a command.
+/// Result of a command or of one of its steps.
 pub type Result<T = (), E = Failure> = std::result::Result<T, E>;
 
-/// Why a command ended early.
+/// Reason for which a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// What was given is wrong; trying again won't help.
+    /// The input is invalid; a retry can't succeed.
     Input(Report),
-    /// A bundle is wrong.
+    /// The bundle is invalid; holds every finding.
     Findings(Findings),
-    /// It couldn't be done, or another version won.
+    /// The operation failed, or another version won the race.
     Failed(Report),
 }
 
 impl Failure {
-    /// The exit code.
+    /// Returns the exit code: 1 for a failed operation, 2 for invalid input.
     pub fn code(&self) -> ExitCode {
         match self {
             Self::Failed(_) => ExitCode::from(1),
@@ -28,12 +28,12 @@
     }
 }
 
-/// A failure for wrong input.
+/// Wraps an error that invalid input caused.
 pub fn input(report: impl Into<Report>) -> Failure {
     Failure::Input(report.into())
 }
 
-/// A failure for what couldn't be done.
+/// Wraps an error of an operation that failed on valid input.
 pub fn failed(report: impl Into<Report>) -> Failure {
     Failure::Failed(report.into())
 }
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl history`
+//! `wigeonctl history`: lists the versions that were in force.
 
 use crate::admin::Admin;
 use crate::failure::{Result, failed};
@@ -9,16 +9,16 @@
 use eyre::WrapErr;
 use std::net::SocketAddr;
 
-/// Path of the versions that a node remembers.
+/// Admin path of the versions that a node remembers.
 const HISTORY_PATH: &str = "/admin/v1/history";
 
-/// Shows the versions that were in force, as a node or the log tells.
+/// Prints the versions that were in force, from a node's admin API or by reading the log.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let history: History = match args.get_one::<SocketAddr>("admin") {
         Some(addr) => {
             let body = Admin(*addr).get(HISTORY_PATH).await.map_err(failed)?;
             serde_json::from_slice(&body)
-                .wrap_err("history")
+                .wrap_err("decoding the node's history")
                 .map_err(failed)?
         }
         None => {
--- a/crates/ctl/src/keygen.rs
+++ b/crates/ctl/src/keygen.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl keygen`
+//! `wigeonctl keygen`: creates a signing key.
 
 use crate::failure::{Result, failed, input};
 use crate::files;
@@ -15,10 +15,10 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Only its owner may read a private key.
+/// File mode of a private key: only its owner may read or write it.
 const PRIVATE_KEY_MODE: u32 = 0o600;
 
-/// The new key's public half, as the settings of nodes hold it.
+/// Public key of the new pair. Its text form is the section `[trust]` of a node's settings.
 #[derive(Serialize)]
 struct Key<'a> {
     name: &'a str,
@@ -31,15 +31,19 @@
     }
 }
 
-/// Makes a key, writes its private half to a file and shows the public one.
+/// Generates a key pair, writes the private key to a file and prints the public key.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
     let name = args.get_one::<String>("name").map_or("", String::as_str);
     if !section::is_name(name) {
-        return Err(input(eyre::eyre!("`{name}` can't name a signer")));
+        return Err(input(eyre::eyre!(
+            "`{name}` is not a valid name for a signer"
+        )));
     }
     let mut seed = [0; 32];
     let drawn = SysRng.try_fill_bytes(&mut seed);
-    drawn.wrap_err("random numbers").map_err(failed)?;
+    drawn
+        .wrap_err("reading the system's random number generator")
+        .map_err(failed)?;
     let key = sign::key_from_seed(seed);
     let pem = sign::to_pem(&key).map_err(failed)?;
     write_new(files::path_arg(args, "key"), &pem)?;
@@ -48,7 +52,7 @@
     Ok(())
 }
 
-/// Writes a file that must not exist: overwriting a key would lose it for good.
+/// Creates a file; fails if it exists, since an overwritten private key can't be recovered.
 fn write_new(path: &Path, text: &str) -> Result {
     let mut options = OpenOptions::new();
     let file = options
--- a/crates/ctl/src/line.rs
+++ b/crates/ctl/src/line.rs
@@ -1,7 +1,7 @@
-//! Lines of nodes' logs.
+//! Parser for the log lines of nodes.
 //!
-//! Lines of several nodes may come in any order, with any text before the JSON object, such as a
-//! node's name and a time. What is no such line is left out and counted.
+//! Lines of several nodes may arrive in any order, with any text before the JSON object, such as a
+//! node's name and a time. Lines that can't be parsed are skipped and counted.
 
 use crate::failure::{Result, input};
 use serde::Serialize;
@@ -9,20 +9,22 @@
 use std::fmt;
 use std::io::BufRead;
 
-/// A line of a log.
+/// One event in the log of a node.
 #[derive(Debug)]
 pub struct Line {
-    /// What stands before the object, such as the node's name.
+    /// Text before the JSON object, such as the node's name.
     pub prefix: String,
     /// Unix time in milliseconds.
     pub time: u64,
-    /// What kind of event it tells.
+    /// Kind of the event.
     pub event: String,
-    /// All else.
+    /// All fields but the time and the kind.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
+    /// Takes the time and the event out of `fields`; `None` if either is missing or of another
+    /// type.
     fn from_fields(mut fields: Map<String, Value>, prefix: &str) -> Option<Self> {
         let time = fields.remove("time")?.as_u64()?;
         let event = fields.remove("event")?.as_str()?.to_owned();
@@ -34,27 +36,27 @@
         })
     }
 
-    /// A text; empty if there is none of this name.
+    /// Returns the string in field `name`; empty if there is none.
     pub fn text(&self, name: &str) -> &str {
         let value = self.fields.get(name).and_then(Value::as_str);
         value.unwrap_or_default()
     }
 
-    /// A whole number, if there is one of this name.
+    /// Returns the unsigned integer in field `name`, if there is one.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 }
 
-/// Lines that were left out.
+/// Counts of lines that were skipped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Skipped {
-    /// Lines without a JSON object, or whose object tells no event of a node.
+    /// Lines without a JSON object, or whose object is not an event of a node.
     pub foreign: u64,
-    /// Lines whose object ends too early or is mixed with other text.
+    /// Lines whose JSON object is truncated or mixed with other text.
     #[serde(rename = "cut")]
     pub malformed: u64,
-    /// Number of the first line that is cut, from 1; 0 if there is none.
+    /// Number of the first malformed line, counted from 1; 0 if there is none.
     #[serde(rename = "first_cut")]
     pub first_malformed: u64,
 }
@@ -77,7 +79,9 @@
     }
 }
 
-/// Reads lines and counts those that it leaves out.
+/// Iterator over the events in an input, which counts the lines that it skips.
+///
+/// A read error ends the iteration; [`Reader::finish`] reports it.
 #[derive(Debug)]
 pub struct Reader<R> {
     input: R,
@@ -89,7 +93,7 @@
 }
 
 impl<R: BufRead> Reader<R> {
-    /// A reader of `input`, which is called `name` in errors.
+    /// Creates a reader of `input`; error messages call it `name`.
     pub fn new(input: R, name: impl Into<String>) -> Self {
         Self {
             input,
@@ -101,7 +105,8 @@
         }
     }
 
-    /// What was left out; an error if the input broke or held no line of a node.
+    /// Returns the counts of skipped lines; an error if reading failed or the input had no event of
+    /// a node.
     pub fn finish(self) -> Result<Skipped> {
         let Self {
             name,
@@ -117,12 +122,13 @@
         }
         if parsed == 0 {
             return Err(input(eyre::eyre!(
-                "{name}: none of {line_number} lines is a node's: {skipped}"
+                "{name}: none of its {line_number} lines is an event of a node: {skipped}"
             )));
         }
         Ok(skipped)
     }
 
+    /// Parses one line; counts it as skipped, unless it is empty, if it isn't an event.
     fn parse(&mut self, text: &str) -> Option<Line> {
         if text.is_empty() {
             return None;
--- a/crates/ctl/src/losses.rs
+++ b/crates/ctl/src/losses.rs
@@ -1,10 +1,11 @@
-//! Where requests were lost, from the log lines of nodes on standard input.
+//! `wigeonctl losses`: late and lost requests by cause, from nodes' log lines.
 //!
-//! Each request that ended is accounted for once: on time, or late, refused, broken off, failed or
-//! given up by its caller, with one cause. Output is a table of causes and one of their counts over
-//! time, or both as JSON; a chart of the second one; or the causes of two runs beside each other.
-//! Requests whose end no line tells are counted apart, and so are losses whose cause the lines do not
-//! show, requests that the catalog does not allow, and lines that can't be read.
+//! Each request that ended is counted once: as on time, or as late, refused, broken off, failed or
+//! abandoned by its caller, with exactly one cause. The output is a table of causes and a table of
+//! their counts over time, or both as JSON; optionally a chart of the counts over time; or the
+//! causes of two runs side by side. Counted separately are requests without a line for their end,
+//! losses whose cause the lines don't show, requests that the catalog doesn't allow, and lines that
+//! can't be parsed.
 
 mod cause;
 mod chart;
@@ -27,9 +28,9 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Reads standard input, or two files, and prints the tables.
+/// Reads standard input, or the two files given with `--compare`, and prints the tables.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
-    let number = |name: &str| *args.get_one::<u64>(name).expect("it has a default");
+    let number = |name: &str| *args.get_one::<u64>(name).expect("clap sets a default");
     let limits = Limits {
         head_time: Duration::from_millis(number("head")),
         pause: Duration::from_millis(number("pause")),
@@ -50,42 +51,45 @@
     }
 }
 
-/// Lines of a file.
+/// Opens a file of log lines.
 fn open(file: &Path) -> Result<Reader<BufReader<File>>> {
     let name = file.display().to_string();
     let opened = File::open(file).wrap_err_with(|| name.clone());
     Ok(Reader::new(BufReader::new(opened.map_err(input)?), name))
 }
 
-/// All requests of one cause.
+/// Totals of the requests with one cause.
 #[derive(Debug, Default, Serialize)]
 struct Total {
     count: u64,
-    /// Time past the limits, over all of them, in milliseconds.
+    /// Sum of the times by which they exceeded a limit, in milliseconds.
     over_ms: u64,
 }
 
-/// The losses by cause, and over time.
+/// Losses of one run, by cause and over time.
 #[derive(Debug, Serialize)]
 struct Losses {
-    /// Requests whose end is told.
+    /// Requests with a line for their end.
     ended: u64,
-    /// Those that no catalog allows: without a route, or with a key that no team has.
+    /// Of these, requests that the catalog doesn't allow: without a route, or with a key of no
+    /// team.
     denied: u64,
-    /// Requests that were sent and whose end is not told: their node died, or its lines were dropped.
+    /// Requests without a line for their end: their node crashed, or its lines were dropped.
     #[serde(rename = "untold")]
     unfinished: u64,
-    /// Seconds of an interval.
+    /// Length of an interval, in seconds.
     #[serde(rename = "every")]
     interval_s: u64,
     causes: BTreeMap<Cause, Total>,
-    /// Counts by the interval in which requests came, since the first of them, in seconds.
+    /// Counts by the interval in which requests were received. The key is the interval's start in
+    /// seconds since the first request.
     intervals: BTreeMap<u64, BTreeMap<Cause, u64>>,
     #[serde(rename = "unread")]
     skipped: Skipped,
 }
 
 impl Losses {
+    /// Reads all lines and classifies their requests.
     fn read<R: BufRead>(mut lines: Reader<R>, limits: &Limits, interval: Duration) -> Result<Self> {
         let mut requests: BTreeMap<String, Request> = BTreeMap::new();
         for line in lines.by_ref() {
@@ -111,6 +115,7 @@
         Ok(losses)
     }
 
+    /// Counts one request; `start` is the time of the first request in Unix milliseconds.
     fn add(&mut self, request: &Request, limits: &Limits, start: u64) {
         let Some(received_at) = request.received_at() else {
             self.unfinished += 1;
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -1,56 +1,57 @@
-//! Why a request was late or lost.
+//! Causes for which requests are late or lost.
 
 use serde::Serialize;
 use std::fmt;
 
-/// A cause.
+/// Cause of a late or lost request. The order of the variants is that of the tables where counts
+/// are equal, and of the stacks in the chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Late: a stage of its chain was replaced under way.
+    /// Late: a stage of its chain was replaced while it was in flight.
     #[serde(rename = "moved")]
     Rerouted,
-    /// Late: it was sent more than once.
+    /// Late: it took more than one attempt.
     #[serde(rename = "resent")]
     Retried,
-    /// Late, though its chain was whole; the chain went from zone to zone.
+    /// Late after one attempt without a reroute, over a chain that spans availability zones.
     #[serde(rename = "crossing")]
     CrossZone,
-    /// Late, though its chain was whole and in one zone.
+    /// Late after one attempt without a reroute, over a chain inside one availability zone.
     #[serde(rename = "whole")]
     SameZone,
-    /// Refused: no endpoint had room.
+    /// Refused: no endpoint had free capacity.
     Room,
-    /// Refused: some layer was held by no endpoint in use.
+    /// Refused: no available endpoint held some layer.
     Layers,
-    /// Refused: no endpoint was in use.
+    /// Refused: no endpoint was available.
     Endpoints,
-    /// Refused: a further attempt would have been over the budget.
+    /// Refused: a retry would have exceeded the retry budget.
     Budget,
-    /// Refused: the node knew no catalog, or was about to end.
+    /// Refused: the node had no catalog yet, or was shutting down.
     Node,
-    /// Refused: no route has its host and path.
+    /// Refused: no route matches its host and path.
     Route,
-    /// Refused: no team has its key.
+    /// Refused: its key belongs to no team.
     Key,
-    /// Refused: it can't be read, or is larger than any endpoint.
+    /// Refused: the request is malformed, or too large for any endpoint.
     Caller,
-    /// Lost: it may have run, and was not or could not be sent again.
+    /// Lost: it may have been executed, and was not or could not be retried.
     Lost,
-    /// Broken off in the middle of its answer.
+    /// The answer was broken off after it had begun.
     #[serde(rename = "broken")]
     Interrupted,
-    /// The endpoint's own failure.
+    /// The endpoint answered with a failure status.
     Failed,
-    /// The caller left while events kept coming.
+    /// The caller disconnected while its wait for the next event was within the limit.
     Left,
-    /// The caller left after a wait for an event that was longer than allowed.
+    /// The caller disconnected during a wait for an event that exceeded the limit.
     Starved,
-    /// The lines do not tell.
+    /// The lines don't show the cause.
     Unknown,
 }
 
-/// Words in the reason of a refusal, and what they tell.
+/// Phrases in the reasons of refusals, and the causes that they stand for. The first match counts.
 const REASONS: [(&str, Cause); 12] = [
     ("the budget for further attempts", Cause::Budget),
     ("no room", Cause::Room),
@@ -67,12 +68,12 @@
 ];
 
 impl Cause {
-    /// Whether it is the answer that the operator's catalog asks for: nothing was lost.
+    /// Whether the catalog itself demands the refusal. Such a request doesn't count as lost.
     pub fn is_denied(self) -> bool {
         matches!(self, Self::Route | Self::Key)
     }
 
-    /// The cause that a refusal's reason tells.
+    /// Returns the cause of a refusal from the text of its reason.
     pub fn from_reason(reason: &str) -> Self {
         let found = REASONS.iter().find(|(words, _)| reason.contains(words));
         found.map_or(Self::Unknown, |&(_, cause)| cause)
--- a/crates/ctl/src/losses/chart.rs
+++ b/crates/ctl/src/losses/chart.rs
@@ -1,4 +1,4 @@
-//! A chart of the losses: seconds on the x axis, causes stacked.
+//! SVG chart of losses: seconds on the x axis, counts by cause stacked on the y axis.
 
 use super::Losses;
 use crate::failure::{Result, failed};
@@ -7,17 +7,18 @@
 
 /// Width and height in pixels.
 const SIZE_PX: (u32, u32) = (1000, 480);
-/// Pixels of the axes' labels.
+/// Size of the label area of each axis, in pixels.
 const LABEL_AREA_PX: u32 = 48;
 
-/// Writes the chart.
+/// Draws the chart and writes it to `file` as SVG.
 pub fn write(losses: &Losses, file: &Path) -> Result {
     let mut text = String::new();
-    draw(losses, &mut text).map_err(|error| failed(eyre::eyre!("no chart: {error}")))?;
+    draw(losses, &mut text).map_err(|error| failed(eyre::eyre!("drawing the chart: {error}")))?;
     let written = std::fs::write(file, text);
     written.map_err(|error| failed(eyre::Report::new(error).wrap_err(file.display().to_string())))
 }
 
+/// Draws the chart into `text`.
 fn draw(losses: &Losses, text: &mut String) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::with_string(text, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/ctl/src/losses/compare.rs
+++ b/crates/ctl/src/losses/compare.rs
@@ -1,4 +1,4 @@
-//! The losses of two runs beside each other.
+//! Comparison of the losses of two runs.
 
 use super::Losses;
 use super::cause::Cause;
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One cause in both runs.
+/// Counts of one cause in both runs.
 #[derive(Debug, Serialize)]
 struct Row {
     counts: [u64; 2],
-    /// Parts of the requests that ended.
+    /// Fractions of the requests that ended, from 0 to 1.
     shares: [f64; 2],
 }
 
-/// Two runs.
+/// Losses of two runs, side by side.
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     ended: [u64; 2],
@@ -24,7 +24,7 @@
 }
 
 impl Comparison {
-    /// Compares two runs. Requests that no catalog allows count in neither.
+    /// Compares two runs. Requests that the catalog doesn't allow are left out of both.
     pub fn new(a: &Losses, b: &Losses) -> Self {
         let runs = [a, b];
         let ended = runs.map(|run| run.ended - run.denied);
--- a/crates/ctl/src/losses/request.rs
+++ b/crates/ctl/src/losses/request.rs
@@ -1,49 +1,50 @@
-//! What the lines tell of one request.
+//! Summary of one request, from its log lines.
 
 use super::cause::Cause;
 use crate::line::Line;
 use std::time::Duration;
 
-/// Status from which on an answer is a failure.
+/// Lowest HTTP status that counts as a failure of the endpoint.
 const MIN_FAILURE_STATUS: u64 = 500;
 
-/// Past what an answer is late.
+/// Limits above which an answer is late.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time to its head.
+    /// Time to the head of the answer.
     pub head_time: Duration,
-    /// Time between two events.
+    /// Time between two events of the answer.
     pub pause: Duration,
 }
 
-/// How a request ended.
+/// End of a request, from its `ended` line.
 #[derive(Debug)]
 struct End {
-    /// Unix time in milliseconds at which it came.
+    /// Unix time in milliseconds at which the request was received.
     received_at: u64,
     outcome: String,
     reason: String,
     status: u64,
     head_time: Duration,
-    /// Time from its start to its end.
+    /// Time from receipt to end.
     total: Duration,
+    /// Longest time between two events of the answer.
     longest_pause: Duration,
-    /// Time since the caller was last given an event, or since the request came.
+    /// Time from the last event sent to the caller, or from receipt if there was none, to the end.
     last_wait: Duration,
 }
 
-/// The account of one request.
+/// One request, as far as its lines have been read.
 #[derive(Debug, Default)]
 pub struct Request {
     attempts: u64,
     rerouted: bool,
-    /// Hops between zones of its last chain, if a line told.
+    /// Hops between availability zones in the latest chain; `None` if no line had the number.
     zone_crossings: Option<u64>,
     end: Option<End>,
 }
 
 impl Request {
-    /// Takes one of its lines in.
+    /// Updates the summary from one line of the request.
     pub fn record(&mut self, line: &Line) {
         let crossings = line.number("crossings");
         match line.event.as_str() {
@@ -60,12 +61,14 @@
         }
     }
 
-    /// When it came; nothing if its end is not told.
+    /// Returns the Unix time in milliseconds at which the request was received; `None` without a
+    /// line for its end.
     pub fn received_at(&self) -> Option<u64> {
         self.end.as_ref().map(|e| e.received_at)
     }
 
-    /// Why it was lost or late, and by how much late; nothing if it was on time.
+    /// Returns why the request was late or lost, and by how much it exceeded a limit (zero unless
+    /// late); `None` if it was on time or has no line for its end.
     pub fn loss(&self, limits: &Limits) -> Option<(Cause, Duration)> {
         let end = self.end.as_ref()?;
         let over = end.head_time.saturating_sub(limits.head_time);
@@ -83,6 +86,7 @@
         Some((cause, Duration::ZERO))
     }
 
+    /// Returns the cause of a late answer.
     fn late_cause(&self) -> Cause {
         match (self.rerouted, self.attempts, self.zone_crossings) {
             (true, _, _) => Cause::Rerouted,
@@ -95,6 +99,7 @@
 }
 
 impl End {
+    /// Reads an `ended` line; a missing field counts as zero or empty.
     fn from_line(line: &Line) -> Self {
         let millis = |name| Duration::from_millis(line.number(name).unwrap_or_default());
         let total_ms = line.number("all_ms").unwrap_or_default();
@@ -110,8 +115,8 @@
         }
     }
 
-    /// Whether the caller last waited for longer than allowed: for the head if no event came, else
-    /// for the next event.
+    /// Whether the caller's last wait exceeded its limit: the limit for the head if the caller had
+    /// received no event, else the limit between events.
     fn waited_too_long(&self, limits: &Limits) -> bool {
         let has_events = self.last_wait < self.total;
         self.last_wait
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,8 +1,9 @@
 //! `wigeonctl`: the operators' command line.
 //!
-//! Inputs are files, the log service and a node's admin listener; outputs are text or JSON on
-//! stdout, progress and errors on stderr, and an exit code: 0 done, 1 failed or lost a race,
-//! 2 bad input. It never asks a question, so scripts can run it.
+//! Inputs are files, the log service and a node's admin listener. Results go to stdout as text or
+//! JSON, progress and errors to stderr. The exit code is 0 if the command succeeded, 1 if it failed
+//! or another version won the race, and 2 for invalid input. The tool never prompts, so that
+//! scripts can run it.
 
 mod admin;
 mod check;
@@ -42,7 +43,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Dispatches to the subcommand given on the command line.
 async fn run(matches: &ArgMatches, output: Output) -> Result {
     match matches.subcommand() {
         Some(("keygen", args)) => keygen::run(args, output),
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Text or JSON on stdout, errors on stderr.
+//! Output of commands: results as text or JSON on stdout, errors on stderr.
 
 use crate::failure::Failure;
 use bundle::finding::Findings;
@@ -7,10 +7,10 @@
 use std::fmt::Display;
 use std::io::{self, Write};
 
-/// Form of the output.
+/// Output format, selected with `--output`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// For people.
+    /// Text for people.
     Text,
     /// One JSON value, for scripts.
     Json,
@@ -24,7 +24,7 @@
 }
 
 impl Output {
-    /// The form asked for.
+    /// Returns the format selected on the command line.
     pub fn from_args(matches: &ArgMatches) -> Self {
         match matches.get_one::<String>("output").map(String::as_str) {
             Some("json") => Self::Json,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Writes `value`, as its text or as JSON.
+    /// Writes `value` to stdout, as text or JSON.
     pub fn show<T: Display + Serialize>(self, value: &T) {
         match self {
             Self::Text => write_line(&mut io::stdout(), value),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Writes why the command ended early.
+    /// Writes the reason of a failure to stderr.
     pub fn show_failure(self, failure: &Failure) {
         let none = Findings::default();
         let (error, findings) = match failure {
@@ -60,12 +60,13 @@
     }
 }
 
-/// JSON text of a value.
+/// Serializes a value to JSON.
 fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// Writes one line. A reader that closed its end early (`| head`) is no error.
+/// Writes one line. Write errors are ignored: a reader that closes the pipe early (`| head`) is not
+/// a failure of the command.
 fn write_line(to: &mut impl Write, text: impl Display) {
     let text = text.to_string();
     let _ = writeln!(to, "{}", text.trim_end());
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl publish`
+//! `wigeonctl publish`: appends a signed version to the log, directly or through a node.
 
 use crate::admin::Admin;
 use crate::failure::{Failure, Result, failed, input};
@@ -17,21 +17,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Path of the admin API's one write.
+/// Admin path for publishing, the only write of the admin API.
 const BUNDLES_PATH: &str = "/admin/v1/bundles";
 
-/// Calls to a node that may fail before giving up; repeating is safe, see [`bundle::publish`].
+/// Maximum number of calls to a node. Publishing is idempotent, so a retry is safe; see
+/// [`bundle::publish`].
 const MAX_CALLS: u32 = 4;
 
-/// How long a read waits for the own record to turn up.
+/// Time for which a read of the log waits for new records, such as the one just appended.
 const PAGE_WAIT: Duration = Duration::from_millis(500);
 
-/// Publishes a signed version.
+/// Publishes a signed version; with `--wait`, returns once every listed node has it in force.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let body = files::bytes(files::path_arg(args, "file"))?;
     let body = body.trim_ascii().to_vec();
     let publish = Publisher::new(body)
-        .wrap_err("signed version")
+        .wrap_err("not a signed version")
         .map_err(input)?;
     let answer = match args.get_one::<SocketAddr>("admin") {
         Some(addr) => publish_through_node(Admin(*addr), publish.body()).await?,
@@ -49,7 +50,7 @@
     Ok(())
 }
 
-/// An answer other than acceptance as a failure.
+/// Turns any outcome but acceptance into a failure.
 fn check_outcome(answer: &Answer) -> Result {
     let message = eyre!("{}", answer.message);
     match answer.outcome {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Publishes through a node.
+/// Publishes through a node's admin API, with retries on calls that fail.
 async fn publish_through_node(admin: Admin, body: &[u8]) -> Result<Answer> {
     let mut backoff = backoff();
     loop {
@@ -86,8 +87,8 @@
         match answer {
             Ok(answer) => return Ok(answer),
             Err(e) if backoff.failures() + 1 >= MAX_CALLS => {
-                let message = "the node gave no answer; the version may be in force, publish the \
-                            same file again to learn it";
+                let message = "the node did not answer; the version may be in force: publish the \
+                            same file again to find out";
                 return Err(failed(e.wrap_err(message)));
             }
             Err(_) => tokio::time::sleep(backoff.record_failure(None)).await,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Publishes into the log.
+/// Publishes by appending to the log directly.
 async fn publish_to_log(mut tail: Tail, mut publish: Publisher) -> Answer {
     let mut backoff = backoff();
     let mut action = publish.start();
@@ -109,7 +110,7 @@
     }
 }
 
-/// Appends once; waits after a failure.
+/// Appends once; backs off after a failure.
 async fn append(tail: &Tail, publish: &Publisher, backoff: &mut Backoff) -> Event {
     let body = Bytes::copy_from_slice(publish.body());
     match tail.log.append(STREAM, body).await {
@@ -121,7 +122,7 @@
     }
 }
 
-/// Reads a page; waits after a failure.
+/// Reads one page of the log; backs off after a failure.
 async fn read(tail: &mut Tail, backoff: &mut Backoff) -> Event {
     match tail.read_page(PAGE_WAIT).await {
         Ok(end) => Event::Read { end },
--- a/crates/ctl/src/restore.rs
+++ b/crates/ctl/src/restore.rs
@@ -1,10 +1,11 @@
-//! `wigeonctl restore`
+//! `wigeonctl restore`: repairs a log that lost records and has no checkpoint.
 //!
-//! If the log dropped records that no node has read (it was out, or the nodes were, for longer
-//! than its retention) and holds no checkpoint, no reader can judge it any more and no node may
-//! write a checkpoint. An operator then names the state to go on from: a head that a node has in
-//! force, or one saved earlier. It is a signed version, and it is written as a checkpoint, so it
-//! comes into force on readers with a gap only, and never in place of a higher version.
+//! The log may drop records that no node has read, if the log or the nodes were down for longer
+//! than its retention. Without a checkpoint, no reader can then determine the version in force, and
+//! no node may write a checkpoint. The operator supplies the state to continue from: a head that a
+//! node has in force, or one that was saved earlier. The head is a signed version and is written as
+//! a checkpoint, so it comes into force only on readers with a gap, and never replaces a higher
+//! version.
 
 use crate::failure::{Result, failed, input};
 use crate::files;
@@ -21,7 +22,7 @@
 use std::fmt;
 use std::time::{Duration, SystemTime};
 
-/// What was restored.
+/// Version that was restored.
 #[derive(Serialize)]
 struct Restored {
     number: u64,
@@ -43,16 +44,18 @@
     }
 }
 
-/// Writes a head into a log that can't be judged.
+/// Appends a head as a checkpoint to a log with a gap; fails if the log has none.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let Record::Checkpoint(head) = files::record(files::path_arg(args, "file"))? else {
-        return Err(input(eyre!("not a head; `dump --format head` gives one")));
+        return Err(input(eyre!(
+            "the record is not a head; `dump --format head` writes one"
+        )));
     };
     let mut tail = source::tail(args)?;
     tail.catch_up().await?;
     if !tail.fold.in_gap() {
         return Err(failed(eyre!(
-            "the log can be judged; nothing is to be restored"
+            "the log has no gap; there is nothing to restore"
         )));
     }
     let trusted = files::trusted_signers(args)?;
@@ -69,12 +72,16 @@
     let body = Record::Checkpoint(head).encode();
     let appended = tail.log.append(STREAM, Bytes::from(body)).await;
     appended
-        .wrap_err("log; run it again, it does nothing if this took effect")
+        .wrap_err(
+            "appending to the log; run the command again, it has no effect if the append succeeded",
+        )
         .map_err(failed)?;
     tail.catch_up().await?;
     let number = tail.fold.head().map_or(0, |b| b.number);
     if tail.fold.in_gap() || number < header.number {
-        return Err(failed(eyre!("the log has changed meanwhile; run it again")));
+        return Err(failed(eyre!(
+            "the log changed in the meantime; run the command again"
+        )));
     }
     output.show(&Restored {
         number: header.number,
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl status` and `wigeonctl dump`: what a node says, passed on as it is.
+//! `wigeonctl status` and `wigeonctl dump`: print the state of a node as its admin API reports it.
 
 use crate::admin::Admin;
 use crate::failure::{Result, failed, input};
@@ -10,24 +10,24 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Path of a node's state in short.
+/// Admin path of the summary of a node's state.
 const STATUS_PATH: &str = "/admin/v1/status";
 
-/// Shows a node's state in short.
+/// Prints the summary of a node's state.
 pub async fn status(args: &ArgMatches, output: Output) -> Result {
     let body = admin_arg(args)?.get(STATUS_PATH).await.map_err(failed)?;
     if output == Output::Json {
         return write_raw(&body);
     }
     let value: Value = serde_json::from_slice(&body)
-        .wrap_err("status")
+        .wrap_err("decoding the node's status")
         .map_err(failed)?;
     let mut text = String::new();
     flatten("", &value, &mut text);
     write_raw(text.as_bytes())
 }
 
-/// Shows a node's whole state, or its head as a record.
+/// Prints the complete state of a node, or its head as a record.
 pub async fn dump(args: &ArgMatches, output: Output) -> Result {
     let format = args.get_one::<String>("format").map(String::as_str);
     let path = match (format, output) {
@@ -39,23 +39,24 @@
     write_raw(&body)
 }
 
-/// The node under `--admin`.
+/// Returns the admin API given with `--admin`.
 fn admin_arg(args: &ArgMatches) -> Result<Admin> {
     let addr = args.get_one::<SocketAddr>("admin");
     addr.map(|a| Admin(*a))
         .ok_or_else(|| input(eyre!("--admin is missing")))
 }
 
-/// Writes bytes as they are, with a last newline.
+/// Writes bytes to stdout unchanged but for trailing white space, which becomes one newline.
 fn write_raw(bytes: &[u8]) -> Result {
     let mut out = std::io::stdout();
     let written = out
         .write_all(bytes.trim_ascii_end())
         .and_then(|()| writeln!(out));
-    written.wrap_err("stdout").map_err(failed)
+    written.wrap_err("writing to stdout").map_err(failed)
 }
 
-/// Writes a JSON value as lines of `path value`.
+/// Appends a JSON value to `text` as lines of the form `path value`, one for each scalar. Keys and
+/// array indices in a path are joined with dots.
 fn flatten(path: &str, value: &Value, text: &mut String) {
     let child_path = |name: &str| match path {
         "" => name.to_owned(),
--- a/crates/ctl/src/sign.rs
+++ b/crates/ctl/src/sign.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl sign`
+//! `wigeonctl sign`: checks and signs a bundle as the successor of the head.
 
 use crate::failure::{Failure, Result, failed, input};
 use crate::files;
@@ -14,7 +14,7 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// What was signed.
+/// Summary of the signed version.
 #[derive(Serialize)]
 struct Signed {
     number: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Signs a bundle's text as the version after the head.
+/// Signs the text of a bundle as the version after the head, and writes it to `--out` or stdout.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let name = args.get_one::<String>("name").map_or("", String::as_str);
     let key = files::key(files::path_arg(args, "key"))?;
@@ -70,13 +70,13 @@
         }
         None => {
             let written = std::io::stdout().write_all(&body);
-            written.wrap_err("stdout").map_err(failed)?;
+            written.wrap_err("writing to stdout").map_err(failed)?;
         }
     }
     Ok(())
 }
 
-/// A failure to sign is always one of the input.
+/// Converts an error of signing, which is always one of the input.
 fn sign_failure(error: Error) -> Failure {
     match error {
         Error::Bundle(findings) => Failure::Findings(findings),
--- a/crates/ctl/src/source.rs
+++ b/crates/ctl/src/source.rs
@@ -1,4 +1,4 @@
-//! Where a command gets the head from.
+//! Sources of the head: a file, a node or the log.
 
 use crate::admin::Admin;
 use crate::failure::{Result, failed, input};
@@ -12,10 +12,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Path of the head in force, as a full record.
+/// Admin path of the head in force, as a record with the complete bundle.
 pub const HEAD_PATH: &str = "/admin/v1/head";
 
-/// The head to sign on; `None` for the first version.
+/// Returns the head that the new version succeeds; `None` for the first version.
 pub async fn head(args: &ArgMatches) -> Result<Option<Bundle>> {
     if args.get_flag("first") {
         return Ok(None);
@@ -26,31 +26,38 @@
     if let Some(addr) = args.get_one::<SocketAddr>("admin") {
         let body = Admin(*addr).get(HEAD_PATH).await.map_err(failed)?;
         let record = files::decode_record(&body);
-        let record = record.wrap_err("the node's head").map_err(failed)?;
+        let record = record
+            .wrap_err("decoding the node's head")
+            .map_err(failed)?;
         return parent_bundle(&record).map(Some);
     }
     let mut tail = tail(args)?;
     tail.catch_up().await?;
     if tail.fold.in_gap() {
         return Err(failed(eyre!(
-            "the log has a gap and no checkpoint; ask a node"
+            "the log has a gap and no checkpoint; get the head from a node with --admin"
         )));
     }
     Ok(tail.fold.head().map(|b| (**b).clone()))
 }
 
-/// The log under `--log` with the keys under `--trust`.
+/// Returns a reader of the log given with `--log`, which trusts the signers given with `--trust`.
 pub fn tail(args: &ArgMatches) -> Result<Tail> {
     let addr = args.get_one::<SocketAddr>("log");
     let addr = addr.ok_or_else(|| input(eyre!("--log is missing")))?;
     Ok(Tail::new(*addr, files::trusted_signers(args)?))
 }
 
-/// The bundle of a record. Its signature isn't checked: the new version is signed with the whole
-/// text that the operator gives, and a wrong parent only makes it lose.
+/// Builds the bundle of a record. The record's signature isn't checked: the signature of the new
+/// version covers the complete text given by the operator, and a wrong parent only makes the new
+/// version lose its race.
 fn parent_bundle(record: &Record) -> Result<Bundle> {
     let sections = record.sections();
-    let sections = sections.map_err(|e| input(eyre!("parent is not a whole bundle: it {e}")))?;
+    let sections = sections.map_err(|e| {
+        input(eyre!(
+            "the parent record does not hold a complete bundle: it {e}"
+        ))
+    })?;
     let bundle = fold::build_bundle(&sections, &record.envelope().header);
     bundle.map_err(|e| input(eyre!("parent: {e}")))
 }
--- a/crates/ctl/src/tail.rs
+++ b/crates/ctl/src/tail.rs
@@ -1,4 +1,4 @@
-//! Reading the log's stream of bundles.
+//! Reader of the log's stream of bundles.
 
 use crate::failure::{Result, failed};
 use bundle::fold::Fold;
@@ -9,29 +9,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The log's stream of bundles.
+/// Name of the stream of bundles in the log.
 pub const STREAM: &str = "bundles";
 
-/// Calls that may fail before a plain reader gives up.
+/// Number of consecutive failed calls after which [`Tail::catch_up`] fails.
 const MAX_FAILURES: u32 = 5;
 
-/// A fold with the log that it reads.
+/// Log reader with the state folded from the records read.
 pub struct Tail {
-    /// The log service.
+    /// Client of the log service.
     pub log: http::Log,
-    /// What was read so far.
+    /// State after the records read so far.
     pub fold: Fold,
 }
 
 impl Tail {
-    /// A reader from the start of the log at `addr`.
+    /// Creates a reader that starts at the beginning of the log at `addr`.
     pub fn new(addr: SocketAddr, trusted: Vec<Signer>) -> Self {
         let log = http::Log::new(addr, Limits::default());
         let fold = Fold::new(trusted);
         Self { log, fold }
     }
 
-    /// Reads one page, waiting up to `wait` for one; whether the log's end was reached.
+    /// Reads one page, waiting up to `wait` for new records. Returns whether the end of the log was
+    /// reached, which is when the page is empty.
     pub async fn read_page(&mut self, wait: Duration) -> platform::Result<bool> {
         let from = self.fold.next_offset();
         let page = self.log.read(STREAM, from, wait).await?;
@@ -40,7 +41,7 @@
         Ok(page.records.is_empty())
     }
 
-    /// Reads to the log's end.
+    /// Reads to the end of the log, with retries.
     pub async fn catch_up(&mut self) -> Result {
         let mut backoff = backoff();
         loop {
@@ -48,7 +49,9 @@
                 Ok(true) => return Ok(()),
                 Ok(false) => backoff.record_success(),
                 Err(e) if backoff.failures() + 1 >= MAX_FAILURES => {
-                    return Err(failed(Err::<(), _>(e).wrap_err("log").unwrap_err()));
+                    return Err(failed(
+                        Err::<(), _>(e).wrap_err("reading the log").unwrap_err(),
+                    ));
                 }
                 Err(e) => tokio::time::sleep(backoff.record_failure(e.retry_after())).await,
             }
@@ -56,7 +59,7 @@
     }
 }
 
-/// Waits between calls that fail.
+/// Creates the backoff between failed calls, with a random seed for its jitter.
 pub fn backoff() -> Backoff {
     let min = Duration::from_millis(100);
     let max = Duration::from_secs(2);
--- a/crates/ctl/src/wait.rs
+++ b/crates/ctl/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until every listed node has a version in force.
+//! `publish --wait`: waits until every listed node has a version in force.
 
 use crate::admin::Admin;
 use crate::failure::{Result, failed};
@@ -9,16 +9,16 @@
 use std::io::{self, IsTerminal, Write};
 use std::time::{Duration, Instant};
 
-/// Path of every listed node's version in force.
+/// Admin path of the versions in force on all nodes.
 const FLEET_PATH: &str = "/admin/v1/fleet";
 
-/// Time between two looks.
+/// Time between two requests for the state of the fleet.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Nodes that the progress line names.
+/// Maximum number of nodes named in the progress line.
 const MAX_LISTED_NODES: usize = 4;
 
-/// How far it is.
+/// Number of listed nodes that have a version in force, and the nodes that don't.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 struct Progress {
     number: u64,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether every listed node has it. A list without any node is not an answer yet.
+    /// Whether every listed node has the version in force. An empty list is not a result yet.
     fn is_done(&self) -> bool {
         self.nodes > 0 && self.behind.is_empty()
     }
 
-    /// As one line.
+    /// Formats the progress as one line.
     fn format_line(&self, elapsed: Duration) -> String {
         let Self {
             number,
@@ -71,7 +71,8 @@
     }
 }
 
-/// Waits up to `limit`, with a progress line on stderr.
+/// Polls the fleet until every listed node has version `number` in force, for up to `limit`; shows
+/// progress on stderr.
 pub async fn run(admin: Admin, number: u64, limit: Duration, output: Output) -> Result {
     let start = Instant::now();
     let mut last = None;
@@ -99,14 +100,15 @@
     Err(failed(message))
 }
 
-/// One fetch_progress at the fleet.
+/// Fetches the progress from the node at `admin`.
 async fn fetch_progress(admin: Admin, number: u64) -> eyre::Result<Progress> {
     let body = admin.get(FLEET_PATH).await?;
-    let fleet: Fleet = serde_json::from_slice(&body).wrap_err("the node's fleet")?;
+    let fleet: Fleet =
+        serde_json::from_slice(&body).wrap_err("decoding the node's view of the fleet")?;
     Ok(Progress::new(&fleet, number))
 }
 
-/// Shows progress: in place on a terminal, else one line for each change.
+/// Shows progress on stderr: on a terminal by overwriting the line, else with one line per change.
 fn show(progress: &Progress, last: Option<&Progress>, elapsed: Duration, output: Output) {
     let changed = last != Some(progress);
     let mut err = io::stderr();
@@ -123,7 +125,7 @@
     };
 }
 
-/// Ends the line that was written in place.
+/// Ends the progress line on a terminal.
 fn end_line(output: Output) {
     if output == Output::Text && io::stderr().is_terminal() {
         let _ = writeln!(io::stderr());
