--- a/crates/ctl/examples/in_force.rs
+++ b/crates/ctl/examples/in_force.rs
@@ -1,10 +1,11 @@
-//! Time from the append of a version until it is in force on every one of 8 running nodes.
+//! Measures the time from the append of a version until it is in force on all of 8 running nodes.
 //!
 //! `cargo run --release -p wigeonctl --example in_force`
 //!
-//! Three cases: the log is up; each of its calls takes 300 ms longer; it is out, comes back until
-//! the first node has the version, and is out again, so that the others have it from peers only
-//! (in the last case the time runs from that first node). All nodes run in one process.
+//! There are three cases: the log is up; each call to the log takes 300 ms longer; or the log is
+//! down, comes back until the first node has the version in force, and goes down again, so that the
+//! other nodes can get the version only from peers. In the last case the time is measured from the
+//! moment at which the first node has the version. All nodes run in one process.
 
 use bundle::history::History;
 use rig::fleet::Fleet;
@@ -15,16 +16,16 @@
 const NODES: usize = 8;
 /// Versions published in each case.
 const VERSIONS: usize = 10;
-/// Longest wait for one version.
+/// Longest wait for one version to come into force.
 const VERSION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks.
+/// Time between two rounds of status requests to all nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How much longer a call of the slow log takes.
+/// Delay of each call to the slow log.
 const SLOW_LOG_DELAY: Duration = Duration::from_millis(300);
-/// Time for nodes to notice that the log is out, or that it is back.
+/// Time for nodes to notice that the log went down or came back.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// What the log does.
+/// Behavior of the log while a version is published.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Case {
     Up,
@@ -32,13 +33,14 @@
     OutAfterAccept,
 }
 
-/// Number in force on a node.
+/// Returns the number of the version in force on a node; 0 if the node doesn't answer.
 async fn version_in_force(fleet: &Fleet, index: usize) -> u64 {
     let status = rig::caller::status(fleet.node(index).admin).await;
     status.map_or(0, |s| s.number)
 }
 
-/// Waits until `least` nodes have `number` in force.
+/// Waits until at least `min_nodes` nodes have version `wanted` or a later one in force. Returns
+/// the time that it took; `None` after [`VERSION_TIMEOUT`].
 async fn wait_until_in_force(fleet: &Fleet, wanted: u64, min_nodes: usize) -> Option<Duration> {
     let start = Instant::now();
     while start.elapsed() < VERSION_TIMEOUT {
@@ -52,7 +54,7 @@
     None
 }
 
-/// Nodes that have the version from a peer: their history names no offset for it.
+/// Counts the nodes that got the version from a peer: their history has no log offset for it.
 async fn count_from_peers(fleet: &Fleet, version: u64) -> usize {
     let requests = (0..NODES).map(|i| {
         let admin = fleet.node(i).admin;
@@ -66,7 +68,7 @@
         .count()
 }
 
-/// Publishes a version and measures.
+/// Publishes a version and measures the time until it is in force on all nodes.
 async fn run(fleet: &mut Fleet, case: Case, version: u64, peers: &mut usize) -> Option<Duration> {
     let text = fleet.text() + &format!("[zone spare-{version}]\nregion = spare\n");
     if case != Case::OutAfterAccept {
@@ -74,7 +76,8 @@
         published.ok()?;
         return wait_until_in_force(fleet, version, NODES).await;
     }
-    // Signed and appended past the outage, so that no node has read it yet.
+    // The record is appended to the log directly while its service is down, so that no node can
+    // have read it before the log comes back.
     fleet.log.faults.set_mode(Mode::Down);
     tokio::time::sleep(SETTLE_TIME).await;
     let record = sign(fleet, &text)?;
@@ -89,7 +92,7 @@
     took
 }
 
-/// The next version's record; the fleet remembers it as published.
+/// Signs the next version and returns its record; records it in `fleet` as published.
 fn sign(fleet: &mut Fleet, text: &str) -> Option<Vec<u8>> {
     let key = bundle::sign::key_from_seed(rig::plan::SIGNER_SEED);
     let parent = fleet.bundle.take();
--- a/crates/ctl/tests/admin.rs
+++ b/crates/ctl/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The binary against a node's admin API, played by a small fake.
+//! Tests of the binary against a fake of a node's admin API.
 
 mod common;
 
@@ -19,21 +19,21 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::TcpListener;
 
-/// A node with a log of its own in memory.
+/// Fake node with a log of its own in memory.
 struct Fake {
     fold: Fold,
     log: Vec<Vec<u8>>,
-    /// Nodes of the fleet that are behind; one catches up with each look.
+    /// Number of nodes that are behind; one catches up with each request for the fleet.
     behind: usize,
-    /// Answers to publishing that get lost after the effect.
+    /// Number of publish responses still to be dropped after the version was published.
     lost_answers: usize,
 }
 
-/// Nodes that are listed; one more has left.
+/// Number of listed nodes; the fleet has one more, which has left.
 const NODES: usize = 8;
 
 impl Fake {
-    /// Publishes as a node does.
+    /// Publishes a signed version as a node does.
     fn publish(&mut self, body: Vec<u8>) -> Answer {
         let mut publish = match Publisher::new(body) {
             Ok(publish) => publish,
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Returns the versions in force on all nodes, and lets one node that is behind catch up.
     fn fleet(&mut self) -> Fleet {
         let number = self.fold.head().map_or(0, |b| b.number);
         let node = |i: usize| Node {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Answers one request; an error closes the connection without an answer.
+/// Handles one request; an error closes the connection without a response.
 async fn answer(
     fake: Arc<Mutex<Fake>>,
     request: Request<Incoming>,
@@ -115,7 +116,7 @@
     Ok(Response::new(Full::new(body)))
 }
 
-/// Starts a fake that trusts what `trust.ini` names.
+/// Starts a fake that trusts the signers in `trust.ini`, and returns its address.
 async fn start(dir: &Workdir, behind: usize, lost_answers: usize) -> SocketAddr {
     let trusted = common::trusted(&dir.read("trust.ini"));
     let fake = Fake {
@@ -142,8 +143,8 @@
     addr
 }
 
-/// An operator without any way to the log publishes through a node and waits until every listed node
-/// has the version in force; it sees how far that is, and the exit code says that it was reached.
+/// An operator without access to the log publishes through a node. `--wait` must show progress and
+/// succeed once every listed node has the version in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_wait_ends_when_every_node_has_the_version() {
     let dir = Workdir::new("wait");
@@ -160,7 +161,8 @@
     assert!(progress.contains("8 of 8 nodes"), "{progress}");
 }
 
-/// A node never gets there: the wait ends at its limit with exit code 1 and names it.
+/// Some nodes never get the version. The wait must end at its timeout with exit code 1 and name
+/// them.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_wait_ends_at_its_timeout() {
     let dir = Workdir::new("bounded");
@@ -185,8 +187,8 @@
     );
 }
 
-/// The node publishes the version, but the connection dies before its answer. Asking again is
-/// answered with how that version's race ended, and there is one record in the log.
+/// The node publishes the version, but the connection breaks before its response. The retry must
+/// return the outcome of that version, and the history must hold one version only.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_is_retried_after_a_lost_answer_of_the_node() {
     let dir = Workdir::new("node-lost");
@@ -203,7 +205,8 @@
     assert_eq!(json(&dir.run(&args)).as_array().unwrap().len(), 1);
 }
 
-/// A later version is signed on the head that a node gives, and one on an old head loses.
+/// A version signed on the head from a node must be accepted, and one on an outdated head must
+/// lose.
 #[tokio::test(flavor = "multi_thread")]
 async fn versions_are_signed_on_the_head_of_a_node() {
     let dir = Workdir::new("node-head");
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The binary, from a new key to a version in force, against the stand-in log.
+//! Tests of the binary against the stand-in log, from a new key to a version in force.
 
 mod common;
 
@@ -7,7 +7,8 @@
 use standin::fault::Mode;
 use standin::log::Log;
 
-/// An operator's first day: a key, a checked file, a signature, a version in force.
+/// Guards the usual sequence of commands: create a key, check, sign, publish, list the history and
+/// compare versions.
 #[tokio::test(flavor = "multi_thread")]
 async fn keygen_sign_publish_and_history_work_together() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -32,7 +33,7 @@
         (&output["outcome"], &output["number"]),
         (&"accepted".into(), &1.into())
     );
-    // The same file again is no second version.
+    // Publishing the same file again appends nothing.
     ok(&dir.run(&publish));
     assert_eq!(log.records("bundles").len(), 1);
 
@@ -82,8 +83,8 @@
     }
 }
 
-/// Two operators sign a child of the same head. The second is told that it lost and to whom, by
-/// the exit code for scripts and by name for people; it signs anew on the head and wins.
+/// Two operators sign a successor of the same head, and the second one publishes too late. Its
+/// command must report the loss by exit code and the winner by name, and append nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn losing_a_race_reports_the_winner() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -127,8 +128,8 @@
     );
 }
 
-/// The log acts on the append, but its answer is lost on the way. The operator must not be told
-/// that it failed, nor may the version be in the log's order twice: the tool reads it back.
+/// The log executes the append, but its response is lost. The tool must read the record back: it
+/// must not report a failure, nor append the version twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_reads_back_after_a_lost_append_answer() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -142,7 +143,7 @@
     assert_eq!(log.records("bundles").len(), 1);
 }
 
-/// The log is out: the tool gives up in bounded time and says that nothing was appended.
+/// The log is down. The tool must give up in bounded time and report that nothing was appended.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_reports_a_log_outage() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -157,9 +158,9 @@
     assert!(error.contains("nothing was appended"), "{error}");
 }
 
-/// Everything was dropped from the log before anybody wrote a checkpoint, so nothing in it can
-/// be judged and publishing is refused. The operator names the head to go on from; the next
-/// version then wins as usual, and restoring a sound log is refused.
+/// The log dropped all records before a checkpoint was written, so that the version in force can't
+/// be determined and publishing is refused. After `restore` with a saved head, the next version
+/// must be accepted. Restoring a log without a gap must be refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn restore_repairs_a_log_without_checkpoint() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
@@ -193,15 +194,15 @@
     ok(&run(&["publish", "2.json"]));
 }
 
-/// The head as a record, after the first version.
+/// Returns the head after the first version, as a record.
 fn head(version: &str, trust: &str) -> String {
     let mut fold = bundle::fold::Fold::new(common::trusted(trust));
     fold.apply(0, version.as_bytes());
     String::from_utf8(fold.encode_head().unwrap()).unwrap()
 }
 
-/// Wrong input ends with exit code 2 and every finding with its line, and a key is never
-/// overwritten.
+/// Invalid input must give exit code 2, with the line number of each finding, and `keygen` must not
+/// overwrite a key.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_input_exits_with_code_2() {
     let dir = Workdir::new("bad-input");
--- a/crates/ctl/tests/common.rs
+++ b/crates/ctl/tests/common.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a folder with an operator's files.
+//! Support shared by the tests: a folder with an operator's files.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use bundle::signer::Signer;
@@ -7,11 +7,11 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A folder with an operator's files; removed in the end.
+/// Temporary folder with an operator's files; removed on drop.
 pub struct Workdir(PathBuf);
 
 impl Workdir {
-    /// A folder with the example bundle.
+    /// Creates a folder with the example bundle.
     pub fn new(name: &str) -> Self {
         let folder = format!("wigeonctl-{name}-{}", std::process::id());
         let dir = Self(std::env::temp_dir().join(folder));
@@ -20,13 +20,13 @@
         dir
     }
 
-    /// Runs the tool in the folder.
+    /// Runs `wigeonctl` in the folder.
     pub fn run(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wigeonctl"));
         command.current_dir(&self.0).args(args).output().unwrap()
     }
 
-    /// Makes a key for each name, and `trust.ini` with all of them.
+    /// Creates a key for each name, and `trust.ini` with all public keys.
     pub fn signers(&self, names: &[&str]) {
         let mut trust = String::new();
         for name in names {
@@ -38,7 +38,7 @@
         self.write("trust.ini", &trust);
     }
 
-    /// Signs the example as the first version, `1.json`.
+    /// Signs the example bundle as the first version, into `1.json`.
     pub fn sign_first(&self) {
         ok(&self.run(&[
             "sign",
@@ -53,12 +53,12 @@
         ]));
     }
 
-    /// Writes a file.
+    /// Writes a file in the folder.
     pub fn write(&self, name: &str, text: &str) {
         fs::write(self.0.join(name), text).unwrap();
     }
 
-    /// Reads a file.
+    /// Reads a file in the folder.
     pub fn read(&self, name: &str) -> String {
         fs::read_to_string(self.0.join(name)).unwrap()
     }
@@ -70,19 +70,19 @@
     }
 }
 
-/// The run did what it was asked to.
+/// Asserts that the command succeeded; prints its stderr otherwise.
 pub fn ok(output: &Output) {
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{:?}: {stderr}", output.status);
 }
 
-/// JSON on stdout of a run that did what it was asked to.
+/// Asserts that the command succeeded and returns the JSON on its stdout.
 pub fn json(output: &Output) -> Value {
     ok(output);
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// The keys of a section `[trust]`, read apart from the tool.
+/// Parses the keys of a section `[trust]`, independently of the tool's own parser.
 pub fn trusted(text: &str) -> Vec<Signer> {
     let lines = text.lines().filter_map(|l| l.split_once(" = "));
     let signers = lines.map(|(name, key)| Signer {
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The story of a request, told from log lines.
+//! Tests of `wigeonctl explain`, the timeline of one request.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -30,8 +30,8 @@
     child.wait_with_output().unwrap()
 }
 
-// An engineer has the id of a failed request and the logs of all nodes. What is told is the
-// request's own lines in order, and the beliefs before it about the endpoints that it met.
+// From the logs of all nodes, the timeline must hold the request's own lines in order of time and
+// the earlier state changes of the endpoints that it was sent to, but not those of other endpoints.
 #[test]
 fn prints_the_requests_lines_and_prior_state_changes_in_order() {
     let output = explain("r1");
--- a/crates/ctl/tests/losses.rs
+++ b/crates/ctl/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Late and lost requests by cause, told from log lines.
+//! Tests of `wigeonctl losses`, which counts late and lost requests by cause.
 
 use serde_json::Value;
 use std::io::Write;
@@ -34,7 +34,7 @@
         .spawn()
         .unwrap();
     let mut input = child.stdin.take().unwrap();
-    // A tool that refuses its arguments reads nothing.
+    // If the tool rejects its arguments, it exits without reading, and the write fails.
     let _ = input.write_all(lines.as_bytes());
     drop(input);
     child.wait_with_output().unwrap()
@@ -46,8 +46,8 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-// An engineer asks after a bad minute who waited and why. Each request is counted once, under the
-// decision that made it late, and what the lines do not explain is not put down to anything.
+// Each late or lost request must be counted exactly once, under the decision that caused it. Losses
+// that the lines don't explain must be counted as unknown rather than under another cause.
 #[test]
 fn counts_each_lost_request_once_by_cause() {
     let tables = tables(&["--output", "json"]);
@@ -90,14 +90,15 @@
     assert!(text.contains("late, a stage was replaced"), "{text}");
 }
 
-/// One line of a caller that left after `all` ms, `quiet` ms after its last event.
+/// Returns the `ended` line of a request whose caller left after `all` ms, `quiet` ms after its
+/// last event.
 fn left(id: &str, all: u64, quiet: u64) -> String {
     format!(
         r#"a {{"time":9000,"event":"ended","id":"{id}","status":0,"outcome":"left","why":"","attempts":1,"head_ms":40,"all_ms":{all},"pause_ms":30,"quiet_ms":{quiet}}}"#
     )
 }
 
-// Guards against blaming a slow endpoint for callers that gave up while their events kept coming.
+// Guards against blaming a slow endpoint for callers that left while events arrived in time.
 #[test]
 fn separates_callers_that_left_by_their_last_wait() {
     let lines = [
@@ -112,15 +113,15 @@
     assert_eq!(tables["causes"]["starved"]["count"], 2);
 }
 
-/// Lines of a refusal with this reason.
+/// Returns the `ended` line of a request that was refused with status `status` and reason `why`.
 fn refused(id: &str, status: u16, why: &str) -> String {
     format!(
         r#"a {{"time":9000,"event":"ended","id":"{id}","status":{status},"outcome":"refused","why":"{why}","attempts":0,"head_ms":1,"all_ms":1,"pause_ms":0,"quiet_ms":1}}"#
     )
 }
 
-// Guards against a table in which probes of the catalog in force look like lost callers: most
-// refusals of a run were for hosts that no catalog had, asked for by its operators.
+// Guards against counting operators' probes of the catalog in force as lost requests. Such probes
+// for hosts in no catalog can make up most refusals of a run.
 #[test]
 fn denied_requests_are_not_counted_as_lost() {
     let lines = [
@@ -135,7 +136,7 @@
     assert_eq!(tables["causes"].as_object().unwrap().len(), 1, "{tables}");
 }
 
-// Guards against a table over half of the lines that looks like one over all of them.
+// Guards against a table that covers only a part of the lines without saying so.
 #[test]
 fn unreadable_lines_are_counted_and_reported() {
     let output = run(&["--output", "json"], &format!("{LINES}front-1 is up\n"));
@@ -193,7 +194,7 @@
     ] {
         assert!(text.contains(words), "{words}");
     }
-    // One bar for each cause of each interval, beside those of the legend.
+    // One bar for each cause in each interval, and those of the legend.
     assert!(text.matches("<rect").count() >= 12, "{text}");
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! The binary against running nodes, over real sockets.
+//! Tests of the binary against running nodes, over real sockets.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 const NODES: usize = 8;
 
-/// Running nodes without a bundle, and the files of the person they trust.
+/// Starts nodes without a bundle, and creates the files of a signer that they trust.
 async fn start(name: &str) -> (Fleet, Workdir) {
     let plan = Plan {
         nodes: NODES,
@@ -31,7 +31,7 @@
     (fleet, dir)
 }
 
-/// Signs `file` on the head in the log, or as the first version.
+/// Signs `file` into `out`; `head` holds the flags that select the parent.
 fn sign(dir: &Workdir, file: &str, out: &str, head: &[&str]) {
     let args = [
         "sign", file, "--name", SIGNER, "--key", "key.pem", "--out", out,
@@ -39,14 +39,14 @@
     ok(&dir.run(&[&args[..], head].concat()));
 }
 
-/// What a node says of itself.
+/// Returns the status of a node as JSON.
 fn status(fleet: &Fleet, dir: &Workdir, index: usize) -> Value {
     let admin = fleet.node(index).admin.to_string();
     json(&dir.run(&["status", "--admin", &admin, "--output", "json"]))
 }
 
-/// From the first bundle of all to one in force on every node, through different nodes, and with
-/// the answer of an append lost: `publish --wait` ends well exactly when all nodes have it.
+/// Versions published through different nodes, one of them with the response of its append lost,
+/// must be in force on every node once `publish --wait` has succeeded.
 #[tokio::test(flavor = "multi_thread")]
 async fn published_versions_come_into_force_on_all_nodes() {
     let (fleet, dir) = start("nodes").await;
@@ -71,8 +71,9 @@
     assert!(String::from_utf8_lossy(&dump.stdout).contains("accepted"));
 }
 
-/// The log is out when an operator publishes: the node says that nothing was appended, all nodes
-/// go on with the version before, and publishing the same file works once the log is back.
+/// The log is down when an operator publishes. The node must report that nothing was appended,
+/// nodes must keep the previous version in force, and publishing the same file must succeed once
+/// the log is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_outage_keeps_the_previous_version_in_force() {
     let (fleet, dir) = start("nodes-outage").await;
--- a/crates/ctl/tests/regression.rs
+++ b/crates/ctl/tests/regression.rs
@@ -1,4 +1,5 @@
-//! The script that plays the users' deployments before a landing, over a stand-in for their bench.
+//! Tests of `tools/regression`, the script that runs the users' deployments through their bench. A
+//! stand-in replaces the bench.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -13,7 +14,8 @@
     "grown/tbts-ops-grown",
 ];
 
-/// A bench that notes each call, fails while `broken` names its site, and set_output `says` otherwise.
+/// Stand-in bench: appends each call to the file `calls`, fails if the file `broken` names the
+/// deployment, and prints the contents of the file `says` otherwise.
 const BENCH: &str = r#"#!/bin/sh
 dir=$(dirname "$0")
 echo "$1 $(basename "$2")" >>"$dir/calls"
@@ -21,6 +23,7 @@
 cat "$dir/says"
 "#;
 
+/// Temporary folder with the stand-in bench and empty deployment files.
 struct Fixture {
     dir: PathBuf,
 }
@@ -42,10 +45,12 @@
         fixture
     }
 
+    /// Sets what the bench prints.
     fn set_output(&self, text: &str) {
         fs::write(self.dir.join("says"), text).unwrap();
     }
 
+    /// Runs the script.
     fn run(&self) -> Output {
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tools/regression");
         let dir = &self.dir;
@@ -57,6 +62,7 @@
             .unwrap()
     }
 
+    /// Returns the calls that the bench got, in order.
     fn calls(&self) -> Vec<String> {
         let calls = fs::read_to_string(self.dir.join("calls")).unwrap_or_default();
         calls.lines().map(str::to_owned).collect()
@@ -65,12 +71,12 @@
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        // What is left of a test is only clutter in the folder for temporary files.
+        // A folder that can't be removed does no harm beyond clutter among the temporary files.
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-// Guards against hours of runs that begin anew because one of them was cut off.
+// Guards against repeating hours of completed runs because one of them was interrupted.
 #[test]
 fn interrupted_run_resumes_with_the_missing_parts() {
     let fixture = Fixture::new("again");
@@ -96,7 +102,7 @@
     );
 }
 
-// Guards against a landing beside a gate that did not pass or a rule that was broken.
+// Guards against merging a change whose gate failed or that broke a rule.
 #[test]
 fn failed_gate_or_broken_rule_exits_with_code_1() {
     for text in [
