--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -56,8 +56,8 @@
 impl Admin {
     /// Gets the resource at `path`; any status but a success is an error.
     pub async fn get(self, path: &str) -> Result<Bytes> {
-        let answer = self.call(Method::GET, path, Bytes::new()).await?;
-        answer.success().wrap_err_with(|| path.to_owned())
+        let response = self.call(Method::GET, path, Bytes::new()).await?;
+        response.success().wrap_err_with(|| path.to_owned())
     }
 
     /// Posts `body` to `path` and returns the response, whatever its status.
@@ -69,8 +69,8 @@
     /// pooled one may have been closed by the peer without notice.
     async fn call(self, method: Method, path: &str, body: Bytes) -> Result<Response> {
         let call = timeout(CALL_TIMEOUT, self.exchange(method, path, body));
-        let answer = call.await.wrap_err("the admin call timed out")?;
-        answer.wrap_err_with(|| format!("node {}", self.0))
+        let response = call.await.wrap_err("the admin call timed out")?;
+        response.wrap_err_with(|| format!("node {}", self.0))
     }
 
     /// Connects, sends the request and reads the whole response.
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -43,9 +43,9 @@
     let (changed, added): (Vec<&Key>, Vec<&Key>) =
         delta.set.keys().partition(|key| old.get(key).is_some());
     output.show(&Difference {
-        added: to_text(added),
-        changed: to_text(changed),
-        removed: to_text(delta.removed.iter()),
+        added: format_headers(added),
+        changed: format_headers(changed),
+        removed: format_headers(delta.removed.iter()),
     });
     Ok(())
 }
@@ -65,6 +65,6 @@
 }
 
 /// Formats section headers.
-fn to_text<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
+fn format_headers<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
     keys.into_iter().map(Key::to_string).collect()
 }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -82,8 +82,8 @@
 async fn publish_through_node(admin: Admin, body: &[u8]) -> Result<Answer> {
     let mut backoff = backoff();
     loop {
-        let called = admin.post(BUNDLES_PATH, Bytes::copy_from_slice(body)).await;
-        let answer = called.and_then(|answer| answer.json::<Answer>());
+        let response = admin.post(BUNDLES_PATH, Bytes::copy_from_slice(body)).await;
+        let answer = response.and_then(|response| response.json::<Answer>());
         match answer {
             Ok(answer) => return Ok(answer),
             Err(e) if backoff.failures() + 1 >= MAX_CALLS => {
