--- a/crates/slopes/src/claims.rs
+++ b/crates/slopes/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys in the log.
+//! Cost of claims of idempotency keys in the log.
 
 use crate::clock;
 use crate::slope::Slope;
@@ -8,17 +8,19 @@
 use lease::{Now, Outcome, Owner, Page, Record};
 use std::time::Duration;
 
+/// Time since the Unix epoch at which the simulated clock starts.
 const START: Duration = Duration::from_secs(1_764_700_000);
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Claims of one append.
+/// Time from the receipt of a request to its deadline.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of claims in one append.
 const BATCH: u64 = 64;
-/// Keys of a node: 400 claims a second for an hour, over 370 nodes.
-const KEYS: f64 = 400.0 * 3600.0 / 370.0;
+/// Number of keys that a node holds: 400 claims per second for an hour, over 370 nodes.
+const KEYS_PER_NODE: f64 = 400.0 * 3600.0 / 370.0;
 
-/// All slopes of claims.
+/// Measures processor time, memory and log bytes of claims.
 pub fn slopes() -> Vec<Slope> {
-    let mut spent = Slope::new("claim, from ask to end", "us", "keys held", KEYS);
-    let mut memory = Slope::new("memory of the table", "KB", "keys held", KEYS);
+    let mut spent = Slope::new("claim, from ask to end", "us", "keys held", KEYS_PER_NODE);
+    let mut memory = Slope::new("memory of the table", "KB", "keys held", KEYS_PER_NODE);
     for keys in [1_000, 10_000, 60_000] {
         let x = keys as f64;
         let copies = (100_000 / keys).clamp(2, 20) as usize;
@@ -30,7 +32,7 @@
     vec![spent, memory, bytes()]
 }
 
-/// Bytes of a claim in the log, by claims of one append.
+/// Measures the log bytes of an append and of its claims' ends, by the number of claims.
 fn bytes() -> Slope {
     let mut slope = Slope::new(
         "record of claims and their ends",
@@ -41,13 +43,13 @@
     for batch in [1, 8, 64] {
         let mut world = World::new(64);
         world.bytes = 0;
-        (0..10).for_each(|_| world.batch(batch));
+        (0..10).for_each(|_| world.run_batch(batch));
         slope.add(batch as f64, world.bytes as f64 / 10.0);
     }
     slope
 }
 
-/// One table, and a log that takes and gives everything at once.
+/// One claim table and a log that stores appends and returns pages immediately.
 struct World {
     table: Table,
     now: Now,
@@ -78,45 +80,46 @@
         world
             .table
             .handle(world.now, Event::HomeShards(vec![0]), &mut actions);
-        world.page(Vec::new(), &mut actions);
+        world.deliver_page(Vec::new(), &mut actions);
         (0..keys / BATCH).for_each(|_| world.round());
         world
     }
 
     fn round(&mut self) {
-        self.batch(BATCH);
+        self.run_batch(BATCH);
     }
 
-    /// Requests from ask to end; their claims in one append.
-    fn batch(&mut self, count: u64) {
+    /// Runs `count` requests from receipt to end, with all their claims in one append.
+    fn run_batch(&mut self, count: u64) {
         self.now += Duration::from_millis(700);
         let mut actions = Vec::new();
-        let mut forms = Vec::new();
+        let mut keys = Vec::new();
         for n in self.next..self.next + count {
             let text = format!("{}-{n}", (START + self.now).as_secs());
-            let form = Key::parse("desk", &text).expect("a key");
-            forms.push(form);
-            let ask = Request {
+            let key = Key::parse("desk", &text).expect("a key");
+            keys.push(key);
+            let request = Request {
                 id: n.into(),
-                key: form,
+                key,
                 fingerprint: 1,
-                deadline: self.now + PATIENCE,
+                deadline: self.now + REQUEST_TIMEOUT,
             };
             self.table
-                .handle(self.now, Event::Received(ask), &mut actions);
+                .handle(self.now, Event::Received(request), &mut actions);
         }
         self.next += count;
-        self.settle(&mut actions);
-        for form in forms {
-            let ended = Event::Ended(form.hash(), Outcome::Complete, 200);
+        self.serve_appends(&mut actions);
+        for key in keys {
+            let ended = Event::Ended(key.hash(), Outcome::Complete, 200);
             self.table.handle(self.now, ended, &mut actions);
         }
         self.now += Duration::from_millis(700);
         self.table.handle(self.now, Event::Tick, &mut actions);
-        self.settle(&mut actions);
+        self.serve_appends(&mut actions);
     }
 
-    fn settle(&mut self, actions: &mut Vec<Action>) {
+    /// Serves all appends among `actions`, and those that follow from them.
+    fn serve_appends(&mut self, actions: &mut Vec<Action>) {
         let append = |a: &Action| matches!(a, Action::Append { .. });
         while let Some(at) = actions.iter().position(append) {
             let Action::Append { batch, body, .. } = actions.swap_remove(at) else {
@@ -124,12 +127,13 @@
             };
             self.bytes += body.len();
             self.table.handle(self.now, Event::Appended(batch), actions);
-            self.page(vec![body], actions);
+            self.deliver_page(vec![body], actions);
         }
         actions.clear();
     }
 
-    fn page(&mut self, bodies: Vec<Bytes>, actions: &mut Vec<Action>) {
+    /// Delivers `bodies` to the table as the next page of the log.
+    fn deliver_page(&mut self, bodies: Vec<Bytes>, actions: &mut Vec<Action>) {
         let records = (self.offset..).zip(bodies);
         let records: Vec<_> = records
             .map(|(offset, body)| Record { offset, body })
--- a/crates/slopes/src/clock.rs
+++ b/crates/slopes/src/clock.rs
@@ -1,53 +1,57 @@
-//! Processor time of this thread and memory of this process.
+//! Measures processor time of the current thread and memory of the process.
 
 use cap::Cap;
 use std::alloc::System;
 use std::time::{Duration, Instant};
 
-/// Counts what is allocated. It costs each allocation some nanoseconds, which the times include.
+/// Allocator that counts allocated bytes. Counting adds some nanoseconds to each allocation, which
+/// are part of the measured times.
 #[global_allocator]
 static HEAP: Cap<System> = Cap::new(System, usize::MAX);
 
-/// The kernel brings a running thread's count up to date at its ticks only, so that a run must
-/// last for many of them.
-const LEAST: Duration = Duration::from_millis(300);
+/// Minimum wall time of a measurement. The kernel updates a running thread's processor time only
+/// at its timer ticks, so a run must span many of them.
+const MIN_RUN_TIME: Duration = Duration::from_millis(300);
 
-/// Processor time that this thread has used. Other processes' load does not count in it, apart
-/// from what they take of caches and shared cores.
-pub fn used() -> Duration {
+/// Returns the processor time that the current thread has used, or zero if the kernel does not
+/// report it. Load of other processes affects it only through shared caches and cores.
+pub fn thread_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text.split_whitespace().next().and_then(|n| n.parse().ok());
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// Microseconds of processor time that `f` takes.
+/// Calls `f` once and returns its processor time, in microseconds, and its result.
 pub fn once<T>(f: impl FnOnce() -> T) -> (f64, T) {
-    let start = used();
+    let start = thread_time();
     let value = f();
-    (micros(used() - start), value)
+    (micros(thread_time() - start), value)
 }
 
-/// Mean microseconds of processor time that `f` takes; it is called until the count is long enough.
+/// Returns the mean processor time of a call of `f`, in microseconds. Calls `f` at least three
+/// times and until `MIN_RUN_TIME` has passed.
 pub fn mean<T>(mut f: impl FnMut() -> T) -> f64 {
-    let (start, wall) = (used(), Instant::now());
+    let (start, wall) = (thread_time(), Instant::now());
     let mut calls = 0_u32;
-    while wall.elapsed() < LEAST || calls < 3 {
+    while wall.elapsed() < MIN_RUN_TIME || calls < 3 {
         std::hint::black_box(f());
         calls += 1;
     }
-    micros(used() - start) / f64::from(calls)
+    micros(thread_time() - start) / f64::from(calls)
 }
 
 fn micros(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6
 }
 
-/// Kilobytes that are allocated, as asked for: without what the allocator adds.
+/// Returns the allocated memory, in kilobytes: the requested sizes, without the allocator's own
+/// overhead.
 pub fn allocated() -> f64 {
     HEAP.allocated() as f64 / 1e3
 }
 
-/// Kilobytes of each of `count` values made by `make`.
+/// Returns the mean memory of a value that `make` returns, in kilobytes, over `count` values held
+/// at the same time.
 pub fn memory<T>(count: usize, mut make: impl FnMut() -> T) -> f64 {
     let start = allocated();
     let held: Vec<T> = (0..count).map(|_| make()).collect();
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Bundles of each size, by way of their text, and what endpoints report.
+//! Bundles of each size, parsed from generated text, with load reports and instance lists to match.
 
 use crate::size::Size;
 use bundle::Bundle;
@@ -9,12 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Layers of a model.
+/// Number of layers of a model.
 const LAYERS: u16 = 64;
-/// Requests that an endpoint takes at once.
+/// Number of requests that an endpoint runs concurrently.
 const SLOTS: u32 = 32;
 
-/// Text of a fleet; team 0 has the rate `rate`.
+/// Returns the bundle text of a fleet. Team 0 has the rate limit `rate`, so that two texts that
+/// differ only in `rate` give a small delta.
 pub fn text(size: Size, rate: usize) -> String {
     let mut t = String::new();
     for z in 0..size.zones {
@@ -52,6 +53,7 @@
     t
 }
 
+/// Appends the section of endpoint `e` to `t`.
 fn endpoint(t: &mut String, size: Size, e: usize) {
     let half = usize::from(LAYERS) / 2;
     let from = half * (e % 2);
@@ -70,13 +72,14 @@
     );
 }
 
-/// The bundle of a size.
+/// Returns the bundle of a fleet of this size.
 pub fn bundle(size: Size) -> Arc<Bundle> {
     let sections = bundle::text::parse(&text(size, 30)).expect("sound text");
     Arc::new(Bundle::try_from(&sections).expect("sound bundle"))
 }
 
-/// What an endpoint of the bundle reports when it holds what it should.
+/// Returns the load report of an endpoint that holds exactly the layers that the bundle assigns to
+/// it.
 pub fn report(bundle: &Bundle, endpoint: usize) -> Report {
     let spans = bundle.endpoints[endpoint].spans.iter();
     let loaded = spans.map(|s| {
@@ -99,7 +102,7 @@
     }
 }
 
-/// The instance list of a fleet's endpoints and `nodes` nodes.
+/// Returns the instance list of the fleet's endpoints and of `nodes` nodes.
 pub fn instances(size: Size, nodes: usize) -> Vec<Instance> {
     let row = |name: String, n: usize| Instance {
         name,
--- a/crates/slopes/src/leases.rs
+++ b/crates/slopes/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of groups of endpoints, and the step of a roll.
+//! Cost of leases of endpoint groups, and of a step of a roll.
 
 use crate::size::Size;
 use crate::slope::Slope;
@@ -10,20 +10,23 @@
 use lease::{Owner, Page, Record};
 use std::time::Duration;
 
-/// Groups: one for each region.
+/// Number of groups: one for each region.
 const GROUPS: f64 = 8.0;
-/// Nodes of the run.
+/// Number of nodes in the simulation.
 const NODES: u64 = 8;
-const SECONDS: u32 = 1_200;
+/// Simulated time of a run, in seconds.
+const RUN_SECONDS: u32 = 1_200;
+/// Simulated time between two ticks of a table.
 const STEP: Duration = Duration::from_millis(100);
-/// Endpoints of all groups: a step looks at every row of the bundle.
-const ALL: f64 = 9_400.0;
+/// Number of endpoints of all groups: a step visits every row of the bundle.
+const TOTAL_ENDPOINTS: f64 = 9_400.0;
 
-/// All slopes of leases and rolls.
+/// Measures processor time, appends and log bytes of leases, and steps of a roll.
 pub fn slopes() -> Vec<Slope> {
     let new = |name, unit| Slope::new(name, unit, "groups", GROUPS);
     let mut spent = new("leases, a second and node", "us");
-    // Beyond one group for each node a holder renews all that it holds in one record.
+    // With more groups than nodes a holder renews all its leases in one record, so appends grow
+    // with the number of holders, not of groups.
     let holders = "groups, each with a holder of its own";
     let mut appends = Slope::new("appends, a second", "appends", holders, GROUPS);
     let mut read = new("bytes read, a second and node", "bytes");
@@ -31,7 +34,7 @@
         let x = groups as f64;
         let mut world = World::new(groups);
         let (time, ()) = clock::once(|| world.run());
-        let seconds = f64::from(SECONDS);
+        let seconds = f64::from(RUN_SECONDS);
         spent.add(x, time / seconds / NODES as f64);
         if groups <= NODES {
             appends.add(x, world.appends as f64 / seconds);
@@ -43,9 +46,9 @@
     slopes
 }
 
-/// A step of the roll of one region in eight, nothing to do.
+/// Measures a step of the roll of one of eight regions when there is nothing to do.
 fn rolls() -> Slope {
-    let mut slope = Slope::new("step of a settled roll", "us", "endpoints", ALL);
+    let mut slope = Slope::new("step of a settled roll", "us", "endpoints", TOTAL_ENDPOINTS);
     for replicas in [40, 260, 1_175, 4_700] {
         let size = Size {
             replicas,
@@ -55,7 +58,7 @@
         };
         let bundle = fleet::bundle(size);
         let reports: Vec<_> = (0..size.endpoints())
-            .map(|e| Some(held(&fleet::report(&bundle, e))))
+            .map(|e| Some(roll_report(&fleet::report(&bundle, e))))
             .collect();
         let health = vec![Health::Up; reports.len()];
         let zones: Vec<ZoneId> = vec![0, 8, 16];
@@ -82,7 +85,8 @@
     slope
 }
 
-fn held(report: &engine::load::Report) -> Report {
+/// Converts an endpoint's load report to the report that a roll reads.
+fn roll_report(report: &engine::load::Report) -> Report {
     let row = |m: &engine::load::Loaded| Holding {
         model: m.model.clone(),
         version: m.version.clone(),
@@ -96,7 +100,7 @@
     }
 }
 
-/// Eight tables and a log that takes and gives everything at once.
+/// Lease tables of eight nodes, and a log that stores appends and returns pages immediately.
 struct World {
     tables: Vec<group_lease::Table>,
     events: Vec<Vec<group_lease::Event>>,
@@ -112,14 +116,15 @@
             incarnation: 1,
         };
         let table = |n| group_lease::Table::new(owner(n), n, group_lease::Settings::default());
-        let want = |n: u64, group| Candidacy {
+        let candidacy = |n: u64, group| Candidacy {
             group,
             rank: ((group + n) % NODES) as u32,
         };
-        let wants = |n| group_lease::Event::Candidacies((0..groups).map(|g| want(n, g)).collect());
+        let candidacies =
+            |n| group_lease::Event::Candidacies((0..groups).map(|g| candidacy(n, g)).collect());
         Self {
             tables: (0..NODES).map(table).collect(),
-            events: (0..NODES).map(|n| vec![wants(n)]).collect(),
+            events: (0..NODES).map(|n| vec![candidacies(n)]).collect(),
             records: Vec::new(),
             appends: 0,
             read: 0,
@@ -128,7 +133,7 @@
 
     fn run(&mut self) {
         let mut now = Duration::ZERO;
-        for _ in 0..SECONDS * 10 {
+        for _ in 0..RUN_SECONDS * 10 {
             now += STEP;
             (0..NODES as usize).for_each(|n| self.step(n, now));
         }
--- a/crates/slopes/src/path.rs
+++ b/crates/slopes/src/path.rs
@@ -1,4 +1,4 @@
-//! The callers' request path: a router's decisions and the heads of stage frames.
+//! Cost of the callers' request path: routing decisions and the heads of stage frames.
 
 use crate::size::{ENDPOINTS, SIZES, TEAMS};
 use crate::slope::Slope;
@@ -14,13 +14,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const LATE: Duration = Duration::from_secs(36_000);
-/// Arrivals of one measurement.
+/// Deadline of all requests, beyond the last arrival of every run so that none expires.
+const DEADLINE: Duration = Duration::from_secs(36_000);
+/// Number of arrivals in one measurement.
 const ROUNDS: u32 = 40_000;
-/// Requests in flight at a worker: 12,000 requests/s of 11 s each over 370 nodes of two workers.
-const FLYING: u32 = 176;
+/// Number of requests in flight at a worker: 12,000 requests/s of 11 s each, over 370 nodes with
+/// two workers each.
+const IN_FLIGHT: u32 = 176;
 
-/// All slopes of the path.
+/// Measures the router, its admission queue and the codec of stage frames.
 pub fn slopes() -> Vec<Slope> {
     let by = "endpoints";
     let new = |name, unit| Slope::new(name, unit, by, ENDPOINTS);
@@ -47,12 +49,12 @@
         view.add(x, clock::mean(start));
         let mut router = start();
         let mut now = Duration::from_secs(2);
-        let again = || {
+        let update = || {
             now += Duration::from_secs(1);
             router.handle(now, Event::View(snapshot()), &mut Vec::new());
         };
-        same.add(x, clock::mean(again));
-        let (spent, ticked) = requests(start(), size.models);
+        same.add(x, clock::mean(update));
+        let (spent, ticked) = measure_requests(start(), size.models);
         request.add(x, spent);
         tick.add(x, ticked);
     }
@@ -62,31 +64,33 @@
     slopes
 }
 
-/// Microseconds of an arrival that starts at once and its end, and of a tick.
-fn requests(mut router: Router, models: usize) -> (f64, f64) {
+/// Returns the processor time, in microseconds, of one request that starts on arrival (both its
+/// arrival and its end), and of one tick.
+fn measure_requests(mut router: Router, models: usize) -> (f64, f64) {
     let mut now = Duration::from_secs(2);
     let mut out = Vec::new();
-    let mut flying = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let (spent, ()) = clock::once(|| {
         for i in 0..ROUNDS {
             now += Duration::from_millis(2);
-            let base = fixture::request(i.into(), LATE);
+            let base = fixture::request(i.into(), DEADLINE);
             let request = Request {
                 target: Target::Model((i as usize % models) as u16, None),
                 priority: 1,
                 ..base
             };
             router.handle(now, Event::Arrive(request), &mut out);
-            started(&mut out, &mut flying);
-            if flying.len() > FLYING as usize
-                && let Some((id, attempt)) = flying.pop_front()
+            collect_started(&mut out, &mut in_flight);
+            if in_flight.len() > IN_FLIGHT as usize
+                && let Some((id, attempt)) = in_flight.pop_front()
             {
                 router.handle(now, Event::Finished(id, attempt), &mut out);
             }
         }
     });
-    // Nothing answers here: what is in flight would pass for silent, and endpoints for dead.
-    for (id, attempt) in flying {
+    // No endpoint responds in this run. Requests left in flight would be taken for unresponsive
+    // during the ticks, and their endpoints for failed.
+    for (id, attempt) in in_flight {
         router.handle(now, Event::Finished(id, attempt), &mut out);
     }
     let ticked = clock::mean(|| {
@@ -97,43 +101,47 @@
     (spent / f64::from(ROUNDS), ticked)
 }
 
-fn started(out: &mut Vec<Action>, flying: &mut VecDeque<(u128, u32)>) {
+/// Drains `out` and appends the attempts that it starts to `in_flight`.
+fn collect_started(out: &mut Vec<Action>, in_flight: &mut VecDeque<(u128, u32)>) {
     let starts = out.drain(..).filter_map(|a| match a {
         Action::Start(id, attempt, _) => Some((id, attempt)),
         _ => None,
     });
-    flying.extend(starts);
+    in_flight.extend(starts);
 }
 
-/// A full fleet of 40 replicas: an arrival that has to wait, and the end that starts the next one.
+/// Measures admission at a full fleet of 40 replicas: an arrival that is queued, and the end of a
+/// request that starts the next one.
 fn admission() -> Vec<Slope> {
     let by = "teams";
     let mut short = Slope::new("admission, 100 waiting", "us", by, TEAMS);
     let mut long = Slope::new("admission, 2,000 waiting", "us", by, TEAMS);
     for teams in [10, 100, 470] {
-        short.add(teams as f64, admit(teams, 100));
-        long.add(teams as f64, admit(teams, 2_000));
+        short.add(teams as f64, measure_admission(teams, 100));
+        long.add(teams as f64, measure_admission(teams, 2_000));
     }
     vec![short, long]
 }
 
-fn admit(teams: usize, waiting: u32) -> f64 {
+/// Returns the processor time of one arrival and one end, in microseconds, with `waiting` requests
+/// queued.
+fn measure_admission(teams: usize, waiting: u32) -> f64 {
     let bundle = Arc::new(fixture::fleet(14, 2, teams));
     let mut router = Router::new(1, Settings::default());
     let mut out = Vec::new();
     let view = Event::View(Arc::new(fixture::view(&bundle, 0)));
     let mut now = Duration::from_secs(1);
     router.handle(now, view, &mut out);
-    let mut flying = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let mut arrive = |router: &mut Router, now, id: u32, out: &mut Vec<Action>| {
-        let base = fixture::request(id.into(), LATE);
+        let base = fixture::request(id.into(), DEADLINE);
         let request = Request {
             team: (id as usize % teams) as u16,
             ..base
         };
         router.handle(now, Event::Arrive(request), out);
-        started(out, &mut flying);
-        flying.pop_front()
+        collect_started(out, &mut in_flight);
+        in_flight.pop_front()
     };
     let mut running = VecDeque::new();
     for id in 0..waiting + 84 {
@@ -147,7 +155,7 @@
             if let Some((id, attempt)) = running.pop_front() {
                 router.handle(now, Event::Finished(id, attempt), &mut out);
                 let mut next = VecDeque::new();
-                started(&mut out, &mut next);
+                collect_started(&mut out, &mut next);
                 running.extend(next);
             }
         }
@@ -155,7 +163,7 @@
     spent / f64::from(rounds)
 }
 
-/// A step's head, written and read.
+/// Measures encoding and decoding of a step frame's head, by payload size.
 fn frames() -> Slope {
     let mut slope = Slope::new(
         "step's head, written and read",
--- a/crates/slopes/src/polling.rs
+++ b/crates/slopes/src/polling.rs
@@ -1,4 +1,4 @@
-//! Polling of endpoints for their load, over loopback connections.
+//! Cost of polling endpoints for their load reports over loopback connections.
 
 use crate::clock;
 use crate::slope::Slope;
@@ -6,32 +6,34 @@
 use standin::engine::{Config, Engine, Span};
 use std::net::SocketAddr;
 
-/// Endpoints that a node asks each second at most.
-const ASKED: f64 = 128.0;
-/// Times that each is asked.
+/// Maximum number of endpoints that a node polls in one second.
+const MAX_POLLED: f64 = 128.0;
+/// Number of polls of each endpoint in one measurement.
 const ROUNDS: usize = 50;
 
-/// Processor time of a second's asks, memory of the connections, bytes of an answer.
+/// Measures the processor time of one second's polls, the memory of the connections and the size
+/// of a load report.
 pub fn slopes() -> Vec<Slope> {
-    let new = |name, unit| Slope::new(name, unit, "endpoints asked", ASKED);
-    let mut spent = new("asking each endpoint once", "us");
+    let new = |name, unit| Slope::new(name, unit, "endpoints asked", MAX_POLLED);
+    let mut per_round = new("asking each endpoint once", "us");
     let mut memory = new("memory of the connections", "KB");
-    let mut fresh = new("asking each over a new connection", "us");
+    let mut new_connection = new("asking each over a new connection", "us");
     let mut bytes = Slope::new("answer of an endpoint", "bytes", "models held", 1.0);
     for models in [1, 2, 4] {
-        bytes.add(f64::from(models), answer(models) as f64);
+        bytes.add(f64::from(models), report_len(models) as f64);
     }
     for count in [16, 64, 128] {
-        let addrs = engines(count);
-        let (time, kept) = poll(&addrs);
-        spent.add(count as f64, time);
-        memory.add(count as f64, kept);
-        fresh.add(count as f64, connect(&addrs));
+        let addrs = start_engines(count);
+        let (time, allocated) = poll(&addrs);
+        per_round.add(count as f64, time);
+        memory.add(count as f64, allocated);
+        new_connection.add(count as f64, poll_unpooled(&addrs));
     }
-    vec![spent, fresh, memory, bytes]
+    vec![per_round, new_connection, memory, bytes]
 }
 
-fn answer(models: u32) -> usize {
+/// Returns the encoded size of a load report for `models` models, in bytes.
+fn report_len(models: u32) -> usize {
     let loaded = |n| engine::load::Loaded {
         model: format!("model-{n:02}"),
         version: "7".to_owned(),
@@ -47,9 +49,10 @@
     serde_json::to_vec(&report).expect("encodes").len()
 }
 
-/// Stand-ins on a thread of their own, so that their time is not counted.
-fn engines(count: usize) -> Vec<SocketAddr> {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Starts stand-in engines on a separate thread, so that their processor time is not counted, and
+/// returns their addresses.
+fn start_engines(count: usize) -> Vec<SocketAddr> {
+    let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         runtime().block_on(async move {
             let mut addrs = Vec::new();
@@ -60,15 +63,16 @@
                 };
                 addrs.push(Engine::start(config).await.expect("listens").addr);
             }
-            let _ = tell.send(addrs);
+            let _ = sender.send(addrs);
             std::future::pending::<()>().await;
         });
     });
-    told.recv().expect("started")
+    receiver.recv().expect("started")
 }
 
-/// Microseconds of this thread for one round of asks, and the memory that the first one took; the
-/// stand-ins' side of the connections is in it too.
+/// Returns this thread's processor time for one round of polls, in microseconds, and the memory
+/// that the first round allocated, in kilobytes. The memory includes the stand-ins' side of the
+/// connections.
 fn poll(addrs: &[SocketAddr]) -> (f64, f64) {
     runtime().block_on(async {
         let pool = Pool::default();
@@ -76,21 +80,22 @@
         for addr in addrs {
             engine::load::fetch(&pool, *addr).await.expect("answers");
         }
-        let kept = clock::allocated() - before;
-        let start = clock::used();
+        let allocated = clock::allocated() - before;
+        let start = clock::thread_time();
         for _ in 0..ROUNDS {
             for addr in addrs {
                 engine::load::fetch(&pool, *addr).await.expect("answers");
             }
         }
-        let spent = (clock::used() - start).as_secs_f64() * 1e6;
-        (spent / ROUNDS as f64, kept)
+        let spent = (clock::thread_time() - start).as_secs_f64() * 1e6;
+        (spent / ROUNDS as f64, allocated)
     })
 }
 
-/// Microseconds of this thread for one round of asks with nothing kept from the one before: with
-/// more endpoints than are asked in a period, a connection's idle time is over before its next ask.
-fn connect(addrs: &[SocketAddr]) -> f64 {
+/// Returns this thread's processor time, in microseconds, for one round of polls in which no
+/// connection is reused. This is the case when a node has more endpoints than it polls in one
+/// period: a pooled connection exceeds its idle timeout before the next poll of its endpoint.
+fn poll_unpooled(addrs: &[SocketAddr]) -> f64 {
     let (spent, ()) = clock::once(|| {
         runtime().block_on(async {
             for _ in 0..ROUNDS {
--- a/crates/slopes/src/size.rs
+++ b/crates/slopes/src/size.rs
@@ -1,39 +1,39 @@
-//! The size to design for, and the sizes that slopes are measured at.
+//! The fleet size that the system is designed for, and the sizes at which costs are measured.
 
-/// Nodes before the fleet.
+/// Number of router nodes.
 pub const NODES: f64 = 370.0;
-/// Endpoints: one for each accelerator.
+/// Number of endpoints: one for each accelerator.
 pub const ENDPOINTS: f64 = 9_400.0;
 /// Requests per second of all nodes.
 pub const REQUESTS: f64 = 12_000.0;
 /// Tokens per second of all nodes.
 pub const TOKENS: f64 = 2_900_000.0;
-/// Teams.
+/// Number of teams.
 pub const TEAMS: f64 = 470.0;
-/// Changes of configuration per second, as the mean of a day.
+/// Configuration changes per second, averaged over a day.
 pub const CHANGES: f64 = 16_000.0 / 86_400.0;
 
-/// Size of a fleet of endpoints, two to a replica.
+/// Size of a fleet in which each replica has two endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Replicas of all models.
+    /// Number of replicas of all models together.
     pub replicas: usize,
-    /// Teams.
+    /// Number of teams.
     pub teams: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
 }
 
 impl Size {
-    /// Endpoints of all replicas.
+    /// Returns the number of endpoints of all replicas.
     pub fn endpoints(&self) -> usize {
         self.replicas * 2
     }
 }
 
-/// From today's size to the one to design for.
+/// Measured sizes, from that of a current deployment up to the design size.
 pub const SIZES: [Size; 4] = [
     size(40, 10, 1, 3),
     size(260, 60, 4, 6),
--- a/crates/slopes/src/slope.rs
+++ b/crates/slopes/src/slope.rs
@@ -1,46 +1,52 @@
-//! A quantity measured at several sizes, and the line through it.
+//! A quantity measured at several sizes, and the line fitted through the points.
 
 use std::fmt;
 
-/// One quantity by size.
+/// Measurements of one quantity at several sizes.
 #[derive(Clone, Debug)]
 pub struct Slope {
     name: &'static str,
     unit: &'static str,
-    by: &'static str,
-    at: f64,
+    size_unit: &'static str,
+    design_size: f64,
     points: Vec<(f64, f64)>,
 }
 
 /// The line `a + b * x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Value at size zero.
+    /// Value at size zero (intercept).
     pub a: f64,
-    /// What one more adds.
+    /// Increase for each unit of size.
     pub b: f64,
-    /// Root of the mean square distance of the points from the line.
+    /// Root mean square of the points' vertical distances from the line.
     pub residual: f64,
 }
 
 impl Slope {
-    /// `name` in `unit`, by the number of `by`; worked out for `at` of them.
-    pub fn new(name: &'static str, unit: &'static str, by: &'static str, at: f64) -> Self {
+    /// Creates an empty series of the quantity `name`, measured in `unit`, over sizes counted in
+    /// `size_unit`; [`Self::projection`] evaluates the line at `design_size`.
+    pub fn new(
+        name: &'static str,
+        unit: &'static str,
+        size_unit: &'static str,
+        design_size: f64,
+    ) -> Self {
         Self {
             name,
             unit,
-            by,
-            at,
+            size_unit,
+            design_size,
             points: Vec::new(),
         }
     }
 
-    /// Adds what was measured at one size.
+    /// Adds the value measured at one size.
     pub fn add(&mut self, size: f64, value: f64) {
         self.points.push((size, value));
     }
 
-    /// Least squares.
+    /// Fits a line by least squares. The slope is zero if all sizes are equal.
     pub fn fit(&self) -> Fit {
         let n = self.points.len().max(1) as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| self.points.iter().map(f).sum::<f64>() / n;
@@ -54,10 +60,10 @@
         Fit { a, b, residual }
     }
 
-    /// The line's value at the size to design for.
-    pub fn worked_out(&self) -> f64 {
+    /// Returns the line's value at the design size.
+    pub fn projection(&self) -> f64 {
         let fit = self.fit();
-        fit.a + fit.b * self.at
+        fit.a + fit.b * self.design_size
     }
 }
 
@@ -71,13 +77,13 @@
             "| {} | {} | {} | {} | {:.4} | {:.6} | {:.4} | {} | {:.3} |",
             self.name,
             self.unit,
-            self.by,
+            self.size_unit,
             points.join(", "),
             fit.a,
             fit.b,
             fit.residual,
-            self.at,
-            self.worked_out()
+            self.design_size,
+            self.projection()
         )
     }
 }
--- a/crates/slopes/src/snapshot.rs
+++ b/crates/slopes/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! What control builds for the workers, and the tables it walks each second for rolls; dumps.
+//! Cost of the snapshots that control builds for the workers, of the tables that it scans each
+//! second for rolls, and of the dumps of its tables.
 
 use crate::size::{ENDPOINTS, NODES, SIZES, TEAMS};
 use crate::slope::Slope;
@@ -14,12 +15,12 @@
 use node::settings::Settings;
 use std::sync::Arc;
 
-/// Request workers of a node.
+/// Number of request workers of a node.
 const WORKERS: usize = 2;
-/// Settings of the documentation's example node.
+/// Settings of the example node in the documentation.
 const SETTINGS: &str = include_str!("../../../etc/node.ini");
 
-/// All that a snapshot is built from.
+/// The inputs that a snapshot is built from.
 struct World {
     settings: Settings,
     bundle: Arc<Bundle>,
@@ -66,19 +67,20 @@
         }
     }
 
-    /// What a node does each second for rolls, whether it holds a lease or not.
-    fn rolls(&self) -> (usize, usize) {
+    /// Collects health and reports of all endpoints, which a node does each second for rolls
+    /// whether or not it holds a lease. Returns the numbers of both.
+    fn collect_roll_inputs(&self) -> (usize, usize) {
         let rows = self.bundle.endpoints.iter();
         let health = |e: &bundle::endpoint::Endpoint| {
-            let takes = self.instance_list.accepts_work(&e.instance);
-            self.endpoints.health(&e.name, takes)
+            let accepts_work = self.instance_list.accepts_work(&e.instance);
+            self.endpoints.health(&e.name, accepts_work)
         };
         let health: Vec<Health> = rows.map(health).collect();
         (health.len(), self.endpoints.reports(&self.bundle).len())
     }
 }
 
-/// All slopes of snapshots, by endpoints and by items of peers.
+/// Measures snapshots, tables and dumps, by endpoints and by items of peers.
 pub fn slopes() -> Vec<Slope> {
     let new = |name, unit| Slope::new(name, unit, "endpoints", ENDPOINTS);
     let mut built = new("snapshot for one worker", "us");
@@ -88,7 +90,7 @@
     let mut table = new("memory of the reports", "KB");
     let mut dump = new("dump of the reports", "us");
     let mut text = new("dump of the reports, text", "KB");
-    let small = membership::told(8, 3, 1);
+    let small = membership::group_with_demand(8, 3, 1);
     for size in SIZES {
         let x = size.endpoints() as f64;
         let world = World::new(size);
@@ -109,7 +111,7 @@
             x,
             clock::mean(|| world.endpoints.serving_versions(&world.bundle)),
         );
-        rolls.add(x, clock::mean(|| world.rolls()));
+        rolls.add(x, clock::mean(|| world.collect_roll_inputs()));
         dump.add(x, clock::mean(|| world.endpoints.to_string()));
         text.add(x, world.endpoints.to_string().len() as f64 / 1e3);
     }
@@ -118,7 +120,8 @@
     slopes
 }
 
-/// The part of a snapshot that reads what peers told.
+/// Measures the part of a snapshot that reads the items published by peers, and dumps of the
+/// members.
 fn items() -> Vec<Slope> {
     let all = NODES * TEAMS * 0.3;
     let mut built = Slope::new("snapshot, 80 endpoints", "us", "items stored", all);
@@ -126,8 +129,8 @@
     let mut text = Slope::new("dump of the members, text", "KB", "items stored", all);
     let world = World::new(SIZES[0]);
     for nodes in [8, 16, 32] {
-        let group = membership::told(nodes, 3, TEAMS as usize);
-        let x = membership::stored(&group) as f64;
+        let group = membership::group_with_demand(nodes, 3, TEAMS as usize);
+        let x = membership::item_count(&group) as f64;
         let source = world.source(&group);
         built.add(x, clock::mean(|| source.snapshots(1)));
         dump.add(x, clock::mean(|| group.to_string()));
--- a/crates/slopes/src/versions.rs
+++ b/crates/slopes/src/versions.rs
@@ -1,4 +1,4 @@
-//! Bundles: the fold of a delta, the read of a checkpoint, their bytes and memory.
+//! Cost of bundles: applying a delta, reading a checkpoint, their encoded sizes and memory.
 
 use crate::size::{ENDPOINTS, SIZES, Size};
 use crate::slope::Slope;
@@ -9,13 +9,13 @@
 use bundle::signer::Signer;
 use std::time::Duration;
 
-/// All slopes of bundles.
+/// Measures time, encoded size and memory of deltas, checkpoints and bundles.
 pub fn slopes() -> Vec<Slope> {
     let new = |name, unit| Slope::new(name, unit, "endpoints", ENDPOINTS);
     let mut delta = new("fold of a delta", "us");
     let mut bytes = new("record of a delta", "bytes");
     let mut read = new("read of a checkpoint", "us");
-    let mut whole = new("checkpoint", "KB");
+    let mut checkpoint = new("checkpoint", "KB");
     let mut first = new("memory of the head", "KB");
     let mut further = new("memory of each further version held", "KB");
     for size in SIZES {
@@ -24,14 +24,16 @@
         first.add(x, head);
         further.add(x, more);
         let world = World::new(size);
-        delta.add(x, clock::mean(|| world.delta()));
+        delta.add(x, clock::mean(|| world.apply_delta()));
         bytes.add(x, world.next.len() as f64);
-        read.add(x, clock::mean(|| world.read()));
-        whole.add(x, world.checkpoint.len() as f64 / 1e3);
+        read.add(x, clock::mean(|| world.read_checkpoint()));
+        checkpoint.add(x, world.checkpoint.len() as f64 / 1e3);
     }
-    vec![delta, read, bytes, whole, first, further]
+    vec![delta, read, bytes, checkpoint, first, further]
 }
 
+/// Returns the memory, in kilobytes, of a bundle with text of its own, and of a further bundle
+/// built from the same parsed sections.
 fn memory(size: Size) -> (f64, f64) {
     let text = fleet::text(size, 30);
     let copies = (20_000 / size.endpoints()).clamp(2, 32);
@@ -43,7 +45,7 @@
     (head, more)
 }
 
-/// A fold at its first version, and the record of the second.
+/// A fold at its first version, the record of the second version, and a checkpoint of the first.
 struct World {
     trusted: Signer,
     start: Fold,
@@ -74,13 +76,15 @@
         }
     }
 
-    fn delta(&self) -> Fold {
+    /// Applies the second version's record to a copy of the fold.
+    fn apply_delta(&self) -> Fold {
         let mut fold = self.start.clone();
         assert!(matches!(fold.apply(1, &self.next), Verdict::Accepted(_)));
         fold
     }
 
-    fn read(&self) -> Fold {
+    /// Restores a fold from the checkpoint.
+    fn read_checkpoint(&self) -> Fold {
         let mut fold = Fold::new(vec![self.trusted.clone()]);
         assert!(matches!(fold.adopt(&self.checkpoint), Verdict::Adopted(_)));
         fold
