--- a/crates/standin/examples/relay.rs
+++ b/crates/standin/examples/relay.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo run --release -p wigeonshelf-standin --example relay`
 //!
-//! The engines run in a second process, so that the figures cover only the driver, which runs on one
-//! thread.
+//! The engines run in a second process, so that the figures cover only the driver, which runs on
+//! one thread.
 
 #[path = "relay/direct.rs"]
 mod direct;
@@ -159,8 +159,8 @@
     }
 }
 
-/// Prints the throughput of the driver and of direct calls, measured in alternating rounds. The round
-/// with the least CPU time per step counts, since other load on the system only adds to it.
+/// Prints the throughput of the driver and of direct calls, measured in alternating rounds. The
+/// round with the least CPU time per step counts, since other load on the system only adds to it.
 async fn throughput(activation: usize, hops: &[Hop]) {
     let (mut driver, mut direct) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
@@ -230,8 +230,8 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Prints the speed, CPU time and peak memory of relaying the activations of long prompts. The round
-/// with the least CPU time counts.
+/// Prints the speed, CPU time and peak memory of relaying the activations of long prompts. The
+/// round with the least CPU time counts.
 async fn prefill(pipeline: &Pipeline) {
     let bytes = pipeline.activation;
     println!("prefill of {PREFILLS} prompts of {PROMPT_TOKENS} tokens at once, {bytes} B each");
--- a/crates/standin/examples/relay/process.rs
+++ b/crates/standin/examples/relay/process.rs
@@ -5,8 +5,8 @@
 
 /// Returns the CPU time of this process; zero if it cannot be read.
 pub fn cpu() -> Duration {
-    // The first field is the CPU time of the main thread in nanoseconds. The driver runs on no other
-    // thread.
+    // The first field is the CPU time of the main thread in nanoseconds. The driver runs on no
+    // other thread.
     let text = fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanos = text.split(' ').next().and_then(|field| field.parse().ok());
     Duration::from_nanos(nanos.unwrap_or_default())
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -146,7 +146,8 @@
         lifecycle::crash(&self.state);
     }
 
-    /// Crashes the engine during the `count`-th step from now; 1 is the next step, 0 turns this off.
+    /// Crashes the engine during the `count`-th step from now; 1 is the next step, 0 turns this
+    /// off.
     pub fn crash_at_step(&self, count: u64) {
         self.state.fault.crash_at.store(count, Ordering::SeqCst);
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -12,8 +12,11 @@
     size: usize,
     /// Every n-th event is dropped; 0 drops none.
     loss_interval: u64,
+    /// Value of `clock` at the last use, by block.
     last_used: HashMap<u64, u64>,
+    /// Number of block uses so far.
     clock: u64,
+    /// Number of the last event.
     number: u64,
     events: VecDeque<CacheEvent>,
 }
@@ -31,8 +34,8 @@
         }
     }
 
-    /// Returns the number of leading blocks of `prefix` that were cached, and caches the prefix up to
-    /// the capacity.
+    /// Returns the number of leading blocks of `prefix` that were cached, and caches the prefix up
+    /// to the capacity.
     pub(super) fn touch(&mut self, prefix: &[u64]) -> usize {
         let hits = prefix
             .iter()
@@ -59,6 +62,7 @@
         self.events.clear();
     }
 
+    /// Evicts the least recently used blocks beyond the capacity.
     fn evict(&mut self) {
         let excess = self.last_used.len().saturating_sub(self.size);
         if excess == 0 {
@@ -76,6 +80,7 @@
         }
     }
 
+    /// Records an event, unless it is one that `loss_interval` drops.
     fn record_event(&mut self, block: u64, stored: bool) {
         self.number += 1;
         if self.loss_interval > 0 && self.number.is_multiple_of(self.loss_interval) {
--- a/crates/standin/src/engine/counts.rs
+++ b/crates/standin/src/engine/counts.rs
@@ -74,6 +74,7 @@
 #[derive(Debug, Default)]
 struct Records {
     runs: BTreeMap<Key, Runs>,
+    /// Recorded attempts, oldest first.
     order: VecDeque<Key>,
 }
 
@@ -97,6 +98,8 @@
         self.size > 0
     }
 
+    /// Adds the layers that ran for one position of an attempt; a new attempt replaces
+    /// the oldest one if the ledger is full.
     pub(super) fn record(
         &self,
         request: u128,
--- a/crates/standin/src/engine/lanes.rs
+++ b/crates/standin/src/engine/lanes.rs
@@ -18,7 +18,9 @@
 
 #[derive(Debug)]
 struct State {
+    /// Instants at which the free lanes became free, earliest first.
     free: BinaryHeap<Reverse<Instant>>,
+    /// Waiting steps, by rank and then arrival.
     waiting: BTreeMap<(u32, u64), oneshot::Sender<Lane>>,
     arrivals: u64,
 }
@@ -85,6 +87,7 @@
         }
     }
 
+    /// Takes the next waiting step and a free lane, if there are both.
     fn next(&self) -> Option<(oneshot::Sender<Lane>, Instant)> {
         let mut state = self.lock();
         state.waiting.retain(|_, grant| !grant.is_closed());
--- a/crates/standin/src/engine/stage/work.rs
+++ b/crates/standin/src/engine/stage/work.rs
@@ -157,8 +157,8 @@
         Ok(())
     }
 
-    /// Returns the compute time of the step. A prefill counts only the positions that miss the prefix
-    /// cache.
+    /// Returns the compute time of the step. A prefill counts only the positions that miss the
+    /// prefix cache.
     fn cost(&mut self, positions: usize) -> Duration {
         let state = self.state.clone();
         let config = &state.config;
@@ -191,8 +191,8 @@
         self.state.inter_token.store(next, Ordering::Relaxed);
     }
 
-    /// Computes all positions of a step. The last stage of the model replies with a token, the others
-    /// with activations.
+    /// Computes all positions of a step. The last stage of the model replies with a token, the
+    /// others with activations.
     fn compute(&mut self, place: Place, input: &Input, inputs: Vec<u64>) -> StepOutput {
         let is_prompt = matches!(input, Input::Prompt(_));
         let resumed_tokens = if let Input::Prompt(tokens) = input {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -43,6 +43,7 @@
     pub(super) lanes: Arc<Lanes>,
     pub(super) lifecycle: Lifecycle,
     pub(super) held: Mutex<Vec<Holding>>,
+    /// Highest fencing number of any order so far.
     pub(super) fence: AtomicU64,
     pub(super) snapshot: Mutex<Option<Snapshot>>,
     /// Moving average of the time between two steps of one request, in nanoseconds; 0 before the
--- a/crates/standin/src/engine/status.rs
+++ b/crates/standin/src/engine/status.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// Builds a load report of the current state.
 fn report(state: &State) -> Report {
     let now = Instant::now();
     let held = lock(&state.held);
--- a/crates/standin/src/engine/vocabulary.rs
+++ b/crates/standin/src/engine/vocabulary.rs
@@ -4,7 +4,7 @@
 
 /// Number of tokens in the vocabulary.
 pub const SIZE: u32 = 32 << 10;
-/// Mean number of draws per end of an answer: one draw in this many ends it.
+/// Average number of draws until one ends the answer.
 pub const DRAWS_PER_END: u64 = 512;
 
 const WORDS: [&str; 32] = [
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -40,6 +40,7 @@
     dropped_answers: AtomicU64,
     calls: AtomicU64,
     connections: AtomicU64,
+    /// Closes all open connections when cancelled.
     cut: Mutex<CancellationToken>,
 }
 
@@ -101,6 +102,7 @@
         is_dropped
     }
 
+    /// Returns the token that cuts connections accepted now.
     fn token(&self) -> CancellationToken {
         lock(&self.cut).clone()
     }
@@ -191,6 +193,7 @@
     }
 }
 
+/// Accepts connections, and serves each until it ends, is cut by a fault or the server stops.
 async fn accept<S: Service>(
     listener: TcpListener,
     faults: Arc<Faults>,
--- a/crates/standin/src/lifecycle.rs
+++ b/crates/standin/src/lifecycle.rs
@@ -38,8 +38,10 @@
     addr: SocketAddr,
     restart_after: Option<Duration>,
     runtime: Runtime,
+    /// Cancelled when the current run ends; stops the tasks of that run.
     token: Mutex<CancellationToken>,
     unresponsive: Arc<AtomicBool>,
+    /// Hang switches of the open connections.
     open: Mutex<Vec<Weak<AtomicBool>>>,
     crash_count: AtomicU64,
     connection_count: AtomicU64,
@@ -154,6 +156,7 @@
     });
 }
 
+/// Accepts connections and serves each in a task of its own.
 async fn accept<S: Serve>(server: Arc<S>, listener: TcpListener) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -54,6 +54,7 @@
 struct State {
     lag: Duration,
     shown: Vec<Instance>,
+    /// Pending changes, with the time at which the list shows them.
     changes: Vec<(Instant, Vec<Instance>)>,
 }
 
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -91,12 +91,15 @@
         self.first + self.records.len() as u64
     }
 
+    /// Drops the records below the offset `first`.
     fn trim(&mut self, first: Offset) {
         while self.first < first && self.records.pop_front().is_some() {
             self.first += 1;
         }
     }
 
+    /// Returns the records from `from` on, or from the first retained one, up to
+    /// [`MAX_PAGE_BYTES`].
     fn page(&self, from: Offset) -> Page {
         let start = from.max(self.first);
         let skip = usize::try_from(start - self.first).unwrap_or(usize::MAX);
@@ -124,7 +127,9 @@
 #[derive(Debug, Default)]
 struct State {
     streams: BTreeMap<String, Stream>,
+    /// Maximum number of records in a stream; 0 is unlimited.
     retain: usize,
+    /// Tokens in the bucket of the append limit.
     tokens: f64,
     refilled_at: Option<Instant>,
 }
@@ -155,6 +160,7 @@
 #[derive(Debug)]
 struct Store {
     state: Mutex<State>,
+    /// Allowed appends per second; 0 is unlimited.
     rate: AtomicU32,
     /// Number of appends; waiting reads watch it.
     changed: watch::Sender<u64>,
@@ -186,6 +192,7 @@
         offset
     }
 
+    /// Appends a record for a client, subject to the rate limit.
     fn write(&self, stream: &str, body: Bytes) -> Answer {
         let admitted = lock(&self.state).admit(self.rate.load(Relaxed));
         if !admitted {
@@ -201,6 +208,8 @@
         Answer::json(&Appended { offset }).written()
     }
 
+    /// Reads a page; waits until there are records at or after `from`, a gap shows or `wait` is
+    /// over.
     async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Answer {
         let mut changed = self.changed.subscribe();
         let end = Instant::now() + wait.min(MAX_WAIT);
@@ -235,10 +244,12 @@
     }
 }
 
+/// Returns the stream name in the path of a log request.
 fn stream(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/streams/")?.strip_suffix("/records")
 }
 
+/// Returns the value of a numeric query parameter.
 fn number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a plain service. The effect of a `POST` is counted by its idempotency key, or by its
-//! body if it has no key. The answer is text derived from the path and the body.
+//! A stand-in for a plain service. The effect of a `POST` is counted by its idempotency key, or by
+//! its body if it has no key. The answer is text derived from the path and the body.
 
 mod fault;
 
@@ -74,6 +74,7 @@
     config: Config,
     lifecycle: Lifecycle,
     fault: Fault,
+    /// Number of effects, by idempotency key or body.
     effects: Mutex<BTreeMap<String, u64>>,
     calls: AtomicU64,
 }
@@ -223,6 +224,7 @@
         self.answer(&path, &body)
     }
 
+    /// Crashes the service if the fault switch selects this point, and then never returns.
     async fn crash_if_due(self: &Arc<Self>, point: CrashPoint) {
         if self.fault.crash() == Some(point) {
             lifecycle::crash(self);
--- a/crates/standin/tests/driver/crossed.rs
+++ b/crates/standin/tests/driver/crossed.rs
@@ -14,8 +14,8 @@
 
 #[tokio::test]
 async fn frames_of_an_ended_attempt_are_dropped() {
-    // Each correct reply is preceded by one of the previous attempt, as from a stage that stops late.
-    // The driver drops those by their attempt number, and the caller's answer is complete.
+    // Each correct reply is preceded by one of the previous attempt, as from a stage that stops
+    // late. The driver drops those by their attempt number, and the caller's answer is complete.
     for hop in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
         engines[hop].set_reply_fault(Some(ReplyFault::StaleAttempt));
--- a/crates/standin/tests/driver/died.rs
+++ b/crates/standin/tests/driver/died.rs
@@ -18,8 +18,8 @@
 
 #[tokio::test]
 async fn a_retry_resumes_after_a_stage_crashes_in_any_step() {
-    // A stage crashes in its n-th step. The caller has the correct tokens of the steps before it. The
-    // next attempt resumes from them on other engines, and the joined answer equals that of an
+    // A stage crashes in its n-th step. The caller has the correct tokens of the steps before it.
+    // The next attempt resumes from them on other engines, and the joined answer equals that of an
     // attempt without a failure.
     let pool = Pool::default();
     for hop in 0..3 {
@@ -80,8 +80,8 @@
 
 #[tokio::test]
 async fn a_prompt_that_crashes_its_stage_crashes_it_each_time() {
-    // The engine crashes on each prompt that contains the text, and restarts. Other prompts that are
-    // sent to it after the restart get complete answers.
+    // The engine crashes on each prompt that contains the text, and restarts. Other prompts that
+    // are sent to it after the restart get complete answers.
     let config = Config {
         restart_after: Some(Duration::from_millis(20)),
         ..Config::default()
--- a/crates/standin/tests/driver/random.rs
+++ b/crates/standin/tests/driver/random.rs
@@ -152,8 +152,8 @@
 #[tokio::test]
 async fn answers_are_complete_under_random_faults() {
     // Forty random faults are injected while requests run in eight concurrent lanes, one after the
-    // other in each lane; then all engines are healed. Each request is resumed from the tokens it has
-    // until its answer is complete. No token is wrong, no layer runs twice for a position in an
+    // other in each lane; then all engines are healed. Each request is resumed from the tokens it
+    // has until its answer is complete. No token is wrong, no layer runs twice for a position in an
     // attempt, and no layer runs in an attempt that was not sent.
     let (attempts, requests, crashes) = (Cell::new(0), Cell::new(0), Cell::new(0));
     for seed in 1..=4 {
--- a/crates/standin/tests/driver/refused.rs
+++ b/crates/standin/tests/driver/refused.rs
@@ -33,8 +33,9 @@
 
 #[tokio::test]
 async fn no_layer_runs_if_a_stage_is_unreachable() {
-    // One stage of three cannot be reached, and the others accept the stream. No step is sent before
-    // all stages have accepted, so no layer runs and "not run" may be reported to the caller.
+    // One stage of three cannot be reached, and the others accept the stream. No step is sent
+    // before all stages have accepted, so no layer runs and "not run" may be reported to the
+    // caller.
     for dead in 0..3 {
         let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
         engines[dead].crash();
@@ -130,7 +131,8 @@
 
 #[tokio::test]
 async fn a_full_engine_refuses_the_next_request_only() {
-    // With two slots, the third request is refused while the other two run, and accepted after them.
+    // With two slots, the third request is refused while the other two run, and accepted after
+    // them.
     let config = Config {
         slots: 2,
         ..Config::default()
@@ -162,9 +164,9 @@
 
 #[tokio::test]
 async fn a_restarted_stage_is_reached_again_through_the_same_pool() {
-    // The pool holds a connection to a stage that has since restarted. Opening a stream on it fails;
-    // since an open runs nothing it is retried once on a new connection, and the caller sees no
-    // failure.
+    // The pool holds a connection to a stage that has since restarted. Opening a stream on it
+    // fails; since an open runs nothing it is retried once on a new connection, and the caller sees
+    // no failure.
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let pool = Pool::default();
     for request in 1..=10 {
@@ -181,9 +183,9 @@
 
 #[tokio::test]
 async fn a_burst_to_an_unresponsive_address_waits_for_one_connect_timeout() {
-    // Packets to the endpoint are lost, so connecting takes the whole connect timeout. Fifty concurrent
-    // requests share the failure: attempts in sequence would make the last request wait for fifty
-    // timeouts.
+    // Packets to the endpoint are lost, so connecting takes the whole connect timeout. Fifty
+    // concurrent requests share the failure: attempts in sequence would make the last request wait
+    // for fifty timeouts.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
--- a/crates/standin/tests/driver/silent.rs
+++ b/crates/standin/tests/driver/silent.rs
@@ -48,9 +48,9 @@
 
 #[tokio::test]
 async fn a_lost_open_frame_is_not_sent() {
-    // The pooled connection is unresponsive when the request arrives, so the open frame is lost. The
-    // router cancels for lack of progress. No step was sent, so the request may be reported as "not
-    // run".
+    // The pooled connection is unresponsive when the request arrives, so the open frame is lost.
+    // The router cancels for lack of progress. No step was sent, so the request may be reported as
+    // "not run".
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let pool = Pool::default();
     let first = job(1, &engines, "soup", 4);
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -90,8 +90,8 @@
     assert_eq!(client.append("a", body("z")).await, Ok(1));
 }
 
-/// The service stops answering: the call times out with an unknown outcome. Once the service answers
-/// again, a new client succeeds.
+/// The service stops answering: the call times out with an unknown outcome. Once the service
+/// answers again, a new client succeeds.
 #[tokio::test]
 async fn a_call_to_an_unresponsive_service_times_out() {
     let log = log::Log::start(any_port()).await.unwrap();
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -107,8 +107,8 @@
 #[tokio::test]
 async fn a_service_that_crashes_leaves_the_outcome_unknown() {
     // The service crashes before or after the effect of the call. The caller cannot know which, and
-    // the failure says that the call was sent. The call is made once: the client does not retry it on
-    // another connection.
+    // the failure says that the call was sent. The call is made once: the client does not retry it
+    // on another connection.
     for (point, effects) in [(CrashPoint::Before, 0), (CrashPoint::After, 1)] {
         let (service, _) = start(1).await;
         let pool = Pool::default();
@@ -157,8 +157,8 @@
 
 #[tokio::test]
 async fn an_answer_without_length_or_chunks_is_refused() {
-    // Without a length or chunks the answer ends with the connection, so that a truncated answer would
-    // look complete.
+    // Without a length or chunks the answer ends with the connection, so that a truncated answer
+    // would look complete.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let addr = listener.local_addr().expect("has an address");
     let server = async {
@@ -201,8 +201,8 @@
 
 #[tokio::test]
 async fn a_call_on_a_new_connection_does_not_depend_on_pooled_ones() {
-    // The pooled connection has become unresponsive, or its service has restarted. A call that must not
-    // be repeated uses a new connection, and takes effect exactly once.
+    // The pooled connection has become unresponsive, or its service has restarted. A call that must
+    // not be repeated uses a new connection, and takes effect exactly once.
     let (service, config) = start(1).await;
     let pool = Pool::default();
     for round in 0..6 {
@@ -228,8 +228,8 @@
 #[tokio::test]
 async fn a_call_on_a_lost_connection_is_never_sent_twice() {
     // The service restarts while its connections are pooled. Whether a call fails, and with which
-    // outcome, depends on whether the client has noticed the closed connection. A call reported as not
-    // sent must have had no effect, and no call may have two effects.
+    // outcome, depends on whether the client has noticed the closed connection. A call reported as
+    // not sent must have had no effect, and no call may have two effects.
     let (service, _) = start(1).await;
     let pool = Pool::default();
     for round in 0..40 {
@@ -283,8 +283,8 @@
 
 #[tokio::test]
 async fn a_probe_reaches_a_service_that_never_answers_http_2() {
-    // A server that speaks only HTTP/1.1 takes the HTTP/2 preface for an incomplete request and waits
-    // for the rest. It is alive, and the probe must not report it as unreachable.
+    // A server that speaks only HTTP/1.1 takes the HTTP/2 preface for an incomplete request and
+    // waits for the rest. It is alive, and the probe must not report it as unreachable.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
     let addr = listener.local_addr().expect("has an address");
     let server = async {
@@ -308,8 +308,8 @@
 
 #[tokio::test]
 async fn a_dropped_answer_closes_its_connection() {
-    // The body of an answer is dropped before its end. The rest of it must not be read as the answer to
-    // the next call, so the connection is not reused.
+    // The body of an answer is dropped before its end. The rest of it must not be read as the
+    // answer to the next call, so the connection is not reused.
     let (service, config) = start(4).await;
     let pool = Pool::default();
     let first = call(&pool, service.addr, "1", OPTIONS)
--- a/crates/standin/tests/status.rs
+++ b/crates/standin/tests/status.rs
@@ -73,8 +73,9 @@
 
 #[tokio::test]
 async fn only_fenced_engines_refuse_a_stale_fencing_number() {
-    // A paused lease holder sends its order late, with a stale fencing number. A fenced engine refuses
-    // it. An engine that ignores the number executes it, so senders must not rely on the refusal.
+    // A paused lease holder sends its order late, with a stale fencing number. A fenced engine
+    // refuses it. An engine that ignores the number executes it, so senders must not rely on the
+    // refusal.
     for (fenced, answer) in [(true, Answer::OldFence), (false, Answer::Done)] {
         let config = Config {
             fenced,
@@ -158,8 +159,9 @@
 
 #[tokio::test]
 async fn urgent_steps_go_first() {
-    // Eight requests of low priority saturate a stage that computes one step at a time. The steps of
-    // an urgent request go ahead of all waiting ones: it gets its ten tokens while the others get few.
+    // Eight requests of low priority saturate a stage that computes one step at a time. The steps
+    // of an urgent request go ahead of all waiting ones: it gets its ten tokens while the others
+    // get few.
     let config = Config {
         batch: 1,
         layer_time: Duration::from_millis(1),
