--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -17,11 +17,11 @@
         nodes: NODES,
         ..Plan::default()
     };
-    let mut fleet = Fleet::bare(plan).await.unwrap();
+    let mut fleet = Fleet::start_standins(plan).await.unwrap();
     for index in 0..NODES {
         fleet.start_node(index).unwrap();
     }
-    fleet.relist();
+    fleet.update_instance_list();
     let dir = Workdir::new(name);
     let key = sign::key_from_seed(SIGNER_SEED);
     dir.write("key.pem", &sign::to_pem(&key).unwrap());
--- a/crates/rig/examples/added.rs
+++ b/crates/rig/examples/added.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use http::Response;
 use hyper::body::Incoming;
-use rig::caller::{Ask, Caller};
+use rig::caller::{Caller, ChatRequest};
 use rig::fleet::Fleet;
 use rig::plan::{MODEL, Plan, Stage, VERSION};
 use rig::traffic::{self, Traffic};
@@ -87,8 +87,8 @@
     let caller = Caller::new();
     let pool = Pool::default();
     for number in 0..REQUESTS {
-        let mut ask = Ask::of(format!("latency {number}"));
-        ask.most = TOKENS;
+        let mut ask = ChatRequest::new(format!("latency {number}"));
+        ask.max_tokens = TOKENS;
         let answer = caller.chat(fleet.node(0).callers, &ask).await?;
         if !answer.complete() {
             return Err(eyre!("an answer is not whole: {answer:?}"));
@@ -213,8 +213,8 @@
 
 /// A caller with a stream that has begun.
 async fn stream(fleet: &Fleet, number: usize) -> Result<Response<Incoming>> {
-    let mut ask = Ask::of(format!("stream {number}"));
-    ask.most = 512;
+    let mut ask = ChatRequest::new(format!("stream {number}"));
+    ask.max_tokens = 512;
     Caller::new().open(fleet.node(0).callers, &ask).await
 }
 
--- a/crates/rig/examples/demo.rs
+++ b/crates/rig/examples/demo.rs
@@ -3,7 +3,7 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use eyre::Result;
-use rig::caller::{Ask, Caller};
+use rig::caller::{Caller, ChatRequest};
 use rig::fleet::Fleet;
 use rig::plan::{KITCHENS, MODEL, NEWSLETTER, Plan, Stage};
 use rig::tally::Tally;
@@ -159,8 +159,8 @@
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        let mut ask = Ask::of(format!("watch {number}"));
-        ask.most = 64;
+        let mut ask = ChatRequest::new(format!("watch {number}"));
+        ask.max_tokens = 64;
         let Ok(answer) = caller.chat(addr, &ask).await else {
             continue;
         };
--- a/crates/rig/src/caller.rs
+++ b/crates/rig/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: asks for an address, sends requests, reads answers.
+//! A caller of the router: requests node addresses, sends requests and reads answers.
 
 use crate::plan::{KITCHENS, MODEL, Team};
 use crate::sse::Reader;
@@ -17,35 +17,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time for one answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for a response head, for a complete body, and for each piece of a streamed body.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is asked.
+/// A chat completion request.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ChatRequest {
     /// The caller's team.
     pub team: Team,
-    /// Model, with the adapter if any.
+    /// Model, followed by `:` and the adapter if there is one.
     pub model: String,
     /// Text of the user's message.
     pub message: String,
-    /// Most tokens.
-    pub most: u32,
-    /// Seed of the sampling.
+    /// Maximum number of completion tokens.
+    pub max_tokens: u32,
+    /// Sampling seed.
     pub seed: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Further headers.
+    /// Additional HTTP headers.
     pub headers: Vec<(&'static str, String)>,
 }
 
-impl Default for Ask {
+impl Default for ChatRequest {
     fn default() -> Self {
         Self {
             team: KITCHENS,
             model: MODEL.to_owned(),
             message: "rewrite the weekly menu".to_owned(),
-            most: 16,
+            max_tokens: 16,
             seed: 1,
             stream: true,
             headers: Vec::new(),
@@ -53,27 +53,27 @@
     }
 }
 
-impl Ask {
-    /// An ask with this message.
-    pub fn of(message: impl Into<String>) -> Self {
+impl ChatRequest {
+    /// Creates a request with this message and default values.
+    pub fn new(message: impl Into<String>) -> Self {
         Self {
             message: message.into(),
             ..Self::default()
         }
     }
 
-    /// The same with one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The body that is sent.
+    /// Returns the JSON body.
     pub fn body(&self) -> String {
         json!({
             "model": self.model,
             "messages": [{"role": "user", "content": self.message}],
-            "max_tokens": self.most,
+            "max_tokens": self.max_tokens,
             "seed": self.seed,
             "stream": self.stream,
         })
@@ -90,45 +90,45 @@
     pub headers: HeaderMap,
     /// Text of the answer.
     pub text: String,
-    /// Outcome, from the header, the error or the last event.
+    /// Outcome of the request, from the header, the error or the last event.
     pub outcome: Option<String>,
-    /// Code of the error.
+    /// Error code, if the answer is an error.
     pub error: Option<String>,
-    /// Why the answer ended.
-    pub finish: Option<String>,
-    /// Whether the end mark of a stream came, or the whole JSON.
+    /// Reason why generation ended.
+    pub finish_reason: Option<String>,
+    /// Whether the `[DONE]` event of a stream, or the complete JSON body, was received.
     pub done: bool,
-    /// Whether the body was broken off.
+    /// Whether the body ended with an error or timed out before its end.
     pub broken: bool,
-    /// Time from sending to each piece of text.
+    /// Time from sending the request to each piece of text.
     pub times: Vec<Duration>,
     /// The body of an answer that is not streamed.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Whether the caller was told that the answer is whole.
+    /// Returns whether the outcome says that the answer is complete and it was received to its end.
     pub fn complete(&self) -> bool {
         self.outcome.as_deref() == Some("complete") && self.done && !self.broken
     }
 
-    /// Whether the caller was told that the request was not run.
+    /// Returns whether the outcome says that the request was not run.
     pub fn not_run(&self) -> bool {
         self.outcome.as_deref() == Some("not-run")
     }
 
-    /// Whether the caller was told that it may have run.
+    /// Returns whether the outcome says that the request may have run.
     pub fn unknown(&self) -> bool {
         self.outcome.as_deref() == Some("unknown")
     }
 
-    /// Seconds to wait, if told.
+    /// Returns the retry-after delay in seconds, if the answer has one.
     pub fn retry_after(&self) -> Option<u64> {
         self.headers.get("retry-after")?.to_str().ok()?.parse().ok()
     }
 }
 
-/// A caller with connections of its own.
+/// A caller with its own connection pool.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -141,20 +141,20 @@
 }
 
 impl Caller {
-    /// A caller that speaks HTTP/1.1.
+    /// Creates a caller that uses HTTP/1.1.
     pub fn new() -> Self {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Self { client }
     }
 
-    /// A caller that speaks HTTP/2.
+    /// Creates a caller that uses HTTP/2.
     pub fn http2() -> Self {
         let mut builder = Client::builder(TokioExecutor::new());
         let client = builder.http2_only(true).build_http();
         Self { client }
     }
 
-    /// Sends a request; the body of the answer is still to be read.
+    /// Sends a request and returns the response with its body unread.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -170,11 +170,11 @@
             request = request.header(*name, value);
         }
         let request = request.body(Full::new(body.into()))?;
-        let answer = tokio::time::timeout(PATIENCE, self.client.request(request));
+        let answer = tokio::time::timeout(RESPONSE_TIMEOUT, self.client.request(request));
         Ok(answer.await??)
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -185,12 +185,12 @@
     ) -> Result<(StatusCode, HeaderMap, Bytes)> {
         let response = self.send(addr, method, path, headers, body).await?;
         let (parts, body) = response.into_parts();
-        let body = tokio::time::timeout(PATIENCE, body.collect()).await??;
+        let body = tokio::time::timeout(RESPONSE_TIMEOUT, body.collect()).await??;
         Ok((parts.status, parts.headers, body.to_bytes()))
     }
 
-    /// Opens a chat completion.
-    pub async fn open(&self, addr: SocketAddr, ask: &Ask) -> Result<Response<Incoming>> {
+    /// Sends a chat completion request and returns the response with its body unread.
+    pub async fn open(&self, addr: SocketAddr, ask: &ChatRequest) -> Result<Response<Incoming>> {
         let mut headers = vec![
             ("authorization", format!("Bearer {}", ask.team.key)),
             ("content-type", "application/json".to_owned()),
@@ -201,15 +201,15 @@
             .await
     }
 
-    /// Sends a chat completion and reads its answer to the end.
-    pub async fn chat(&self, addr: SocketAddr, ask: &Ask) -> Result<Answer> {
+    /// Sends a chat completion request and reads its answer to the end.
+    pub async fn chat(&self, addr: SocketAddr, ask: &ChatRequest) -> Result<Answer> {
         let start = Instant::now();
         let response = self.open(addr, ask).await?;
         Ok(read(response, start).await)
     }
 }
 
-/// Reads an answer to its end.
+/// Reads an answer to its end. `start` is the time at which the request was sent.
 pub async fn read(response: Response<Incoming>, start: Instant) -> Answer {
     let (parts, body) = response.into_parts();
     let mut answer = Answer {
@@ -218,7 +218,7 @@
         headers: parts.headers,
         text: String::new(),
         error: None,
-        finish: None,
+        finish_reason: None,
         done: false,
         broken: false,
         times: Vec::new(),
@@ -226,18 +226,18 @@
     };
     let kind = header(&answer.headers, "content-type").unwrap_or_default();
     if kind.starts_with("text/event-stream") {
-        stream(&mut answer, body, start).await;
+        read_stream(&mut answer, body, start).await;
     } else {
-        whole(&mut answer, body, start).await;
+        read_json(&mut answer, body, start).await;
     }
     answer
 }
 
-async fn stream(answer: &mut Answer, body: Incoming, start: Instant) {
+async fn read_stream(answer: &mut Answer, body: Incoming, start: Instant) {
     let mut reader = Reader::default();
     let mut body = body.into_data_stream();
     loop {
-        match tokio::time::timeout(PATIENCE, body.next()).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, body.next()).await {
             Ok(Some(Ok(bytes))) => {
                 let before = reader.pieces;
                 reader.push(&bytes);
@@ -254,14 +254,14 @@
         }
     }
     answer.text = reader.text;
-    answer.finish = reader.finish;
+    answer.finish_reason = reader.finish_reason;
     answer.error = reader.error;
     answer.done = reader.done;
     answer.outcome = reader.outcome.or(answer.outcome.take());
 }
 
-async fn whole(answer: &mut Answer, body: Incoming, start: Instant) {
-    let Ok(Ok(collected)) = tokio::time::timeout(PATIENCE, body.collect()).await else {
+async fn read_json(answer: &mut Answer, body: Incoming, start: Instant) {
+    let Ok(Ok(collected)) = tokio::time::timeout(RESPONSE_TIMEOUT, body.collect()).await else {
         answer.broken = true;
         return;
     };
@@ -275,7 +275,7 @@
     };
     answer.error = text("/error/code");
     answer.outcome = text("/error/outcome").or(answer.outcome.take());
-    answer.finish = text("/choices/0/finish_reason");
+    answer.finish_reason = text("/choices/0/finish_reason");
     let content = text("/choices/0/message/content").or(text("/choices/0/text"));
     answer.done = content.is_some();
     answer.text = content.unwrap_or_default();
@@ -286,43 +286,43 @@
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-/// Entry nodes that a node names.
+/// Entry nodes that a node offers to callers.
 #[derive(Debug, serde::Deserialize)]
 pub struct Addresses {
-    /// How long to keep the answer.
+    /// Time for which callers may use the answer, in seconds.
     pub ttl_seconds: u64,
-    /// The nodes, best first.
-    pub addresses: Vec<Line>,
+    /// The nodes, in order of preference.
+    pub addresses: Vec<Address>,
 }
 
 /// One entry node.
 #[derive(Debug, serde::Deserialize)]
-pub struct Line {
+pub struct Address {
     /// Base URL.
     pub url: String,
     /// Availability zone.
     pub zone: String,
 }
 
-impl Line {
-    /// Its socket address.
+impl Address {
+    /// Parses the socket address from the URL.
     pub fn addr(&self) -> Result<SocketAddr> {
         let text = self.url.trim_start_matches("http://");
         Ok(text.trim_start_matches("https://").parse()?)
     }
 }
 
-/// Asks a node which addresses to use.
+/// Requests the addresses of entry nodes from a node.
 pub async fn addresses(addr: SocketAddr) -> Result<Addresses> {
     get(addr, "/v1/addresses").await
 }
 
-/// Asks a node's admin listener for its state.
+/// Requests a node's status from its admin listener.
 pub async fn status(admin: SocketAddr) -> Result<Status> {
     get(admin, "/admin/v1/status").await
 }
 
-/// Gets a JSON value.
+/// Sends a GET request and decodes the JSON response. Returns an error for any status but success.
 pub async fn get<T: serde::de::DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T> {
     let caller = Caller::new();
     let (status, _, body) = caller.call(addr, Method::GET, path, &[], "").await?;
--- a/crates/rig/src/expect.rs
+++ b/crates/rig/src/expect.rs
@@ -1,21 +1,21 @@
-//! What an answer must be, computed without the system.
+//! Expected answers, computed without the router.
 
-use crate::caller::Ask;
+use crate::caller::ChatRequest;
 use crate::plan::{Plan, VERSION};
 use standin::oracle::{Question, answer};
 
-/// Text that a whole answer to `ask` must have. The prompt is the one that the callers' API
-/// documents for chat messages.
-pub fn text(plan: &Plan, ask: &Ask) -> String {
-    text_of(plan, ask, VERSION)
+/// Returns the text that a complete answer to `request` must have. The prompt is built from the
+/// message as the API for callers documents it.
+pub fn text(plan: &Plan, request: &ChatRequest) -> String {
+    text_of(plan, request, VERSION)
 }
 
-/// The same for another version of the model.
-pub fn text_of(plan: &Plan, ask: &Ask, version: &str) -> String {
-    let prompt = format!("<|user|>\n{}\n<|assistant|>\n", ask.message);
-    let (model, adapter) = match ask.model.split_once(':') {
+/// Returns the text that a complete answer must have with this version of the model.
+pub fn text_of(plan: &Plan, request: &ChatRequest, version: &str) -> String {
+    let prompt = format!("<|user|>\n{}\n<|assistant|>\n", request.message);
+    let (model, adapter) = match request.model.split_once(':') {
         Some((model, adapter)) => (model, Some(adapter)),
-        None => (ask.model.as_str(), None),
+        None => (request.model.as_str(), None),
     };
     let tokens = answer(&Question {
         model,
@@ -23,8 +23,8 @@
         adapter,
         layers: plan.layers,
         prompt: prompt.as_bytes(),
-        seed: ask.seed,
-        max_tokens: ask.most,
+        seed: request.seed,
+        max_tokens: request.max_tokens,
     });
     tokens.into_iter().map(|t| t.text).collect()
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A running fleet.
+//! Starts and controls a fleet of nodes and stand-ins.
 
 use crate::plan::{self, Plan, SIGNER, SIGNER_SEED};
 use bundle::Bundle;
@@ -12,45 +12,45 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// What the weight store allows.
-const RATE: platform::weights::Rate = platform::weights::Rate {
+/// Rate limit of the weight store.
+const WEIGHTS_RATE: platform::weights::Rate = platform::weights::Rate {
     per_minute: 6000,
     at_once: 4,
 };
-/// Longest time to wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How often it is looked for.
-const LOOK: Duration = Duration::from_millis(10);
-/// Any port of loopback.
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Timeout of [`wait`].
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which [`wait`] checks its condition.
+const WAIT_INTERVAL: Duration = Duration::from_millis(10);
+/// Loopback address with an unspecified port: the kernel selects an unused one.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// An endpoint that runs a stage.
 pub struct Endpoint {
-    /// Its name, and that of its instance.
+    /// Name of the endpoint and of its instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Which stage of its replica.
+    /// Index of the stage in its replica.
     pub stage: usize,
-    /// The stand-in.
+    /// Handle of the stand-in.
     pub engine: standin::engine::Handle,
 }
 
 /// An endpoint of a plain service.
 pub struct Service {
-    /// Its name, and that of its instance.
+    /// Name of the endpoint and of its instance.
     pub name: String,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: &'static str,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// The stand-in.
+    /// Handle of the stand-in.
     pub handle: standin::service::Handle,
 }
 
-/// A running fleet. Nodes that are dropped from it keep running until the process ends.
+/// A running fleet. Dropping it does not stop its nodes: they run until the process ends.
 pub struct Fleet {
-    /// What it is made of.
+    /// Description of the fleet.
     pub plan: Plan,
     /// The log service.
     pub log: standin::log::Log,
@@ -62,32 +62,32 @@
     pub endpoints: Vec<Endpoint>,
     /// Endpoints of plain services.
     pub services: Vec<Service>,
-    /// Nodes; `None` once ended.
+    /// Nodes by index; `None` once a node has ended.
     pub nodes: Vec<Option<Process>>,
-    /// The version published last.
+    /// The most recently published version of the bundle.
     pub bundle: Option<Bundle>,
 }
 
 impl Fleet {
     /// Starts the stand-ins and the nodes, publishes the first bundle and waits until it is in
-    /// force on every node and all nodes know each other.
+    /// force on every node and every node offers all others.
     pub async fn start(plan: Plan) -> Result<Self> {
-        let mut fleet = Self::bare(plan).await?;
+        let mut fleet = Self::start_standins(plan).await?;
         for index in 0..fleet.plan.nodes {
             fleet.start_node(index)?;
         }
-        fleet.relist();
+        fleet.update_instance_list();
         fleet.publish(&fleet.text()).await?;
-        fleet.settled().await?;
+        fleet.wait_until_settled().await?;
         Ok(fleet)
     }
 
-    /// Starts the stand-ins only.
-    pub async fn bare(plan: Plan) -> Result<Self> {
+    /// Starts the stand-ins without any node.
+    pub async fn start_standins(plan: Plan) -> Result<Self> {
         let mut fleet = Self {
-            log: standin::log::Log::start(ANY).await?,
-            list: standin::list::List::start(ANY, Vec::new()).await?,
-            weights: standin::weights::Weights::start(ANY, RATE).await?,
+            log: standin::log::Log::start(ANY_PORT).await?,
+            list: standin::list::List::start(ANY_PORT, Vec::new()).await?,
+            weights: standin::weights::Weights::start(ANY_PORT, WEIGHTS_RATE).await?,
             endpoints: Vec::new(),
             services: Vec::new(),
             nodes: Vec::new(),
@@ -144,12 +144,12 @@
         Ok(())
     }
 
-    /// Starts node `index` (again).
+    /// Starts or restarts node `index`.
     pub fn start_node(&mut self, index: usize) -> Result<()> {
         let text = self.plan.settings(index, &self.platform());
         let name = format!("{}.ini", plan::node_name(index));
-        let settings = settings::read(&name, &text)
-            .map_err(|f| eyre!("settings of the rig are wrong: {f:?}"))?;
+        let settings =
+            settings::read(&name, &text).map_err(|f| eyre!("invalid node settings: {f:?}"))?;
         let process = Process::start(settings)?;
         if self.nodes.len() <= index {
             self.nodes.resize_with(index + 1, || None);
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// Where the platform's stand-ins listen.
+    /// Returns the addresses of the platform's stand-ins.
     pub fn platform(&self) -> plan::Platform {
         plan::Platform {
             log: self.log.addr,
@@ -167,12 +167,16 @@
         }
     }
 
-    /// Node `index`, which must run.
+    /// Returns node `index`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node does not run.
     pub fn node(&self, index: usize) -> &Process {
         self.nodes[index].as_ref().expect("the node runs")
     }
 
-    /// Kills node `index` as a crash would.
+    /// Stops node `index` without draining, as a crash would.
     pub async fn kill_node(&mut self, index: usize) -> Result<()> {
         let Some(process) = self.nodes[index].take() else {
             return Ok(());
@@ -181,7 +185,7 @@
         tokio::task::spawn_blocking(move || process.join()).await?
     }
 
-    /// Lets node `index` leave and ends it once nothing is in flight.
+    /// Drains node `index` and waits until it has ended.
     pub async fn drain_node(&mut self, index: usize) -> Result<()> {
         let Some(process) = self.nodes[index].take() else {
             return Ok(());
@@ -190,12 +194,12 @@
         tokio::task::spawn_blocking(move || process.join()).await?
     }
 
-    /// Puts into the instance list what runs.
-    pub fn relist(&self) {
+    /// Sets the instance list to the running nodes, endpoints and services.
+    pub fn update_instance_list(&self) {
         self.list.set_instances(self.instances());
     }
 
-    /// What runs.
+    /// Returns the running nodes and all endpoints and services as instances.
     pub fn instances(&self) -> Vec<Instance> {
         let nodes = self.nodes.iter().enumerate();
         let nodes = nodes.filter_map(|(index, node)| {
@@ -212,12 +216,12 @@
         nodes.chain(endpoints).chain(services).collect()
     }
 
-    /// The bundle's text.
+    /// Returns the text of the bundle.
     pub fn text(&self) -> String {
         self.text_of(plan::VERSION)
     }
 
-    /// The bundle's text with this version of the model.
+    /// Returns the text of the bundle with this version of the model.
     pub fn text_of(&self, version: &str) -> String {
         let mut text = self.plan.bundle(version);
         for endpoint in &self.endpoints {
@@ -250,7 +254,7 @@
     pub async fn publish(&mut self, text: &str) -> Result<()> {
         let key = sign::key_from_seed(SIGNER_SEED);
         let record = sign::sign_text(self.bundle.as_ref(), text, SIGNER, &key)
-            .map_err(|e| eyre!("the rig's bundle is wrong: {e}"))?;
+            .map_err(|e| eyre!("invalid bundle: {e}"))?;
         let client = platform::http::Log::new(self.log.addr, platform::Limits::default());
         let body = Bytes::from(record);
         platform::Log::append(&client, "bundles", body).await?;
@@ -261,8 +265,9 @@
         Ok(())
     }
 
-    /// Waits until every running node has the last version in force and names every other.
-    pub async fn settled(&self) -> Result<()> {
+    /// Waits until every running node has the last published version in force and offers all
+    /// running nodes to callers.
+    pub async fn wait_until_settled(&self) -> Result<()> {
         let number = self.bundle.as_ref().map_or(0, |b| b.number);
         let running = self.nodes.iter().flatten().count();
         for node in self.nodes.iter().flatten() {
@@ -290,14 +295,14 @@
     }
 }
 
-/// Waits until `test` holds.
+/// Waits until `test` holds. Returns an error that contains `what` if it does not within 20 s.
 pub async fn wait<F: Future<Output = bool>>(what: &str, test: impl Fn() -> F) -> Result<()> {
-    let end = tokio::time::Instant::now() + PATIENCE;
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while tokio::time::Instant::now() < end {
         if test().await {
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(WAIT_INTERVAL).await;
     }
-    bail!("it did not come: {what}")
+    bail!("timed out waiting: {what}")
 }
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of, and the texts that say so: the bundle and the nodes' settings.
+//! Description of a fleet, and the bundle and node settings generated from it.
 
 use bundle::sign;
 use std::fmt::Write;
@@ -11,15 +11,15 @@
 pub const VERSION: &str = "1";
 /// Adapter of the model.
 pub const ADAPTER: &str = "allergen";
-/// Plain service whose calls may be repeated.
+/// Plain service whose calls are repeatable.
 pub const LOOKUP: &str = "lookup";
-/// Plain service whose calls may not be repeated.
+/// Plain service whose calls are not repeatable.
 pub const NEWSLETTER: &str = "newsletter";
-/// Name of the person who signs.
+/// Name of the bundle signer.
 pub const SIGNER: &str = "alice";
-/// Seed of that person's key.
+/// Seed of the signer's key.
 pub const SIGNER_SEED: [u8; 32] = [7; 32];
-/// Key that the nodes share.
+/// Shared key that authenticates nodes to each other, in hexadecimal.
 pub const PEER_KEY: &str = "0101010101010101010101010101010101010101010101010101010101010101";
 
 /// A team of the fleet.
@@ -29,80 +29,80 @@
     pub name: &'static str,
     /// Bearer key.
     pub key: &'static str,
-    /// Requests per second over all nodes.
+    /// Limit of requests per second over all nodes.
     pub rate: f64,
-    /// Requests in flight over all nodes.
+    /// Limit of requests in flight over all nodes.
     pub in_flight: u32,
-    /// Weight.
+    /// Weight in fair sharing.
     pub weight: u32,
-    /// Most urgent priority.
-    pub top: &'static str,
+    /// Highest priority that the team may use.
+    pub highest_priority: &'static str,
 }
 
-/// A stage of each replica: layers and speed.
+/// A stage of each replica: its layers and speed.
 #[derive(Clone, Copy, Debug)]
 pub struct Stage {
     /// First layer.
     pub from: u16,
     /// One past the last layer.
     pub to: u16,
-    /// Time for one layer and token.
+    /// Time to compute one layer for one token; zero for no added time.
     pub layer_time: Duration,
 }
 
-/// What a fleet is made of.
+/// Description of a fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Entry nodes.
+    /// Number of entry nodes.
     pub nodes: usize,
-    /// Request workers of each.
+    /// Number of request workers of each node.
     pub workers: usize,
-    /// Availability zones, all of one region.
+    /// Number of availability zones, all in one region.
     pub zones: usize,
-    /// Replicas of the model; each has an endpoint for each stage.
+    /// Number of replicas of the model; each has one endpoint for each stage.
     pub replicas: usize,
-    /// Stages of a replica. Replicas with other cuts make mixed chains possible.
+    /// Stages of each replica. Replicas with different cuts would allow chains that mix replicas.
     pub stages: Vec<Stage>,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u16,
-    /// Requests that an endpoint runs at once.
+    /// Number of requests that an endpoint runs concurrently.
     pub slots: usize,
-    /// Steps that an endpoint computes at once.
+    /// Number of steps that an endpoint computes concurrently.
     pub batch: usize,
     /// Teams.
     pub teams: Vec<Team>,
-    /// Endpoints of each plain service.
+    /// Number of endpoints of each plain service.
     pub services: usize,
-    /// How long a node serves new connections after it began to leave.
+    /// Time for which a leaving node accepts new connections.
     pub drain: Duration,
-    /// How long callers may keep an address answer.
+    /// Time for which callers may use the answer to an address request.
     pub address_ttl: Duration,
     /// Time to load a range of layers.
     pub load_time: Duration,
-    /// Lines added to `[callers]` of every node's settings.
+    /// Additional lines of `[callers]` of every node's settings.
     pub callers: String,
     /// Lines of `[roll]` in every node's settings.
     pub roll: String,
 }
 
-/// The team of everyday work.
+/// Team whose requests have normal priority.
 pub const KITCHENS: Team = Team {
     name: "kitchens",
     key: "kitchens-demo-key",
     rate: 100_000.0,
     in_flight: 100_000,
     weight: 4,
-    top: "normal",
+    highest_priority: "normal",
 };
 
-/// The team of urgent work.
+/// Team that may send urgent requests.
 pub const DUTY: Team = Team {
     name: "duty-desk",
     key: "duty-demo-key",
     rate: 100_000.0,
     in_flight: 100_000,
     weight: 4,
-    top: "alarm",
+    highest_priority: "alarm",
 };
 
 impl Default for Plan {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Where the platform's stand-ins listen.
+/// Addresses of the platform's stand-ins.
 #[derive(Clone, Copy, Debug)]
 pub struct Platform {
     /// Log service.
@@ -150,12 +150,12 @@
 }
 
 impl Plan {
-    /// Name of an availability zone.
+    /// Returns the name of the availability zone of the item with this index.
     pub fn zone(&self, index: usize) -> String {
         format!("zone-{}", index % self.zones.max(1))
     }
 
-    /// The bundle's text, without endpoints, with this version of the model.
+    /// Returns the text of the bundle with this version of the model, without endpoints.
     pub fn bundle(&self, version: &str) -> String {
         let mut text = String::new();
         for zone in 0..self.zones {
@@ -195,13 +195,13 @@
                 team.weight,
                 team.rate,
                 team.in_flight,
-                team.top
+                team.highest_priority
             );
         }
         text
     }
 
-    /// The settings of node `index`.
+    /// Returns the settings of node `index`.
     pub fn settings(&self, index: usize, platform: &Platform) -> String {
         let zone = self.zone(index);
         let workers = self.workers;
@@ -223,12 +223,13 @@
     }
 }
 
-/// Name of node `index`.
+/// Returns the name of node `index`.
 pub fn node_name(index: usize) -> String {
     format!("entry-{index}")
 }
 
-/// The hardware's bound of a stage; a stage without pacing is taken as fast as the machine.
+/// Returns the maximum speed of a stage for the bundle. A stage whose `layer_time` is zero gets a
+/// speed above anything that the machine reaches.
 fn layers_per_second(layer_time: Duration, batch: usize) -> f64 {
     let time = layer_time.as_secs_f64();
     if time <= 0.0 {
--- a/crates/rig/src/sse.rs
+++ b/crates/rig/src/sse.rs
@@ -1,29 +1,29 @@
-//! Reads a streamed answer as a caller's library does.
+//! Parses a streamed answer the way a client library does.
 
 use serde_json::Value;
 
-/// A streamed answer so far.
+/// Incremental parser of a streamed answer, with what was received so far.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
     /// Text of the answer.
     pub text: String,
-    /// Events that carried text.
+    /// Number of events that carried text.
     pub pieces: usize,
-    /// Why it ended.
-    pub finish: Option<String>,
-    /// Outcome told in the last event.
+    /// Reason why generation ended.
+    pub finish_reason: Option<String>,
+    /// Outcome of the request, from the last event or the error event.
     pub outcome: Option<String>,
-    /// Whether the end mark came.
+    /// Whether the `[DONE]` event was received.
     pub done: bool,
     /// Code of an error event.
     pub error: Option<String>,
-    /// Completion tokens told in the usage.
+    /// Number of completion tokens, from the usage event.
     pub usage: Option<u64>,
 }
 
 impl Reader {
-    /// Takes bytes of the body.
+    /// Parses further bytes of the body.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
@@ -41,21 +41,21 @@
             return;
         }
         let Ok(value) = serde_json::from_str::<Value>(data) else {
-            self.error = Some("an event is no JSON".to_owned());
+            self.error = Some("event is not valid JSON".to_owned());
             return;
         };
         if let Some(error) = value.get("error") {
-            self.error = text_of(error, "code");
-            self.outcome = text_of(error, "outcome");
+            self.error = string_field(error, "code");
+            self.outcome = string_field(error, "outcome");
             return;
         }
-        self.outcome = text_of(&value, "outcome").or(self.outcome.take());
+        self.outcome = string_field(&value, "outcome").or(self.outcome.take());
         let usage = value.pointer("/usage/completion_tokens");
         self.usage = usage.and_then(Value::as_u64).or(self.usage);
         let Some(choice) = value.pointer("/choices/0") else {
             return;
         };
-        self.finish = text_of(choice, "finish_reason").or(self.finish.take());
+        self.finish_reason = string_field(choice, "finish_reason").or(self.finish_reason.take());
         let delta = choice.pointer("/delta/content").or(choice.get("text"));
         if let Some(text) = delta.and_then(Value::as_str).filter(|t| !t.is_empty()) {
             self.text.push_str(text);
@@ -64,6 +64,6 @@
     }
 }
 
-fn text_of(value: &Value, key: &str) -> Option<String> {
+fn string_field(value: &Value, key: &str) -> Option<String> {
     value.get(key)?.as_str().map(str::to_owned)
 }
--- a/crates/rig/src/tally.rs
+++ b/crates/rig/src/tally.rs
@@ -1,39 +1,39 @@
-//! Counts how requests ended and checks what callers were promised.
+//! Counts request outcomes and checks the guarantees that callers are given.
 
 use crate::caller::Answer;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::time::Duration;
 
-/// Largest time recorded, in microseconds.
-const MOST_MICROS: u64 = 120_000_000;
+/// Largest recorded time, in microseconds; longer times are clamped to it.
+const MAX_TIME_US: u64 = 120_000_000;
 
-/// How requests ended.
+/// Counts of request outcomes, and latencies.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers that were right.
+    /// Number of complete answers. Those with a wrong text are also listed in `wrong`.
     pub complete: u64,
-    /// Refusals: not run.
+    /// Number of requests that were refused and not run.
     pub not_run: u64,
-    /// May have run.
+    /// Number of requests of unknown outcome: they may have run.
     pub unknown: u64,
-    /// No connection, or the node died: the caller saw no outcome.
+    /// Number of requests without an outcome, because the connection failed or the node died.
     pub lost: u64,
-    /// Broken promises, in words.
+    /// Descriptions of violated guarantees.
     pub wrong: Vec<String>,
-    /// Tokens of whole answers.
+    /// Number of tokens of complete answers.
     pub tokens: u64,
-    /// Microseconds to the first token.
+    /// Time to the first token, in microseconds.
     pub first: Histogram<u64>,
-    /// Microseconds between two tokens.
+    /// Time between two consecutive tokens, in microseconds.
     pub gap: Histogram<u64>,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        let times = || Histogram::new_with_bounds(1, MOST_MICROS, 3).expect("bounds are right");
+        let times = || Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("bounds are right");
         Self {
             sent: 0,
             complete: 0,
@@ -49,14 +49,14 @@
 }
 
 impl Tally {
-    /// Takes an answer whose text must be `expected`.
-    pub fn take(&mut self, answer: &Answer, expected: &str) {
+    /// Records an answer and checks it; its text, if complete, must be `expected`.
+    pub fn record(&mut self, answer: &Answer, expected: &str) {
         self.sent += 1;
         self.check(answer, expected);
         if answer.complete() {
             self.complete += 1;
             self.tokens += answer.times.len() as u64;
-            self.times(&answer.times);
+            self.record_times(&answer.times);
         } else if answer.not_run() {
             self.not_run += 1;
         } else if answer.unknown() {
@@ -66,14 +66,15 @@
         }
     }
 
-    /// Takes a request that got no answer at all.
-    pub fn lost(&mut self) {
+    /// Records a request that got no answer.
+    pub fn record_lost(&mut self) {
         self.sent += 1;
         self.lost += 1;
     }
 
-    /// A whole answer must be the right one; a part of one must be its beginning; a stream that
-    /// is not whole must not end like a whole one; nothing of a request that was not run may come.
+    /// Checks the guarantees: a complete answer has the expected text, a partial answer is a prefix
+    /// of it, an incomplete stream does not end like a complete one, and a request that was not run
+    /// has no text.
     fn check(&mut self, answer: &Answer, expected: &str) {
         if answer.complete() && answer.text != expected {
             let text = format!("wrong answer {:?}, expected {expected:?}", answer.text);
@@ -85,14 +86,14 @@
         }
         if answer.done && answer.outcome.as_deref() != Some("complete") {
             self.wrong
-                .push(format!("whole without the outcome: {answer:?}"));
+                .push(format!("ended as complete without the outcome: {answer:?}"));
         }
         if answer.not_run() && !answer.text.is_empty() {
             self.wrong.push(format!("not run, with text: {answer:?}"));
         }
     }
 
-    fn times(&mut self, times: &[Duration]) {
+    fn record_times(&mut self, times: &[Duration]) {
         let Some(first) = times.first() else { return };
         self.first.saturating_record(first.as_micros() as u64);
         for pair in times.windows(2) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Adds another tally.
+    /// Adds the counts, violations and latencies of another tally.
     pub fn add(&mut self, other: &Self) {
         self.sent += other.sent;
         self.complete += other.complete;
--- a/crates/rig/src/traffic.rs
+++ b/crates/rig/src/traffic.rs
@@ -1,6 +1,6 @@
-//! Callers that send one request after another.
+//! Load generation by concurrent callers, each of which sends its requests in sequence.
 
-use crate::caller::{Ask, Caller};
+use crate::caller::{Caller, ChatRequest};
 use crate::expect;
 use crate::plan::{DUTY, KITCHENS, Plan};
 use crate::tally::Tally;
@@ -10,37 +10,38 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How callers behave.
+/// Parameters of the generated load.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Requests that each sends, unless the time is over before.
+    /// Maximum number of requests of each caller; `time` may end the run earlier.
     pub requests: usize,
-    /// Longest time.
+    /// Time after which no caller starts another request.
     pub time: Duration,
-    /// Most tokens of a request.
+    /// Maximum number of completion tokens of a request.
     pub tokens: u32,
-    /// One request in so many is urgent; 0 for none.
+    /// Interval of urgent requests: every `urgent`-th request is urgent, none if 0.
     pub urgent: usize,
 }
 
-/// Addresses that callers use, changed while they run.
+/// Addresses that callers send to. May be changed during a run.
 pub type Targets = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// Runs the callers. A caller whose node gives no answer goes on with the next address.
+/// Runs the callers and returns the sum of their tallies. A request without an answer is counted as
+/// lost; the caller's next request goes to the next address.
 pub async fn run(plan: &Plan, traffic: &Traffic, targets: Targets) -> Tally {
     let end = Instant::now() + traffic.time;
     let mut running = JoinSet::new();
     for number in 0..traffic.callers {
-        let one = One {
+        let session = Session {
             plan: plan.clone(),
             traffic: traffic.clone(),
             targets: targets.clone(),
             number,
             end,
         };
-        running.spawn(one.run());
+        running.spawn(session.run());
     }
     let mut all = Tally::default();
     while let Some(tally) = running.join_next().await {
@@ -51,8 +52,8 @@
     all
 }
 
-/// One caller.
-struct One {
+/// A caller that sends its requests in sequence.
+struct Session {
     plan: Plan,
     traffic: Traffic,
     targets: Targets,
@@ -60,7 +61,7 @@
     end: Instant,
 }
 
-impl One {
+impl Session {
     async fn run(self) -> Tally {
         let caller = Caller::new();
         let mut tally = Tally::default();
@@ -68,31 +69,33 @@
             if Instant::now() >= self.end {
                 break;
             }
-            let ask = self.ask(request);
+            let chat = self.request(request);
             let Some(addr) = self.target(request) else {
                 break;
             };
-            match caller.chat(addr, &ask).await {
-                Ok(answer) => tally.take(&answer, &expect::text(&self.plan, &ask)),
-                Err(_) => tally.lost(),
+            match caller.chat(addr, &chat).await {
+                Ok(answer) => tally.record(&answer, &expect::text(&self.plan, &chat)),
+                Err(_) => tally.record_lost(),
             }
         }
         tally
     }
 
-    fn ask(&self, request: usize) -> Ask {
+    /// Builds the request with this index.
+    fn request(&self, index: usize) -> ChatRequest {
         let Traffic { urgent, tokens, .. } = self.traffic;
-        let mut ask = Ask::of(format!("caller {} asks {request}", self.number));
-        ask.most = tokens;
-        ask.stream = !(self.number + request + 1).is_multiple_of(4);
-        ask.team = KITCHENS;
-        if urgent > 0 && (self.number + request).is_multiple_of(urgent) {
-            ask.team = DUTY;
-            return ask.header("x-wigeonshelf-priority", "alarm");
+        let mut chat = ChatRequest::new(format!("caller {} asks {index}", self.number));
+        chat.max_tokens = tokens;
+        chat.stream = !(self.number + index + 1).is_multiple_of(4);
+        chat.team = KITCHENS;
+        if urgent > 0 && (self.number + index).is_multiple_of(urgent) {
+            chat.team = DUTY;
+            return chat.header("x-wigeonshelf-priority", "alarm");
         }
-        ask
+        chat
     }
 
+    /// Returns the address for the request with this index, or `None` if there are no addresses.
     fn target(&self, request: usize) -> Option<SocketAddr> {
         let targets = self.targets.lock().unwrap_or_else(|e| e.into_inner());
         let at = (self.number + request) % targets.len().max(1);
--- a/crates/rig/tests/addresses.rs
+++ b/crates/rig/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Which entry nodes callers are told to use.
+//! Entry nodes that are offered to callers.
 
 use http::{Method, StatusCode};
 use rig::caller::{Addresses, Caller, get};
@@ -6,8 +6,8 @@
 use rig::plan::Plan;
 use std::time::Duration;
 
-/// Times that a caller asks, since the order is drawn.
-const ASKS: usize = 20;
+/// Number of requests for addresses, since their order is drawn at random.
+const REQUESTS: usize = 20;
 
 /// Nodes 0 and 2 in zone-0, nodes 1 and 3 in zone-1.
 async fn fleet() -> Fleet {
@@ -30,8 +30,8 @@
     answer.addresses.into_iter().map(|l| l.zone).collect()
 }
 
-// A caller in a zone is told that zone's nodes first, whichever node it asks. Without a zone, or
-// with one that the bundle doesn't know, the asked node's own zone stands for it.
+// A caller that gives its zone gets that zone's nodes first from any node. Without a zone, or with
+// one that is not in the bundle, the answering node's own zone is used.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_of_the_zone_come_first() {
     let fleet = fleet().await;
@@ -39,7 +39,7 @@
         ["zone-0", "zone-0", "zone-1", "zone-1"],
         ["zone-1", "zone-1", "zone-0", "zone-0"],
     );
-    for _ in 0..ASKS {
+    for _ in 0..REQUESTS {
         for node in 0..2 {
             assert_eq!(zones(&fleet, node, "?zone=zone-0").await, zero);
             assert_eq!(zones(&fleet, node, "?zone=zone-1").await, one);
@@ -61,7 +61,7 @@
 async fn callers_spread_over_the_nodes_of_a_zone() {
     let fleet = fleet().await;
     let mut first = Vec::new();
-    for _ in 0..4 * ASKS {
+    for _ in 0..4 * REQUESTS {
         let answer: Addresses = get(fleet.node(1).callers, "/v1/addresses")
             .await
             .expect("addresses");
@@ -72,9 +72,10 @@
     assert_eq!(first.len(), 2, "{first:?}");
 }
 
-// No key is needed, and a wrong one does no harm: a caller asks this before all else.
+// Addresses are served without a key and also with an invalid one, because callers request them
+// before anything else.
 #[tokio::test(flavor = "multi_thread")]
-async fn question_needs_no_key() {
+async fn address_request_needs_no_key() {
     let fleet = fleet().await;
     let headers = [("authorization", "Bearer other".to_owned())];
     let addr = fleet.node(0).callers;
@@ -84,14 +85,14 @@
     assert_eq!(answer.expect("answer").0, StatusCode::OK);
 }
 
-// A node that leaves is named by none, itself included, and those that stay are still named.
+// No node offers a leaving node, not even that node itself, and the others are still offered.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_node_names_others_only() {
+async fn leaving_node_is_offered_by_no_node() {
     let fleet = fleet().await;
     let gone = fleet.node(2).callers.to_string();
     let unnamed = async {
         for node in 0..4 {
-            wait("the node is not named", || async {
+            wait("the node is not offered", || async {
                 let named = get::<Addresses>(fleet.node(node).callers, "/v1/addresses").await;
                 let urls: Vec<String> = named.map_or(Vec::new(), |n| {
                     n.addresses.into_iter().map(|l| l.url).collect()
--- a/crates/rig/tests/completions.rs
+++ b/crates/rig/tests/completions.rs
@@ -1,7 +1,7 @@
 //! The conventions of chat-completion clients: shapes of answers, events and errors.
 
 use http::{HeaderMap, Method, StatusCode};
-use rig::caller::{Ask, Caller};
+use rig::caller::{Caller, ChatRequest};
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::{ADAPTER, KITCHENS, MODEL, Plan};
@@ -77,10 +77,10 @@
     call(fleet, Method::POST, path, body).await
 }
 
-fn ask(message: &str) -> Ask {
-    Ask {
-        most: MOST,
-        ..Ask::of(message)
+fn ask(message: &str) -> ChatRequest {
+    ChatRequest {
+        max_tokens: MOST,
+        ..ChatRequest::new(message)
     }
 }
 
@@ -443,7 +443,9 @@
 // nothing was published, as when the log is out.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_of_a_starting_node_says_when_to_come_back() {
-    let mut fleet = Fleet::bare(Plan::default()).await.expect("stand-ins");
+    let mut fleet = Fleet::start_standins(Plan::default())
+        .await
+        .expect("stand-ins");
     fleet.start_node(0).expect("node");
     wait("the node answers", || async {
         Caller::new()
--- a/crates/rig/tests/crash.rs
+++ b/crates/rig/tests/crash.rs
@@ -1,11 +1,11 @@
 //! Requests that crash every endpoint that runs them.
 
-use rig::caller::{Ask, Caller};
+use rig::caller::{Caller, ChatRequest};
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::Plan;
 
-/// Text that crashes an engine.
+/// Prompt that crashes an engine.
 const POISON: &str = "\u{0}poison";
 
 async fn fleet() -> Fleet {
@@ -20,7 +20,8 @@
     fleet
 }
 
-async fn dead(fleet: &Fleet) -> usize {
+/// Returns the number of endpoints that do not respond.
+async fn count_dead(fleet: &Fleet) -> usize {
     let pool = engine::pool::Pool::default();
     let mut dead = 0;
     for endpoint in &fleet.endpoints {
@@ -30,31 +31,32 @@
     dead
 }
 
-// The caller is told that the outcome is unknown, then, when it sends the request again to any node,
-// that such requests are refused. Its first attempt kills one endpoint and makes the request a
-// suspect; the second runs alone, kills a second one, and condemns it; the nodes tell each other.
-// Callers of other requests get whole answers all the while.
+// Guards against a request that crashes every endpoint of the fleet. Its first attempt crashes one
+// endpoint: the caller gets the outcome "unknown" and the request becomes a suspect. The second
+// runs alone and crashes another endpoint, after which the request is refused; the nodes notify
+// each other, so that a retry at any node is refused. Other requests get complete answers
+// meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_request_is_refused_on_every_node() {
     let fleet = fleet().await;
-    let poison = Ask::of(POISON);
+    let poison = ChatRequest::new(POISON);
     let caller = Caller::new();
     let first = caller.chat(fleet.node(0).callers, &poison).await;
     assert!(first.expect("answer").unknown());
-    let lost = dead(&fleet).await;
+    let lost = count_dead(&fleet).await;
     assert!(lost <= 2, "{lost} endpoints lost");
     for node in fleet.nodes.iter().flatten() {
-        wait("a resend is refused", || async {
+        wait("a retry is refused", || async {
             let again = caller.chat(node.callers, &poison).await;
             again.is_ok_and(|a| a.error.as_deref() == Some("request_crashes_endpoints"))
         })
         .await
         .expect("refused");
     }
-    let lost = dead(&fleet).await;
+    let lost = count_dead(&fleet).await;
     assert!(lost <= 2, "{lost} endpoints lost");
     for n in 0..12 {
-        let ask = Ask::of(format!("menu {n}"));
+        let ask = ChatRequest::new(format!("menu {n}"));
         let answer = caller.chat(fleet.node(n % 3).callers, &ask).await;
         let answer = answer.expect("answer");
         assert!(answer.complete(), "{answer:?}");
--- a/crates/rig/tests/drain.rs
+++ b/crates/rig/tests/drain.rs
@@ -1,6 +1,6 @@
-//! Nodes and endpoints that leave.
+//! Draining of nodes and endpoints.
 
-use rig::caller::{Ask, Caller, addresses};
+use rig::caller::{Caller, ChatRequest, addresses};
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::{Plan, Stage};
@@ -19,10 +19,10 @@
     }
 }
 
-// Callers see nothing of a node that leaves: answers under way go on to their end, HTTP/1 and
-// HTTP/2 alike, and a caller that still has its address is served until its answer is too old.
+// Callers do not notice that a node drains: answers in flight are completed over HTTP/1 and HTTP/2,
+// and callers that still use the node's address are served until the address answer expires.
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_cuts_nothing_off() {
+async fn drain_completes_all_answers() {
     let mut fleet = Fleet::start(paced()).await.expect("fleet");
     let addr = fleet.node(0).callers;
     let mut running = tokio::task::JoinSet::new();
@@ -34,11 +34,11 @@
             } else {
                 Caller::http2()
             };
-            // Some begin before the node leaves, some while it drains.
+            // Some requests start before the node leaves and some while it drains.
             tokio::time::sleep(Duration::from_millis(15 * n)).await;
-            let ask = Ask {
-                most: 48,
-                ..Ask::of(format!("menu {n}"))
+            let ask = ChatRequest {
+                max_tokens: 48,
+                ..ChatRequest::new(format!("menu {n}"))
             };
             let answer = caller.chat(addr, &ask).await.expect("answer");
             assert!(answer.complete(), "{answer:?}");
@@ -52,16 +52,16 @@
     }
 }
 
-// Callers who ask any other node are no longer told of a node that leaves.
+// The other nodes no longer offer a leaving node to callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn leaving_node_is_not_named() {
+async fn leaving_node_is_not_offered() {
     let mut plan = paced();
     plan.drain = Duration::from_secs(3);
     let fleet = Fleet::start(plan).await.expect("fleet");
     let gone = fleet.node(2).callers.to_string();
     let leaving = fleet.node(2).leave();
     let unnamed = async {
-        wait("the node is not named", || async {
+        wait("the node is not offered", || async {
             let named = addresses(fleet.node(0).callers).await;
             named.is_ok_and(|n| n.addresses.iter().all(|l| !l.url.ends_with(&gone)))
         })
@@ -71,8 +71,8 @@
     tokio::join!(leaving, unnamed);
 }
 
-// An endpoint that the instance list calls leaving gets no new work once the list was read; what
-// it runs goes on to its end.
+// An endpoint that the instance list marks as leaving gets no new work once the nodes have read the
+// list; its running requests are completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_endpoint_gets_no_new_work() {
     let fleet = Fleet::start(paced()).await.expect("fleet");
@@ -86,7 +86,7 @@
     let before = Counters::get(&leaving.engine.counters().opened);
     let caller = Caller::new();
     for n in 0..30 {
-        let ask = Ask::of(format!("note {n}"));
+        let ask = ChatRequest::new(format!("note {n}"));
         let answer = caller.chat(fleet.node(n % 3).callers, &ask).await;
         assert!(answer.expect("answer").complete());
     }
--- a/crates/rig/tests/hostile.rs
+++ b/crates/rig/tests/hostile.rs
@@ -4,7 +4,7 @@
 
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
-use rig::caller::{Answer, Ask, Caller};
+use rig::caller::{Answer, Caller, ChatRequest};
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::{DUTY, KITCHENS, LOOKUP, MODEL, Plan, Stage, Team};
@@ -42,7 +42,7 @@
 
 /// The node answers a good request, if not at once then as soon as it has room for a connection.
 async fn still_answers(fleet: &Fleet) {
-    let ask = Ask::of("flag the sesame");
+    let ask = ChatRequest::new("flag the sesame");
     wait("a good answer", || async {
         let answer = Caller::new().chat(addr(fleet), &ask).await;
         answer.is_ok_and(|a| a.complete() && a.text == expect::text(&fleet.plan, &ask))
@@ -127,7 +127,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lies_about_the_length_do_no_harm() {
     let fleet = single().await;
-    let body = Ask::of("a").body();
+    let body = ChatRequest::new("a").body();
     let lies = [
         format!("content-length: {}\r\n", body.len() + 50),
         "content-length: -1\r\n".to_owned(),
@@ -250,7 +250,7 @@
 async fn what_may_not_be_is_refused() {
     let fleet = single().await;
     let chat = "/v1/chat/completions";
-    let good = Ask::of("a").body();
+    let good = ChatRequest::new("a").body();
     let other = good.replace(MODEL, "none-such");
     let adapter = good.replace(MODEL, &format!("{MODEL}:none-such"));
     let deep = format!("{{\"model\":{}", "[".repeat(4000));
@@ -316,9 +316,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn priority_of_another_team_is_refused() {
     let fleet = single().await;
-    let alarm = |team: Team| Ask {
+    let alarm = |team: Team| ChatRequest {
         team,
-        ..Ask::of("a").header("x-wigeonshelf-priority", "alarm")
+        ..ChatRequest::new("a").header("x-wigeonshelf-priority", "alarm")
     };
     let caller = Caller::new();
     let refused = caller
@@ -358,9 +358,9 @@
         ..plan()
     };
     let fleet = Fleet::start(plan).await.expect("fleet");
-    let ask = |n: usize| Ask {
+    let ask = |n: usize| ChatRequest {
         team: limited.clone(),
-        ..Ask::of(format!("menu {n}"))
+        ..ChatRequest::new(format!("menu {n}"))
     };
     let caller = Caller::http2();
     wait("the team's share reaches the node", || async {
@@ -369,7 +369,7 @@
     })
     .await
     .expect("a share");
-    let asks: Vec<Ask> = (0..30).map(ask).collect();
+    let asks: Vec<ChatRequest> = (0..30).map(ask).collect();
     let asked: FuturesUnordered<_> = asks.iter().map(|a| caller.chat(addr(&fleet), a)).collect();
     let answers: Vec<_> = asked.map(|a| a.expect("answer")).collect().await;
     let (whole, refused): (Vec<Answer>, Vec<Answer>) =
@@ -563,11 +563,11 @@
     still_answers(&fleet).await;
 }
 
-// The same, with one long answer: what the kernel and the node hold of it is bounded, so the node can
-// send no more and waits for the caller, as the plain service waits for the node.
+// The same, with one long answer: what the kernel and the node hold of it is bounded, so the node
+// can send no more and waits for the caller, as the plain service waits for the node.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_that_leaves_an_answer_unread_is_let_go() {
-    let mut fleet = Fleet::bare(plan()).await.expect("stand-ins");
+    let mut fleet = Fleet::start_standins(plan()).await.expect("stand-ins");
     let lookup = fleet.services.iter_mut().find(|s| s.service == LOOKUP);
     let config = standin::service::Config {
         pieces: 64,
@@ -577,9 +577,9 @@
     let handle = standin::service::Service::start(config).await;
     lookup.expect("a service").handle = handle.expect("a service");
     fleet.start_node(0).expect("node");
-    fleet.relist();
+    fleet.update_instance_list();
     fleet.publish(&fleet.text()).await.expect("published");
-    fleet.settled().await.expect("in force");
+    fleet.wait_until_settled().await.expect("in force");
     let before = memory();
     let mut stream = connect(&fleet).await;
     let request = format!(
@@ -597,7 +597,11 @@
 async fn garbage_is_answered_or_closed() {
     use rand::{Rng, RngExt, SeedableRng};
     let fleet = single().await;
-    let good = format!("{}{}", head("content-length: 120\r\n"), Ask::of("a").body());
+    let good = format!(
+        "{}{}",
+        head("content-length: 120\r\n"),
+        ChatRequest::new("a").body()
+    );
     for seed in 0..60 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut bytes = match seed % 3 {
--- a/crates/rig/tests/once.rs
+++ b/crates/rig/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated, sent again under one key.
+//! Requests that are not repeatable, retried with the same idempotency key.
 
 use http::{Method, StatusCode};
 use rig::caller::{Caller, get};
@@ -20,7 +20,7 @@
     body: String,
 }
 
-/// A key as callers make them: the time, then anything.
+/// Returns a dated idempotency key: the current time in seconds, then `name`.
 fn key(name: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     format!("{}-{name}", now.expect("after 1970").as_secs())
@@ -55,11 +55,11 @@
     services.map(|s| s.handle.effects(key)).sum()
 }
 
-// The caller sees the same answer each time. It sends a request again, to the same node and to the
-// others, after it has ended: the node that ran it has kept the answer, the others hand the request
-// to that node, and the newsletter goes out once.
+// Retries of an ended request at the same node and at others all get the first answer: the node
+// that ran it replays its cached answer, and the others forward the retry to that node. The
+// newsletter is sent once.
 #[tokio::test(flavor = "multi_thread")]
-async fn resend_gets_the_first_answer_on_every_node() {
+async fn retry_gets_the_first_answer_on_every_node() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let key = key("week-7");
     for node in [0, 0, 1, 2] {
@@ -70,8 +70,8 @@
     assert_eq!(effects(&fleet, &key), 1);
 }
 
-// Callers that send one key to all nodes at once see one answer, or are told which node has it; it
-// runs once. The lowest offset in the log decides which node runs it.
+// Concurrent requests with one key at all nodes get the same answer, and the request runs once. The
+// claim with the lowest offset in the log decides which node runs it.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_sends_to_all_nodes_run_once() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
@@ -88,7 +88,7 @@
     }
 }
 
-// The caller is told that the key stands for another request, and nothing runs.
+// A key that was used with another body is refused, and nothing runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_with_another_body_is_refused() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
@@ -100,8 +100,8 @@
     assert_eq!(effects(&fleet, &key), 1);
 }
 
-// The caller sees its answer though the log's answers to appends are lost: the node reads its claim
-// back from the log instead of guessing, and runs the request once.
+// If the log's responses to appends are lost, the node reads its claim back from the log and runs
+// the request once.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_of_an_append_is_settled_by_reading_back() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
@@ -112,8 +112,9 @@
     assert_eq!(effects(&fleet, &key), 1);
 }
 
-// While the log is out a dated key can't be settled: the caller is told so, and nothing runs. A
-// ticket, which only the node that issued it may run, works; sent again it gives the same answer.
+// While the log is unavailable, a claim of a dated key can't be settled: the request is refused and
+// does not run. A ticket needs no claim because only the node that issued it may run it; a retry
+// with it gets the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn tickets_work_while_the_log_is_out() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
@@ -141,10 +142,10 @@
     json["ticket"].as_str().expect("ticket").to_owned()
 }
 
-// The node that ran a request dies. The caller that sends it again to another node is never told
-// that it was not run, and it does not run a second time.
+// After the node that ran a request died, a retry at another node never gets the outcome "not run",
+// and the request does not run a second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn resend_after_the_owner_died_does_not_run_again() {
+async fn retry_after_the_owner_died_does_not_run_again() {
     let mut fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let key = key("week-13");
     let first = send(fleet.node(0).callers, &key, "week 13").await;
@@ -160,10 +161,10 @@
     assert_eq!(status["ready"], true);
 }
 
-// The caller sees the first answer though a bundle came in force in between that gave its team another
-// place in the table of teams: a key stands for the team's name and the request.
+// A key is bound to the team's name and the request, so a retry gets the first answer even if a new
+// bundle has changed the team's index in the table of teams.
 #[tokio::test(flavor = "multi_thread")]
-async fn resend_after_a_bundle_that_renumbers_teams() {
+async fn retry_after_a_bundle_that_renumbers_teams() {
     let mut fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let key = key("week-14");
     let first = send(fleet.node(0).callers, &key, "week 14").await;
@@ -174,7 +175,7 @@
          weight = 1\nrate = 1\nin_flight = 1\ntop = normal\nusual = normal\n",
     );
     fleet.publish(&text).await.expect("published");
-    fleet.settled().await.expect("in force");
+    fleet.wait_until_settled().await.expect("in force");
     let again = send(fleet.node(0).callers, &key, "week 14").await;
     assert_eq!(again.status, StatusCode::OK, "{again:?}");
     assert_eq!(again.body, expected("week 14"));
--- a/crates/rig/tests/outcomes.rs
+++ b/crates/rig/tests/outcomes.rs
@@ -1,6 +1,6 @@
-//! What callers are told when an answer can't be whole.
+//! Outcomes that callers get when an answer can't be completed.
 
-use rig::caller::{Answer, Ask, Caller};
+use rig::caller::{Answer, Caller, ChatRequest};
 use rig::expect;
 use rig::fleet::Fleet;
 use rig::plan::{Plan, Stage};
@@ -23,16 +23,17 @@
     Fleet::start(plan).await.expect("fleet")
 }
 
-fn once(message: &str, stream: bool) -> Ask {
-    let ask = Ask {
+/// Builds a request that is not repeatable.
+fn not_repeatable(message: &str, stream: bool) -> ChatRequest {
+    let ask = ChatRequest {
         stream,
-        most: 64,
-        ..Ask::of(message)
+        max_tokens: 64,
+        ..ChatRequest::new(message)
     };
     ask.header("x-wigeonshelf-repeatable", "false")
 }
 
-async fn ask(fleet: &Fleet, ask: &Ask) -> Answer {
+async fn ask(fleet: &Fleet, ask: &ChatRequest) -> Answer {
     let answer = Caller::new().chat(fleet.node(0).callers, ask).await;
     answer.expect("answer")
 }
@@ -42,41 +43,42 @@
     counters.map(|c| Counters::get(&c.steps)).sum()
 }
 
-// The caller is told "unknown", never "not run". A stage dies in its second step of a request that
-// may not be repeated: bytes that start the work have left, so it may have run.
+// A stage dies in its second step of a request that is not repeatable. The request may have run,
+// since the bytes that start the work were sent, so the outcome is "unknown" and never "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_never_said_once_work_may_have_begun() {
+async fn outcome_is_unknown_once_work_may_have_begun() {
     for stream in [true, false] {
         let fleet = single().await;
         fleet.endpoints[1].engine.crash_at_step(2);
-        let answer = ask(&fleet, &once("lock the tower", stream)).await;
+        let answer = ask(&fleet, &not_repeatable("lock the tower", stream)).await;
         assert!(answer.unknown(), "{answer:?}");
         assert!(!answer.done, "{answer:?}");
         assert!(steps(&fleet) > 0);
     }
 }
 
-// The caller of a stream sees an error event, no end mark, and a connection that breaks off. It must
-// not be taken for a whole answer, whichever of the three the caller's library looks at.
+// A stream that fails ends with an error event, without `[DONE]`, and with an aborted connection,
+// so that a client library that checks any of the three does not take it for a complete answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_stream_does_not_end_like_a_whole_one() {
+async fn failed_stream_does_not_end_like_a_complete_one() {
     let fleet = single().await;
     fleet.endpoints[0].engine.crash_at_step(4);
-    let request = once("repair steps", true);
+    let request = not_repeatable("repair steps", true);
     let answer = ask(&fleet, &request).await;
     assert!(answer.status.is_success(), "{answer:?}");
     assert!(!answer.text.is_empty());
     assert!(expect::text(&fleet.plan, &request).starts_with(&answer.text));
     assert_eq!(answer.error.as_deref(), Some("outcome_unknown"));
-    assert!(!answer.done && answer.broken && answer.finish.is_none());
+    assert!(!answer.done && answer.broken && answer.finish_reason.is_none());
 }
 
-// The caller that asked for all or nothing gets an error and no text, though tokens had come.
+// A caller that requested a complete answer or none gets an error without text, although tokens
+// were generated before the failure.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_or_nothing_gives_nothing() {
+async fn all_or_nothing_gives_no_partial_text() {
     let fleet = single().await;
     fleet.endpoints[0].engine.crash_at_step(4);
-    let request = once("repair steps", true).header("x-wigeonshelf-whole", "true");
+    let request = not_repeatable("repair steps", true).header("x-wigeonshelf-whole", "true");
     let answer = ask(&fleet, &request).await;
     assert_eq!(answer.status.as_u16(), 502);
     assert!(answer.unknown() && answer.text.is_empty(), "{answer:?}");
@@ -84,37 +86,37 @@
     assert_eq!(retry.map(|v| v.as_bytes()), Some(&b"false"[..]));
 }
 
-// The caller is told "not run" and when to come back, and no step has run. Every stage refuses the
-// request before anything starts, and the deadline ends the search for another.
+// Every stage refuses the request before any step runs, and the deadline ends the search for
+// another chain: the outcome is "not run", and no step has run.
 #[tokio::test(flavor = "multi_thread")]
-async fn refusal_is_truly_unrun() {
+async fn refused_request_runs_no_step() {
     let fleet = single().await;
     fleet.endpoints[1].engine.set_leaving(true);
-    let request = once("sesame swap", false).header("x-wigeonshelf-deadline-ms", "400");
+    let request = not_repeatable("sesame swap", false).header("x-wigeonshelf-deadline-ms", "400");
     let answer = ask(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
     assert!(answer.status.is_server_error());
     assert_eq!(steps(&fleet), 0);
 }
 
-// The caller is told "not run" at once when nothing serves the model.
+// The outcome is "not run" if no endpoint serves the model.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_fleet_refuses() {
     let fleet = single().await;
     fleet.endpoints[0].engine.crash();
-    let request = Ask::of("hello").header("x-wigeonshelf-deadline-ms", "1500");
+    let request = ChatRequest::new("hello").header("x-wigeonshelf-deadline-ms", "1500");
     let answer = ask(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
     assert_eq!(steps(&fleet), 0);
 }
 
-// The caller of a request that may not be repeated goes away while it runs. It is not cut off
-// halfway: it runs to its end, once.
+// A request that is not repeatable is not cancelled when its caller disconnects: it runs to its
+// end, once.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_that_may_not_be_repeated_outlives_its_caller() {
+async fn request_that_is_not_repeatable_outlives_its_caller() {
     let fleet = single().await;
     let caller = Caller::new();
-    let request = once("lock the tower", true);
+    let request = not_repeatable("lock the tower", true);
     let response = caller.open(fleet.node(0).callers, &request).await;
     assert!(response.expect("answer").status().is_success());
     drop(caller);
--- a/crates/rig/tests/path.rs
+++ b/crates/rig/tests/path.rs
@@ -1,21 +1,21 @@
-//! The whole path over real sockets, with nothing failing.
+//! The request path over real sockets, without failures.
 
-use rig::caller::{Ask, Caller, addresses};
+use rig::caller::{Caller, ChatRequest, addresses};
 use rig::fleet::Fleet;
 use rig::plan::Plan;
 use rig::{expect, plan};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_asks_for_an_address_and_gets_the_whole_answer() {
+async fn caller_requests_an_address_and_gets_a_complete_answer() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let named = addresses(fleet.node(0).callers).await.expect("addresses");
     assert_eq!(named.addresses.len(), 3);
     let addr = named.addresses[0].addr().expect("address");
     let caller = Caller::new();
     for stream in [true, false] {
-        let ask = Ask {
+        let ask = ChatRequest {
             stream,
-            ..Ask::of("flag the sesame")
+            ..ChatRequest::new("flag the sesame")
         };
         let answer = caller.chat(addr, &ask).await.expect("answer");
         assert!(answer.complete(), "{answer:?}");
@@ -27,8 +27,8 @@
 async fn adapter_changes_the_answer() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let addr = fleet.node(1).callers;
-    let plain = Ask::of("explain the swap");
-    let adapted = Ask {
+    let plain = ChatRequest::new("explain the swap");
+    let adapted = ChatRequest {
         model: format!("{}:{}", plan::MODEL, plan::ADAPTER),
         ..plain.clone()
     };
--- a/crates/rig/tests/roll.rs
+++ b/crates/rig/tests/roll.rs
@@ -1,6 +1,6 @@
-//! A new version of a model, rolled over the endpoints under traffic.
+//! Rolls of a new model version over the endpoints under traffic.
 
-use rig::caller::{Ask, Caller, get};
+use rig::caller::{Caller, ChatRequest, get};
 use rig::expect;
 use rig::fleet::Fleet;
 use rig::plan::{Plan, VERSION};
@@ -8,9 +8,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// Version that is rolled out.
 const NEXT: &str = "2";
-/// Longest time for the roll: the lease, three zones with their watch, and the longest request.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Timeout of a roll: it includes the lease, three zones with their watch time, and the longest
+/// request.
+const ROLL_TIMEOUT: Duration = Duration::from_secs(90);
 
 async fn fleet() -> Fleet {
     let plan = Plan {
@@ -21,8 +23,8 @@
     Fleet::start(plan).await.expect("fleet")
 }
 
-/// Endpoints that hold the version and nothing else.
-fn on(fleet: &Fleet, version: &str) -> usize {
+/// Returns the number of endpoints that hold only this version.
+fn count_on(fleet: &Fleet, version: &str) -> usize {
     let holds = |e: &&rig::fleet::Endpoint| {
         let spans = e.engine.spans();
         !spans.is_empty() && spans.iter().all(|s| s.version == version)
@@ -30,15 +32,19 @@
     fleet.endpoints.iter().filter(holds).count()
 }
 
-/// Asks until every endpoint holds the new version; every answer is whole and of one version.
-async fn ask_through_the_roll(fleet: &Fleet) {
+/// Sends requests until every endpoint holds the new version, and checks that every answer is
+/// complete and of a single version.
+async fn send_during_roll(fleet: &Fleet) {
     let caller = Caller::new();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + ROLL_TIMEOUT;
     let mut number = 0;
-    while on(fleet, NEXT) < fleet.endpoints.len() {
-        assert!(Instant::now() < end, "the roll takes too long");
+    while count_on(fleet, NEXT) < fleet.endpoints.len() {
+        assert!(
+            Instant::now() < end,
+            "the roll did not end before the timeout"
+        );
         number += 1;
-        let ask = Ask::of(format!("note {number}"));
+        let ask = ChatRequest::new(format!("note {number}"));
         let answer = caller.chat(fleet.node(number % 3).callers, &ask).await;
         let answer = answer.expect("answer");
         assert!(answer.complete(), "{answer:?}");
@@ -48,9 +54,9 @@
     }
 }
 
-// Callers see whole answers all through a roll, each of one version. One node holds the lease and
-// orders the endpoints, one availability zone at a time; until the new version is whole, requests
-// go to the old one. Afterwards every answer is the new version's.
+// During a roll every answer is complete and of a single version. One node holds the lease and
+// sends the orders, one availability zone at a time; requests go to the old version until the
+// endpoints of the new one hold all its layers. After the roll every answer is of the new version.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_version_is_rolled_without_a_failed_request() {
     let mut fleet = fleet().await;
@@ -58,19 +64,19 @@
         .publish(&fleet.text_of(NEXT))
         .await
         .expect("published");
-    ask_through_the_roll(&fleet).await;
+    send_during_roll(&fleet).await;
     sleep(Duration::from_secs(2)).await;
     let caller = Caller::new();
     for node in fleet.nodes.iter().flatten() {
-        let ask = Ask::of("after the roll");
+        let ask = ChatRequest::new("after the roll");
         let answer = caller.chat(node.callers, &ask).await.expect("answer");
         assert!(answer.complete(), "{answer:?}");
         assert_eq!(answer.text, expect::text_of(&fleet.plan, &ask, NEXT));
     }
 }
 
-// Callers see whole answers though the node that gives the orders dies in the middle of a roll. Its
-// lease runs out, another node takes it and finishes from what the endpoints report.
+// The node that sends the orders dies during a roll. Its lease expires, and another node acquires
+// it and completes the roll from the endpoints' reports; answers are complete meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn roll_goes_on_after_its_holder_died() {
     let mut fleet = fleet().await;
@@ -78,16 +84,22 @@
         .publish(&fleet.text_of(NEXT))
         .await
         .expect("published");
-    let end = Instant::now() + PATIENCE;
-    while on(&fleet, NEXT) == 0 {
-        assert!(Instant::now() < end, "the roll does not begin");
+    let end = Instant::now() + ROLL_TIMEOUT;
+    while count_on(&fleet, NEXT) == 0 {
+        assert!(
+            Instant::now() < end,
+            "no endpoint got the new version before the timeout"
+        );
         sleep(Duration::from_millis(20)).await;
     }
     let holder = holder(&fleet).await.expect("a node holds the lease");
     fleet.kill_node(holder).await.expect("killed");
-    while on(&fleet, NEXT) < fleet.endpoints.len() {
-        assert!(Instant::now() < end, "the roll takes too long");
-        let ask = Ask::of("note");
+    while count_on(&fleet, NEXT) < fleet.endpoints.len() {
+        assert!(
+            Instant::now() < end,
+            "the roll did not end before the timeout"
+        );
+        let ask = ChatRequest::new("note");
         let node = fleet.nodes.iter().flatten().next().expect("a node");
         let answer = Caller::new().chat(node.callers, &ask).await;
         assert!(answer.expect("answer").complete());
@@ -95,7 +107,7 @@
     }
 }
 
-/// The node whose dump shows a roll: only a holder has one.
+/// Returns the node that holds the lease: only its dump contains a roll.
 async fn holder(fleet: &Fleet) -> Option<usize> {
     for (index, node) in fleet.nodes.iter().enumerate() {
         let Some(node) = node else { continue };
--- a/crates/rig/tests/services.rs
+++ b/crates/rig/tests/services.rs
@@ -1,4 +1,4 @@
-//! Plain services: routed, retried only where that is allowed, streamed through.
+//! Plain services: routing, retries of repeatable calls, and streaming of answers.
 
 use http::{HeaderMap, Method, StatusCode};
 use rig::caller::Caller;
@@ -32,7 +32,8 @@
     })
 }
 
-/// A key as callers make them: the time, then anything. It is the same for all calls of a test.
+/// Returns a dated idempotency key: a time in seconds, then `key`. The time is the same for all
+/// calls of the process.
 fn dated(key: &str) -> String {
     static NOW: LazyLock<u64> = LazyLock::new(|| {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -59,10 +60,10 @@
     assert_eq!(effects(&fleet, NEWSLETTER, "week-7"), 1);
 }
 
-// The caller of a lookup sees its answer though an endpoint dies before it has an effect: the call
-// may be repeated, so the node calls another endpoint.
+// An endpoint dies before a call has its effect. Calls of a lookup are repeatable, so the node
+// retries at another endpoint and the caller gets its answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeatable_call_goes_elsewhere() {
+async fn repeatable_call_is_retried_at_another_endpoint() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let lookups = fleet.services.iter().filter(|s| s.service == LOOKUP);
     let first = lookups.into_iter().next().expect("an endpoint");
@@ -74,10 +75,10 @@
     }
 }
 
-// The caller of a newsletter is told "unknown" when every endpoint dies right after the effect: the
-// call may not be repeated, so nothing is called again, and it has its effect once.
+// Every endpoint dies right after the effect of a call. Calls of a newsletter are not repeatable,
+// so the node does not retry: the outcome is "unknown", and the call has its effect once.
 #[tokio::test(flavor = "multi_thread")]
-async fn call_that_may_not_be_repeated_is_made_once() {
+async fn call_that_is_not_repeatable_is_made_once() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     for service in &fleet.services {
         service.handle.crash_at(Some(CrashPoint::After));
@@ -89,10 +90,11 @@
     assert_eq!(effects(&fleet, NEWSLETTER, "week-8"), 1);
 }
 
-// The caller sees an answer that breaks off, never a short one that looks whole. The endpoint cuts
-// it in the middle, after its head and a part went through; a second call would be appended to it.
+// An endpoint truncates its answer after the head and a part of the body were forwarded. The caller
+// must see an aborted answer, never a short one that looks complete, and the node must not retry: a
+// second answer would be appended to the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_answer_breaks_off() {
+async fn truncated_answer_is_aborted() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     for service in &fleet.services {
         service.handle.truncate_answers(true);
--- a/crates/rig/tests/stages.rs
+++ b/crates/rig/tests/stages.rs
@@ -1,13 +1,14 @@
-//! Stages that fail under requests that may be repeated: the answer is whole all the same.
+//! Failures of stages during repeatable requests: the answers are complete nevertheless.
 
-use rig::caller::{Answer, Ask, Caller};
+use rig::caller::{Answer, Caller, ChatRequest};
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::{Plan, Stage};
 use standin::engine::Counters;
 use std::time::Duration;
 
-/// A fleet whose stages take some milliseconds for each token, so that a failure hits in between.
+/// Starts a fleet whose stages take some milliseconds for each token, so that failures occur
+/// between tokens.
 async fn paced() -> Fleet {
     let stage = |from, to| Stage {
         from,
@@ -21,8 +22,8 @@
     Fleet::start(plan).await.expect("fleet")
 }
 
-/// Asks node 0 and checks that the answer is whole and right.
-async fn whole(fleet: &Fleet, ask: &Ask) -> Answer {
+/// Sends a request to node 0 and checks that the answer is complete and has the expected text.
+async fn check_complete(fleet: &Fleet, ask: &ChatRequest) -> Answer {
     let caller = Caller::new();
     let answer = caller.chat(fleet.node(0).callers, ask).await;
     let answer = answer.expect("answer");
@@ -31,15 +32,15 @@
     answer
 }
 
-/// An ask whose answer runs to its full length.
-fn long(fleet: &Fleet, most: u32) -> Ask {
-    let asks = (0..1000).map(|n| Ask {
-        most,
-        ..Ask::of(format!("a long repair guide {n}"))
+/// Returns a request whose answer has `max_tokens` tokens.
+fn long(fleet: &Fleet, max_tokens: u32) -> ChatRequest {
+    let asks = (0..1000).map(|n| ChatRequest {
+        max_tokens,
+        ..ChatRequest::new(format!("a long repair guide {n}"))
     });
-    let runs = |ask: &Ask| {
-        let shorter = Ask {
-            most: most - 1,
+    let runs = |ask: &ChatRequest| {
+        let shorter = ChatRequest {
+            max_tokens: max_tokens - 1,
             ..ask.clone()
         };
         expect::text(&fleet.plan, ask).len() > expect::text(&fleet.plan, &shorter).len()
@@ -47,20 +48,20 @@
     asks.into_iter().find(runs).expect("some answer is long")
 }
 
-// The caller sees the whole answer, only later. Every first stage but one refuses connections; the
-// node tries one of the dead, is refused before a byte left, and goes on to the one that lives.
+// All first stages but one refuse connections. The node's connection is refused before it sends a
+// byte, so it retries at the running one, and the answer is only delayed.
 #[tokio::test(flavor = "multi_thread")]
 async fn stage_dead_before_the_first_token() {
     let fleet = paced().await;
     fleet.endpoints[0].engine.crash();
     fleet.endpoints[2].engine.crash();
     for n in 0..8 {
-        whole(&fleet, &Ask::of(format!("menu {n}"))).await;
+        check_complete(&fleet, &ChatRequest::new(format!("menu {n}"))).await;
     }
 }
 
-// Every caller sees the whole answer, one with a pause in it. A stage dies while it computes its
-// k-th step; the node continues elsewhere from the tokens it has, none twice and none missing.
+// A stage dies while it computes its k-th step. The node continues at another endpoint from the
+// tokens that it has, without repeating or losing one; the answer has a pause but is complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn stage_dies_in_and_after_the_first_token() {
     for step in [1, 2, 9] {
@@ -68,7 +69,7 @@
         let dying = &fleet.endpoints[1].engine;
         dying.crash_at_step(step);
         for n in 0..12 {
-            let ask = Ask {
+            let ask = ChatRequest {
                 seed: n,
                 ..long(&fleet, 24)
             };
@@ -85,11 +86,11 @@
     }
 }
 
-// The caller sees the whole answer. The connections between node and stage stay open and go silent
-// in the middle of an answer, while new ones work: the node misses progress, probes on a new
-// connection, finds the endpoint alive, drops the silent connections and continues.
+// The open connections between node and stage hang during an answer, while new ones work. The node
+// detects that there is no progress, probes over a new connection, finds the endpoint alive, drops
+// the hung connections and continues; the answer is complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn open_connections_go_silent() {
+async fn open_connections_hang() {
     let fleet = paced().await;
     let ask = long(&fleet, 48);
     let running = tokio::spawn({
@@ -98,7 +99,7 @@
         async move { Caller::new().chat(addr, &ask).await }
     });
     let started = || async { fleet.endpoints.iter().any(|e| e.engine.running() > 0) };
-    wait("the answer is under way", started)
+    wait("the answer is in flight", started)
         .await
         .expect("start");
     for endpoint in &fleet.endpoints {
@@ -109,10 +110,11 @@
     assert_eq!(answer.text, expect::text(&fleet.plan, &ask));
 }
 
-// The caller sees the whole, right answer. A stage sends frames of an ended attempt, of another
-// request, of another step or other layers; each is told by its numbers and never used.
+// A stage sends frames of an ended attempt, of another request, of another step or of other layers,
+// or garbled frames. The node recognizes them by their identifiers and never uses them in an
+// answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn frames_of_elsewhere_never_reach_an_answer() {
+async fn misdirected_frames_never_reach_an_answer() {
     use standin::engine::ReplyFault;
     let kinds = [
         ReplyFault::StaleAttempt,
@@ -125,24 +127,24 @@
         let fleet = paced().await;
         fleet.endpoints[1].engine.set_reply_fault(Some(crossed));
         for n in 0..4 {
-            whole(&fleet, &Ask::of(format!("handover {n}"))).await;
+            check_complete(&fleet, &ChatRequest::new(format!("handover {n}"))).await;
         }
     }
 }
 
-// The caller sees two teams' answers, each its own. 200 requests of two teams cross on the same
-// stages; not a byte of one may stand in another.
+// 200 requests of two teams run concurrently on the same stages. No answer may contain a byte of
+// another.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_hundred_requests_of_two_teams_cross() {
+async fn concurrent_requests_of_two_teams_stay_separate() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
     let mut running = tokio::task::JoinSet::new();
     for n in 0..200 {
         let addr = fleet.node(n % 3).callers;
         let plan = fleet.plan.clone();
-        let ask = Ask {
+        let ask = ChatRequest {
             team: plan.teams[n % 2].clone(),
             stream: n % 3 != 0,
-            ..Ask::of(format!("note {n}"))
+            ..ChatRequest::new(format!("note {n}"))
         };
         running.spawn(async move {
             let answer = Caller::new().chat(addr, &ask).await.expect("answer");
@@ -155,10 +157,10 @@
     }
 }
 
-// The caller goes away in the middle of a long answer. The node cancels the work down to the
-// engines, so that their slots are free again.
+// A caller disconnects during a long answer. The node cancels the work at the engines, so that
+// their slots become free.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_of_a_caller_who_leaves_is_cancelled() {
+async fn work_of_a_disconnected_caller_is_cancelled() {
     let fleet = paced().await;
     let ask = long(&fleet, 200);
     let caller = Caller::new();
--- a/crates/rig/tests/tls.rs
+++ b/crates/rig/tests/tls.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::{http1, http2};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use rig::caller::Ask;
+use rig::caller::ChatRequest;
 use rig::expect;
 use rig::fleet::{Fleet, wait};
 use rig::plan::{KITCHENS, Plan};
@@ -80,13 +80,14 @@
         zones: 1,
         replicas: 1,
         services: 1,
-        // The rig's own looks at the node speak no TLS, so only the callers' part is waited for below.
+        // The rig's own looks at the node speak no TLS, so only the callers' part is waited for
+        // below.
         callers: pair.lines(),
         ..Plan::default()
     };
-    let mut fleet = Fleet::bare(plan).await.expect("stand-ins");
+    let mut fleet = Fleet::start_standins(plan).await.expect("stand-ins");
     fleet.start_node(0).expect("node");
-    fleet.relist();
+    fleet.update_instance_list();
     let text = fleet.text();
     fleet.publish(&text).await.expect("published");
     wait("the bundle is in force", || async {
@@ -98,7 +99,7 @@
     fleet
 }
 
-fn request(addr: SocketAddr, ask: &Ask, version: Version) -> Request<Full<Bytes>> {
+fn request(addr: SocketAddr, ask: &ChatRequest, version: Version) -> Request<Full<Bytes>> {
     let path = "/v1/chat/completions";
     let uri = match version {
         Version::HTTP_2 => format!("https://{addr}{path}"),
@@ -112,7 +113,11 @@
 }
 
 /// Sends a chat completion over a connection, by the protocol that was agreed on.
-async fn chat(stream: TlsStream<TcpStream>, addr: SocketAddr, ask: &Ask) -> (StatusCode, Bytes) {
+async fn chat(
+    stream: TlsStream<TcpStream>,
+    addr: SocketAddr,
+    ask: &ChatRequest,
+) -> (StatusCode, Bytes) {
     let agreed = stream.get_ref().1.alpn_protocol().map(<[u8]>::to_vec);
     let io = TokioIo::new(stream);
     let response = if agreed.as_deref() == Some(b"h2") {
@@ -165,10 +170,10 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> ChatRequest {
+    ChatRequest {
         stream: false,
-        ..Ask::of("flag the sesame")
+        ..ChatRequest::new("flag the sesame")
     }
 }
 
@@ -233,8 +238,8 @@
     assert_eq!(chat(stream, addr, &ask()).await.0, StatusCode::OK);
 }
 
-// Callers see the new certificate without a restart, and those that are connected go on. In between,
-// half of the renewal is there: the old pair is served, and nobody is turned away.
+// Callers see the new certificate without a restart, and those that are connected go on. In
+// between, half of the renewal is there: the old pair is served, and nobody is turned away.
 #[tokio::test(flavor = "multi_thread")]
 async fn certificate_is_replaced_without_a_restart() {
     let old = Pair::write("tls-renewal");
