--- a/crates/rig/examples/added.rs
+++ b/crates/rig/examples/added.rs
@@ -1,8 +1,9 @@
-//! What a node adds: latency against calling the stages directly, processor time, memory.
+//! Measures the overhead of a node: latency compared with calling the stages directly, processor
+//! time and memory.
 //!
-//! One node with one worker; the stages take no time of their own. Everything runs in one process;
-//! the processor time is that of the worker's thread alone, the memory that of the whole process,
-//! callers and stand-ins included.
+//! Runs one node with one worker; the stages add no time in the first two measurements. Everything
+//! runs in one process: the processor time is that of the worker's thread alone, the memory that of
+//! the process, including callers and stand-ins.
 
 use engine::chain::{Event, Hop, Job};
 use engine::pool::Pool;
@@ -20,14 +21,14 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Requests of each latency measurement.
+/// Number of requests of each latency measurement.
 const REQUESTS: usize = 400;
-/// Tokens of each.
+/// Maximum number of tokens of a request.
 const TOKENS: u32 = 32;
-/// Time of the measurement of processor time.
-const TIME: Duration = Duration::from_secs(8);
-/// Ticks of the kernel's processor times in a second.
-const TICKS: f64 = 100.0;
+/// Duration of the processor time measurement.
+const RUN_TIME: Duration = Duration::from_secs(8);
+/// Clock ticks per second in the kernel's processor times.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -69,7 +70,7 @@
         })
     }
 
-    fn take(&mut self, times: &[Duration]) -> Result<()> {
+    fn record(&mut self, times: &[Duration]) -> Result<()> {
         if let Some(first) = times.first() {
             self.first.record(first.as_micros() as u64)?;
         }
@@ -80,7 +81,8 @@
     }
 }
 
-/// One request after another, through the node and directly, by turns.
+/// Measures latency with sequential requests that alternate between the node and the stages
+/// directly.
 async fn latency() -> Result<()> {
     let fleet = Fleet::start(plan(1, Duration::ZERO, 32)).await?;
     let (mut node, mut direct) = (Times::new()?, Times::new()?);
@@ -93,8 +95,8 @@
         if !answer.complete() {
             return Err(eyre!("an answer is not whole: {answer:?}"));
         }
-        node.take(&answer.times)?;
-        direct.take(&run(&fleet, &pool, number).await)?;
+        node.record(&answer.times)?;
+        direct.record(&run_direct(&fleet, &pool, number).await)?;
     }
     println!("latency, {REQUESTS} requests of up to {TOKENS} tokens, two stages that take no time");
     println!("                 first token us p50   p99   between two us p50   p99");
@@ -111,8 +113,8 @@
     Ok(())
 }
 
-/// Times of the tokens of one request that the driver runs without a node.
-async fn run(fleet: &Fleet, pool: &Pool, number: usize) -> Vec<Duration> {
+/// Runs one request on the stages without a node and returns the times of its tokens.
+async fn run_direct(fleet: &Fleet, pool: &Pool, number: usize) -> Vec<Duration> {
     let hops = fleet.endpoints.iter().map(|e| Hop {
         addr: e.engine.addr,
         from: fleet.plan.stages[e.stage].from,
@@ -142,13 +144,13 @@
     times
 }
 
-/// Requests and tokens for each second of the worker's processor time.
+/// Measures requests and tokens per second of the worker's processor time.
 async fn processor() -> Result<()> {
     let fleet = Fleet::start(plan(4, Duration::ZERO, 64)).await?;
     let traffic = Traffic {
         callers: 64,
         requests: usize::MAX,
-        time: TIME,
+        time: RUN_TIME,
         tokens: TOKENS,
         urgent: 0,
     };
@@ -169,7 +171,7 @@
     Ok(())
 }
 
-/// Seconds that threads called worker-0 have run.
+/// Returns the processor time of the threads named worker-0, in seconds.
 fn worker_time() -> Result<f64> {
     let mut ticks = 0;
     for task in fs::read_dir("/proc/self/task")? {
@@ -184,11 +186,11 @@
             ticks += user + system;
         }
     }
-    Ok(ticks as f64 / TICKS)
+    Ok(ticks as f64 / TICKS_PER_SECOND)
 }
 
-/// Memory of the process for each stream in flight: each has a connection of its own, and the
-/// caller's and the stand-ins' sides of it are counted too.
+/// Measures the memory of the process for each stream in flight. Each stream has its own
+/// connection, and the memory includes the caller's and the stand-ins' sides.
 async fn memory() -> Result<()> {
     println!("\nresident memory of the whole process (node, callers and stand-ins)");
     for streams in [60, 120, 240] {
@@ -211,14 +213,14 @@
     Ok(())
 }
 
-/// A caller with a stream that has begun.
+/// Sends a streamed request and returns the response with its body unread.
 async fn stream(fleet: &Fleet, number: usize) -> Result<Response<Incoming>> {
     let mut ask = ChatRequest::new(format!("stream {number}"));
     ask.max_tokens = 512;
     Caller::new().open(fleet.node(0).callers, &ask).await
 }
 
-/// Resident memory, in KB.
+/// Returns the resident memory, in KB.
 fn resident() -> Result<u64> {
     let text = fs::read_to_string("/proc/self/status")?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
--- a/crates/rig/examples/demo.rs
+++ b/crates/rig/examples/demo.rs
@@ -1,5 +1,6 @@
-//! The demo: stand-ins and three nodes on loopback, mixed traffic, a stage and a node killed in
-//! the middle. Prints a table; exits non-zero if a promise was broken. With `--serve` it stays up.
+//! Demo: stand-ins and three nodes on loopback with mixed traffic, during which a stage and a node
+//! are killed. Prints a table and exits non-zero if a guarantee was violated. With `--serve` it
+//! keeps running without traffic.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use eyre::Result;
@@ -13,10 +14,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep};
 
-/// Steps that an endpoint computes at once.
+/// Number of steps that an endpoint computes concurrently.
 const BATCH: usize = 8;
-/// Time for one layer and token on the two kinds of accelerators.
+/// Time per layer and token on the faster kind of accelerator.
 const FAST: Duration = Duration::from_millis(1);
+/// Time per layer and token on the slower kind of accelerator.
 const SLOW: Duration = Duration::from_millis(2);
 
 fn main() -> ExitCode {
@@ -140,7 +142,7 @@
     Ok(tally.wrong.is_empty() && doubled == 0)
 }
 
-/// Tokens per second that the stand-ins allow with all of them up.
+/// Returns the maximum tokens per second of the stand-ins when all of them run.
 fn bound(fleet: &Fleet) -> f64 {
     let bundle = fleet.bundle.as_ref().expect("a bundle was published");
     let model = bundle.model(MODEL).expect("the model is in the bundle");
@@ -151,7 +153,7 @@
     fleet.nodes.iter().flatten().map(|n| n.callers).collect()
 }
 
-/// Streams one answer after another and returns the longest time between two tokens.
+/// Streams answers in sequence and returns the longest time between two tokens of an answer.
 async fn recovery(addr: std::net::SocketAddr, plan: Plan, time: Duration) -> Duration {
     let caller = Caller::new();
     let end = Instant::now() + time;
@@ -171,8 +173,8 @@
     longest
 }
 
-/// Sends newsletters that may not be repeated while their endpoints die; returns how many had
-/// their effect more than once.
+/// Sends newsletters, which are not repeatable, while one of their endpoints dies. Returns the
+/// number that had their effect more than once.
 async fn newsletters(fleet: &Fleet) -> Result<usize> {
     let caller = Caller::new();
     let addr = fleet.node(0).callers;
--- a/crates/rig/examples/throughput.rs
+++ b/crates/rig/examples/throughput.rs
@@ -1,9 +1,10 @@
-//! Throughput of a whole fleet against the bound that its stand-ins allow, at saturation.
+//! Measures the throughput of a saturated fleet against the maximum of its stand-ins.
 //!
-//! Two kinds of accelerators, no failure, callers enough to fill every slot. `bound` is what the
-//! bundle's figures allow; `direct` is what the same stand-ins give when the driver is called
-//! without any node, each request on the stages of one replica: their timers make each step about
-//! a millisecond longer than it should be. The table has one row for each number of nodes.
+//! There are two kinds of accelerators, no failures, and enough callers to fill every slot. `bound`
+//! is the maximum by the bundle's figures. `direct` is the throughput of the same stand-ins without
+//! any node, with each request on the stages of one replica; it is below `bound` because the
+//! stand-ins' timers make each step about a millisecond too long. The table has one row for each
+//! number of nodes.
 
 use engine::chain::{Event, Hop, Job};
 use engine::pool::Pool;
@@ -19,9 +20,9 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Time of one run.
-const TIME: Duration = Duration::from_secs(10);
-/// Callers per slot of the first stages: more than one, so that slots never wait.
+/// Duration of one run.
+const RUN_TIME: Duration = Duration::from_secs(10);
+/// Number of callers per slot of the first stages: more than one, so that no slot is idle.
 const CALLERS_PER_SLOT: usize = 2;
 const REPLICAS: usize = 4;
 const SLOTS: usize = 40;
@@ -66,7 +67,7 @@
     let traffic = Traffic {
         callers,
         requests: usize::MAX,
-        time: TIME,
+        time: RUN_TIME,
         tokens: TOKENS,
         urgent: 0,
     };
@@ -75,7 +76,7 @@
     if std::env::args().any(|a| a == "--dump") {
         let admin = fleet.node(0).admin;
         tokio::spawn(async move {
-            tokio::time::sleep(TIME / 2).await;
+            tokio::time::sleep(RUN_TIME / 2).await;
             let caller = rig::caller::Caller::new();
             let dump = caller
                 .call(admin, http::Method::GET, "/dump", &[], "")
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Tokens per second of the driver alone, with every slot in use.
+/// Returns the tokens per second of the stand-ins without a node, with every slot in use.
 async fn direct(fleet: &Fleet) -> f64 {
     let made = Arc::new(AtomicU64::new(0));
     let cancel = CancellationToken::new();
@@ -118,32 +119,32 @@
             from: fleet.plan.stages[e.stage].from,
             to: fleet.plan.stages[e.stage].to,
         });
-        let loops = Loop {
+        let client = DirectClient {
             number,
             hops: hops.collect(),
             made: made.clone(),
             cancel: cancel.clone(),
         };
-        running.spawn(loops.run());
+        running.spawn(client.run());
     }
-    tokio::time::sleep(TIME / 4).await;
+    tokio::time::sleep(RUN_TIME / 4).await;
     let (before, start) = (made.load(Relaxed), Instant::now());
-    tokio::time::sleep(TIME / 2).await;
+    tokio::time::sleep(RUN_TIME / 2).await;
     let rate = (made.load(Relaxed) - before) as f64 / start.elapsed().as_secs_f64();
     cancel.cancel();
     while running.join_next().await.is_some() {}
     rate
 }
 
-/// One request after another on the same stages.
-struct Loop {
+/// Sends requests in sequence to the same stages.
+struct DirectClient {
     number: usize,
     hops: Vec<Hop>,
     made: Arc<AtomicU64>,
     cancel: CancellationToken,
 }
 
-impl Loop {
+impl DirectClient {
     async fn run(self) {
         let pool = Pool::default();
         let mut request = 0;
--- a/crates/rig/tests/completions.rs
+++ b/crates/rig/tests/completions.rs
@@ -1,4 +1,4 @@
-//! The conventions of chat-completion clients: shapes of answers, events and errors.
+//! Compatibility with clients of the chat-completion API: format of answers, events and errors.
 
 use http::{HeaderMap, Method, StatusCode};
 use rig::caller::{Caller, ChatRequest};
@@ -10,8 +10,8 @@
 
 const CHAT: &str = "/v1/chat/completions";
 const TEXT: &str = "/v1/completions";
-/// Tokens of an answer, where a test doesn't say otherwise.
-const MOST: u32 = 12;
+/// Default maximum number of tokens of an answer.
+const MAX_TOKENS: u32 = 12;
 
 struct Reply {
     status: StatusCode,
@@ -28,7 +28,7 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Events of a stream, the end mark left out.
+    /// Returns the events of a stream without `[DONE]`.
     fn events(&self) -> Vec<Value> {
         let events = self
             .text
@@ -79,7 +79,7 @@
 
 fn ask(message: &str) -> ChatRequest {
     ChatRequest {
-        max_tokens: MOST,
+        max_tokens: MAX_TOKENS,
         ..ChatRequest::new(message)
     }
 }
@@ -88,13 +88,13 @@
     json!({
         "model": MODEL,
         "messages": [{"role": "user", "content": message}],
-        "max_tokens": MOST,
+        "max_tokens": MAX_TOKENS,
         "seed": 1,
     })
 }
 
 fn text(prompt: &str) -> Value {
-    json!({"model": MODEL, "prompt": prompt, "max_tokens": MOST, "seed": 1})
+    json!({"model": MODEL, "prompt": prompt, "max_tokens": MAX_TOKENS, "seed": 1})
 }
 
 fn tokens(prompt: &str) -> Vec<String> {
@@ -105,7 +105,7 @@
         layers: Plan::default().layers,
         prompt: prompt.as_bytes(),
         seed: 1,
-        max_tokens: MOST,
+        max_tokens: MAX_TOKENS,
     };
     oracle::answer(&question)
         .into_iter()
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_answers_have_their_shape_and_usage() {
+async fn complete_answers_have_their_format_and_usage() {
     let fleet = single().await;
     let reply = post(&fleet, CHAT, &chat("flag the sesame")).await;
     assert_eq!(reply.status, StatusCode::OK);
@@ -158,7 +158,8 @@
     );
 }
 
-/// Checks what the events of both APIs share, and returns the text they carry.
+/// Checks the properties that the events of both APIs have in common and returns their text, which
+/// is at `text_at` in each event.
 fn check_events(events: &[Value], object: &str, with_usage: bool, text_at: &str) -> String {
     let (usage, events) = match with_usage {
         true => {
@@ -230,7 +231,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_stream_has_the_same_events() {
+async fn buffered_stream_has_the_same_events() {
     let fleet = single().await;
     let mut body = chat("explain the swap");
     body["stream"] = json!(true);
@@ -286,7 +287,7 @@
     let fleet = single().await;
     let prompt = "<|user|>\nrepair steps\n<|assistant|>\n";
     let whole = tokens(prompt).concat();
-    // The end of the third token and the beginning of the fourth.
+    // The stop sequence covers the end of the third token and the beginning of the fourth.
     let third: usize = tokens(prompt)[..3].iter().map(String::len).sum();
     let stop = &whole[third - 1..third + 2];
     let kept = &whole[..whole.find(stop).expect("it is there")];
@@ -300,7 +301,8 @@
         usage["prompt_tokens"].as_u64(),
         usage["completion_tokens"].as_u64(),
     );
-    // Cut off early, the engines' count of the prompt never comes; an estimate stands for it.
+    // The answer ends before the engines report the token count of the prompt, so the usage
+    // contains an estimate.
     assert!(prompted.is_some_and(|t| t > 0), "{usage}");
     assert!(made.is_some_and(|t| t > 0 && t <= 5), "{usage}");
     assert_eq!(
@@ -319,7 +321,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bounds_and_seeds_are_kept() {
+async fn token_limits_and_seeds_are_applied() {
     let fleet = single().await;
     let mut body = chat("weekly menu");
     for field in ["max_tokens", "max_completion_tokens"] {
@@ -350,10 +352,10 @@
     assert_eq!(value["choices"][0]["message"]["content"], whole);
 }
 
-// Whatever is wrong, the caller's library finds the same shape, an outcome, and an id to name to
-// the operators, also when the request never reached a router.
+// All errors have the same format, an outcome, and an id that callers can give to the operators,
+// also if the request never reached a router.
 #[tokio::test(flavor = "multi_thread")]
-async fn errors_have_their_shape_and_an_id() {
+async fn errors_have_their_format_and_an_id() {
     let fleet = single().await;
     let mut unknown = chat("a");
     unknown["model"] = json!("none-such");
@@ -439,10 +441,10 @@
     assert_eq!(reply.header("allow"), Some("GET"));
 }
 
-// The caller of a node that has no bundle yet is told when to come back. The node has started and
-// nothing was published, as when the log is out.
+// A node without a bundle refuses requests with a retry-after delay. Nothing has been published
+// here, which looks to the node like an unavailable log.
 #[tokio::test(flavor = "multi_thread")]
-async fn refusal_of_a_starting_node_says_when_to_come_back() {
+async fn refusal_of_a_starting_node_has_a_retry_after_delay() {
     let mut fleet = Fleet::start_standins(Plan::default())
         .await
         .expect("stand-ins");
--- a/crates/rig/tests/hostile.rs
+++ b/crates/rig/tests/hostile.rs
@@ -1,6 +1,6 @@
-//! Callers that send too much, too slowly, too often, or what they may not.
+//! Callers that exceed limits of size, time, connections or rate, or send invalid requests.
 //!
-//! Each test ends with a good request on a new connection: the node still answers.
+//! Each test ends with a valid request on a new connection, which the node must still answer.
 
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -13,13 +13,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest time for the node to end a connection. The bounds set below are far shorter.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Small bounds, so that a test meets them soon.
-const BOUNDS: &str = "connections = 12\nstreams = 4\nhead_bytes = 8192\nbody_bytes = 4096\n\
+/// Timeout for the node to close a connection. The limits set below are far shorter.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Settings with small limits, so that the tests reach them quickly.
+const LIMITS: &str = "connections = 12\nstreams = 4\nhead_bytes = 8192\nbody_bytes = 4096\n\
                       head_time = 1s\nbody_time = 1s\nidle_time = 2s\n";
-/// How much the process may grow under a flood, in KiB. The tests of this file share the process.
-const GROWTH: u64 = 256 << 10;
+/// Maximum memory growth of the process under a flood, in KiB. The tests of this file share the
+/// process.
+const MAX_GROWTH_KIB: u64 = 256 << 10;
 
 fn plan() -> Plan {
     Plan {
@@ -27,7 +28,7 @@
         zones: 1,
         replicas: 1,
         services: 1,
-        callers: BOUNDS.to_owned(),
+        callers: LIMITS.to_owned(),
         ..Plan::default()
     }
 }
@@ -40,7 +41,8 @@
     fleet.node(0).callers
 }
 
-/// The node answers a good request, if not at once then as soon as it has room for a connection.
+/// Checks that the node answers a valid request, at the latest once it can accept another
+/// connection.
 async fn still_answers(fleet: &Fleet) {
     let ask = ChatRequest::new("flag the sesame");
     wait("a good answer", || async {
@@ -55,32 +57,35 @@
     TcpStream::connect(addr(fleet)).await.expect("connected")
 }
 
-/// What comes until the node ends the connection.
-async fn rest(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads until the node closes the connection.
+async fn read_to_close(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let read = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut bytes));
-    // A reset is an end too.
-    let _ = read.await.expect("the node ends the connection");
+    let read = tokio::time::timeout(CLOSE_TIMEOUT, stream.read_to_end(&mut bytes));
+    // A reset also counts as closed.
+    let _ = read.await.expect("the node closes the connection");
     bytes
 }
 
-/// Sends a byte now and then until the node has ended the connection.
-async fn until_broken(stream: &mut TcpStream) {
-    let end = tokio::time::Instant::now() + PATIENCE;
+/// Sends one byte every 50 ms until the node has closed the connection.
+async fn write_until_closed(stream: &mut TcpStream) {
+    let end = tokio::time::Instant::now() + CLOSE_TIMEOUT;
     while stream.write_all(b"G").await.is_ok() {
-        assert!(tokio::time::Instant::now() < end, "the connection is kept");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "the node did not close the connection"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Sends `bytes`, reads until the node ends the connection.
+/// Sends `bytes` and reads until the node closes the connection.
 async fn exchange(fleet: &Fleet, bytes: &[u8]) -> String {
     let mut stream = connect(fleet).await;
     let _ = stream.write_all(bytes).await;
-    String::from_utf8_lossy(&rest(&mut stream).await).into_owned()
+    String::from_utf8_lossy(&read_to_close(&mut stream).await).into_owned()
 }
 
-/// The head of a chat completion, with more lines and without a body.
+/// Returns the head of a chat completion request with additional header lines.
 fn head(lines: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\
@@ -89,25 +94,27 @@
     )
 }
 
-fn is(answer: &str, status: u16, code: &str) -> bool {
+/// Returns whether `answer` is an error with this status and code and the outcome "not run".
+fn is_error(answer: &str, status: u16, code: &str) -> bool {
     let starts = answer.starts_with(&format!("HTTP/1.1 {status} "));
     starts && answer.contains(&format!("\"code\":\"{code}\"")) && answer.contains("\"not-run\"")
 }
 
-/// Memory of this process, in KiB.
-fn memory() -> u64 {
+/// Returns the resident memory of this process, in KiB.
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("a status");
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let number = line.and_then(|l| l.split_whitespace().next());
     number.and_then(|n| n.parse().ok()).expect("a number")
 }
 
-// The caller is told 413 before it has sent more than the bound, whatever it says of the length.
+// A body over the limit is refused with 413, whether its length is declared or it is sent in
+// chunks.
 #[tokio::test(flavor = "multi_thread")]
-async fn body_over_the_bound_is_refused() {
+async fn body_over_the_limit_is_refused() {
     let fleet = single().await;
     let declared = exchange(&fleet, head("content-length: 4097\r\n").as_bytes()).await;
-    assert!(is(&declared, 413, "body_too_large"), "{declared}");
+    assert!(is_error(&declared, 413, "body_too_large"), "{declared}");
     let huge = exchange(
         &fleet,
         head("content-length: 18446744073709551615\r\n").as_bytes(),
@@ -119,36 +126,37 @@
         chunked.push_str(&format!("400\r\n{}\r\n", "x".repeat(0x400)));
     }
     let chunked = exchange(&fleet, chunked.as_bytes()).await;
-    assert!(is(&chunked, 413, "body_too_large"), "{chunked}");
+    assert!(is_error(&chunked, 413, "body_too_large"), "{chunked}");
     still_answers(&fleet).await;
 }
 
-// A length that is a lie, or said twice, gets an error or an end, never a wait without end.
+// A wrong, invalid or repeated content length leads to an error or a closed connection, never to an
+// unbounded wait.
 #[tokio::test(flavor = "multi_thread")]
-async fn lies_about_the_length_do_no_harm() {
+async fn wrong_content_length_is_refused() {
     let fleet = single().await;
     let body = ChatRequest::new("a").body();
-    let lies = [
+    let lengths = [
         format!("content-length: {}\r\n", body.len() + 50),
         "content-length: -1\r\n".to_owned(),
         "content-length: 5\r\ncontent-length: 6\r\n".to_owned(),
         "content-length: many\r\n".to_owned(),
     ];
-    for lie in lies {
-        let answer = exchange(&fleet, format!("{}{body}", head(&lie)).as_bytes()).await;
+    for length in lengths {
+        let answer = exchange(&fleet, format!("{}{body}", head(&length)).as_bytes()).await;
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
-            "{lie}: {answer}"
+            "{length}: {answer}"
         );
     }
     let short = format!("{}{body}", head("content-length: 5\r\n"));
     let answer = exchange(&fleet, short.as_bytes()).await;
-    assert!(is(&answer, 400, "invalid_json"), "{answer}");
+    assert!(is_error(&answer, 400, "invalid_json"), "{answer}");
     still_answers(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn head_over_the_bound_is_refused() {
+async fn head_over_the_limit_is_refused() {
     let fleet = single().await;
     let long = format!("x-long: {}\r\n", "x".repeat(100_000));
     let answer = exchange(&fleet, head(&long).as_bytes()).await;
@@ -165,10 +173,10 @@
     still_answers(&fleet).await;
 }
 
-// Callers that connect and say nothing, or a byte at a time, are let go after the time of a head;
-// otherwise a few of them would take up all connections.
+// Connections that send nothing, or one byte at a time, are closed after the head timeout;
+// otherwise a few such callers would use up all connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_heads_are_let_go() {
+async fn slow_heads_are_closed() {
     let fleet = single().await;
     let mut silent = connect(&fleet).await;
     let mut half = connect(&fleet).await;
@@ -182,47 +190,47 @@
         .expect("sent");
     let mut slow = connect(&fleet).await;
     tokio::join!(
-        rest(&mut silent),
-        rest(&mut half),
-        rest(&mut preface),
-        until_broken(&mut slow)
+        read_to_close(&mut silent),
+        read_to_close(&mut half),
+        read_to_close(&mut preface),
+        write_until_closed(&mut slow)
     );
     still_answers(&fleet).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_body_is_told_408() {
+async fn slow_body_gets_408() {
     let fleet = single().await;
     let mut stream = connect(&fleet).await;
     let start = head("content-length: 100\r\n") + "{";
     stream.write_all(start.as_bytes()).await.expect("sent");
-    let answer = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
-    assert!(is(&answer, 408, "slow_body"), "{answer}");
+    let answer = String::from_utf8_lossy(&read_to_close(&mut stream).await).into_owned();
+    assert!(is_error(&answer, 408, "slow_body"), "{answer}");
     still_answers(&fleet).await;
 }
 
-// A caller that keeps its connection without a request is let go after the idle time.
+// A connection without a request is closed after the idle timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connection_is_let_go() {
+async fn idle_connection_is_closed() {
     let fleet = single().await;
     let mut stream = connect(&fleet).await;
     let request = b"GET /v1/addresses HTTP/1.1\r\nhost: node\r\n\r\n";
     stream.write_all(request).await.expect("sent");
-    let answer = String::from_utf8_lossy(&rest(&mut stream).await).into_owned();
+    let answer = String::from_utf8_lossy(&read_to_close(&mut stream).await).into_owned();
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     still_answers(&fleet).await;
 }
 
-// One connection more than the bound is closed at once, so that its caller goes elsewhere. Once the
-// silent ones are let go there is room again.
+// Connections over the limit are closed at once, so that their callers use another node. Once the
+// idle ones are closed, new connections are accepted again.
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_are_bounded() {
+async fn connections_are_limited() {
     let fleet = single().await;
-    let mut held = Vec::new();
+    let mut streams = Vec::new();
     for _ in 0..30 {
-        held.push(connect(&fleet).await);
+        streams.push(connect(&fleet).await);
     }
-    let answers = futures::future::join_all(held.iter_mut().map(rest)).await;
+    let answers = futures::future::join_all(streams.iter_mut().map(read_to_close)).await;
     assert!(answers.iter().all(Vec::is_empty));
     let page = Caller::new()
         .call(fleet.node(0).admin, http::Method::GET, "/metrics", &[], "")
@@ -247,7 +255,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_not_be_is_refused() {
+async fn invalid_requests_are_refused() {
     let fleet = single().await;
     let chat = "/v1/chat/completions";
     let good = ChatRequest::new("a").body();
@@ -278,16 +286,16 @@
         (kitchens, "/v1/models", "", 405, "method_not_allowed"),
     ];
     for (key, path, body, status, code) in cases {
-        let told = post(&fleet, key, path, body).await;
-        assert_eq!(told.0, status, "{path}: {told:?}");
-        assert!(told.1.contains(code), "{path}: {told:?}");
+        let reply = post(&fleet, key, path, body).await;
+        assert_eq!(reply.0, status, "{path}: {reply:?}");
+        assert!(reply.1.contains(code), "{path}: {reply:?}");
     }
     still_answers(&fleet).await;
 }
 
-// Methods that nothing takes, known to the HTTP library or not, get an answer in the same shape.
+// Unsupported methods, known to the HTTP library or not, get errors of the same form as others.
 #[tokio::test(flavor = "multi_thread")]
-async fn other_methods_are_told_so() {
+async fn unsupported_methods_are_refused() {
     let fleet = single().await;
     for method in ["PUT", "DELETE", "PATCH", "OPTIONS", "TRACE"] {
         for (path, status, code) in [
@@ -298,21 +306,24 @@
             let request =
                 format!("{method} {path} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
             let answer = exchange(&fleet, request.as_bytes()).await;
-            assert!(is(&answer, status, code), "{method} {path}: {answer}");
+            assert!(is_error(&answer, status, code), "{method} {path}: {answer}");
         }
     }
     for target in ["BREW /v1/models", "PROPFIND /services/lookup/a"] {
         let request = format!("{target} HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n");
         let answer = exchange(&fleet, request.as_bytes()).await;
-        assert!(is(&answer, 501, "unknown_method"), "{target}: {answer}");
+        assert!(
+            is_error(&answer, 501, "unknown_method"),
+            "{target}: {answer}"
+        );
     }
     let request = b"OPTIONS * HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\r\n";
     let answer = exchange(&fleet, request).await;
-    assert!(is(&answer, 404, "unknown_path"), "{answer}");
+    assert!(is_error(&answer, 404, "unknown_path"), "{answer}");
     still_answers(&fleet).await;
 }
 
-// A team may not use what only another team's key opens.
+// A team may not use a priority that only another team is allowed.
 #[tokio::test(flavor = "multi_thread")]
 async fn priority_of_another_team_is_refused() {
     let fleet = single().await;
@@ -336,10 +347,10 @@
     still_answers(&fleet).await;
 }
 
-// A team over its limit is told 429 and when to come back, and its requests have not run; what it
-// has in flight goes on, and another team is served meanwhile.
+// Requests of a team over its limit get 429 with a retry-after delay and are not run. Its requests
+// in flight are completed, and another team is served meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn team_at_its_limit_is_told_when_to_come_back() {
+async fn team_over_its_limit_gets_a_retry_after_delay() {
     let limited = Team {
         name: "limited",
         key: "limited-key",
@@ -372,12 +383,12 @@
     let asks: Vec<ChatRequest> = (0..30).map(ask).collect();
     let asked: FuturesUnordered<_> = asks.iter().map(|a| caller.chat(addr(&fleet), a)).collect();
     let answers: Vec<_> = asked.map(|a| a.expect("answer")).collect().await;
-    let (whole, refused): (Vec<Answer>, Vec<Answer>) =
+    let (complete, refused): (Vec<Answer>, Vec<Answer>) =
         answers.into_iter().partition(Answer::complete);
     assert!(
-        !whole.is_empty() && !refused.is_empty(),
-        "{} whole, {:?}",
-        whole.len(),
+        !complete.is_empty() && !refused.is_empty(),
+        "{} complete, {:?}",
+        complete.len(),
         refused.first()
     );
     for answer in &refused {
@@ -388,7 +399,8 @@
     still_answers(&fleet).await;
 }
 
-/// Frames of HTTP/2, by hand: a library would keep the bounds that are to be broken here.
+/// Encodes and decodes HTTP/2 frames. An HTTP/2 library would obey the limits that these tests
+/// exceed.
 mod http2 {
     pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     pub const HEADERS: u8 = 1;
@@ -397,10 +409,10 @@
     pub const CONTINUATION: u8 = 9;
     pub const END_STREAM: u8 = 1;
     pub const END_HEADERS: u8 = 4;
-    /// Code of a stream that was refused before any work.
+    /// Error code of a stream that was refused before any processing.
     pub const REFUSED: u32 = 7;
 
-    /// A frame: length, kind, flags, stream, payload.
+    /// Encodes a frame: length, kind, flags, stream, payload.
     pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
         let mut frame = (payload.len() as u32).to_be_bytes()[1..].to_vec();
         frame.extend([kind, flags]);
@@ -409,12 +421,12 @@
         frame
     }
 
-    /// A connection's start.
+    /// Returns the preface and the settings frame that start a connection.
     pub fn start() -> Vec<u8> {
         [PREFACE.to_vec(), frame(SETTINGS, 0, 0, &[])].concat()
     }
 
-    /// A header block without compression.
+    /// Encodes a header block without compression.
     pub fn block(method: &str, path: &str, headers: &[(&str, &str)]) -> Vec<u8> {
         let fixed = [
             (":method", method),
@@ -428,13 +440,14 @@
             .collect()
     }
 
-    /// A literal line with a new name; both are shorter than 127 bytes.
+    /// Encodes a literal header field with a new name. Name and value must be shorter than 127
+    /// bytes.
     fn literal(name: &str, value: &str) -> Vec<u8> {
         let parts = [name, value].map(|p| [&[p.len() as u8], p.as_bytes()].concat());
         [vec![0], parts.concat()].concat()
     }
 
-    /// Kinds, streams and first payload words of the frames in `bytes`.
+    /// Returns kind, stream and first payload word of each frame in `bytes`.
     pub fn frames(mut bytes: &[u8]) -> Vec<(u8, u32, u32)> {
         let mut frames = Vec::new();
         while bytes.len() >= 9 {
@@ -452,10 +465,10 @@
     }
 }
 
-// A caller that opens more streams than it was told it may has the further ones refused, and the
-// earlier ones are left alone: they end by themselves, here by their slow bodies.
+// Streams over the advertised limit are refused. The earlier ones are not affected: they end on
+// their own, here with the timeout of their bodies.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_are_bounded() {
+async fn streams_are_limited() {
     let fleet = single().await;
     let bearer = format!("Bearer {}", KITCHENS.key);
     let block = http2::block(
@@ -474,7 +487,7 @@
     }
     let mut stream = connect(&fleet).await;
     stream.write_all(&bytes).await.expect("sent");
-    let frames = http2::frames(&rest(&mut stream).await);
+    let frames = http2::frames(&read_to_close(&mut stream).await);
     let refused = frames
         .iter()
         .filter(|(kind, _, code)| (*kind, *code) == (http2::RESET, http2::REFUSED));
@@ -486,13 +499,13 @@
     still_answers(&fleet).await;
 }
 
-// Streams that are opened and reset at once cost their caller nothing and the node a request each.
-// The node ends the connection, and its memory stays bounded.
+// Streams that are opened and reset at once cost the caller nothing but the node one request each.
+// The node closes the connection, and its memory stays bounded.
 #[tokio::test(flavor = "multi_thread")]
-async fn reset_flood_is_ended() {
+async fn reset_flood_is_closed() {
     let fleet = single().await;
     still_answers(&fleet).await;
-    let before = memory();
+    let before = resident_kib();
     let bearer = format!("Bearer {}", KITCHENS.key);
     let block = http2::block(
         "POST",
@@ -517,16 +530,20 @@
         }
         exchange(&fleet, &bytes).await;
     }
-    assert!(memory() < before + GROWTH, "{} of {before}", memory());
+    assert!(
+        resident_kib() < before + MAX_GROWTH_KIB,
+        "{} of {before}",
+        resident_kib()
+    );
     still_answers(&fleet).await;
 }
 
-// A head that goes on in frame after frame is not gathered without end.
+// A head that continues over many frames is not buffered without limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn head_without_end_is_ended() {
+async fn endless_head_is_closed() {
     let fleet = single().await;
     still_answers(&fleet).await;
-    let before = memory();
+    let before = resident_kib();
     let block = http2::block("GET", "/v1/models", &[("x-more", &"x".repeat(100))]);
     let mut bytes = http2::start();
     bytes.extend(http2::frame(http2::HEADERS, http2::END_STREAM, 1, &block));
@@ -539,34 +556,38 @@
         ));
     }
     exchange(&fleet, &bytes).await;
-    assert!(memory() < before + GROWTH, "{} of {before}", memory());
+    assert!(
+        resident_kib() < before + MAX_GROWTH_KIB,
+        "{} of {before}",
+        resident_kib()
+    );
     still_answers(&fleet).await;
 }
 
-// A caller that reads nothing of its answer is let go after the idle time: its connection would be
-// taken for good otherwise, since its request counts as under way until its last byte is sent.
+// The connection of a caller that does not read its answer is closed after the idle timeout. It
+// would stay open forever otherwise, since a request is in flight until its last byte is sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_that_does_not_read_is_let_go() {
+async fn connection_of_a_caller_that_does_not_read_is_closed() {
     let fleet = single().await;
     let mut stream = connect(&fleet).await;
-    // Requests in a row on one connection, until the node can write no more and so reads no more.
+    // Sends requests on one connection until the node can't write any more and so stops reading.
     let request = b"GET /v1/addresses HTTP/1.1\r\nhost: node\r\n\r\n".repeat(1000);
-    let end = tokio::time::Instant::now() + PATIENCE;
+    let end = tokio::time::Instant::now() + CLOSE_TIMEOUT;
     loop {
         let sent = tokio::time::timeout_at(end, stream.write_all(&request)).await;
         match sent {
             Ok(Ok(())) => {}
             Ok(Err(_)) => break,
-            Err(_) => panic!("the connection is kept"),
+            Err(_) => panic!("the node did not close the connection"),
         }
     }
     still_answers(&fleet).await;
 }
 
-// The same, with one long answer: what the kernel and the node hold of it is bounded, so the node
-// can send no more and waits for the caller, as the plain service waits for the node.
+// The same with one long answer. The buffers of kernel and node are bounded, so the node can't send
+// any more and waits for the caller, and the plain service waits for the node.
 #[tokio::test(flavor = "multi_thread")]
-async fn caller_that_leaves_an_answer_unread_is_let_go() {
+async fn connection_with_a_long_unread_answer_is_closed() {
     let mut fleet = Fleet::start_standins(plan()).await.expect("stand-ins");
     let lookup = fleet.services.iter_mut().find(|s| s.service == LOOKUP);
     let config = standin::service::Config {
@@ -580,19 +601,24 @@
     fleet.update_instance_list();
     fleet.publish(&fleet.text()).await.expect("published");
     fleet.wait_until_settled().await.expect("in force");
-    let before = memory();
+    let before = resident_kib();
     let mut stream = connect(&fleet).await;
     let request = format!(
         "GET /services/lookup/a HTTP/1.1\r\nhost: node\r\nauthorization: Bearer {}\r\n\r\n",
         KITCHENS.key
     );
     stream.write_all(request.as_bytes()).await.expect("sent");
-    until_broken(&mut stream).await;
-    assert!(memory() < before + GROWTH, "{} of {before}", memory());
+    write_until_closed(&mut stream).await;
+    assert!(
+        resident_kib() < before + MAX_GROWTH_KIB,
+        "{} of {before}",
+        resident_kib()
+    );
     still_answers(&fleet).await;
 }
 
-// Bytes that are no HTTP, and streams of good requests cut anywhere, end in an answer or a close.
+// Bytes that are not valid HTTP, and valid requests with some bytes replaced, lead to an answer or
+// a closed connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn garbage_is_answered_or_closed() {
     use rand::{Rng, RngExt, SeedableRng};
@@ -626,7 +652,7 @@
         let mut stream = connect(&fleet).await;
         let _ = stream.write_all(&bytes).await;
         let _ = stream.shutdown().await;
-        rest(&mut stream).await;
+        read_to_close(&mut stream).await;
     }
     still_answers(&fleet).await;
 }
--- a/crates/rig/tests/tls.rs
+++ b/crates/rig/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS on the callers' and the admin listener, over real sockets.
+//! TLS on the listeners for callers and for administration, over real sockets.
 
 use bytes::Bytes;
 use http::{Request, StatusCode, Version};
@@ -18,14 +18,14 @@
 use tokio_rustls::TlsConnector;
 use tokio_rustls::client::TlsStream;
 
-/// A certificate and its key in files of a test's own folder.
+/// A certificate and its key, stored in a folder of their own for each test.
 struct Pair {
     folder: PathBuf,
     certificate: CertificateDer<'static>,
 }
 
 impl Pair {
-    /// Makes a pair and writes it over the one that is there.
+    /// Generates a pair and writes it to the folder, replacing the one that exists.
     fn write(name: &str) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Lines of a listener's settings.
+    /// Returns the lines for a listener's settings.
     fn lines(&self) -> String {
         let folder = self.folder.display();
         format!("certificate = {folder}/cert.pem\nkey = {folder}/key.pem\n")
     }
 
-    /// Connects as a caller that trusts this certificate only.
+    /// Connects as a caller that trusts only this certificate and offers `protocols` by ALPN.
     async fn connect(
         &self,
         addr: SocketAddr,
@@ -80,8 +80,8 @@
         zones: 1,
         replicas: 1,
         services: 1,
-        // The rig's own looks at the node speak no TLS, so only the callers' part is waited for
-        // below.
+        // `Fleet::wait_until_settled` does not use TLS on the callers' listener, so only the status
+        // from the admin listener is waited for below.
         callers: pair.lines(),
         ..Plan::default()
     };
@@ -112,7 +112,7 @@
     builder.body(Full::from(ask.body())).expect("a request")
 }
 
-/// Sends a chat completion over a connection, by the protocol that was agreed on.
+/// Sends a chat completion request over a connection, with the protocol negotiated by ALPN.
 async fn chat(
     stream: TlsStream<TcpStream>,
     addr: SocketAddr,
@@ -148,7 +148,7 @@
     )
 }
 
-/// An HTTP/2 connection that is kept.
+/// An open HTTP/2 connection.
 struct Http2(http2::SendRequest<Full<Bytes>>);
 
 impl Http2 {
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn both_versions_are_agreed_on() {
+async fn both_versions_are_negotiated() {
     let pair = Pair::write("tls-versions");
     let fleet = fleet(&pair).await;
     let addr = fleet.node(0).callers;
@@ -208,7 +208,7 @@
     assert!(named.contains("https://"), "{named}");
 }
 
-/// What the node names, asked over an open connection.
+/// Requests addresses over an open connection and returns the raw response.
 async fn addresses(stream: &mut TlsStream<TcpStream>) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let request = b"GET /v1/addresses HTTP/1.1\r\nhost: localhost\r\nconnection: close\r\n\r\n";
@@ -218,9 +218,10 @@
     text
 }
 
-// A caller that speaks no TLS, or breaks off in the handshake, is let go; the next one is served.
+// Connections that don't use TLS, or end during the handshake, are closed, and later callers are
+// served.
 #[tokio::test(flavor = "multi_thread")]
-async fn plain_text_does_no_harm() {
+async fn plain_text_connection_is_closed() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let pair = Pair::write("tls-plain");
     let fleet = fleet(&pair).await;
@@ -238,8 +239,8 @@
     assert_eq!(chat(stream, addr, &ask()).await.0, StatusCode::OK);
 }
 
-// Callers see the new certificate without a restart, and those that are connected go on. In
-// between, half of the renewal is there: the old pair is served, and nobody is turned away.
+// A renewed certificate is served without a restart, and open connections continue. While the key
+// file is invalid during the renewal, the old pair is served and no connection is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn certificate_is_replaced_without_a_restart() {
     let old = Pair::write("tls-renewal");
@@ -260,7 +261,7 @@
     assert_eq!(kept.chat(addr).await, StatusCode::OK);
 }
 
-// The admin listener has a pair of its own.
+// The admin listener has its own certificate and key.
 #[tokio::test(flavor = "multi_thread")]
 async fn admin_listener_speaks_tls() {
     let pair = Pair::write("tls-admin");
