--- a/crates/bundle/src/answer.rs
+++ b/crates/bundle/src/answer.rs
@@ -1,4 +1,4 @@
-//! The admin API's answer to a published version.
+//! Response of the admin API to the publication of a version.
 
 use crate::finding::Finding;
 use crate::fold::Reason;
@@ -8,44 +8,44 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How it ended, in one word.
+/// Kind of the outcome of a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum OutcomeKind {
     /// The version is in force.
     Accepted,
-    /// Another version came first.
+    /// Another version was accepted under its number.
     Lost,
-    /// It is no version that counts.
+    /// The version is invalid, or its parent is not the head.
     Refused,
-    /// Nothing was appended, since the log can't be reached or judged.
+    /// Nothing was appended, since the log can't be reached or has a gap.
     Failed,
-    /// It may be in force or come into force.
+    /// The version may be in force or may come into force.
     Unsure,
 }
 
-/// The answer, as JSON.
+/// Body of the response, encoded as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// How it ended.
-    pub outcome: Word,
-    /// Number of the version accepted, or of the one that won; 0 for none.
+    /// Kind of the outcome.
+    pub outcome: OutcomeKind,
+    /// Number of the accepted version, of the version that won, or of the head; 0 for none.
     #[serde(default)]
     pub number: Number,
-    /// Who signed that version; empty for none.
+    /// Name of the signer of the version that was accepted or won; empty for none.
     #[serde(default)]
     pub signer: String,
-    /// The end in words.
+    /// Description of the outcome for an operator.
     #[serde(default)]
     pub message: String,
-    /// What is wrong with a refused bundle.
+    /// Findings on a refused bundle.
     #[serde(default)]
     pub findings: Vec<Finding>,
 }
 
 impl Answer {
-    /// An answer that names no version.
-    fn plain(outcome: Word, message: String) -> Self {
+    /// Creates an answer that names no version.
+    fn without_version(outcome: OutcomeKind, message: String) -> Self {
         Self {
             outcome,
             number: 0,
@@ -58,13 +58,13 @@
 
 impl From<&Outcome> for Answer {
     fn from(outcome: &Outcome) -> Self {
-        let mut answer = Self::plain(word(outcome), outcome.to_string());
+        let mut answer = Self::without_version(outcome_kind(outcome), outcome.to_string());
         match outcome {
             Outcome::Accepted(entry) | Outcome::Lost(entry) => {
                 answer.number = entry.number;
                 answer.signer.clone_from(&entry.signer);
             }
-            Outcome::Past(number) | Outcome::Parent(number) => answer.number = *number,
+            Outcome::Superseded(number) | Outcome::UnknownParent(number) => answer.number = *number,
             Outcome::Refused(Reason::Bundle(findings)) => {
                 answer.findings = findings.rows().to_vec();
             }
@@ -74,10 +74,10 @@
     }
 }
 
-/// A body that is no version at all.
+/// Answer to a body that can't be decoded as a version.
 impl From<&record::Error> for Answer {
     fn from(error: &record::Error) -> Self {
-        let mut answer = Self::plain(Word::Refused, error.to_string());
+        let mut answer = Self::without_version(OutcomeKind::Refused, error.to_string());
         if let record::Error::Text(findings) = error {
             answer.findings = findings.rows().to_vec();
         }
@@ -85,14 +85,14 @@
     }
 }
 
-/// The word of an outcome.
-fn word(outcome: &Outcome) -> Word {
+/// Returns the kind of an outcome.
+fn outcome_kind(outcome: &Outcome) -> OutcomeKind {
     match outcome {
-        Outcome::Accepted(_) => Word::Accepted,
-        Outcome::Lost(_) | Outcome::Past(_) => Word::Lost,
-        Outcome::Refused(_) | Outcome::Parent(_) => Word::Refused,
-        Outcome::Gap | Outcome::Failed => Word::Failed,
-        Outcome::Unsure => Word::Unsure,
+        Outcome::Accepted(_) => OutcomeKind::Accepted,
+        Outcome::Lost(_) | Outcome::Superseded(_) => OutcomeKind::Lost,
+        Outcome::Refused(_) | Outcome::UnknownParent(_) => OutcomeKind::Refused,
+        Outcome::Gap | Outcome::Failed => OutcomeKind::Failed,
+        Outcome::Unsure => OutcomeKind::Unsure,
     }
 }
 
--- a/crates/bundle/src/text.rs
+++ b/crates/bundle/src/text.rs
@@ -1,8 +1,8 @@
-//! INI text to sections.
+//! Parser from INI text to sections.
 //!
-//! rust-ini reads the keys and values; it knows no line of a key, so this module cuts the text
-//! at section headers, hands rust-ini one section at a time, and keeps the line numbers.
-//! Whether the sections make sense together is left to [`crate::verify`].
+//! rust-ini parses the keys and values but does not report the line of a key, so this module splits
+//! the text at section headers, passes one section at a time to rust-ini, and tracks the line
+//! numbers. [`crate::verify`] checks whether the sections are consistent.
 
 use crate::finding::{Finding, Findings, Level};
 use crate::nearest::nearest;
@@ -13,35 +13,36 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Longest text that is read, in bytes.
-pub const MAX_TEXT: usize = 16 << 20;
+/// Maximum length of a text, in bytes.
+pub const MAX_TEXT_LEN: usize = 16 << 20;
 
-/// Values are plain: no quotes, escapes or values over several lines, so that one line is one
-/// key and the canonical text reads back as itself.
-const PLAIN: ParseOption = ParseOption {
+/// Disables quotes, escapes and multi-line values, so that each line holds one key and the
+/// canonical text parses to the same sections.
+const PARSE_OPTIONS: ParseOption = ParseOption {
     enabled_quote: false,
     enabled_escape: false,
     enabled_indented_mutiline_value: false,
     enabled_preserve_key_leading_whitespace: false,
 };
 
-/// Lines of one section, not yet read.
+/// Header and unparsed lines of one section.
 struct Chunk<'a> {
     header: &'a str,
     line: u32,
     body: &'a str,
 }
 
-/// Reads bundle text; all findings are collected.
+/// Parses bundle text. Collects all findings and returns them if one is an error.
 pub fn parse(text: &str) -> Result<Sections, Findings> {
     let mut findings = Findings::default();
-    if text.len() > MAX_TEXT {
-        findings.push(error(0, "", format!("longer than {MAX_TEXT} bytes")));
+    if text.len() > MAX_TEXT_LEN {
+        findings.push(error(0, "", format!("longer than {MAX_TEXT_LEN} bytes")));
         return Err(findings);
     }
     let mut all = Sections::default();
     for chunk in chunks(text, &mut findings) {
-        let Some(section) = section(chunk.header, chunk.body, chunk.line, &mut findings) else {
+        let Some(section) = parse_section(chunk.header, chunk.body, chunk.line, &mut findings)
+        else {
             continue;
         };
         let line = section.line();
@@ -50,25 +51,31 @@
             let message = format!("defined twice, first in line {}", first.line());
             findings.push(error(line, &header, message));
         }
-        if all.len() > sections::MOST {
+        if all.len() > sections::MAX_SECTIONS {
             findings.push(error(
                 line,
                 &header,
-                format!("over {} sections", sections::MOST),
+                format!("over {} sections", sections::MAX_SECTIONS),
             ));
             break;
         }
     }
     findings.sort();
-    if findings.failed() {
+    if findings.has_errors() {
         Err(findings)
     } else {
         Ok(all)
     }
 }
 
-/// Reads one section from its header (without brackets) and the lines below it.
-pub fn section(header: &str, body: &str, line: u32, findings: &mut Findings) -> Option<Section> {
+/// Parses one section from its header (without brackets) and the lines below it. `line` is the line
+/// of the header. Returns `None` if the header or the body is malformed.
+pub fn parse_section(
+    header: &str,
+    body: &str,
+    line: u32,
+    findings: &mut Findings,
+) -> Option<Section> {
     let key: Key = match header.parse() {
         Ok(key) => key,
         Err(message) => {
@@ -78,9 +85,9 @@
         }
     };
     let header = key.to_string();
-    let body = well_formed(body, line, &header, findings);
+    let body = blank_malformed(body, line, &header, findings);
     let lines = key_lines(&body);
-    let ini = match Ini::load_from_str_opt(&body, PLAIN) {
+    let ini = match Ini::load_from_str_opt(&body, PARSE_OPTIONS) {
         Ok(ini) => ini,
         Err(e) => {
             let at = line + u32::try_from(e.line).unwrap_or(0);
@@ -100,7 +107,7 @@
             findings.push(at_key(line, &header, known, "set twice".into()));
             continue;
         }
-        let value = normal(value);
+        let value = normalize(value);
         pairs.push(Pair {
             key: known,
             value,
@@ -110,7 +117,7 @@
     Some(Section::new(key, line, pairs))
 }
 
-/// Cuts the text at its headers.
+/// Splits the text at section headers.
 fn chunks<'a>(text: &'a str, findings: &mut Findings) -> Vec<Chunk<'a>> {
     let mut chunks: Vec<Chunk<'a>> = Vec::new();
     let mut start = 0;
@@ -141,21 +148,21 @@
     chunks
 }
 
-/// The lines below a header, those that are no INI blanked after a finding each: rust-ini would
-/// stop at the first and name the line after it.
-fn well_formed<'a>(
+/// Returns the lines below a header with each malformed line reported and replaced by an empty one.
+/// rust-ini would stop at the first malformed line and report the line after it.
+fn blank_malformed<'a>(
     body: &'a str,
     line: u32,
     header: &str,
     findings: &mut Findings,
 ) -> Cow<'a, str> {
-    let odd = |l: &str| is_pair(l.trim()) && !l.contains(['=', ':']);
-    if !body.lines().any(odd) {
+    let malformed = |l: &str| is_pair(l.trim()) && !l.contains(['=', ':']);
+    if !body.lines().any(malformed) {
         return body.into();
     }
     let mut good = String::new();
     for (i, text) in (1..).zip(body.lines()) {
-        if odd(text) {
+        if malformed(text) {
             let message = format!("`{:.80}` is not `key = value`", text.trim());
             findings.push(error(line + i, header, message));
         } else {
@@ -166,7 +173,7 @@
     good.into()
 }
 
-/// Offsets (from 1) of the lines that hold a key.
+/// Returns the line offsets from the header (counted from 1) of the lines with a key.
 fn key_lines(body: &str) -> Vec<u32> {
     let numbered = (1..).zip(body.lines());
     numbered
@@ -175,12 +182,12 @@
         .collect()
 }
 
-/// Whether a trimmed line is neither blank nor a comment.
+/// Returns whether a trimmed line is neither blank nor a comment.
 fn is_pair(line: &str) -> bool {
     !line.is_empty() && !line.starts_with([';', '#'])
 }
 
-/// The static form of `name`, or a finding.
+/// Returns the known key equal to `name`, or adds a finding if there is none.
 fn known_key(key: &Key, name: &str, line: u32, findings: &mut Findings) -> Option<&'static str> {
     let keys = key.kind.keys();
     let found = keys.iter().find(|k| **k == name);
@@ -193,8 +200,8 @@
     found.copied()
 }
 
-/// Single spaces, none around commas but one after each.
-fn normal(value: &str) -> Box<str> {
+/// Collapses whitespace to single spaces, with none before and one after each comma.
+fn normalize(value: &str) -> Box<str> {
     let parts = value.split(',').map(|part| {
         let words: Vec<&str> = part.split_whitespace().collect();
         words.join(" ")
@@ -203,12 +210,12 @@
     parts.join(", ").into()
 }
 
-/// An error about a section.
+/// Creates an error finding about a section.
 pub(crate) fn error(line: u32, section: &str, message: String) -> Finding {
     at_key(line, section, "", message)
 }
 
-/// An error about a key.
+/// Creates an error finding about a key.
 fn at_key(line: u32, section: &str, key: &str, message: String) -> Finding {
     Finding {
         level: Level::Error,
--- a/crates/bundle/src/verify/service.rs
+++ b/crates/bundle/src/verify/service.rs
@@ -1,4 +1,4 @@
-//! The table of plain services.
+//! Table of plain services.
 
 use super::fields::Fields;
 use crate::endpoint::Endpoint;
@@ -18,13 +18,14 @@
     let served = endpoints.iter().flat_map(|e| e.services.iter().copied());
     let served: BTreeSet<ServiceId> = served.collect();
     let mut rows = Vec::new();
-    for (i, section) in sections.of(Kind::Service).enumerate() {
+    for (i, section) in sections.of_kind(Kind::Service).enumerate() {
         let mut fields = Fields::new(section, findings);
         let id = ServiceId::try_from(i).unwrap_or(ServiceId::MAX);
         if !served.contains(&id) {
             fields.error("", "no endpoint serves it");
         }
-        // Not repeatable unless said so: a doubled call does harm, a refused retry is honest.
+        // The default is not repeatable: a duplicate call can do harm, whereas a refused retry is
+        // reported to the caller.
         let repeatable = fields.flag("repeatable", false);
         rows.push(Service {
             name: fields.name(),
--- a/crates/bundle/src/verify/signer.rs
+++ b/crates/bundle/src/verify/signer.rs
@@ -1,4 +1,4 @@
-//! The table of signers.
+//! Table of signers.
 
 use super::fields::Fields;
 use crate::finding::{Finding, Findings, Level};
@@ -7,11 +7,11 @@
 use crate::signer::{self, Signer};
 use std::collections::BTreeMap;
 
-/// Builds the table.
+/// Builds the table; two signers with the same key are an error.
 pub(super) fn table(sections: &Sections, findings: &mut Findings) -> Vec<Signer> {
     let mut rows: Vec<Signer> = Vec::new();
     let mut holders: BTreeMap<[u8; 32], String> = BTreeMap::new();
-    for section in sections.of(Kind::Signer) {
+    for section in sections.of_kind(Kind::Signer) {
         let mut fields = Fields::new(section, findings);
         let key = key(&mut fields);
         if let Some(other) = key.and_then(|k| holders.insert(k, fields.name())) {
@@ -24,15 +24,15 @@
         });
     }
     if !rows.is_empty() && rows.iter().all(|r| r.revoked) {
-        findings.push(none_left());
+        findings.push(all_revoked());
     }
     rows
 }
 
-/// The public key.
+/// Reads the public key.
 fn key(fields: &mut Fields<'_>) -> Option<[u8; 32]> {
     let text = fields.text("key")?;
-    let key = signer::key(text);
+    let key = signer::parse_key(text);
     if key.is_none() {
         fields.error(
             "key",
@@ -42,8 +42,9 @@
     key
 }
 
-/// The finding for a bundle after which nobody listed could sign the next.
-fn none_left() -> Finding {
+/// Returns the finding for a bundle in which all signers are revoked, so that none of them could
+/// sign the next version.
+fn all_revoked() -> Finding {
     Finding {
         level: Level::Error,
         line: 0,
--- a/crates/bundle/tests/decode.rs
+++ b/crates/bundle/tests/decode.rs
@@ -1,11 +1,11 @@
-//! Every decoder of the crate against seeded garbage and mutated good input: an error or a
-//! sound value, never a panic, and no more memory than a small multiple of the input.
+//! Decoders of the crate against seeded random bytes and mutated valid input: each returns an error
+//! or a valid value, never panics, and uses no more memory than a small multiple of the input.
 
 mod common;
 
 use bundle::Bundle;
 use bundle::fold::Fold;
-use bundle::record::{MAX_RECORD, Record};
+use bundle::record::{MAX_RECORD_LEN, Record};
 use bundle::{finding, section, sign, text};
 use common::{mira, signers, text};
 use rand::{Rng, RngExt, SeedableRng};
@@ -14,7 +14,7 @@
 
 const RUNS: u64 = 3_000;
 
-/// Pieces that make mutations reach past the first check of a decoder.
+/// Inserted fragments with which mutated input passes the first check of a decoder.
 const PIECES: [&str; 14] = [
     "[",
     "]",
@@ -32,7 +32,8 @@
     "é",
 ];
 
-/// One of: cut, garbled bytes, a piece inserted, a part repeated.
+/// Applies one to three mutations: truncation, a random byte, an inserted fragment, or a repeated
+/// part.
 fn mutate(random: &mut ChaCha8Rng, good: &[u8]) -> Vec<u8> {
     let mut bytes = good.to_vec();
     for _ in 0..random.random_range(1..4) {
@@ -60,9 +61,9 @@
     bytes
 }
 
-/// Good records: a version and a checkpoint.
+/// Returns valid records: a version and a checkpoint.
 fn records() -> [Vec<u8>; 2] {
-    let version = sign::version(None, text(), "mira", &mira()).unwrap();
+    let version = sign::sign_text(None, text(), "mira", &mira()).unwrap();
     let mut fold = Fold::new(signers());
     fold.apply(0, &version);
     let checkpoint = fold.checkpoint(Duration::from_secs(5)).unwrap();
@@ -83,14 +84,14 @@
         match input.parse::<Bundle>() {
             Ok(bundle) => {
                 sound += 1;
-                // What is sound stays the same through its canonical text.
+                // A valid bundle is unchanged after a round trip through its canonical text.
                 let again: Bundle = bundle.sections.to_string().parse().unwrap();
                 assert_eq!(again.digest, bundle.digest);
                 assert_eq!(again.endpoints, bundle.endpoints);
             }
             Err(findings) => {
-                assert!(findings.failed());
-                assert!(findings.rows().len() <= finding::MOST);
+                assert!(findings.has_errors());
+                assert!(findings.rows().len() <= finding::MAX_FINDINGS);
                 let long = findings.rows().iter().find(|f| f.message.len() > 1_000);
                 assert_eq!(long, None);
             }
@@ -98,7 +99,7 @@
     }
     assert!(
         sound > 0,
-        "no mutation was harmless, so few got past the first check"
+        "no mutated text was valid, so few passed the first check"
     );
 }
 
@@ -119,30 +120,30 @@
         fold.apply(fold.next_offset(), &bytes);
         fold.adopt(&bytes);
         if run % 100 == 0 {
-            fold.gap(fold.next_offset() + 1);
+            fold.set_first_retained(fold.next_offset() + 1);
         }
         assert!(fold.check().is_empty());
     }
 }
 
-/// Oversize input is refused before it is read; a text of nothing but unknown sections, or one
-/// with an unknown name in every row, yields a bounded report in bounded time.
+/// Oversize input is refused before it is parsed; a text that consists of unknown sections, or one
+/// with an unknown name in every row, yields a bounded number of findings in bounded time.
 #[test]
 fn large_inputs() {
-    let long = vec![b' '; MAX_RECORD + 1];
+    let long = vec![b' '; MAX_RECORD_LEN + 1];
     assert!(Record::decode(&long).is_err());
-    assert!(text::parse(&" ".repeat(text::MAX_TEXT + 1)).is_err());
+    assert!(text::parse(&" ".repeat(text::MAX_TEXT_LEN + 1)).is_err());
     let many: String = (0..50_000).map(|i| format!("[x{i}]\n")).collect();
     let findings = text::parse(&many).unwrap_err();
-    assert_eq!(findings.rows().len(), finding::MOST);
+    assert_eq!(findings.rows().len(), finding::MAX_FINDINGS);
     let rows = (0..20_000).map(|i| format!("[endpoint e{i}]\nzone = nowhere{i}\n"));
     let zones = (0..20_000).map(|i| format!("[zone somewhere{i}]\nregion = r\n"));
     let unknown: String = rows.chain(zones).collect();
     let findings = unknown.parse::<Bundle>().unwrap_err();
-    assert_eq!(findings.rows().len(), finding::MOST);
+    assert_eq!(findings.rows().len(), finding::MAX_FINDINGS);
     let deep = "[".repeat(200_000);
     assert!(Record::decode(deep.as_bytes()).is_err());
-    assert!(!section::is_name(&"n".repeat(section::MAX_NAME + 1)));
+    assert!(!section::is_name(&"n".repeat(section::MAX_NAME_LEN + 1)));
 }
 
 #[test]
--- a/crates/bundle/tests/example.rs
+++ b/crates/bundle/tests/example.rs
@@ -5,7 +5,7 @@
 use bundle::fold::{Fold, Verdict};
 use common::{mira, signers, text};
 
-/// The file that operators start from must pass its own checks without even a warning.
+/// The example file that operators start from must yield no findings, not even a warning.
 #[test]
 fn example_is_sound() {
     let sections = bundle::text::parse(text()).unwrap();
@@ -14,7 +14,7 @@
     let bundle = report.bundle.unwrap();
     assert_eq!(bundle.endpoints.len(), 7);
     assert_eq!(bundle.priorities[0].name, "alarm");
-    let team = bundle.holder(&bundle::sign::bearer("menu-demo-key"));
+    let team = bundle.team_by_key(&bundle::sign::bearer_digest("menu-demo-key"));
     assert_eq!(team, bundle.team("kitchens"));
 }
 
@@ -30,14 +30,14 @@
 #[test]
 fn signed_versions_become_the_head() {
     let mut fold = Fold::new(signers());
-    let first = bundle::sign::version(None, text(), "mira", &mira()).unwrap();
+    let first = bundle::sign::sign_text(None, text(), "mira", &mira()).unwrap();
     assert!(matches!(fold.apply(0, &first), Verdict::Accepted(_)));
     let head = fold.head().unwrap().clone();
     assert_eq!((head.number, head.signer.as_str()), (1, "mira"));
 
     let next = text().replace("rate = 20", "rate = 25");
-    let second = bundle::sign::version(Some(&head), &next, "mira", &mira()).unwrap();
-    assert!(second.len() < 1_024, "a delta is small");
+    let second = bundle::sign::sign_text(Some(&head), &next, "mira", &mira()).unwrap();
+    assert!(second.len() < 1_024, "the delta is not small");
     assert!(matches!(fold.apply(1, &second), Verdict::Accepted(_)));
     assert!(matches!(fold.apply(2, &second), Verdict::Repeated));
     assert!(matches!(fold.apply(3, &first), Verdict::Repeated));
--- a/crates/ctl/examples/in_force.rs
+++ b/crates/ctl/examples/in_force.rs
@@ -1,10 +1,11 @@
-//! Time from the append of a version until it is in force on every one of 8 running nodes.
+//! Measures the time from the append of a version until it is in force on all of 8 running nodes.
 //!
 //! `cargo run --release -p wigeonctl --example in_force`
 //!
-//! Three cases: the log is up; each of its calls takes 300 ms longer; it is out, comes back until
-//! the first node has the version, and is out again, so that the others have it from peers only
-//! (in the last case the time runs from that first node). All nodes run in one process.
+//! There are three cases: the log is up; each call to the log takes 300 ms longer; or the log is
+//! down, comes back until the first node has the version in force, and goes down again, so that the
+//! other nodes can get the version only from peers. In the last case the time is measured from the
+//! moment at which the first node has the version. All nodes run in one process.
 
 use bundle::history::History;
 use rig::fleet::Fleet;
@@ -15,16 +16,16 @@
 const NODES: usize = 8;
 /// Versions published in each case.
 const VERSIONS: usize = 10;
-/// Longest wait for one version.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(2);
-/// How much longer a call of the slow log takes.
-const SLOW: Duration = Duration::from_millis(300);
-/// Time for nodes to notice that the log is out, or that it is back.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Longest wait for one version to come into force.
+const VERSION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two rounds of status requests to all nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Delay of each call to the slow log.
+const SLOW_LOG_DELAY: Duration = Duration::from_millis(300);
+/// Time for nodes to notice that the log went down or came back.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// What the log does.
+/// Behavior of the log while a version is published.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Case {
     Up,
@@ -32,68 +33,70 @@
     OutAfterAccept,
 }
 
-/// Number in force on a node.
-async fn number(fleet: &Fleet, index: usize) -> u64 {
+/// Returns the number of the version in force on a node; 0 if the node doesn't answer.
+async fn version_in_force(fleet: &Fleet, index: usize) -> u64 {
     let status = rig::caller::status(fleet.node(index).admin).await;
     status.map_or(0, |s| s.number)
 }
 
-/// Waits until `least` nodes have `number` in force.
-async fn reached(fleet: &Fleet, wanted: u64, least: usize) -> Option<Duration> {
+/// Waits until at least `min_nodes` nodes have version `wanted` or a later one in force. Returns
+/// the time that it took; `None` after [`VERSION_TIMEOUT`].
+async fn wait_until_in_force(fleet: &Fleet, wanted: u64, min_nodes: usize) -> Option<Duration> {
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
-        let asked = (0..NODES).map(|i| number(fleet, i));
-        let numbers = futures::future::join_all(asked).await;
-        if numbers.iter().filter(|n| **n >= wanted).count() >= least {
+    while start.elapsed() < VERSION_TIMEOUT {
+        let requests = (0..NODES).map(|i| version_in_force(fleet, i));
+        let numbers = futures::future::join_all(requests).await;
+        if numbers.iter().filter(|n| **n >= wanted).count() >= min_nodes {
             return Some(start.elapsed());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Nodes that have the version from a peer: their history names no offset for it.
-async fn from_peers(fleet: &Fleet, version: u64) -> usize {
-    let asked = (0..NODES).map(|i| {
+/// Counts the nodes that got the version from a peer: their history has no log offset for it.
+async fn count_from_peers(fleet: &Fleet, version: u64) -> usize {
+    let requests = (0..NODES).map(|i| {
         let admin = fleet.node(i).admin;
         rig::caller::get::<History>(admin, "/admin/v1/history")
     });
-    let told = futures::future::join_all(asked).await;
-    let last = |h: &History| h.versions.last().cloned();
-    let entries = told.iter().flatten().filter_map(last);
+    let histories = futures::future::join_all(requests).await;
+    let last_version = |h: &History| h.versions.last().cloned();
+    let entries = histories.iter().flatten().filter_map(last_version);
     entries
         .filter(|v| v.number == version && v.offset.is_none())
         .count()
 }
 
-/// Publishes a version and measures.
+/// Publishes a version and measures the time until it is in force on all nodes.
 async fn run(fleet: &mut Fleet, case: Case, version: u64, peers: &mut usize) -> Option<Duration> {
     let text = fleet.text() + &format!("[zone spare-{version}]\nregion = spare\n");
     if case != Case::OutAfterAccept {
         let published = fleet.publish(&text).await;
         published.ok()?;
-        return reached(fleet, version, NODES).await;
+        return wait_until_in_force(fleet, version, NODES).await;
     }
-    // Signed and appended past the outage, so that no node has read it yet.
-    fleet.log.faults.set(Mode::Down);
-    tokio::time::sleep(SETTLE).await;
+    // The record is appended to the log directly while its service is down, so that no node can
+    // have read it before the log comes back.
+    fleet.log.faults.set_mode(Mode::Down);
+    tokio::time::sleep(SETTLE_TIME).await;
     let record = sign(fleet, &text)?;
     fleet.log.append("bundles", record.into());
-    fleet.log.faults.set(Mode::Up);
-    reached(fleet, version, 1).await?;
-    fleet.log.faults.set(Mode::Down);
-    let took = reached(fleet, version, NODES).await;
-    *peers += from_peers(fleet, version).await;
-    fleet.log.faults.set(Mode::Up);
-    tokio::time::sleep(SETTLE).await;
+    fleet.log.faults.set_mode(Mode::Up);
+    wait_until_in_force(fleet, version, 1).await?;
+    fleet.log.faults.set_mode(Mode::Down);
+    let took = wait_until_in_force(fleet, version, NODES).await;
+    *peers += count_from_peers(fleet, version).await;
+    fleet.log.faults.set_mode(Mode::Up);
+    tokio::time::sleep(SETTLE_TIME).await;
     took
 }
 
-/// The next version's record; the fleet remembers it as published.
+/// Signs the next version and returns its record; records it in `fleet` as published.
 fn sign(fleet: &mut Fleet, text: &str) -> Option<Vec<u8>> {
-    let key = bundle::sign::key(rig::plan::SIGNER_SEED);
+    let key = bundle::sign::key_from_seed(rig::plan::SIGNER_SEED);
     let parent = fleet.bundle.take();
-    let record = bundle::sign::version(parent.as_ref(), text, rig::plan::SIGNER, &key).ok()?;
+    let record = bundle::sign::sign_text(parent.as_ref(), text, rig::plan::SIGNER, &key).ok()?;
     let mut child: bundle::Bundle = text.parse().ok()?;
     child.number = parent.map_or(1, |b| b.number + 1);
     fleet.bundle = Some(child);
@@ -113,12 +116,12 @@
     );
     for case in [Case::Up, Case::Slow, Case::OutAfterAccept] {
         let delay = if case == Case::Slow {
-            SLOW
+            SLOW_LOG_DELAY
         } else {
             Duration::ZERO
         };
-        fleet.log.faults.slow(delay);
-        tokio::time::sleep(SETTLE).await;
+        fleet.log.faults.set_delay(delay);
+        tokio::time::sleep(SETTLE_TIME).await;
         let mut times = Vec::new();
         let mut peers = 0;
         for _ in 0..VERSIONS {
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `wigeonctl diff`
+//! `wigeonctl diff`: lists the sections in which two bundles differ.
 
 use crate::failure::{Result, input};
 use crate::files;
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::path::Path;
 
-/// Headers of the sections that differ.
+/// Headers of the sections that were added, changed or removed.
 #[derive(Serialize)]
 struct Difference {
     added: Vec<String>,
@@ -35,31 +35,36 @@
     }
 }
 
-/// Shows what turns one bundle into another.
+/// Prints the sections that differ between the old and the new bundle.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
-    let old = old(files::path(args, "old"))?;
-    let new = files::sections(files::path(args, "new"))?;
+    let old = old_sections(files::path_arg(args, "old"))?;
+    let new = files::sections(files::path_arg(args, "new"))?;
     let delta = Delta::between(&old, &new);
     let (changed, added): (Vec<&Key>, Vec<&Key>) =
         delta.set.keys().partition(|key| old.get(key).is_some());
     output.show(&Difference {
-        added: headers(added),
-        changed: headers(changed),
-        removed: headers(delta.removed.iter()),
+        added: format_headers(added),
+        changed: format_headers(changed),
+        removed: format_headers(delta.removed.iter()),
     });
     Ok(())
 }
 
-/// The sections of a text, or of a record with a full bundle.
-fn old(path: &Path) -> Result<Sections> {
+/// Reads the sections of a bundle's text, or of a record that holds a complete bundle. A file that
+/// starts with `{` is taken for a record.
+fn old_sections(path: &Path) -> Result<Sections> {
     if !files::bytes(path)?.trim_ascii_start().starts_with(b"{") {
         return files::sections(path);
     }
-    let whole = files::record(path)?.whole();
-    whole.map_err(|e| input(eyre::eyre!("not a whole bundle: it {e}")))
+    let sections = files::record(path)?.sections();
+    sections.map_err(|e| {
+        input(eyre::eyre!(
+            "the record does not hold a complete bundle: it {e}"
+        ))
+    })
 }
 
-/// Headers as text.
-fn headers<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
+/// Formats section headers.
+fn format_headers<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
     keys.into_iter().map(Key::to_string).collect()
 }
--- a/crates/ctl/src/line.rs
+++ b/crates/ctl/src/line.rs
@@ -1,7 +1,7 @@
-//! Lines of nodes' logs.
+//! Parser for the log lines of nodes.
 //!
-//! Lines of several nodes may come in any order, with any text before the JSON object, such as a
-//! node's name and a time. What is no such line is left out and counted.
+//! Lines of several nodes may arrive in any order, with any text before the JSON object, such as a
+//! node's name and a time. Lines that can't be parsed are skipped and counted.
 
 use crate::failure::{Result, input};
 use serde::Serialize;
@@ -9,134 +9,145 @@
 use std::fmt;
 use std::io::BufRead;
 
-/// A line of a log.
+/// One event in the log of a node.
 #[derive(Debug)]
 pub struct Line {
-    /// What stands before the object, such as the node's name.
-    pub from: String,
+    /// Text before the JSON object, such as the node's name.
+    pub prefix: String,
     /// Unix time in milliseconds.
     pub time: u64,
-    /// What kind of event it tells.
+    /// Kind of the event.
     pub event: String,
-    /// All else.
+    /// All fields but the time and the kind.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    fn of(mut fields: Map<String, Value>, from: &str) -> Option<Self> {
+    /// Takes the time and the event out of `fields`; `None` if either is missing or of another
+    /// type.
+    fn from_fields(mut fields: Map<String, Value>, prefix: &str) -> Option<Self> {
         let time = fields.remove("time")?.as_u64()?;
         let event = fields.remove("event")?.as_str()?.to_owned();
         Some(Self {
-            from: from.trim().to_owned(),
+            prefix: prefix.trim().to_owned(),
             time,
             event,
             fields,
         })
     }
 
-    /// A text; empty if there is none of this name.
+    /// Returns the string in field `name`; empty if there is none.
     pub fn text(&self, name: &str) -> &str {
         let value = self.fields.get(name).and_then(Value::as_str);
         value.unwrap_or_default()
     }
 
-    /// A whole number, if there is one of this name.
+    /// Returns the unsigned integer in field `name`, if there is one.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 }
 
-/// Lines that were left out.
+/// Counts of lines that were skipped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Unread {
-    /// Lines without a JSON object, or whose object tells no event of a node.
+pub struct Skipped {
+    /// Lines without a JSON object, or whose object is not an event of a node.
     pub foreign: u64,
-    /// Lines whose object ends too early or is mixed with other text.
-    pub cut: u64,
-    /// Number of the first line that is cut, from 1; 0 if there is none.
-    pub first_cut: u64,
+    /// Lines whose JSON object is truncated or mixed with other text.
+    #[serde(rename = "cut")]
+    pub malformed: u64,
+    /// Number of the first malformed line, counted from 1; 0 if there is none.
+    #[serde(rename = "first_cut")]
+    pub first_malformed: u64,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for Skipped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             foreign,
-            cut,
-            first_cut,
+            malformed,
+            first_malformed,
         } = self;
-        write!(f, "{foreign} lines of other origin, {cut} cut or mixed")?;
-        match first_cut {
+        write!(
+            f,
+            "{foreign} lines of other origin, {malformed} cut or mixed"
+        )?;
+        match first_malformed {
             0 => Ok(()),
             line => write!(f, ", the first of them line {line}"),
         }
     }
 }
 
-/// Reads lines and counts those that it leaves out.
+/// Iterator over the events in an input, which counts the lines that it skips.
+///
+/// A read error ends the iteration; [`Reader::finish`] reports it.
 #[derive(Debug)]
 pub struct Reader<R> {
     input: R,
     name: String,
-    number: u64,
-    read: u64,
-    unread: Unread,
-    failure: Option<std::io::Error>,
+    line_number: u64,
+    parsed: u64,
+    skipped: Skipped,
+    error: Option<std::io::Error>,
 }
 
 impl<R: BufRead> Reader<R> {
-    /// A reader of `input`, which is called `name` in errors.
+    /// Creates a reader of `input`; error messages call it `name`.
     pub fn new(input: R, name: impl Into<String>) -> Self {
         Self {
             input,
             name: name.into(),
-            number: 0,
-            read: 0,
-            unread: Unread::default(),
-            failure: None,
+            line_number: 0,
+            parsed: 0,
+            skipped: Skipped::default(),
+            error: None,
         }
     }
 
-    /// What was left out; an error if the input broke or held no line of a node.
-    pub fn end(self) -> Result<Unread> {
+    /// Returns the counts of skipped lines; an error if reading failed or the input had no event of
+    /// a node.
+    pub fn finish(self) -> Result<Skipped> {
         let Self {
             name,
-            number,
-            read,
-            unread,
-            failure,
+            line_number,
+            parsed,
+            skipped,
+            error,
             ..
         } = self;
-        if let Some(error) = failure {
-            let place = format!("{name}, after line {number}");
+        if let Some(error) = error {
+            let place = format!("{name}, after line {line_number}");
             return Err(input(eyre::Report::new(error).wrap_err(place)));
         }
-        if read == 0 {
+        if parsed == 0 {
             return Err(input(eyre::eyre!(
-                "{name}: none of {number} lines is a node's: {unread}"
+                "{name}: none of its {line_number} lines is an event of a node: {skipped}"
             )));
         }
-        Ok(unread)
+        Ok(skipped)
     }
 
+    /// Parses one line; counts it as skipped, unless it is empty, if it isn't an event.
     fn parse(&mut self, text: &str) -> Option<Line> {
         if text.is_empty() {
             return None;
         }
         let Some(start) = text.find('{') else {
-            self.unread.foreign += 1;
+            self.skipped.foreign += 1;
             return None;
         };
         let Ok(fields) = serde_json::from_str(&text[start..]) else {
-            self.unread.cut += 1;
-            if self.unread.first_cut == 0 {
-                self.unread.first_cut = self.number;
+            self.skipped.malformed += 1;
+            if self.skipped.first_malformed == 0 {
+                self.skipped.first_malformed = self.line_number;
             }
             return None;
         };
-        let line = Line::of(fields, &text[..start]);
+        let line = Line::from_fields(fields, &text[..start]);
         match line {
-            Some(_) => self.read += 1,
-            None => self.unread.foreign += 1,
+            Some(_) => self.parsed += 1,
+            None => self.skipped.foreign += 1,
         }
         line
     }
@@ -151,9 +162,9 @@
             bytes.clear();
             match self.input.read_until(b'\n', &mut bytes) {
                 Ok(0) => return None,
-                Ok(_) => self.number += 1,
+                Ok(_) => self.line_number += 1,
                 Err(error) => {
-                    self.failure = Some(error);
+                    self.error = Some(error);
                     return None;
                 }
             }
--- a/crates/ctl/src/losses.rs
+++ b/crates/ctl/src/losses.rs
@@ -1,24 +1,25 @@
-//! Where requests were lost, from the log lines of nodes on standard input.
+//! `wigeonctl losses`: late and lost requests by cause, from nodes' log lines.
 //!
-//! Each request that ended is accounted for once: on time, or late, refused, broken off, failed or
-//! given up by its caller, with one cause. Output is a table of causes and one of their counts over
-//! time, or both as JSON; a chart of the second one; or the causes of two runs beside each other.
-//! Requests whose end no line tells are counted apart, and so are losses whose cause the lines do not
-//! show, requests that the catalog does not allow, and lines that can't be read.
+//! Each request that ended is counted once: as on time, or as late, refused, broken off, failed or
+//! abandoned by its caller, with exactly one cause. The output is a table of causes and a table of
+//! their counts over time, or both as JSON; optionally a chart of the counts over time; or the
+//! causes of two runs side by side. Counted separately are requests without a line for their end,
+//! losses whose cause the lines don't show, requests that the catalog doesn't allow, and lines that
+//! can't be parsed.
 
-mod account;
 mod cause;
 mod chart;
 mod compare;
+mod request;
 
 use crate::failure::{Result, input};
-use crate::line::{Reader, Unread};
+use crate::line::{Reader, Skipped};
 use crate::output::Output;
-use account::{Account, Limits};
 use cause::Cause;
 use clap::ArgMatches;
 use compare::Comparison;
 use eyre::WrapErr;
+use request::{Limits, Request};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,22 +28,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Reads standard input, or two files, and prints the tables.
+/// Reads standard input, or the two files given with `--compare`, and prints the tables.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
-    let number = |name: &str| *args.get_one::<u64>(name).expect("it has a default");
+    let number = |name: &str| *args.get_one::<u64>(name).expect("clap sets a default");
     let limits = Limits {
-        head: Duration::from_millis(number("head")),
+        head_time: Duration::from_millis(number("head")),
         pause: Duration::from_millis(number("pause")),
     };
-    let every = Duration::from_secs(number("every"));
+    let interval = Duration::from_secs(number("every"));
     if let Some(files) = args.get_many::<PathBuf>("compare") {
-        let runs = files.map(|file| Losses::of(open(file)?, &limits, every));
+        let runs = files.map(|file| Losses::read(open(file)?, &limits, interval));
         let runs: Vec<Losses> = runs.collect::<Result<_>>()?;
-        output.show(&Comparison::of(&runs[0], &runs[1]));
+        output.show(&Comparison::new(&runs[0], &runs[1]));
         return Ok(());
     }
     let input = Reader::new(std::io::stdin().lock(), "standard input");
-    let losses = Losses::of(input, &limits, every)?;
+    let losses = Losses::read(input, &limits, interval)?;
     output.show(&losses);
     match args.get_one::<PathBuf>("svg") {
         Some(file) => chart::write(&losses, file),
@@ -50,82 +51,89 @@
     }
 }
 
-/// Lines of a file.
+/// Opens a file of log lines.
 fn open(file: &Path) -> Result<Reader<BufReader<File>>> {
     let name = file.display().to_string();
     let opened = File::open(file).wrap_err_with(|| name.clone());
     Ok(Reader::new(BufReader::new(opened.map_err(input)?), name))
 }
 
-/// All requests of one cause.
+/// Totals of the requests with one cause.
 #[derive(Debug, Default, Serialize)]
-struct Sum {
+struct Total {
     count: u64,
-    /// Time past the limits, over all of them, in milliseconds.
+    /// Sum of the times by which they exceeded a limit, in milliseconds.
     over_ms: u64,
 }
 
-/// The losses by cause, and over time.
+/// Losses of one run, by cause and over time.
 #[derive(Debug, Serialize)]
 struct Losses {
-    /// Requests whose end is told.
+    /// Requests with a line for their end.
     ended: u64,
-    /// Those that no catalog allows: without a route, or with a key that no team has.
+    /// Of these, requests that the catalog doesn't allow: without a route, or with a key of no
+    /// team.
     denied: u64,
-    /// Requests that were sent and whose end is not told: their node died, or its lines were dropped.
-    untold: u64,
-    /// Seconds of an interval.
-    every: u64,
-    causes: BTreeMap<Cause, Sum>,
-    /// Counts by the interval in which requests came, since the first of them, in seconds.
+    /// Requests without a line for their end: their node crashed, or its lines were dropped.
+    #[serde(rename = "untold")]
+    unfinished: u64,
+    /// Length of an interval, in seconds.
+    #[serde(rename = "every")]
+    interval_s: u64,
+    causes: BTreeMap<Cause, Total>,
+    /// Counts by the interval in which requests were received. The key is the interval's start in
+    /// seconds since the first request.
     intervals: BTreeMap<u64, BTreeMap<Cause, u64>>,
-    unread: Unread,
+    #[serde(rename = "unread")]
+    skipped: Skipped,
 }
 
 impl Losses {
-    fn of<R: BufRead>(mut lines: Reader<R>, limits: &Limits, every: Duration) -> Result<Self> {
-        let mut accounts: BTreeMap<String, Account> = BTreeMap::new();
+    /// Reads all lines and classifies their requests.
+    fn read<R: BufRead>(mut lines: Reader<R>, limits: &Limits, interval: Duration) -> Result<Self> {
+        let mut requests: BTreeMap<String, Request> = BTreeMap::new();
         for line in lines.by_ref() {
             let id = line.text("id");
             if !id.is_empty() {
-                accounts.entry(id.to_owned()).or_default().take(&line);
+                requests.entry(id.to_owned()).or_default().record(&line);
             }
         }
-        let start = accounts.values().filter_map(Account::came).min();
+        let start = requests.values().filter_map(Request::received_at).min();
         let start = start.unwrap_or_default();
         let mut losses = Self {
             ended: 0,
             denied: 0,
-            untold: 0,
-            every: every.as_secs().max(1),
+            unfinished: 0,
+            interval_s: interval.as_secs().max(1),
             causes: BTreeMap::new(),
             intervals: BTreeMap::new(),
-            unread: lines.end()?,
+            skipped: lines.finish()?,
         };
-        for account in accounts.values() {
-            losses.add(account, limits, start);
+        for request in requests.values() {
+            losses.add(request, limits, start);
         }
         Ok(losses)
     }
 
-    fn add(&mut self, account: &Account, limits: &Limits, start: u64) {
-        let Some(came) = account.came() else {
-            self.untold += 1;
+    /// Counts one request; `start` is the time of the first request in Unix milliseconds.
+    fn add(&mut self, request: &Request, limits: &Limits, start: u64) {
+        let Some(received_at) = request.received_at() else {
+            self.unfinished += 1;
             return;
         };
         self.ended += 1;
-        let Some((cause, over)) = account.loss(limits) else {
+        let Some((cause, over)) = request.loss(limits) else {
             return;
         };
-        if cause.denied() {
+        if cause.is_denied() {
             self.denied += 1;
             return;
         }
-        let sum = self.causes.entry(cause).or_default();
-        sum.count += 1;
-        sum.over_ms += over.as_millis() as u64;
-        let second = (came - start) / 1000;
-        let interval = self.intervals.entry(second - second % self.every);
+        let total = self.causes.entry(cause).or_default();
+        total.count += 1;
+        total.over_ms += over.as_millis() as u64;
+        let second = (received_at - start) / 1000;
+        let interval = self.intervals.entry(second - second % self.interval_s);
         *interval.or_default().entry(cause).or_default() += 1;
     }
 }
@@ -136,19 +144,19 @@
         writeln!(
             f,
             "{} requests ended, {lost} of them lost or late; {} without an end",
-            self.ended, self.untold
+            self.ended, self.unfinished
         )?;
         writeln!(
             f,
             "{} without a route or with an unknown key, not among the lost; {}",
-            self.denied, self.unread
+            self.denied, self.skipped
         )?;
         writeln!(f, "\n{:>7} {:>9}  cause", "count", "over, s")?;
         let mut causes: Vec<_> = self.causes.iter().collect();
-        causes.sort_by_key(|(cause, sum)| (std::cmp::Reverse(sum.count), **cause));
-        for (cause, sum) in causes {
-            let over = Duration::from_millis(sum.over_ms).as_secs_f64();
-            writeln!(f, "{:>7} {over:>9.1}  {cause}", sum.count)?;
+        causes.sort_by_key(|(cause, total)| (std::cmp::Reverse(total.count), **cause));
+        for (cause, total) in causes {
+            let over = Duration::from_millis(total.over_ms).as_secs_f64();
+            writeln!(f, "{:>7} {over:>9.1}  {cause}", total.count)?;
         }
         writeln!(f, "\n{:>7}  losses by cause", "second")?;
         for (second, counts) in &self.intervals {
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -1,51 +1,57 @@
-//! Why a request was late or lost.
+//! Causes for which requests are late or lost.
 
 use serde::Serialize;
 use std::fmt;
 
-/// A cause.
+/// Cause of a late or lost request. The order of the variants is that of the tables where counts
+/// are equal, and of the stacks in the chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Late: a stage of its chain was replaced under way.
-    Moved,
-    /// Late: it was sent more than once.
-    Resent,
-    /// Late, though its chain was whole; the chain went from zone to zone.
-    Crossing,
-    /// Late, though its chain was whole and in one zone.
-    Whole,
-    /// Refused: no endpoint had room.
+    /// Late: a stage of its chain was replaced while it was in flight.
+    #[serde(rename = "moved")]
+    Rerouted,
+    /// Late: it took more than one attempt.
+    #[serde(rename = "resent")]
+    Retried,
+    /// Late after one attempt without a reroute, over a chain that spans availability zones.
+    #[serde(rename = "crossing")]
+    CrossZone,
+    /// Late after one attempt without a reroute, over a chain inside one availability zone.
+    #[serde(rename = "whole")]
+    SameZone,
+    /// Refused: no endpoint had free capacity.
     Room,
-    /// Refused: some layer was held by no endpoint in use.
+    /// Refused: no available endpoint held some layer.
     Layers,
-    /// Refused: no endpoint was in use.
+    /// Refused: no endpoint was available.
     Endpoints,
-    /// Refused: a further attempt would have been over the budget.
+    /// Refused: a retry would have exceeded the retry budget.
     Budget,
-    /// Refused: the node knew no catalog, or was about to end.
+    /// Refused: the node had no catalog yet, or was shutting down.
     Node,
-    /// Refused: no route has its host and path.
+    /// Refused: no route matches its host and path.
     Route,
-    /// Refused: no team has its key.
+    /// Refused: its key belongs to no team.
     Key,
-    /// Refused: it can't be read, or is larger than any endpoint.
+    /// Refused: the request is malformed, or too large for any endpoint.
     Caller,
-    /// Lost: it may have run, and was not or could not be sent again.
+    /// Lost: it may have been executed, and was not or could not be retried.
     Lost,
-    /// Broken off in the middle of its answer.
-    Broken,
-    /// The endpoint's own failure.
+    /// The answer was broken off after it had begun.
+    #[serde(rename = "broken")]
+    Interrupted,
+    /// The endpoint answered with a failure status.
     Failed,
-    /// The caller left while events kept coming.
+    /// The caller disconnected while its wait for the next event was within the limit.
     Left,
-    /// The caller left after a wait for an event that was longer than allowed.
+    /// The caller disconnected during a wait for an event that exceeded the limit.
     Starved,
-    /// The lines do not tell.
+    /// The lines don't show the cause.
     Unknown,
 }
 
-/// Words in the reason of a refusal, and what they tell.
+/// Phrases in the reasons of refusals, and the causes that they stand for. The first match counts.
 const REASONS: [(&str, Cause); 12] = [
     ("the budget for further attempts", Cause::Budget),
     ("no room", Cause::Room),
@@ -62,14 +68,14 @@
 ];
 
 impl Cause {
-    /// Whether it is the answer that the operator's catalog asks for: nothing was lost.
-    pub fn denied(self) -> bool {
+    /// Whether the catalog itself demands the refusal. Such a request doesn't count as lost.
+    pub fn is_denied(self) -> bool {
         matches!(self, Self::Route | Self::Key)
     }
 
-    /// The cause that a refusal's reason tells.
-    pub fn of_refusal(why: &str) -> Self {
-        let found = REASONS.iter().find(|(words, _)| why.contains(words));
+    /// Returns the cause of a refusal from the text of its reason.
+    pub fn from_reason(reason: &str) -> Self {
+        let found = REASONS.iter().find(|(words, _)| reason.contains(words));
         found.map_or(Self::Unknown, |&(_, cause)| cause)
     }
 }
@@ -77,10 +83,10 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Moved => "late, a stage was replaced",
-            Self::Resent => "late, sent again",
-            Self::Crossing => "late, chain whole, between zones",
-            Self::Whole => "late, chain whole, in one zone",
+            Self::Rerouted => "late, a stage was replaced",
+            Self::Retried => "late, sent again",
+            Self::CrossZone => "late, chain whole, between zones",
+            Self::SameZone => "late, chain whole, in one zone",
             Self::Room => "refused, no room",
             Self::Layers => "refused, layers missing",
             Self::Endpoints => "refused, no endpoint",
@@ -90,7 +96,7 @@
             Self::Key => "refused, key unknown",
             Self::Caller => "refused, the request's own fault",
             Self::Lost => "lost, may have run",
-            Self::Broken => "broken off",
+            Self::Interrupted => "broken off",
             Self::Failed => "failed by the endpoint",
             Self::Left => "caller left, events kept coming",
             Self::Starved => "caller left, after a long wait",
--- a/crates/ctl/tests/admin.rs
+++ b/crates/ctl/tests/admin.rs
@@ -1,11 +1,11 @@
-//! The binary against a node's admin API, played by a small fake.
+//! Tests of the binary against a fake of a node's admin API.
 
 mod common;
 
 use bundle::answer::Answer;
 use bundle::fleet::{Fleet, Node};
 use bundle::fold::Fold;
-use bundle::publish::{Action, Event, Publish};
+use bundle::publish::{Action, Event, Publisher};
 use common::{Workdir, json, ok};
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -19,23 +19,23 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::TcpListener;
 
-/// A node with a log of its own in memory.
+/// Fake node with a log of its own in memory.
 struct Fake {
     fold: Fold,
     log: Vec<Vec<u8>>,
-    /// Nodes of the fleet that are behind; one catches up with each look.
+    /// Number of nodes that are behind; one catches up with each request for the fleet.
     behind: usize,
-    /// Answers to publishing that get lost after the effect.
-    lose: usize,
+    /// Number of publish responses still to be dropped after the version was published.
+    lost_answers: usize,
 }
 
-/// Nodes that are listed; one more has left.
+/// Number of listed nodes; the fleet has one more, which has left.
 const NODES: usize = 8;
 
 impl Fake {
-    /// Publishes as a node does.
+    /// Publishes a signed version as a node does.
     fn publish(&mut self, body: Vec<u8>) -> Answer {
-        let mut publish = match Publish::new(body) {
+        let mut publish = match Publisher::new(body) {
             Ok(publish) => publish,
             Err(e) => return Answer::from(&e),
         };
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Returns the versions in force on all nodes, and lets one node that is behind catch up.
     fn fleet(&mut self) -> Fleet {
         let number = self.fold.head().map_or(0, |b| b.number);
         let node = |i: usize| Node {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Answers one request; an error closes the connection without an answer.
+/// Handles one request; an error closes the connection without a response.
 async fn answer(
     fake: Arc<Mutex<Fake>>,
     request: Request<Incoming>,
@@ -92,8 +93,8 @@
     let body = match parts.uri.path() {
         "/admin/v1/bundles" => {
             let answer = fake.publish(body.to_vec());
-            if fake.lose > 0 {
-                fake.lose -= 1;
+            if fake.lost_answers > 0 {
+                fake.lost_answers -= 1;
                 return Err(std::io::ErrorKind::ConnectionReset.into());
             }
             json(serde_json::to_value(answer).unwrap())
@@ -104,7 +105,7 @@
             let history = bundle::history::History::from(&fake.fold);
             json(serde_json::to_value(history).unwrap())
         }
-        "/admin/v1/head" => fake.fold.full().unwrap_or_default().into(),
+        "/admin/v1/head" => fake.fold.encode_head().unwrap_or_default().into(),
         "/dump" => Bytes::from(format!("dump {}", parts.uri.query().unwrap_or_default())),
         _ => {
             let mut response = Response::new(Full::new(Bytes::from("no such path")));
@@ -115,14 +116,14 @@
     Ok(Response::new(Full::new(body)))
 }
 
-/// Starts a fake that trusts what `trust.ini` names.
-async fn start(dir: &Workdir, behind: usize, lose: usize) -> SocketAddr {
+/// Starts a fake that trusts the signers in `trust.ini`, and returns its address.
+async fn start(dir: &Workdir, behind: usize, lost_answers: usize) -> SocketAddr {
     let trusted = common::trusted(&dir.read("trust.ini"));
     let fake = Fake {
         fold: Fold::new(trusted),
         log: Vec::new(),
         behind,
-        lose,
+        lost_answers,
     };
     let fake = Arc::new(Mutex::new(fake));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -142,17 +143,17 @@
     addr
 }
 
-/// An operator without any way to the log publishes through a node and waits until every listed node
-/// has the version in force; it sees how far that is, and the exit code says that it was reached.
+/// An operator without access to the log publishes through a node. `--wait` must show progress and
+/// succeed once every listed node has the version in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn publish_waits_for_every_node() {
+async fn publish_wait_ends_when_every_node_has_the_version() {
     let dir = Workdir::new("wait");
     dir.signers(&["mira"]);
     dir.sign_first();
     let addr = start(&dir, 2, 0).await.to_string();
-    let told = dir.run(&["publish", "1.json", "--admin", &addr, "--wait"]);
-    ok(&told);
-    let progress = String::from_utf8_lossy(&told.stderr).into_owned();
+    let output = dir.run(&["publish", "1.json", "--admin", &addr, "--wait"]);
+    ok(&output);
+    let progress = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         progress.contains("6 of 8 nodes, waiting for entry-0 (up), entry-1 (up)"),
         "{progress}"
@@ -160,9 +161,10 @@
     assert!(progress.contains("8 of 8 nodes"), "{progress}");
 }
 
-/// A node never gets there: the wait ends at its limit with exit code 1 and names it.
+/// Some nodes never get the version. The wait must end at its timeout with exit code 1 and name
+/// them.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_wait_is_bounded() {
+async fn publish_wait_ends_at_its_timeout() {
     let dir = Workdir::new("bounded");
     dir.signers(&["mira"]);
     dir.sign_first();
@@ -176,36 +178,37 @@
         "--timeout",
         "1",
     ];
-    let told = dir.run(&args);
-    assert_eq!(told.status.code(), Some(1));
-    let error = String::from_utf8_lossy(&told.stderr).into_owned();
+    let output = dir.run(&args);
+    assert_eq!(output.status.code(), Some(1));
+    let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         error.contains("time limit passed") && error.contains("entry-0"),
         "{error}"
     );
 }
 
-/// The node publishes the version, but the connection dies before its answer. Asking again is
-/// answered with how that version's race ended, and there is one record in the log.
+/// The node publishes the version, but the connection breaks before its response. The retry must
+/// return the outcome of that version, and the history must hold one version only.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_a_node_is_asked_again() {
+async fn publish_is_retried_after_a_lost_answer_of_the_node() {
     let dir = Workdir::new("node-lost");
     dir.signers(&["mira"]);
     dir.sign_first();
     let addr = start(&dir, 0, 2).await.to_string();
     let args = ["publish", "1.json", "--admin", &addr, "--output", "json"];
-    let told = json(&dir.run(&args));
+    let output = json(&dir.run(&args));
     assert_eq!(
-        (&told["outcome"], &told["number"]),
+        (&output["outcome"], &output["number"]),
         (&"accepted".into(), &1.into())
     );
     let args = ["history", "--admin", &addr, "--output", "json"];
     assert_eq!(json(&dir.run(&args)).as_array().unwrap().len(), 1);
 }
 
-/// A later version is signed on the head that a node gives, and one on an old head loses.
+/// A version signed on the head from a node must be accepted, and one on an outdated head must
+/// lose.
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_are_signed_on_the_nodes_head() {
+async fn versions_are_signed_on_the_head_of_a_node() {
     let dir = Workdir::new("node-head");
     dir.signers(&["mira", "tuya"]);
     dir.sign_first();
--- a/crates/ctl/tests/cli.rs
+++ b/crates/ctl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The binary, from a new key to a version in force, against the stand-in log.
+//! Tests of the binary against the stand-in log, from a new key to a version in force.
 
 mod common;
 
@@ -7,9 +7,10 @@
 use standin::fault::Mode;
 use standin::log::Log;
 
-/// An operator's first day: a key, a checked file, a signature, a version in force.
+/// Guards the usual sequence of commands: create a key, check, sign, publish, list the history and
+/// compare versions.
 #[tokio::test(flavor = "multi_thread")]
-async fn from_keygen_to_history() {
+async fn keygen_sign_publish_and_history_work_together() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = log.addr.to_string();
     let dir = Workdir::new("first-day");
@@ -27,12 +28,12 @@
         "1.json",
     ]));
     let publish = ["publish", "1.json", "--log", &addr, "--trust", "trust.ini"];
-    let told = json(&dir.run(&[&publish[..], &["--output", "json"]].concat()));
+    let output = json(&dir.run(&[&publish[..], &["--output", "json"]].concat()));
     assert_eq!(
-        (&told["outcome"], &told["number"]),
+        (&output["outcome"], &output["number"]),
         (&"accepted".into(), &1.into())
     );
-    // The same file again is no second version.
+    // Publishing the same file again appends nothing.
     ok(&dir.run(&publish));
     assert_eq!(log.records("bundles").len(), 1);
 
@@ -82,10 +83,10 @@
     }
 }
 
-/// Two operators sign a child of the same head. The second is told that it lost and to whom, by
-/// the exit code for scripts and by name for people; it signs anew on the head and wins.
+/// Two operators sign a successor of the same head, and the second one publishes too late. Its
+/// command must report the loss by exit code and the winner by name, and append nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_loser_is_told_who_won() {
+async fn losing_a_race_reports_the_winner() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = log.addr.to_string();
     let dir = Workdir::new("race");
@@ -127,41 +128,41 @@
     );
 }
 
-/// The log acts on the append, but its answer is lost on the way. The operator must not be told
-/// that it failed, nor may the version be in the log's order twice: the tool reads it back.
+/// The log executes the append, but its response is lost. The tool must read the record back: it
+/// must not report a failure, nor append the version twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_read_back() {
+async fn publish_reads_back_after_a_lost_append_answer() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = log.addr.to_string();
     let dir = Workdir::new("lost-answer");
     dir.signers(&["mira"]);
     dir.sign_first();
-    log.faults.lose(1);
+    log.faults.drop_answers(1);
     ok(&dir.run(&["publish", "1.json", "--log", &addr, "--trust", "trust.ini"]));
-    assert_eq!(log.faults.lost(), 1);
+    assert_eq!(log.faults.dropped_answers(), 1);
     assert_eq!(log.records("bundles").len(), 1);
 }
 
-/// The log is out: the tool gives up in bounded time and says that nothing was appended.
+/// The log is down. The tool must give up in bounded time and report that nothing was appended.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_is_reported() {
+async fn publish_reports_a_log_outage() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = log.addr.to_string();
     let dir = Workdir::new("outage");
     dir.signers(&["mira"]);
     dir.sign_first();
-    log.faults.set(Mode::Down);
-    let told = dir.run(&["publish", "1.json", "--log", &addr, "--trust", "trust.ini"]);
-    assert_eq!(told.status.code(), Some(1));
-    let error = String::from_utf8_lossy(&told.stderr).into_owned();
+    log.faults.set_mode(Mode::Down);
+    let output = dir.run(&["publish", "1.json", "--log", &addr, "--trust", "trust.ini"]);
+    assert_eq!(output.status.code(), Some(1));
+    let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(error.contains("nothing was appended"), "{error}");
 }
 
-/// Everything was dropped from the log before anybody wrote a checkpoint, so nothing in it can
-/// be judged and publishing is refused. The operator names the head to go on from; the next
-/// version then wins as usual, and restoring a sound log is refused.
+/// The log dropped all records before a checkpoint was written, so that the version in force can't
+/// be determined and publishing is refused. After `restore` with a saved head, the next version
+/// must be accepted. Restoring a log without a gap must be refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_log_without_checkpoint_is_restored() {
+async fn restore_repairs_a_log_without_checkpoint() {
     let log = Log::start("127.0.0.1:0".parse().unwrap()).await.unwrap();
     let addr = log.addr.to_string();
     let way = ["--log", &addr, "--trust", "trust.ini"];
@@ -186,30 +187,30 @@
     ];
     ok(&dir.run(&[&sign[..], &["--parent", "head.json"]].concat()));
     log.trim("bundles", 1);
-    let told = run(&["publish", "2.json"]);
-    assert_eq!(told.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&told.stderr).contains("gap"));
+    let output = run(&["publish", "2.json"]);
+    assert_eq!(output.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("gap"));
     ok(&run(&["restore", "head.json"]));
     ok(&run(&["publish", "2.json"]));
 }
 
-/// The head as a record, after the first version.
+/// Returns the head after the first version, as a record.
 fn head(version: &str, trust: &str) -> String {
     let mut fold = bundle::fold::Fold::new(common::trusted(trust));
     fold.apply(0, version.as_bytes());
-    String::from_utf8(fold.full().unwrap()).unwrap()
+    String::from_utf8(fold.encode_head().unwrap()).unwrap()
 }
 
-/// Wrong input ends with exit code 2 and every finding with its line, and a key is never
-/// overwritten.
+/// Invalid input must give exit code 2, with the line number of each finding, and `keygen` must not
+/// overwrite a key.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_exit_code_2() {
+async fn invalid_input_exits_with_code_2() {
     let dir = Workdir::new("bad-input");
     dir.signers(&["mira"]);
     dir.write("bad.ini", "[team x]\nwieght = 3\nrate = -1\n[zone z]\n");
-    let told = dir.run(&["check", "bad.ini", "--output", "json"]);
-    assert_eq!(told.status.code(), Some(2));
-    let error: Value = serde_json::from_slice(&told.stderr).unwrap();
+    let output = dir.run(&["check", "bad.ini", "--output", "json"]);
+    assert_eq!(output.status.code(), Some(2));
+    let error: Value = serde_json::from_slice(&output.stderr).unwrap();
     assert_eq!(error["findings"][0]["line"], 2);
     for args in [
         &["check", "missing.ini"][..],
@@ -235,8 +236,8 @@
         &["sign", "bundle.ini", "--name", "mira", "--key", "mira.pem"],
         &["publish"],
     ] {
-        let told = dir.run(args);
-        assert_eq!(told.status.code(), Some(2), "{args:?}");
-        assert!(!told.stderr.is_empty());
+        let output = dir.run(args);
+        assert_eq!(output.status.code(), Some(2), "{args:?}");
+        assert!(!output.stderr.is_empty());
     }
 }
--- a/crates/ctl/tests/losses.rs
+++ b/crates/ctl/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Late and lost requests by cause, told from log lines.
+//! Tests of `wigeonctl losses`, which counts late and lost requests by cause.
 
 use serde_json::Value;
 use std::io::Write;
@@ -34,7 +34,7 @@
         .spawn()
         .unwrap();
     let mut input = child.stdin.take().unwrap();
-    // A tool that refuses its arguments reads nothing.
+    // If the tool rejects its arguments, it exits without reading, and the write fails.
     let _ = input.write_all(lines.as_bytes());
     drop(input);
     child.wait_with_output().unwrap()
@@ -46,10 +46,10 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-// An engineer asks after a bad minute who waited and why. Each request is counted once, under the
-// decision that made it late, and what the lines do not explain is not put down to anything.
+// Each late or lost request must be counted exactly once, under the decision that caused it. Losses
+// that the lines don't explain must be counted as unknown rather than under another cause.
 #[test]
-fn each_lost_request_is_counted_once_by_its_cause() {
+fn counts_each_lost_request_once_by_cause() {
     let tables = tables(&["--output", "json"]);
     assert_eq!(
         (&tables["ended"], &tables["untold"]),
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn limits_are_the_operators_to_set() {
+fn limits_are_set_by_flags() {
     let tables = tables(&["--output", "json", "--pause", "1000"]);
     assert!(tables["causes"].get("moved").is_none(), "{tables}");
     assert!(losses(&["--pause", "0"]).status.code() == Some(2));
 }
 
 #[test]
-fn the_text_names_causes_by_their_number() {
+fn text_output_lists_counts_by_cause() {
     let text = String::from_utf8(losses(&[]).stdout).unwrap();
     assert!(
         text.starts_with("7 requests ended, 6 of them lost or late; 1 without an end"),
@@ -90,16 +90,17 @@
     assert!(text.contains("late, a stage was replaced"), "{text}");
 }
 
-/// One line of a caller that left after `all` ms, `quiet` ms after its last event.
+/// Returns the `ended` line of a request whose caller left after `all` ms, `quiet` ms after its
+/// last event.
 fn left(id: &str, all: u64, quiet: u64) -> String {
     format!(
         r#"a {{"time":9000,"event":"ended","id":"{id}","status":0,"outcome":"left","why":"","attempts":1,"head_ms":40,"all_ms":{all},"pause_ms":30,"quiet_ms":{quiet}}}"#
     )
 }
 
-// Guards against blaming a slow endpoint for callers that gave up while their events kept coming.
+// Guards against blaming a slow endpoint for callers that left while events arrived in time.
 #[test]
-fn callers_that_left_are_told_apart_by_their_last_wait() {
+fn separates_callers_that_left_by_their_last_wait() {
     let lines = [
         left("gave-up", 150, 20),
         left("before-its-first-event", 120, 120),
@@ -112,17 +113,17 @@
     assert_eq!(tables["causes"]["starved"]["count"], 2);
 }
 
-/// Lines of a refusal with this reason.
+/// Returns the `ended` line of a request that was refused with status `status` and reason `why`.
 fn refused(id: &str, status: u16, why: &str) -> String {
     format!(
         r#"a {{"time":9000,"event":"ended","id":"{id}","status":{status},"outcome":"refused","why":"{why}","attempts":0,"head_ms":1,"all_ms":1,"pause_ms":0,"quiet_ms":1}}"#
     )
 }
 
-// Guards against a table in which probes of the catalog in force look like lost callers: most
-// refusals of a run were for hosts that no catalog had, asked for by its operators.
+// Guards against counting operators' probes of the catalog in force as lost requests. Such probes
+// for hosts in no catalog can make up most refusals of a run.
 #[test]
-fn requests_that_no_catalog_allows_are_not_lost() {
+fn denied_requests_are_not_counted_as_lost() {
     let lines = [
         refused("r1", 404, "no route has this host and path"),
         refused("r2", 401, "the key is unknown"),
@@ -135,9 +136,9 @@
     assert_eq!(tables["causes"].as_object().unwrap().len(), 1, "{tables}");
 }
 
-// Guards against a table over half of the lines that looks like one over all of them.
+// Guards against a table that covers only a part of the lines without saying so.
 #[test]
-fn lines_that_can_not_be_read_are_counted_and_told() {
+fn unreadable_lines_are_counted_and_reported() {
     let output = run(&["--output", "json"], &format!("{LINES}front-1 is up\n"));
     let tables: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(tables["unread"]["foreign"], 1);
@@ -148,8 +149,8 @@
         text.contains("1 cut or mixed, the first of them line 14"),
         "{text}"
     );
-    for nothing in ["", "no line of a node\n{\"time\":1}\n"] {
-        let output = run(&[], nothing);
+    for input in ["", "no line of a node\n{\"time\":1}\n"] {
+        let output = run(&[], input);
         assert_eq!(output.status.code(), Some(2), "{output:?}");
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(error.contains("standard input"), "{error}");
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn two_runs_are_shown_beside_each_other() {
+fn compare_shows_two_runs_side_by_side() {
     let dir = std::env::temp_dir().join(format!("losses-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (a, b) = (dir.join("a.log"), dir.join("b.log"));
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn the_chart_stacks_causes_over_seconds() {
+fn chart_stacks_causes_over_time() {
     let dir = std::env::temp_dir().join(format!("chart-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let file = dir.join("losses.svg");
@@ -193,7 +194,7 @@
     ] {
         assert!(text.contains(words), "{words}");
     }
-    // One bar for each cause of each interval, beside those of the legend.
+    // One bar for each cause in each interval, and those of the legend.
     assert!(text.matches("<rect").count() >= 12, "{text}");
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! The binary against running nodes, over real sockets.
+//! Tests of the binary against running nodes, over real sockets.
 
 mod common;
 
@@ -11,27 +11,27 @@
 
 const NODES: usize = 8;
 
-/// Running nodes without a bundle, and the files of the person they trust.
+/// Starts nodes without a bundle, and creates the files of a signer that they trust.
 async fn start(name: &str) -> (Fleet, Workdir) {
     let plan = Plan {
         nodes: NODES,
         ..Plan::default()
     };
-    let mut fleet = Fleet::bare(plan).await.unwrap();
+    let mut fleet = Fleet::start_standins(plan).await.unwrap();
     for index in 0..NODES {
         fleet.start_node(index).unwrap();
     }
-    fleet.relist();
+    fleet.update_instance_list();
     let dir = Workdir::new(name);
-    let key = sign::key(SIGNER_SEED);
+    let key = sign::key_from_seed(SIGNER_SEED);
     dir.write("key.pem", &sign::to_pem(&key).unwrap());
-    let trust = format!("[trust]\n{SIGNER} = {}\n", sign::public(&key));
+    let trust = format!("[trust]\n{SIGNER} = {}\n", sign::public_key_hex(&key));
     dir.write("trust.ini", &trust);
     dir.write("bundle.ini", &fleet.text());
     (fleet, dir)
 }
 
-/// Signs `file` on the head in the log, or as the first version.
+/// Signs `file` into `out`; `head` holds the flags that select the parent.
 fn sign(dir: &Workdir, file: &str, out: &str, head: &[&str]) {
     let args = [
         "sign", file, "--name", SIGNER, "--key", "key.pem", "--out", out,
@@ -39,16 +39,16 @@
     ok(&dir.run(&[&args[..], head].concat()));
 }
 
-/// What a node says of itself.
+/// Returns the status of a node as JSON.
 fn status(fleet: &Fleet, dir: &Workdir, index: usize) -> Value {
     let admin = fleet.node(index).admin.to_string();
     json(&dir.run(&["status", "--admin", &admin, "--output", "json"]))
 }
 
-/// From the first bundle of all to one in force on every node, through different nodes, and with
-/// the answer of an append lost: `publish --wait` ends well exactly when all nodes have it.
+/// Versions published through different nodes, one of them with the response of its append lost,
+/// must be in force on every node once `publish --wait` has succeeded.
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_come_into_force_everywhere() {
+async fn published_versions_come_into_force_on_all_nodes() {
     let (fleet, dir) = start("nodes").await;
     let admin = |index: usize| fleet.node(index).admin.to_string();
     sign(&dir, "bundle.ini", "1.json", &["--first"]);
@@ -60,7 +60,7 @@
         &dir.read("bundle.ini").replace("slots = 64", "slots = 63"),
     );
     sign(&dir, "next.ini", "2.json", &way);
-    fleet.log.faults.lose(1);
+    fleet.log.faults.drop_answers(1);
     ok(&dir.run(&["publish", "2.json", "--admin", &admin(3), "--wait"]));
     for index in 0..NODES {
         assert_eq!(status(&fleet, &dir, index)["number"], 2);
@@ -71,10 +71,11 @@
     assert!(String::from_utf8_lossy(&dump.stdout).contains("accepted"));
 }
 
-/// The log is out when an operator publishes: the node says that nothing was appended, all nodes
-/// go on with the version before, and publishing the same file works once the log is back.
+/// The log is down when an operator publishes. The node must report that nothing was appended,
+/// nodes must keep the previous version in force, and publishing the same file must succeed once
+/// the log is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_leaves_the_version_in_force() {
+async fn log_outage_keeps_the_previous_version_in_force() {
     let (fleet, dir) = start("nodes-outage").await;
     let admin = fleet.node(1).admin.to_string();
     sign(&dir, "bundle.ini", "1.json", &["--first"]);
@@ -86,13 +87,13 @@
     );
     let way = ["--log", &log, "--trust", "trust.ini"];
     sign(&dir, "next.ini", "2.json", &way);
-    fleet.log.faults.set(Mode::Down);
-    let told = dir.run(&["publish", "2.json", "--admin", &admin]);
-    assert_eq!(told.status.code(), Some(1));
-    let error = String::from_utf8_lossy(&told.stderr).into_owned();
+    fleet.log.faults.set_mode(Mode::Down);
+    let output = dir.run(&["publish", "2.json", "--admin", &admin]);
+    assert_eq!(output.status.code(), Some(1));
+    let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(error.contains("nothing was appended"), "{error}");
     assert_eq!(status(&fleet, &dir, 4)["number"], 1);
-    fleet.log.faults.set(Mode::Up);
+    fleet.log.faults.set_mode(Mode::Up);
     ok(&dir.run(&["publish", "2.json", "--admin", &admin, "--wait"]));
     assert_eq!(status(&fleet, &dir, 4)["number"], 2);
 }
--- a/crates/engine/src/chain/drive.rs
+++ b/crates/engine/src/chain/drive.rs
@@ -1,25 +1,26 @@
-//! The steps of an attempt.
+//! Execution of the steps of an attempt.
 
 use super::hops::{Failure, Hops, Result, place};
-use super::ledger::Ledger;
+use super::layer_check::LayerCheck;
 use super::{Cause, Event, Hop, Job, Stop, Token, open};
 use crate::frame::{self, Call, Input, Reply, Step};
 use crate::pool::{Counters, Pool};
 use bytes::{Bytes, BytesMut};
 
-/// A piece of payload up to this length is copied behind its head, to leave in one write.
-const JOIN_LIMIT: usize = 4 << 10;
-/// Bytes of a payload relayed between two reports of progress.
-const REPORT_BYTES: usize = 1 << 20;
+/// Maximum length of a payload chunk that is copied behind its head, so that both are sent in one
+/// write.
+const MAX_JOINED_BYTES: usize = 4 << 10;
+/// Number of relayed bytes of a payload between two progress events.
+const PROGRESS_INTERVAL_BYTES: usize = 1 << 20;
 
-/// Runs the attempt and reports its end.
+/// Runs the attempt and emits its events, including the final one.
 pub(super) async fn drive(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) {
     let mut sent = false;
-    let mut watch = |event: Event| {
+    let mut record = |event: Event| {
         sent |= event == Event::Sent;
         out(event);
     };
-    let ended = attempt(pool, job, &mut watch).await;
+    let ended = run_attempt(pool, job, &mut record).await;
     if let Err(Failure {
         hop,
         cause,
@@ -35,10 +36,11 @@
     }
 }
 
-async fn attempt(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<()> {
-    let layers = check(&job.hops)?;
-    let had = job.tokens.len() as u32;
-    if had >= job.most {
+/// Runs the attempt up to [`Event::Finished`], or returns its failure.
+async fn run_attempt(pool: &Pool, job: &Job, out: &mut impl FnMut(Event)) -> Result<()> {
+    let layers = layer_count(&job.hops)?;
+    let earlier_tokens = job.tokens.len() as u32;
+    if earlier_tokens >= job.max_tokens {
         out(Event::Finished {
             stop: Stop::Length,
             prompt_tokens: 0,
@@ -50,26 +52,26 @@
         links,
         counters: pool.counters(),
     };
-    let ledger = Ledger::new(job.request, job.attempt, layers);
-    let mut pass = Pass {
+    let layer_check = LayerCheck::new(job.request, job.attempt, layers);
+    let mut attempt = Attempt {
         job,
         hops,
-        ledger,
+        layer_check,
         step: 0,
         prompt_tokens: 0,
     };
     out(Event::Sent);
-    let stop = pass.steps(had, out).await?;
+    let stop = attempt.run_steps(earlier_tokens, out).await?;
     out(Event::Finished {
         stop,
-        prompt_tokens: pass.prompt_tokens,
+        prompt_tokens: attempt.prompt_tokens,
     });
-    pass.hops.close().await;
+    attempt.hops.close().await;
     Ok(())
 }
 
-/// The model's layers, if the hops cover them once and in order.
-fn check(hops: &[Hop]) -> Result<u16> {
+/// Returns the model's number of layers if the hops cover each layer once, in order.
+fn layer_count(hops: &[Hop]) -> Result<u16> {
     let mut next = 0;
     for (i, hop) in hops.iter().enumerate() {
         if hop.from != next || hop.to <= hop.from || i > usize::from(u8::MAX) {
@@ -84,54 +86,60 @@
     }
 }
 
-/// What the last stage made.
-struct Made {
+/// Token that the last stage generated, and whether it ends the answer.
+struct Generated {
     token: Token,
     end: bool,
 }
 
-struct Pass<'a> {
+/// State of an attempt whose streams are open.
+struct Attempt<'a> {
     job: &'a Job,
     hops: Hops<'a>,
-    ledger: Ledger,
+    layer_check: LayerCheck,
     step: u32,
     prompt_tokens: u32,
 }
 
-impl Pass<'_> {
-    /// Runs steps until the answer ends.
-    async fn steps(&mut self, had: u32, out: &mut impl FnMut(Event)) -> Result<Stop> {
+impl Attempt<'_> {
+    /// Runs steps until the answer ends. `earlier_tokens` is the number of tokens of earlier
+    /// attempts.
+    async fn run_steps(
+        &mut self,
+        earlier_tokens: u32,
+        out: &mut impl FnMut(Event),
+    ) -> Result<Stop> {
         let ids = self.job.tokens.iter().map(|token| token.id).collect();
         let mut input = Input::Prompt(ids);
         let mut payload = self.job.prompt.clone();
-        let mut count = had;
+        let mut count = earlier_tokens;
         loop {
-            let made = self.step(input, payload, out).await?;
+            let generated = self.run_step(input, payload, out).await?;
             count += 1;
-            input = Input::Token(made.token.id);
+            input = Input::Token(generated.token.id);
             payload = Bytes::new();
-            out(Event::Token(made.token));
-            if made.end {
+            out(Event::Token(generated.token));
+            if generated.end {
                 return Ok(Stop::End);
             }
-            if count >= self.job.most {
+            if count >= self.job.max_tokens {
                 return Ok(Stop::Length);
             }
         }
     }
 
-    /// Runs one step through all stages.
-    async fn step(
+    /// Runs one step on all stages.
+    async fn run_step(
         &mut self,
         input: Input,
         payload: Bytes,
         out: &mut impl FnMut(Event),
-    ) -> Result<Made> {
+    ) -> Result<Generated> {
         self.step += 1;
         let last = self.job.hops.len() - 1;
         let mut buf = BytesMut::new();
-        self.head(0, input, payload.len(), &mut buf)?;
-        if payload.len() <= JOIN_LIMIT {
+        self.encode_head(0, input, payload.len(), &mut buf)?;
+        if payload.len() <= MAX_JOINED_BYTES {
             buf.extend_from_slice(&payload);
             self.hops.send(0, buf.freeze()).await?;
         } else {
@@ -139,19 +147,25 @@
             self.hops.send(0, payload).await?;
         }
         for at in 0..last {
-            let length = self.done(at, out).await?;
+            let length = self.wait_done(at, out).await?;
             self.relay(at, length, out).await?;
         }
-        let made = self.token(last, out).await?;
-        if !self.ledger.close() {
+        let generated = self.wait_token(last, out).await?;
+        if !self.layer_check.finish_step() {
             return Err(Failure::new(last, Cause::Protocol));
         }
         Counters::add(&self.hops.counters.steps, 1);
-        Ok(made)
+        Ok(generated)
     }
 
-    /// Encodes the head of this step for hop `at`.
-    fn head(&self, at: usize, input: Input, payload: usize, buf: &mut BytesMut) -> Result<()> {
+    /// Encodes the head of the current step for hop `at`.
+    fn encode_head(
+        &self,
+        at: usize,
+        input: Input,
+        payload: usize,
+        buf: &mut BytesMut,
+    ) -> Result<()> {
         let Job {
             request,
             attempt,
@@ -168,14 +182,15 @@
         frame::encode(&Call::Step(step), buf).map_err(|_| Failure::new(at, Cause::Unfit))
     }
 
-    /// Waits until hop `at`, not the last one, ran its layers; the length of its activations.
-    async fn done(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<u32> {
-        match self.reply(at, out).await? {
+    /// Waits until hop `at`, which is not the last one, has run its layers. Returns the length of
+    /// its activations in bytes.
+    async fn wait_done(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<u32> {
+        match self.next_reply(at, out).await? {
             Reply::Done {
                 place,
                 prompt_tokens,
                 payload,
-            } if self.ledger.enter(&place) => {
+            } if self.layer_check.record(&place) => {
                 if at == 0 {
                     self.prompt_tokens = self.prompt_tokens.max(prompt_tokens);
                 }
@@ -185,20 +200,20 @@
         }
     }
 
-    /// Waits until the last hop made a token.
-    async fn token(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Made> {
-        match self.reply(at, out).await? {
+    /// Waits until hop `at`, the last one, has generated a token.
+    async fn wait_token(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Generated> {
+        match self.next_reply(at, out).await? {
             Reply::Token {
                 place,
                 prompt_tokens,
                 id,
                 text,
                 end,
-            } if self.ledger.enter(&place) => {
+            } if self.layer_check.record(&place) => {
                 if at == 0 {
                     self.prompt_tokens = self.prompt_tokens.max(prompt_tokens);
                 }
-                Ok(Made {
+                Ok(Generated {
                     token: Token { id, text },
                     end,
                 })
@@ -207,8 +222,9 @@
         }
     }
 
-    /// The reply that ends hop `at`'s part of the step, checked to be of exactly this place.
-    async fn reply(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Reply> {
+    /// Waits for the reply that ends hop `at`'s part of the step. Fails if a reply names another
+    /// request, attempt, step or layer range.
+    async fn next_reply(&mut self, at: usize, out: &mut impl FnMut(Event)) -> Result<Reply> {
         let Job {
             request,
             attempt,
@@ -217,7 +233,7 @@
         } = self.job;
         let expected = place(*request, *attempt, self.step, &hops[at]);
         loop {
-            let reply = self.hops.head(at).await?;
+            let reply = self.hops.next_head(at).await?;
             let place = match &reply {
                 Reply::Working(place) | Reply::Failed(place) => *place,
                 Reply::Done { place, .. } | Reply::Token { place, .. } => *place,
@@ -237,9 +253,10 @@
         }
     }
 
-    /// The progress that hop `at` makes: it did its part, or works and the one before it did.
-    fn progress(&self, at: usize, works: bool) -> Event {
-        let (hop, step) = match (works, at) {
+    /// Returns the progress event for a reply of hop `at`. If the hop is still working, the last
+    /// hop that completed its part is the previous one.
+    fn progress(&self, at: usize, is_working: bool) -> Event {
+        let (hop, step) = match (is_working, at) {
             (false, _) => (at, self.step),
             (true, 0) => (self.job.hops.len() - 1, self.step - 1),
             (true, _) => (at - 1, self.step),
@@ -250,26 +267,26 @@
         }
     }
 
-    /// Relays hop `at`'s activations to the next one, piece by piece as they come.
+    /// Relays the activations of hop `at` to the next hop, chunk by chunk as they arrive.
     async fn relay(&mut self, at: usize, length: u32, out: &mut impl FnMut(Event)) -> Result<()> {
-        let mut missing = length as usize;
+        let mut remaining = length as usize;
         let mut buf = BytesMut::new();
-        self.head(at + 1, Input::Activations, missing, &mut buf)?;
-        let mut reported = missing;
-        while missing > 0 {
-            let piece = self.hops.piece(at).await?;
-            missing -= piece.len();
+        self.encode_head(at + 1, Input::Activations, remaining, &mut buf)?;
+        let mut reported = remaining;
+        while remaining > 0 {
+            let chunk = self.hops.next_payload(at).await?;
+            remaining -= chunk.len();
             if buf.is_empty() {
-                self.hops.send(at + 1, piece).await?;
-            } else if piece.len() <= JOIN_LIMIT {
-                buf.extend_from_slice(&piece);
+                self.hops.send(at + 1, chunk).await?;
+            } else if chunk.len() <= MAX_JOINED_BYTES {
+                buf.extend_from_slice(&chunk);
                 self.hops.send(at + 1, buf.split().freeze()).await?;
             } else {
                 self.hops.send(at + 1, buf.split().freeze()).await?;
-                self.hops.send(at + 1, piece).await?;
+                self.hops.send(at + 1, chunk).await?;
             }
-            if reported - missing >= REPORT_BYTES {
-                reported = missing;
+            if reported - remaining >= PROGRESS_INTERVAL_BYTES {
+                reported = remaining;
                 out(Event::Progress {
                     hop: at as u8,
                     step: self.step,
--- a/crates/engine/src/chain/hops.rs
+++ b/crates/engine/src/chain/hops.rs
@@ -1,19 +1,19 @@
-//! The open streams of an attempt.
+//! Open streams of an attempt.
 
 use super::Cause;
 use crate::frame::{Item, Place, Reply};
 use crate::pool::{Counters, Error};
-use crate::stream::{Got, Stream};
+use crate::stream::{Received, Stream};
 use bytes::Bytes;
 use std::future::poll_fn;
 use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest wait for the stages to end their sides after a whole answer.
-const LINGER: Duration = Duration::from_secs(1);
+/// Time limit for the stages to end their sides of the streams after a complete answer.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What went wrong, and where.
+/// Failure of an attempt and the index of the faulty hop.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Failure {
     pub(super) hop: usize,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What went wrong with one stream.
+/// Failure of one stream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
     pub(super) cause: Cause,
@@ -48,7 +48,7 @@
 }
 
 impl Fault {
-    /// The failure of the hop whose stream it is.
+    /// Converts this fault to the failure of hop `hop`.
     pub(super) fn at(self, hop: usize) -> Failure {
         Failure {
             hop,
@@ -58,17 +58,17 @@
     }
 }
 
-/// Result of a part of an attempt.
+/// Result of an operation of an attempt.
 pub(super) type Result<T> = std::result::Result<T, Failure>;
 
-/// One stage's stream.
+/// Stream to one stage.
 #[derive(Debug)]
 pub(super) struct Link {
     stream: Stream,
     request: u128,
     attempt: u32,
-    /// Whether the payload that comes belongs to a dropped frame.
-    is_stale: bool,
+    /// Whether the payload being received belongs to a dropped frame.
+    drops_payload: bool,
 }
 
 impl Link {
@@ -77,11 +77,11 @@
             stream,
             request,
             attempt,
-            is_stale: false,
+            drops_payload: false,
         }
     }
 
-    /// The next item that isn't of an earlier attempt.
+    /// Polls for the next item that does not belong to an earlier attempt.
     pub(super) fn poll_item(
         &mut self,
         cx: &mut Context<'_>,
@@ -93,10 +93,12 @@
                 Poll::Ready(got) => got,
             };
             let item = match got {
-                Ok(Got::Item(item)) => item,
-                Ok(Got::End | Got::Bad) => return Poll::Ready(Err(Cause::Protocol.into())),
-                Ok(Got::Status(status, wait)) => {
-                    let cause = refusal(status.as_u16());
+                Ok(Received::Item(item)) => item,
+                Ok(Received::End | Received::Invalid) => {
+                    return Poll::Ready(Err(Cause::Protocol.into()));
+                }
+                Ok(Received::Status(status, wait)) => {
+                    let cause = cause_of_status(status.as_u16());
                     return Poll::Ready(Err(Fault {
                         cause,
                         retry_after: wait,
@@ -104,19 +106,19 @@
                 }
                 Err(_) => return Poll::Ready(Err(Cause::Reset.into())),
             };
-            if !self.drops(&item) {
+            if !self.is_stale(&item) {
                 return Poll::Ready(Ok(item));
             }
             Counters::add(&counters.stale_frames, 1);
         }
     }
 
-    /// Whether the item is a late one of an ended attempt. Such frames can't be part of this
-    /// attempt's answer, so that dropping them is enough; anything else that doesn't fit is an
+    /// Returns whether the item belongs to an earlier attempt of the request. Such items are
+    /// dropped: they can't become part of this attempt's answer. Any other unexpected item is an
     /// error.
-    fn drops(&mut self, item: &Item<Reply>) -> bool {
+    fn is_stale(&mut self, item: &Item<Reply>) -> bool {
         let Item::Head(head) = item else {
-            return self.is_stale;
+            return self.drops_payload;
         };
         let (request, attempt) = match head {
             Reply::Opened(request, attempt) => (*request, *attempt),
@@ -126,16 +128,18 @@
                 (place.request, place.attempt)
             }
         };
-        self.is_stale = request == self.request && attempt < self.attempt;
-        self.is_stale
+        self.drops_payload = request == self.request && attempt < self.attempt;
+        self.drops_payload
     }
 
+    /// Sends bytes to the stage.
     pub(super) async fn send(&mut self, bytes: Bytes) -> std::result::Result<(), Error> {
         self.stream.send(bytes, false).await
     }
 }
 
-fn refusal(status: u16) -> Cause {
+/// Returns the cause of a refusal by HTTP status.
+fn cause_of_status(status: u16) -> Cause {
     match status {
         404 | 422 => Cause::Unfit,
         429 | 503 => Cause::Busy,
@@ -144,7 +148,7 @@
     }
 }
 
-/// The streams of all stages, in order.
+/// Streams to all stages, in order.
 #[derive(Debug)]
 pub(super) struct Hops<'a> {
     pub(super) links: Vec<Link>,
@@ -152,18 +156,18 @@
 }
 
 impl Hops<'_> {
-    /// The next head from hop `at`.
-    pub(super) async fn head(&mut self, at: usize) -> Result<Reply> {
-        match self.item(at).await? {
+    /// Waits for the next head from hop `at`.
+    pub(super) async fn next_head(&mut self, at: usize) -> Result<Reply> {
+        match self.next_item(at).await? {
             Item::Head(head) => Ok(head),
             Item::Payload(_) => Err(Failure::new(at, Cause::Protocol)),
         }
     }
 
-    /// The next piece of payload from hop `at`.
-    pub(super) async fn piece(&mut self, at: usize) -> Result<Bytes> {
-        match self.item(at).await? {
-            Item::Payload(piece) => Ok(piece),
+    /// Waits for the next chunk of payload from hop `at`.
+    pub(super) async fn next_payload(&mut self, at: usize) -> Result<Bytes> {
+        match self.next_item(at).await? {
+            Item::Payload(chunk) => Ok(chunk),
             Item::Head(_) => Err(Failure::new(at, Cause::Protocol)),
         }
     }
@@ -176,9 +180,10 @@
             .map_err(|_| Failure::new(at, Cause::Reset))
     }
 
-    /// The next item from hop `at`. The other hops are watched meanwhile: a stage that dies while
-    /// another one works is then known at once, and not when its turn comes.
-    async fn item(&mut self, at: usize) -> Result<Item<Reply>> {
+    /// Waits for the next item from hop `at`. The other hops are polled at the same time, so that
+    /// the failure of a stage is detected at once even while another stage is working. An item from
+    /// another hop is a protocol violation.
+    async fn next_item(&mut self, at: usize) -> Result<Item<Reply>> {
         poll_fn(|cx| {
             if let Poll::Ready(got) = self.links[at].poll_item(cx, self.counters) {
                 return Poll::Ready(got.map_err(|fault| fault.at(at)));
@@ -199,18 +204,18 @@
         .await
     }
 
-    /// Ends all streams after a whole answer, so that the stages give up their slots.
+    /// Ends all streams after a complete answer, so that the stages release their slots.
     pub(super) async fn close(mut self) {
         self.links.iter_mut().for_each(|link| link.stream.end());
         let ends = self
             .links
             .iter_mut()
             .map(|link| poll_fn(|cx| link.poll_item(cx, self.counters).map(|_| ())));
-        let _ = timeout(LINGER, futures::future::join_all(ends)).await;
+        let _ = timeout(CLOSE_TIMEOUT, futures::future::join_all(ends)).await;
     }
 }
 
-/// The place of a step at a hop.
+/// Returns the place of a step at a hop.
 pub(super) fn place(request: u128, attempt: u32, step: u32, hop: &super::Hop) -> Place {
     Place {
         request,
--- a/crates/engine/src/pool.rs
+++ b/crates/engine/src/pool.rs
@@ -1,4 +1,5 @@
-//! HTTP/2 connections to endpoints, by prior knowledge, kept open between requests.
+//! Pool of HTTP/2 connections to endpoints. The connections use prior knowledge (no upgrade) and
+//! stay open between requests.
 
 mod connection;
 mod counters;
@@ -18,72 +19,73 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time to make a connection.
-    pub connect: Duration,
-    /// Streams on one connection.
-    pub streams: u32,
-    /// Connections to one endpoint.
-    pub connections: usize,
-    /// Bytes that one stream may have under way to this node.
-    pub window: u32,
-    /// Longest time for an answer to a load question or an order.
-    pub answer: Duration,
-    /// A connection without streams is closed after one to two times this.
-    pub idle: Duration,
+    /// Time limit for establishing a connection.
+    pub connect_timeout: Duration,
+    /// Maximum number of concurrent streams on a connection.
+    pub max_streams: u32,
+    /// Maximum number of connections to an endpoint.
+    pub max_connections: usize,
+    /// Flow-control window of a stream: maximum number of received bytes that are not consumed yet.
+    pub stream_window: u32,
+    /// Time limit for the response to a load request or an order.
+    pub response_timeout: Duration,
+    /// Idle timeout of a connection. A connection without streams is closed after one to two times
+    /// this duration.
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            streams: 256,
-            connections: 8,
-            window: 256 << 10,
-            answer: Duration::from_secs(2),
-            idle: Duration::from_secs(60),
+            connect_timeout: Duration::from_secs(1),
+            max_streams: 256,
+            max_connections: 8,
+            stream_window: 256 << 10,
+            response_timeout: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
 
-/// Why a request could not be made or answered.
+/// Error of a request on a connection of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection within the time limit.
+    /// No connection could be established within the time limit.
     Connect,
-    /// All connections carry as many streams as they may.
+    /// All connections to the endpoint carry the maximum number of streams.
     Full,
     /// The connection or stream broke.
     Reset,
-    /// No answer within the time limit.
-    Late,
-    /// The answer's status.
+    /// The endpoint did not respond within the time limit.
+    Timeout,
+    /// The endpoint responded with this status.
     Status(StatusCode),
-    /// The answer is too long or not of its format.
+    /// The response is too long or malformed, or the request can't be built.
     Format,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connect => f.write_str("no connection"),
-            Self::Full => f.write_str("no free stream"),
-            Self::Reset => f.write_str("connection broke"),
-            Self::Late => f.write_str("no answer in time"),
-            Self::Status(status) => write!(f, "status {status}"),
-            Self::Format => f.write_str("answer is not of its format"),
+            Self::Connect => f.write_str("connection could not be established"),
+            Self::Full => f.write_str("all connections are at their stream limit"),
+            Self::Reset => f.write_str("connection or stream was reset"),
+            Self::Timeout => f.write_str("response timed out"),
+            Self::Status(status) => write!(f, "endpoint responded with status {status}"),
+            Self::Format => f.write_str("response is malformed or too long"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Result of a pool's requests.
+/// Result of a request on a connection of the pool.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Connections of one worker thread; clones share them.
+/// Connections of one worker thread. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Pool {
     inner: Arc<Inner>,
@@ -92,22 +94,23 @@
 #[derive(Debug)]
 struct Inner {
     limits: Limits,
-    hosts: Mutex<HashMap<SocketAddr, Arc<Host>>>,
-    idle: crate::service::Idle,
+    endpoints: Mutex<HashMap<SocketAddr, Arc<Endpoint>>>,
+    idle: crate::service::IdleConnections,
     counters: Counters,
 }
 
 /// Connections to one endpoint.
 #[derive(Debug, Default)]
-struct Host {
+struct Endpoint {
     connections: Mutex<Vec<Connection>>,
-    /// Held while a connection is made, so that a burst of requests makes one and not one each.
-    dial: tokio::sync::Mutex<()>,
-    /// Connections that could not be made.
+    /// Held while a connection is established, so that a burst of requests opens one connection
+    /// rather than one per request.
+    connecting: tokio::sync::Mutex<()>,
+    /// Number of failed connection attempts.
     failures: AtomicU64,
 }
 
-impl Host {
+impl Endpoint {
     fn lock(&self) -> MutexGuard<'_, Vec<Connection>> {
         self.connections
             .lock()
@@ -121,35 +124,42 @@
     }
 }
 
-/// The text for the dump: counts, then a line for each endpoint, by address.
+/// Formats the pool for `/dump`: the counters, then one line per endpoint, sorted by address.
 impl fmt::Display for Pool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.inner.counters)?;
-        let hosts: BTreeMap<_, _> = self.hosts().iter().map(|(a, h)| (*a, h.clone())).collect();
-        for (addr, host) in hosts {
-            let connections = host.lock();
-            let running = connections.iter().map(|c| c.running(&self.inner.limits));
-            let (open, streams) = (connections.len(), running.sum::<usize>());
+        let endpoints: BTreeMap<_, _> = self
+            .endpoints()
+            .iter()
+            .map(|(a, h)| (*a, h.clone()))
+            .collect();
+        for (addr, endpoint) in endpoints {
+            let connections = endpoint.lock();
+            let active = connections
+                .iter()
+                .map(|c| c.active_streams(&self.inner.limits));
+            let (open, streams) = (connections.len(), active.sum::<usize>());
             writeln!(f, "endpoint {addr} connections {open} streams {streams}")?;
         }
         Ok(())
     }
 }
 
-/// A request on a connection of a pool.
+/// A request whose stream has been opened on a connection of the pool.
 pub(crate) struct Opened {
     pub(crate) stream: Stream,
-    /// Whether the connection was kept from earlier, so that it may be gone without a sign.
+    /// Whether the connection existed before this request. The peer may have closed such a
+    /// connection without this node having noticed.
     pub(crate) reused: bool,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: Limits) -> Self {
         let inner = Inner {
             limits,
-            hosts: Mutex::default(),
-            idle: crate::service::Idle::default(),
+            endpoints: Mutex::default(),
+            idle: crate::service::IdleConnections::default(),
             counters: Counters::default(),
         };
         Self {
@@ -157,50 +167,61 @@
         }
     }
 
-    /// The pool's bounds.
+    /// Returns the limits of the pool.
     pub fn limits(&self) -> &Limits {
         &self.inner.limits
     }
 
-    /// The pool's counts.
+    /// Returns the counters of the pool.
     pub fn counters(&self) -> &Counters {
         &self.inner.counters
     }
 
-    pub(crate) fn idle(&self) -> &crate::service::Idle {
+    /// Returns the idle HTTP/1.1 connections to plain services.
+    pub(crate) fn idle(&self) -> &crate::service::IdleConnections {
         &self.inner.idle
     }
 
-    /// Drops the connections to an endpoint: they went silent. Streams on them end as reset.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.hosts().remove(&addr);
-        self.inner.idle.forget(addr);
+    /// Drops the connections to an unresponsive endpoint. Streams on them end with
+    /// [`Error::Reset`].
+    pub fn drop_connections(&self, addr: SocketAddr) {
+        self.endpoints().remove(&addr);
+        self.inner.idle.drop_connections(addr);
     }
 
-    /// Whether the endpoint answers `GET /health` with success on a new connection.
+    /// Returns whether the endpoint answers `GET /health` with success on a new connection within
+    /// `limit`.
     pub async fn probe(&self, addr: SocketAddr, limit: Duration) -> bool {
         timeout(limit, unary::probe(addr, &self.inner.limits))
             .await
             .unwrap_or(false)
     }
 
-    /// Connections kept to an endpoint.
-    pub fn connections(&self, addr: SocketAddr) -> usize {
-        let host = self.hosts().get(&addr).cloned();
-        host.map_or(0, |host| host.lock().iter().filter(|c| c.is_open()).count())
+    /// Returns the number of open connections to an endpoint.
+    pub fn connection_count(&self, addr: SocketAddr) -> usize {
+        let endpoint = self.endpoints().get(&addr).cloned();
+        endpoint.map_or(0, |endpoint| {
+            endpoint.lock().iter().filter(|c| c.is_open()).count()
+        })
     }
 
-    /// Opens a stream with a request whose body is still to be sent.
-    pub(crate) async fn open(&self, addr: SocketAddr, path: &str, fresh: bool) -> Result<Opened> {
+    /// Opens a stream for a POST request. The caller sends the body. Existing connections are not
+    /// used if `new_connection` is set.
+    pub(crate) async fn open(
+        &self,
+        addr: SocketAddr,
+        path: &str,
+        new_connection: bool,
+    ) -> Result<Opened> {
         let request = request(Method::POST, addr, path)?;
-        let (connection, reused) = self.connection(addr, fresh).await?;
+        let (connection, reused) = self.connection(addr, new_connection).await?;
         let stream = connection.start(request, false)?;
         Counters::add(&self.inner.counters.streams, 1);
         Ok(Opened { stream, reused })
     }
 
-    /// Makes a request whose answer is short.
-    pub(crate) async fn ask(
+    /// Sends a request and returns its response, whose body has a small size limit.
+    pub(crate) async fn call(
         &self,
         method: Method,
         addr: SocketAddr,
@@ -209,59 +230,63 @@
     ) -> Result<Response<Bytes>> {
         let request = request(method, addr, path)?;
         let (connection, _) = self.connection(addr, false).await?;
-        let answer = unary::ask(connection, request, body);
-        timeout(self.inner.limits.answer, answer)
+        let response = unary::call(connection, request, body);
+        timeout(self.inner.limits.response_timeout, response)
             .await
-            .map_err(|_| Error::Late)?
+            .map_err(|_| Error::Timeout)?
     }
 
-    /// A connection with a free stream, and whether it was kept from earlier.
-    async fn connection(&self, addr: SocketAddr, fresh: bool) -> Result<(Connection, bool)> {
-        let host = self.hosts().entry(addr).or_default().clone();
-        if !fresh && let Some(found) = host.find() {
+    /// Returns a connection with a reserved stream, and whether the connection existed before.
+    async fn connection(
+        &self,
+        addr: SocketAddr,
+        new_connection: bool,
+    ) -> Result<(Connection, bool)> {
+        let endpoint = self.endpoints().entry(addr).or_default().clone();
+        if !new_connection && let Some(found) = endpoint.reserve_stream() {
             return Ok((found, true));
         }
-        let failures = host.failures.load(Ordering::Relaxed);
-        let _dial = host.dial.lock().await;
-        // Those that waited for a connection share its failure; each trying in turn would make the
-        // last one wait for all their time limits.
-        if host.failures.load(Ordering::Relaxed) != failures {
+        let failures = endpoint.failures.load(Ordering::Relaxed);
+        let _connecting = endpoint.connecting.lock().await;
+        // Requests that waited for the same connection attempt share its failure. If each of them
+        // tried in turn, the last one would wait for the sum of their time limits.
+        if endpoint.failures.load(Ordering::Relaxed) != failures {
             return Err(Error::Connect);
         }
-        if !fresh && let Some(found) = host.find() {
+        if !new_connection && let Some(found) = endpoint.reserve_stream() {
             return Ok((found, true));
         }
-        if host.lock().len() >= self.inner.limits.connections {
+        if endpoint.lock().len() >= self.inner.limits.max_connections {
             return Err(Error::Full);
         }
-        let made = Connection::make(addr, &self.inner.limits).await;
+        let connection = Connection::connect(addr, &self.inner.limits).await;
         let counters = &self.inner.counters;
-        let count = if made.is_ok() {
+        let count = if connection.is_ok() {
             &counters.connects
         } else {
             &counters.connect_failures
         };
         Counters::add(count, 1);
-        if made.is_err() {
-            Counters::add(&host.failures, 1);
+        if connection.is_err() {
+            Counters::add(&endpoint.failures, 1);
         }
-        let made = made?;
-        let taken = made.reserve().ok_or(Error::Full)?;
-        host.lock().push(made);
-        Ok((taken, false))
+        let connection = connection?;
+        let reserved = connection.reserve().ok_or(Error::Full)?;
+        endpoint.lock().push(connection);
+        Ok((reserved, false))
     }
 
-    fn hosts(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Host>>> {
+    fn endpoints(&self) -> MutexGuard<'_, HashMap<SocketAddr, Arc<Endpoint>>> {
         self.inner
-            .hosts
+            .endpoints
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Host {
-    /// Reserves a stream on an open connection; drops the ones that ended.
-    fn find(&self) -> Option<Connection> {
+impl Endpoint {
+    /// Reserves a stream on an open connection, after removing connections that have ended.
+    fn reserve_stream(&self) -> Option<Connection> {
         let mut connections = self.lock();
         connections.retain(|c| !c.is_finished());
         connections.iter().find_map(Connection::reserve)
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,4 +1,4 @@
-//! Heads as they stand on the wire: unchecked, and of one shape for all engines.
+//! Serialized form of frame heads, before validation. It is the same for all engines.
 
 mod call;
 mod reply;
@@ -6,10 +6,10 @@
 pub use call::{Call, Input, Open};
 pub use reply::{Reason, Reply};
 
-use crate::frame::{self, Error, NAME_LIMIT};
+use crate::frame::{self, Error, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// Place of a step.
+/// Serialized form of [`frame::Place`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Place {
     request: u128,
@@ -63,13 +63,14 @@
 }
 
 fn is_name(name: &str) -> bool {
-    (1..=NAME_LIMIT).contains(&name.len())
+    (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
+/// Returns an error that names `field` unless `fits` holds.
 fn check(fits: bool, field: &'static str) -> Result<(), Error> {
     if fits {
         Ok(())
     } else {
-        Err(Error::Field(field))
+        Err(Error::FieldOutOfRange(field))
     }
 }
--- a/crates/engine/src/wire/call.rs
+++ b/crates/engine/src/wire/call.rs
@@ -1,10 +1,10 @@
-//! Heads to a stage.
+//! Serialized heads of frames that are sent to a stage.
 
 use super::{Place, check, is_name};
-use crate::frame::{self, Error, PAYLOAD_LIMIT};
+use crate::frame::{self, Error, MAX_PAYLOAD_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// See [`frame::Open`].
+/// Serialized form of [`frame::Open`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Open {
     request: u128,
@@ -14,29 +14,31 @@
     adapter: Option<String>,
     from: u16,
     to: u16,
-    most: u32,
+    #[serde(rename = "most")]
+    max_tokens: u32,
     seed: u64,
-    rank: u32,
+    #[serde(rename = "rank")]
+    priority: u32,
     prefix: Vec<u64>,
 }
 
-/// See [`frame::Input`].
+/// Serialized form of [`frame::Input`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Input {
-    /// Prompt in the payload, then these tokens.
+    /// The prompt is the payload; these tokens follow it.
     Prompt(Vec<u32>),
-    /// One token.
+    /// The token that the previous step generated.
     Token(u32),
-    /// Activations in the payload.
+    /// The payload holds activations.
     Activations,
 }
 
-/// See [`frame::Call`].
+/// Serialized form of [`frame::Call`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Call {
-    /// First frame.
+    /// First frame of a stream.
     Open(Open),
-    /// Later frames.
+    /// Every later frame: the place of the step, its input and its payload length in bytes.
     Step(Place, Input, u32),
 }
 
@@ -50,9 +52,9 @@
             adapter: open.adapter.clone(),
             from: open.from,
             to: open.to,
-            most: open.most,
+            max_tokens: open.max_tokens,
             seed: open.seed,
-            rank: open.rank,
+            priority: open.priority,
             prefix: open.prefix.clone(),
         }
     }
@@ -75,9 +77,9 @@
             adapter: open.adapter,
             from: open.from,
             to: open.to,
-            most: open.most,
+            max_tokens: open.max_tokens,
             seed: open.seed,
-            rank: open.rank,
+            priority: open.priority,
             prefix: open.prefix,
         })
     }
@@ -129,9 +131,9 @@
     let place = frame::Place::try_from(place)?;
     let input = frame::Input::from(input);
     let fits = match input {
-        frame::Input::Prompt(_) => payload <= PAYLOAD_LIMIT,
+        frame::Input::Prompt(_) => payload <= MAX_PAYLOAD_BYTES,
         frame::Input::Token(_) => payload == 0,
-        frame::Input::Activations => (1..=PAYLOAD_LIMIT).contains(&payload),
+        frame::Input::Activations => (1..=MAX_PAYLOAD_BYTES).contains(&payload),
     };
     check(fits, "payload")?;
     let is_first = !matches!(input, frame::Input::Activations);
--- a/crates/entry/src/handler/call.rs
+++ b/crates/entry/src/handler/call.rs
@@ -78,17 +78,17 @@
     };
     let claim = super::key::claim(&header, bundle, &request)?;
     let id = request.id;
-    let limit = engine::service::Limit {
-        head: request.deadline.saturating_sub(state.start.elapsed()),
-        fresh: !repeatable,
+    let options = engine::service::CallOptions {
+        head_timeout: request.deadline.saturating_sub(state.start.elapsed()),
+        new_connection: !repeatable,
     };
     let work = Call {
         head: Arc::new(head),
         body: body.clone(),
         chunks: chunk_tx,
-        limit,
+        options,
     };
-    let time_left = limit.head;
+    let time_left = options.head_timeout;
     let answer = submit(state, request, work, claim, chunk_rx).await;
     let answer = original.or_forward(state, answer, body, time_left).await;
     with_request_id(answer, id)
@@ -179,7 +179,7 @@
     for name in [CONNECTION, TRANSFER_ENCODING, TE, TRAILER, UPGRADE] {
         parts.headers.remove(name);
     }
-    // The outcome is not known yet; an incomplete answer is shown by an aborted transfer.
+    // The outcome is not known yet. If the answer stays incomplete, its transfer is aborted.
     parts.headers.remove(&OUTCOME);
     Response::from_parts(parts, Body::from_stream(body_stream(body)))
 }
--- a/crates/lease/examples/holds.rs
+++ b/crates/lease/examples/holds.rs
@@ -1,8 +1,10 @@
-//! Cost of leases: appends, bytes read and processor time, by the number of groups.
+//! Cost of leases by the number of groups: appends, bytes read, processor time, and time to take
+//! over.
 //!
 //! `cargo run --release -p wigeonshelf-lease --example holds`
 //!
-//! Eight nodes and a log without faults, in passed-in time; one append and read takes 4 ms.
+//! Eight nodes and a log without faults, in simulated time. Appends and reads are answered in the
+//! node's next step, 100 ms later.
 
 use bytes::Bytes;
 use lease::group_lease::{Action, Candidacy, Event, Group, Settings, Table};
@@ -20,7 +22,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     tables: Vec<Table>,
     events: Vec<Vec<Event>>,
     records: Vec<Bytes>,
@@ -49,7 +51,7 @@
             })
             .collect()
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         tables: (0..NODES).map(table).collect(),
         events: (0..NODES)
             .map(|n| vec![Event::Candidacies(want(n))])
@@ -62,11 +64,11 @@
     let mut now = Duration::ZERO;
     for _ in 0..SECONDS * 10 {
         now += STEP;
-        (0..NODES as usize).for_each(|n| world.step(n, now));
+        (0..NODES as usize).for_each(|n| simulation.step(n, now));
     }
-    let (appends, read) = (world.appends, world.read);
-    let spent = world.spent;
-    let takeover = world.takeover(now);
+    let (appends, read) = (simulation.appends, simulation.read);
+    let spent = simulation.spent;
+    let takeover = simulation.takeover(now);
     let seconds = f64::from(SECONDS);
     let nodes = NODES as f64;
     println!(
@@ -78,7 +80,7 @@
     );
 }
 
-impl World {
+impl Simulation {
     fn step(&mut self, n: usize, now: Now) {
         let mut actions = Vec::new();
         let events = std::mem::take(&mut self.events[n]);
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The holder of group 0 dies; how long until another one gets a permit.
+    /// Stops the holder of group 0 and returns the time until another node gets a permit.
     fn takeover(&mut self, from: Now) -> Duration {
         let holds = |table: &Table, now| table.permit(now, 0).is_some();
         let Some(dead) = self.tables.iter().position(|table| holds(table, from)) else {
--- a/crates/node/src/control/state/bundles.rs
+++ b/crates/node/src/control/state/bundles.rs
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
-use wire::frame::HeadAsk;
+use wire::frame::HeadRequest;
 
 impl State {
     /// Applies a page of the bundle stream. Returns the offset to read next.
     pub(super) fn fold_page(&mut self, page: Page) -> Offset {
         self.first_offset = page.first;
         let records = page.records.iter().map(|r| (r.offset, r.body.as_ref()));
-        let verdicts = self.fold.page(page.first, records);
+        let verdicts = self.fold.apply_page(page.first, records);
         for (offset, verdict) in &verdicts {
             log_verdict(*offset, verdict);
         }
@@ -81,20 +81,20 @@
         self.endpoints.retain(&bundle);
         self.handle_group_event(Event::Head(head));
         self.update_listed_nodes();
-        self.step();
+        self.step_teams();
     }
 
     /// Requests from a peer the records that lead to its newer head.
     pub(super) fn fetch_records(&mut self, head: Head, addr: SocketAddr) {
         let have = self.fold.head().map_or(0, |b| b.number);
-        let ask = HeadAsk {
+        let ask = HeadRequest {
             number: head.number,
             have,
         };
         let link = self.link.clone();
         let inputs = self.inputs.clone();
         tokio::spawn(async move {
-            let body = link.head(addr, ask).await.ok().flatten();
+            let body = link.request_head(addr, ask).await.ok().flatten();
             let _ = inputs.send(Input::Records(body)).await;
         });
     }
@@ -119,8 +119,8 @@
     }
 
     /// Returns the records that a peer has requested, encoded in one body.
-    pub(super) fn records_since(&self, ask: HeadAsk) -> Option<Vec<u8>> {
-        records::encode(&self.fold.offer(ask.have))
+    pub(super) fn records_since(&self, ask: HeadRequest) -> Option<Vec<u8>> {
+        records::encode(&self.fold.records_since(ask.have))
     }
 }
 
--- a/crates/node/src/hosted/control/state/peers.rs
+++ b/crates/node/src/hosted/control/state/peers.rs
@@ -20,8 +20,8 @@
             Inbound::Head { reply, .. } => {
                 let _ = reply.send(None);
             }
-            Inbound::Copy { ask, reply } => {
-                let _ = reply.send(self.serve_copy(ask));
+            Inbound::Copy { request, reply } => {
+                let _ = reply.send(self.serve_copy(request));
             }
             Inbound::Status { reply } => {
                 let _ = reply.send(Status {
@@ -31,7 +31,7 @@
                     ..Status::default()
                 });
             }
-            Inbound::Unreached(addr) => {
+            Inbound::ConnectFailed(addr) => {
                 let peers = self.group.roster().iter();
                 let unreachable: Vec<_> = peers
                     .filter(|p| p.identity.addr == addr)
@@ -105,7 +105,7 @@
     }
 
     /// Returns the number of nodes that share the retry budget: all known nodes that have not left.
-    pub(super) fn budget_sharers(&self) -> usize {
+    pub(super) fn budget_nodes(&self) -> usize {
         let peers = self.group.roster().iter();
         peers
             .filter(|p| p.state != member::peer::State::Left)
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,27 +1,27 @@
-//! Bounds of a client's calls.
+//! Limits of a client's calls.
 
 use std::time::Duration;
 
-/// Time limits and body bounds.
+/// Limits of the time and body size of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest time to make a connection.
-    pub connect: Duration,
-    /// Longest time for a whole call; a read that waits gets its wait on top.
-    pub call: Duration,
-    /// Largest body to send, in bytes.
-    pub send: usize,
-    /// Largest body to take, in bytes.
-    pub take: usize,
+    /// Time limit for establishing a connection.
+    pub connect_timeout: Duration,
+    /// Time limit of a complete call. The wait time of a long-polling read is added to it.
+    pub call_timeout: Duration,
+    /// Maximum size of a request body in bytes.
+    pub max_request_bytes: usize,
+    /// Maximum size of a response body in bytes.
+    pub max_response_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_secs(1),
-            call: Duration::from_secs(3),
-            send: 4 << 20,
-            take: 8 << 20,
+            connect_timeout: Duration::from_secs(1),
+            call_timeout: Duration::from_secs(3),
+            max_request_bytes: 4 << 20,
+            max_response_bytes: 8 << 20,
         }
     }
 }
--- a/crates/platform/tests/backoff.rs
+++ b/crates/platform/tests/backoff.rs
@@ -1,41 +1,45 @@
-//! Waits between retries.
+//! Tests of the delays between retries.
 
 use platform::backoff::Backoff;
 use std::time::Duration;
 
-const LEAST: Duration = Duration::from_millis(100);
-const MOST: Duration = Duration::from_secs(5);
+const MIN: Duration = Duration::from_millis(100);
+const MAX: Duration = Duration::from_secs(5);
 
 #[test]
-fn waits_double_within_jitter_up_to_the_bound() {
-    let mut backoff = Backoff::new(LEAST, MOST, 1);
+fn delays_double_up_to_the_maximum_within_jitter() {
+    let mut backoff = Backoff::new(MIN, MAX, 1);
     for failures in 0..200u32 {
-        let step = LEAST.saturating_mul(1 << failures.min(10)).min(MOST);
-        let wait = backoff.failed(None);
+        let step = MIN.saturating_mul(1 << failures.min(10)).min(MAX);
+        let delay = backoff.record_failure(None);
         assert!(
-            wait >= step / 2 && wait <= step,
-            "{wait:?} after {failures}"
+            delay >= step / 2 && delay <= step,
+            "{delay:?} after {failures}"
         );
     }
 }
 
 #[test]
-fn a_success_starts_over_and_seeds_differ() {
-    let mut a = Backoff::new(LEAST, MOST, 1);
-    let mut b = Backoff::new(LEAST, MOST, 2);
-    let waits = |backoff: &mut Backoff| (0..8).map(|_| backoff.failed(None)).collect::<Vec<_>>();
-    assert_ne!(waits(&mut a), waits(&mut b));
-    a.succeeded();
-    assert!(a.failed(None) <= LEAST);
+fn a_success_resets_the_delay_and_seeds_differ() {
+    let mut a = Backoff::new(MIN, MAX, 1);
+    let mut b = Backoff::new(MIN, MAX, 2);
+    let delays = |backoff: &mut Backoff| {
+        (0..8)
+            .map(|_| backoff.record_failure(None))
+            .collect::<Vec<_>>()
+    };
+    assert_ne!(delays(&mut a), delays(&mut b));
+    a.record_success();
+    assert!(a.record_failure(None) <= MIN);
     assert_eq!(a.failures(), 1);
 }
 
 #[test]
-fn the_service_may_ask_for_longer_within_the_bound() {
-    let mut backoff = Backoff::new(LEAST, MOST, 1);
+fn the_retry_after_delay_applies_up_to_the_maximum() {
+    let mut backoff = Backoff::new(MIN, MAX, 1);
     assert_eq!(
-        backoff.failed(Some(Duration::from_secs(2))),
+        backoff.record_failure(Some(Duration::from_secs(2))),
         Duration::from_secs(2)
     );
-    assert_eq!(backoff.failed(Some(Duration::from_secs(3600))), MOST);
+    assert_eq!(backoff.record_failure(Some(Duration::from_secs(3600))), MAX);
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,86 +1,92 @@
-//! Prefix cache: which prompt blocks an engine still holds, and its events.
+//! Prefix cache: the prompt blocks that an engine holds, and the events that report changes.
 
 use engine::load::CacheEvent;
 use std::collections::{HashMap, VecDeque};
 
-/// Events that a report carries at most.
-const EVENTS: usize = 128;
+/// Maximum number of events in a load report.
+const MAX_EVENTS: usize = 128;
 
-/// A cache of bounded size; the block used longest ago goes first.
+/// A cache of bounded size with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     size: usize,
-    /// One event in so many is lost; 0 loses none.
-    loss: u64,
-    used: HashMap<u64, u64>,
+    /// Every n-th event is dropped; 0 drops none.
+    loss_interval: u64,
+    /// Value of `clock` at the last use, by block.
+    last_used: HashMap<u64, u64>,
+    /// Number of block uses so far.
     clock: u64,
+    /// Number of the last event.
     number: u64,
     events: VecDeque<CacheEvent>,
 }
 
 impl Cache {
-    pub(super) fn new(size: usize, loss: u64) -> Self {
-        let (used, events) = (HashMap::new(), VecDeque::new());
+    pub(super) fn new(size: usize, loss_interval: u64) -> Self {
+        let (last_used, events) = (HashMap::new(), VecDeque::new());
         Self {
             size,
-            loss,
-            used,
+            loss_interval,
+            last_used,
             clock: 0,
             number: 0,
             events,
         }
     }
 
-    /// Blocks of the prefix that were held; all of them are held afterwards.
+    /// Returns the number of leading blocks of `prefix` that were cached, and caches the prefix up
+    /// to the capacity.
     pub(super) fn touch(&mut self, prefix: &[u64]) -> usize {
         let hits = prefix
             .iter()
-            .take_while(|block| self.used.contains_key(block))
+            .take_while(|block| self.last_used.contains_key(block))
             .count();
         for block in prefix.iter().take(self.size) {
             self.clock += 1;
-            if self.used.insert(*block, self.clock).is_none() {
-                self.report(*block, true);
+            if self.last_used.insert(*block, self.clock).is_none() {
+                self.record_event(*block, true);
             }
         }
         self.evict();
         hits
     }
 
-    /// The last events.
+    /// The most recent events, oldest first.
     pub(super) fn events(&self) -> Vec<CacheEvent> {
         self.events.iter().copied().collect()
     }
 
-    /// Forgets all blocks, as a restart does.
+    /// Removes all blocks and events, as after a restart. Event numbers continue.
     pub(super) fn clear(&mut self) {
-        self.used.clear();
+        self.last_used.clear();
         self.events.clear();
     }
 
+    /// Evicts the least recently used blocks beyond the capacity.
     fn evict(&mut self) {
-        let excess = self.used.len().saturating_sub(self.size);
+        let excess = self.last_used.len().saturating_sub(self.size);
         if excess == 0 {
             return;
         }
         let mut oldest: Vec<_> = self
-            .used
+            .last_used
             .iter()
             .map(|(block, used)| (*used, *block))
             .collect();
         oldest.sort_unstable();
         for (_, block) in oldest.into_iter().take(excess) {
-            self.used.remove(&block);
-            self.report(block, false);
+            self.last_used.remove(&block);
+            self.record_event(block, false);
         }
     }
 
-    fn report(&mut self, block: u64, stored: bool) {
+    /// Records an event, unless it is one that `loss_interval` drops.
+    fn record_event(&mut self, block: u64, stored: bool) {
         self.number += 1;
-        if self.loss > 0 && self.number.is_multiple_of(self.loss) {
+        if self.loss_interval > 0 && self.number.is_multiple_of(self.loss_interval) {
             return;
         }
-        if self.events.len() == EVENTS {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(CacheEvent {
--- a/crates/standin/src/engine/counts.rs
+++ b/crates/standin/src/engine/counts.rs
@@ -1,28 +1,28 @@
-//! Counts and the account of layers that ran.
+//! Counters of an engine, and the record of the layers that ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Counts since the engine was made; a restart doesn't reset them.
+/// Counters since the engine was created; a restart does not reset them.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests that got a slot.
+    /// Requests admitted to a slot.
     pub opened: AtomicU64,
-    /// Requests that were refused.
+    /// Requests refused.
     pub refused: AtomicU64,
-    /// Steps run.
+    /// Steps computed.
     pub steps: AtomicU64,
-    /// Positions run through all layers held for them, prefill included.
+    /// Token positions computed through the layers of their request, prefill included.
     pub positions: AtomicU64,
-    /// Requests whose caller ended them after its last step.
+    /// Requests that the caller ended normally after the last step.
     pub finished: AtomicU64,
-    /// Requests that were reset while they held a slot.
+    /// Admitted requests that ended by a reset, a protocol error or a crash.
     pub cancelled: AtomicU64,
-    /// Orders carried out.
+    /// Orders that passed the fencing check.
     pub orders: AtomicU64,
-    /// Orders refused for their fencing number.
-    pub old_fences: AtomicU64,
+    /// Orders refused for a stale fencing number.
+    pub stale_fences: AtomicU64,
 }
 
 impl Counters {
@@ -30,30 +30,30 @@
         counter.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Reads a count.
+    /// Reads a counter.
     pub fn get(counter: &AtomicU64) -> u64 {
         counter.load(Ordering::SeqCst)
     }
 }
 
-/// How often each layer ran for each position, in one attempt.
+/// Number of times that each layer ran for each position in one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runs {
     /// First layer of the range.
     pub from: u16,
-    /// By layer of the range, then by position.
+    /// Counts, indexed by layer of the range and then by position.
     pub counts: Vec<Vec<u32>>,
 }
 
 impl Runs {
-    /// Whether each layer ran exactly once for each of the first `positions` positions, and for
-    /// none beyond.
+    /// Returns whether each layer ran exactly once for each of the first `positions` positions and
+    /// for no further position.
     pub fn is_once(&self, positions: usize) -> bool {
         let once = |layer: &Vec<u32>| layer.len() == positions && layer.iter().all(|n| *n == 1);
         self.counts.iter().all(once)
     }
 
-    fn enter(&mut self, layer: u16, position: u64) {
+    fn record(&mut self, layer: u16, position: u64) {
         let Some(layer) = self.counts.get_mut(usize::from(layer - self.from)) else {
             return;
         };
@@ -72,32 +72,35 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Records {
     runs: BTreeMap<Key, Runs>,
+    /// Recorded attempts, oldest first.
     order: VecDeque<Key>,
 }
 
-/// The runs of the last attempts.
+/// Records the layer runs of the latest attempts, up to `size` attempts.
 #[derive(Debug)]
 pub(super) struct Ledger {
     size: usize,
-    kept: Mutex<Kept>,
+    records: Mutex<Records>,
 }
 
 impl Ledger {
     pub(super) fn new(size: usize) -> Self {
         Self {
             size,
-            kept: Mutex::default(),
+            records: Mutex::default(),
         }
     }
 
-    /// Whether anything is kept.
-    pub(super) fn is_on(&self) -> bool {
+    /// Returns whether runs are recorded.
+    pub(super) fn is_enabled(&self) -> bool {
         self.size > 0
     }
 
-    pub(super) fn enter(
+    /// Adds the layers that ran for one position of an attempt; a new attempt replaces
+    /// the oldest one if the ledger is full.
+    pub(super) fn record(
         &self,
         request: u128,
         attempt: u32,
@@ -105,24 +108,26 @@
         layers: &[u16],
         position: u64,
     ) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         let key = Key { request, attempt };
-        if !kept.runs.contains_key(&key) {
-            kept.order.push_back(key);
-            if kept.order.len() > self.size {
-                let oldest = kept.order.pop_front();
-                oldest.map(|oldest| kept.runs.remove(&oldest));
+        if !records.runs.contains_key(&key) {
+            records.order.push_back(key);
+            if records.order.len() > self.size {
+                let oldest = records.order.pop_front();
+                oldest.map(|oldest| records.runs.remove(&oldest));
             }
         }
-        let runs = kept.runs.entry(key).or_insert_with(|| Runs {
+        let runs = records.runs.entry(key).or_insert_with(|| Runs {
             from: range.start,
             counts: vec![Vec::new(); range.len()],
         });
-        layers.iter().for_each(|layer| runs.enter(*layer, position));
+        layers
+            .iter()
+            .for_each(|layer| runs.record(*layer, position));
     }
 
     pub(super) fn get(&self, request: u128, attempt: u32) -> Option<Runs> {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.runs.get(&Key { request, attempt }).cloned()
+        let records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
+        records.runs.get(&Key { request, attempt }).cloned()
     }
 }
--- a/crates/standin/src/engine/stage/io.rs
+++ b/crates/standin/src/engine/stage/io.rs
@@ -1,19 +1,19 @@
-//! Frames of a stream, as the stage sees them.
+//! Reads calls from a stage's stream and writes replies to it.
 
-use super::{Gone, Result};
+use super::{Result, StreamClosed};
 use bytes::{Bytes, BytesMut};
 use engine::frame::{self, Call, Item, Reader, Reply};
 use h2::{Reason, RecvStream, SendStream};
 use std::future::poll_fn;
 
-/// Both directions of a stream.
-pub(super) struct Io {
+/// Framed reader and writer of both directions of a stream.
+pub(super) struct FrameStream {
     sender: SendStream<Bytes>,
     body: RecvStream,
     reader: Reader<Call>,
 }
 
-impl Io {
+impl FrameStream {
     pub(super) fn new(sender: SendStream<Bytes>, body: RecvStream) -> Self {
         Self {
             sender,
@@ -27,20 +27,21 @@
         self.sender.send_reset(reason);
     }
 
-    /// Sends bytes that need not be a frame.
+    /// Sends raw bytes, which need not be a valid frame.
     pub(super) fn send(&mut self, bytes: Bytes, end: bool) -> Result<()> {
-        self.sender.send_data(bytes, end).map_err(|_| Gone)
+        self.sender.send_data(bytes, end).map_err(|_| StreamClosed)
     }
 
-    /// The next call; `None` when the caller ended its side.
+    /// Reads the next call; `None` when the caller ended its side.
     pub(super) async fn call(&mut self) -> Result<Option<Call>> {
         match self.item().await? {
             None => Ok(None),
             Some(Item::Head(call)) => Ok(Some(call)),
-            Some(Item::Payload(_)) => Err(Gone),
+            Some(Item::Payload(_)) => Err(StreamClosed),
         }
     }
 
+    /// Reads a payload of `length` bytes.
     pub(super) async fn payload(&mut self, length: u32) -> Result<Bytes> {
         let length = length as usize;
         let mut bytes = BytesMut::new();
@@ -48,7 +49,7 @@
             match self.item().await? {
                 Some(Item::Payload(piece)) if piece.len() == length => return Ok(piece),
                 Some(Item::Payload(piece)) => bytes.extend_from_slice(&piece),
-                _ => return Err(Gone),
+                _ => return Err(StreamClosed),
             }
         }
         Ok(bytes.freeze())
@@ -56,28 +57,30 @@
 
     async fn item(&mut self) -> Result<Option<Item<Call>>> {
         loop {
-            if let Some(item) = self.reader.read().map_err(|_| Gone)? {
+            if let Some(item) = self.reader.read().map_err(|_| StreamClosed)? {
                 return Ok(Some(item));
             }
             let Some(chunk) = self.body.data().await else {
-                return if self.reader.is_between() {
+                return if self.reader.is_at_frame_end() {
                     Ok(None)
                 } else {
-                    Err(Gone)
+                    Err(StreamClosed)
                 };
             };
-            let chunk = chunk.map_err(|_| Gone)?;
+            let chunk = chunk.map_err(|_| StreamClosed)?;
             let _ = self.body.flow_control().release_capacity(chunk.len());
             self.reader.push(chunk);
         }
     }
 
-    /// Queues a reply; the connection sends it as the caller's window allows.
+    /// Queues a reply; the connection sends it as the caller's flow-control window allows.
     pub(super) fn reply(&mut self, reply: &Reply, payload: Bytes, end: bool) -> Result<()> {
         let mut buf = BytesMut::new();
-        frame::encode(reply, &mut buf).map_err(|_| Gone)?;
+        frame::encode(reply, &mut buf).map_err(|_| StreamClosed)?;
         buf.extend_from_slice(&payload);
-        self.sender.send_data(buf.freeze(), end).map_err(|_| Gone)
+        self.sender
+            .send_data(buf.freeze(), end)
+            .map_err(|_| StreamClosed)
     }
 
     /// Waits until the caller resets the stream.
@@ -85,11 +88,11 @@
         let _ = poll_fn(|cx| self.sender.poll_reset(cx)).await;
     }
 
-    /// Runs work until it is done or the caller resets the stream.
+    /// Runs `work` to completion, or fails when the caller resets the stream first.
     pub(super) async fn until_reset<T>(&mut self, work: impl Future<Output = T>) -> Result<T> {
         tokio::select! {
             biased;
-            () = self.reset() => Err(Gone),
+            () = self.reset() => Err(StreamClosed),
             done = work => Ok(done),
         }
     }
--- a/crates/standin/src/engine/status.rs
+++ b/crates/standin/src/engine/status.rs
@@ -1,11 +1,11 @@
-//! Load reports and orders.
+//! Load reports, and the execution of orders.
 
 use super::Span;
 use super::counts::Counters;
-use super::state::{Held, Snapshot, State, lock};
+use super::state::{Holding, Snapshot, State, lock};
 use bytes::{Bytes, BytesMut};
 use engine::load::{Loaded, Report};
-use engine::order::{Answer, Order, What};
+use engine::order::{Answer, Command, Order};
 use h2::RecvStream;
 use h2::server::SendResponse;
 use http::{Response, StatusCode};
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest order in bytes.
-const ORDER_LIMIT: usize = 64 << 10;
+/// Maximum size of an order.
+const MAX_ORDER_BYTES: usize = 64 << 10;
 
-/// Renews the load report as often as the lag says.
-pub(super) async fn keep(state: Arc<State>) {
+/// Takes a load report once per `report_lag`; with a zero lag, reports are built on request.
+pub(super) async fn refresh_report(state: Arc<State>) {
     let lag = state.config.report_lag;
     if lag.is_zero() {
         *lock(&state.snapshot) = None;
@@ -27,13 +27,14 @@
     loop {
         let snapshot = Snapshot {
             report: report(&state),
-            made: Instant::now(),
+            taken_at: Instant::now(),
         };
         *lock(&state.snapshot) = Some(snapshot);
         sleep(lag).await;
     }
 }
 
+/// Builds a load report of the current state.
 fn report(state: &State) -> Report {
     let now = Instant::now();
     let held = lock(&state.held);
@@ -57,12 +58,12 @@
     }
 }
 
-/// Answers with the last report.
+/// Answers with the latest snapshot and its age, or with a new report if none is kept.
 pub(super) fn load(state: &State, mut respond: SendResponse<Bytes>) {
     let kept = lock(&state.snapshot).clone();
     let report = match kept {
-        Some(Snapshot { report, made }) => Report {
-            age: made.elapsed(),
+        Some(Snapshot { report, taken_at }) => Report {
+            age: taken_at.elapsed(),
             ..report
         },
         None => report(state),
@@ -71,7 +72,7 @@
     answer(&mut respond, StatusCode::OK, body.into());
 }
 
-/// Carries out an order.
+/// Reads an order from a request body, executes it and answers with the result.
 pub(super) async fn order(
     state: Arc<State>,
     mut body: RecvStream,
@@ -81,26 +82,27 @@
     while let Some(Ok(chunk)) = body.data().await {
         let _ = body.flow_control().release_capacity(chunk.len());
         bytes.extend_from_slice(&chunk);
-        if bytes.len() > ORDER_LIMIT {
+        if bytes.len() > MAX_ORDER_BYTES {
             return answer(&mut respond, StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
         }
     }
     let Ok(order) = serde_json::from_slice::<Order>(&bytes) else {
         return answer(&mut respond, StatusCode::BAD_REQUEST, Bytes::new());
     };
-    let body = serde_json::to_vec(&obey(&state, order)).unwrap_or_default();
+    let body = serde_json::to_vec(&execute(&state, order)).unwrap_or_default();
     answer(&mut respond, StatusCode::OK, body.into());
 }
 
-fn obey(state: &State, order: Order) -> Answer {
+/// Checks an order's fencing number and applies its command.
+fn execute(state: &State, order: Order) -> Answer {
     let highest = state.fence.fetch_max(order.fence, Ordering::SeqCst);
     if state.config.fenced && order.fence < highest {
-        Counters::add(&state.counters.old_fences);
+        Counters::add(&state.counters.stale_fences);
         return Answer::OldFence;
     }
     Counters::add(&state.counters.orders);
-    match order.what {
-        What::Load {
+    match order.command {
+        Command::Load {
             model,
             version,
             layers,
@@ -109,7 +111,7 @@
             to,
         } => {
             let adapters = Some(adapters);
-            hold(
+            load_span(
                 state,
                 Span {
                     model,
@@ -121,20 +123,22 @@
                 },
             )
         }
-        What::Unload { model, version } => {
+        Command::Unload { model, version } => {
             let is_other =
-                |held: &Held| (&held.span.model, &held.span.version) != (&model, &version);
+                |held: &Holding| (&held.span.model, &held.span.version) != (&model, &version);
             lock(&state.held).retain(is_other);
             Answer::Done
         }
-        What::Serve(on) => {
+        Command::Serve(on) => {
             state.fault.leaving.store(!on, Ordering::SeqCst);
             Answer::Done
         }
     }
 }
 
-fn hold(state: &State, span: Span) -> Answer {
+/// Starts to load a range, which replaces the model version's previous range. A range that is
+/// already loaded or being loaded is left unchanged.
+fn load_span(state: &State, span: Span) -> Answer {
     if span.from >= span.to || span.to > span.layers {
         return Answer::Refused;
     }
@@ -143,14 +147,14 @@
         return Answer::Done;
     }
     held.retain(|other| (&other.span.model, &other.span.version) != (&span.model, &span.version));
-    held.push(Held {
+    held.push(Holding {
         span,
         ready_at: Instant::now() + state.config.load_time,
     });
     Answer::Done
 }
 
-/// Sends a whole answer.
+/// Sends a complete response.
 pub(super) fn answer(respond: &mut SendResponse<Bytes>, status: StatusCode, body: Bytes) {
     let mut response = Response::new(());
     *response.status_mut() = status;
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults shared by the stand-ins, and the server that brings them about.
+//! Faults of the platform stand-ins, and the HTTP server that injects them.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -15,113 +15,118 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Largest body a stand-in takes, in bytes.
-const MAX_BODY: usize = 8 << 20;
-/// How often a request held by a silent service looks whether it speaks again.
-const SILENT_STEP: Duration = Duration::from_millis(20);
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// Interval at which a request to an unresponsive service checks whether the mode has changed.
+const MODE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a service behaves as a whole.
+/// Availability of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It answers.
+    /// Answers requests.
     Up,
-    /// It closes every connection without an answer or an effect.
+    /// Closes every connection without an answer or an effect.
     Down,
-    /// It takes connections and requests, and neither acts nor answers.
-    Silent,
+    /// Accepts connections and requests but neither executes nor answers them.
+    Unresponsive,
 }
 
-/// Switches of one stand-in.
+/// Fault switches and counters of one stand-in.
 #[derive(Debug, Default)]
 pub struct Faults {
     mode: AtomicU8,
-    delay: AtomicU64,
-    lose: AtomicU32,
-    lost: AtomicU64,
+    delay_us: AtomicU64,
+    answers_to_drop: AtomicU32,
+    dropped_answers: AtomicU64,
     calls: AtomicU64,
     connections: AtomicU64,
+    /// Closes all open connections when cancelled.
     cut: Mutex<CancellationToken>,
 }
 
 impl Faults {
-    /// Sets the mode; leaving [`Mode::Up`] for [`Mode::Down`] closes what is open.
-    pub fn set(&self, mode: Mode) {
+    /// Sets the mode. [`Mode::Down`] also closes all open connections.
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.store(mode as u8, Relaxed);
         if mode == Mode::Down {
-            let fresh = CancellationToken::new();
-            std::mem::replace(&mut *lock(&self.cut), fresh).cancel();
+            let renewed = CancellationToken::new();
+            std::mem::replace(&mut *lock(&self.cut), renewed).cancel();
         }
     }
 
-    /// The mode.
+    /// Current mode.
     pub fn mode(&self) -> Mode {
         match self.mode.load(Relaxed) {
             0 => Mode::Up,
             1 => Mode::Down,
-            _ => Mode::Silent,
+            _ => Mode::Unresponsive,
         }
     }
 
-    /// Makes each call take this much longer before its effect.
-    pub fn slow(&self, delay: Duration) {
-        self.delay.store(
+    /// Delays each call by `delay` before its effect.
+    pub fn set_delay(&self, delay: Duration) {
+        self.delay_us.store(
             u64::try_from(delay.as_micros()).unwrap_or(u64::MAX),
             Relaxed,
         );
     }
 
-    /// Loses the answers of the next `count` writes, after their effect.
-    pub fn lose(&self, count: u32) {
-        self.lose.store(count, Relaxed);
+    /// Drops the answers to the next `count` writes, after their effect, by closing the connection.
+    pub fn drop_answers(&self, count: u32) {
+        self.answers_to_drop.store(count, Relaxed);
     }
 
-    /// Answers lost so far.
-    pub fn lost(&self) -> u64 {
-        self.lost.load(Relaxed)
+    /// Number of answers dropped so far.
+    pub fn dropped_answers(&self) -> u64 {
+        self.dropped_answers.load(Relaxed)
     }
 
-    /// Calls that came so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Relaxed)
     }
 
-    /// Connections taken so far.
+    /// Number of connections accepted so far, except those closed at once in [`Mode::Down`].
     pub fn connections(&self) -> u64 {
         self.connections.load(Relaxed)
     }
 
-    fn loses(&self) -> bool {
-        let taken = self
-            .lose
+    /// Returns whether the answer to this write is to be dropped, and counts it.
+    fn take_answer_drop(&self) -> bool {
+        let is_dropped = self
+            .answers_to_drop
             .fetch_update(Relaxed, Relaxed, |n| n.checked_sub(1))
             .is_ok();
-        self.lost.fetch_add(u64::from(taken), Relaxed);
-        taken
+        self.dropped_answers
+            .fetch_add(u64::from(is_dropped), Relaxed);
+        is_dropped
     }
 
+    /// Returns the token that cuts connections accepted now.
     fn token(&self) -> CancellationToken {
         lock(&self.cut).clone()
     }
 
-    async fn hold(&self) {
-        while self.mode() == Mode::Silent {
-            tokio::time::sleep(SILENT_STEP).await;
+    /// Waits while the service is unresponsive, and then for the configured delay.
+    async fn wait(&self) {
+        while self.mode() == Mode::Unresponsive {
+            tokio::time::sleep(MODE_POLL_INTERVAL).await;
         }
-        tokio::time::sleep(Duration::from_micros(self.delay.load(Relaxed))).await;
+        tokio::time::sleep(Duration::from_micros(self.delay_us.load(Relaxed))).await;
     }
 }
 
-/// A service's answer, and whether it is to a write, so that [`Faults::lose`] applies.
+/// A service's answer; [`Faults::drop_answers`] applies to it if it answers a write.
 #[derive(Debug)]
 pub struct Answer {
-    /// The response.
+    /// HTTP response.
     pub response: Response<Full<Bytes>>,
-    /// Whether a write took effect.
+    /// Whether the request was a write that took effect.
     pub written: bool,
 }
 
 impl Answer {
-    /// An answer with a status and a body.
+    /// Creates an answer with a status and a body.
     pub fn new(status: StatusCode, body: impl Into<Bytes>) -> Self {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
@@ -131,7 +136,7 @@
         }
     }
 
-    /// A JSON answer.
+    /// Creates an answer with a JSON body.
     pub fn json(value: &impl serde::Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self::new(StatusCode::OK, body),
@@ -139,7 +144,7 @@
         }
     }
 
-    /// The same answer, to a write that took effect.
+    /// Marks the answer as that of a write that took effect.
     pub fn written(self) -> Self {
         Self {
             written: true,
@@ -148,22 +153,22 @@
     }
 }
 
-/// What a stand-in does with a request.
+/// Request handler of a stand-in.
 pub trait Service: Send + Sync + 'static {
-    /// Answers a request whose body has been read.
+    /// Answers a request whose body was read completely.
     fn answer(&self, request: Request<Bytes>) -> impl Future<Output = Answer> + Send;
 }
 
-/// A running stand-in's listener; it stops when this is dropped.
+/// Listener of a running stand-in; dropping it stops the stand-in.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
     stop: CancellationToken,
 }
 
 impl Server {
-    /// Listens on `addr` and serves until dropped.
+    /// Listens on `addr` and serves requests until dropped.
     pub async fn start<S: Service>(
         addr: SocketAddr,
         faults: Arc<Faults>,
@@ -188,6 +193,7 @@
     }
 }
 
+/// Accepts connections, and serves each until it ends, is cut by a fault or the server stops.
 async fn accept<S: Service>(
     listener: TcpListener,
     faults: Arc<Faults>,
@@ -218,38 +224,38 @@
 async fn serve<S: Service>(stream: TcpStream, faults: Arc<Faults>, service: Arc<S>) {
     stream.set_nodelay(true).ok();
     let handler = service_fn(move |request| respond(request, faults.clone(), service.clone()));
-    // An error here is a connection that ended early, which is the client's to notice.
+    // An error means that the connection ended early; the client sees that itself.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), handler)
         .await;
 }
 
-/// An error closes the connection without an answer.
+/// Handles one request; an error closes the connection without an answer.
 async fn respond<S: Service>(
     request: Request<Incoming>,
     faults: Arc<Faults>,
     service: Arc<S>,
 ) -> io::Result<Response<Full<Bytes>>> {
     faults.calls.fetch_add(1, Relaxed);
-    faults.hold().await;
+    faults.wait().await;
     if faults.mode() == Mode::Down {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     let (parts, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, MAX_BODY).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         return Ok(Answer::new(StatusCode::PAYLOAD_TOO_LARGE, "").response);
     };
     let answer = service
         .answer(Request::from_parts(parts, body.to_bytes()))
         .await;
-    if answer.written && faults.loses() {
+    if answer.written && faults.take_answer_drop() {
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     Ok(answer.response)
 }
 
-/// Locks a mutex that no holder leaves half-changed.
+/// Locks a mutex and ignores poisoning: no holder leaves the data inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,9 +1,9 @@
-//! The instance list.
+//! A stand-in for the platform's instance list.
 
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
 use http::{Request, StatusCode};
-use platform::format::{INSTANCES, Instances, Item};
+use platform::format::{INSTANCES_PATH, Instances, Item};
 use platform::instance::Instance;
 use std::io;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A running instance list; it stops when this is dropped.
+/// A running instance list; dropping it stops the server.
 #[derive(Debug)]
 pub struct List {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Fault switches of the server.
     pub faults: Arc<Faults>,
     store: Arc<Store>,
     _server: Server,
 }
 
 impl List {
-    /// Starts a list with these instances.
+    /// Starts a list that shows `instances`.
     pub async fn start(addr: SocketAddr, instances: Vec<Instance>) -> io::Result<Self> {
         let faults = Arc::new(Faults::default());
         let store = Arc::new(Store::default());
@@ -37,13 +37,13 @@
         })
     }
 
-    /// Sets how long a change takes until the list shows it.
-    pub fn lag(&self, lag: Duration) {
+    /// Sets the delay until the list shows a change; applies to later changes.
+    pub fn set_lag(&self, lag: Duration) {
         lock(&self.store.state).lag = lag;
     }
 
-    /// Changes what is true; the list shows it after its lag.
-    pub fn set(&self, instances: Vec<Instance>) {
+    /// Changes the instances; the list shows the change after its lag.
+    pub fn set_instances(&self, instances: Vec<Instance>) {
         let mut state = lock(&self.store.state);
         let due = Instant::now() + state.lag;
         state.changes.push((due, instances));
@@ -54,6 +54,7 @@
 struct State {
     lag: Duration,
     shown: Vec<Instance>,
+    /// Pending changes, with the time at which the list shows them.
     changes: Vec<(Instant, Vec<Instance>)>,
 }
 
@@ -64,7 +65,7 @@
 
 impl Service for Store {
     async fn answer(&self, request: Request<Bytes>) -> Answer {
-        if request.uri().path() != INSTANCES {
+        if request.uri().path() != INSTANCES_PATH {
             return Answer::new(StatusCode::NOT_FOUND, "");
         }
         let mut state = lock(&self.state);
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! A stand-in for the platform's log service.
 
 use crate::fault::{Answer, Faults, Server, Service, lock};
 use bytes::Bytes;
@@ -14,17 +14,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// Largest page given, in bytes of bodies; a page holds at least one record.
-const MAX_PAGE: usize = 1 << 20;
-/// Longest wait of a read.
+/// Maximum size of a page, in bytes of record bodies. A page always includes the first available
+/// record, even if that is larger.
+const MAX_PAGE_BYTES: usize = 1 << 20;
+/// Maximum time that a read waits for records.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// A running log service; it stops when this is dropped.
+/// A running log service; dropping it stops the server.
 #[derive(Debug)]
 pub struct Log {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Fault switches of the server.
     pub faults: Arc<Faults>,
     store: Arc<Store>,
     _server: Server,
@@ -44,27 +45,27 @@
         })
     }
 
-    /// Allows this many appends a second; 0 lifts the limit.
-    pub fn limit(&self, appends: u32) {
+    /// Limits the appends per second; 0 removes the limit.
+    pub fn set_append_rate(&self, appends: u32) {
         self.store.rate.store(appends, Relaxed);
     }
 
-    /// Drops the records of a stream below `first`, as retention does.
+    /// Drops the records of a stream below the offset `first`, as retention does.
     pub fn trim(&self, stream: &str, first: Offset) {
         lock(&self.store.state).stream(stream).trim(first);
     }
 
-    /// Keeps at most this many records of every stream from now on; 0 keeps all.
-    pub fn retain(&self, records: usize) {
+    /// Retains at most `records` records of each stream at later appends; 0 retains all.
+    pub fn set_retention(&self, records: usize) {
         lock(&self.store.state).retain = records;
     }
 
-    /// Appends past all faults, as another program would have done.
+    /// Appends a record directly, without faults or rate limit, as if by another client.
     pub fn append(&self, stream: &str, body: Bytes) -> Offset {
         self.store.append(stream, body)
     }
 
-    /// The records that a stream holds, with their offsets.
+    /// Returns the retained records of a stream with their offsets.
     pub fn records(&self, stream: &str) -> Vec<(Offset, Bytes)> {
         let mut state = lock(&self.store.state);
         let stream = state.stream(stream);
@@ -73,8 +74,8 @@
             .collect()
     }
 
-    /// Appends that took effect, over all streams.
-    pub fn appends(&self) -> u64 {
+    /// Number of appends that took effect, over all streams.
+    pub fn append_count(&self) -> u64 {
         *self.store.changed.borrow()
     }
 }
@@ -90,22 +91,25 @@
         self.first + self.records.len() as u64
     }
 
+    /// Drops the records below the offset `first`.
     fn trim(&mut self, first: Offset) {
         while self.first < first && self.records.pop_front().is_some() {
             self.first += 1;
         }
     }
 
+    /// Returns the records from `from` on, or from the first retained one, up to
+    /// [`MAX_PAGE_BYTES`].
     fn page(&self, from: Offset) -> Page {
         let start = from.max(self.first);
         let skip = usize::try_from(start - self.first).unwrap_or(usize::MAX);
-        let mut room = MAX_PAGE;
+        let mut remaining_bytes = MAX_PAGE_BYTES;
         let mut records = Vec::new();
         for (offset, body) in (start..).zip(self.records.iter().skip(skip)) {
-            if !records.is_empty() && body.len() > room {
+            if !records.is_empty() && body.len() > remaining_bytes {
                 break;
             }
-            room = room.saturating_sub(body.len());
+            remaining_bytes = remaining_bytes.saturating_sub(body.len());
             records.push(Record {
                 offset,
                 body: body.to_vec(),
@@ -123,9 +127,11 @@
 #[derive(Debug, Default)]
 struct State {
     streams: BTreeMap<String, Stream>,
+    /// Maximum number of records in a stream; 0 is unlimited.
     retain: usize,
+    /// Tokens in the bucket of the append limit.
     tokens: f64,
-    filled: Option<Instant>,
+    refilled_at: Option<Instant>,
 }
 
 impl State {
@@ -133,15 +139,15 @@
         self.streams.entry(name.to_owned()).or_default()
     }
 
-    /// Takes one append from a bucket that holds a second's worth.
+    /// Takes one token from a token bucket that holds the tokens of one second.
     fn admit(&mut self, rate: u32) -> bool {
         if rate == 0 {
             return true;
         }
         let now = Instant::now();
         let rate = f64::from(rate);
-        let passed = self.filled.map_or(1.0, |t| (now - t).as_secs_f64());
-        self.filled = Some(now);
+        let passed = self.refilled_at.map_or(1.0, |t| (now - t).as_secs_f64());
+        self.refilled_at = Some(now);
         self.tokens = (self.tokens + passed * rate).min(rate);
         let enough = self.tokens >= 1.0;
         if enough {
@@ -154,8 +160,9 @@
 #[derive(Debug)]
 struct Store {
     state: Mutex<State>,
+    /// Allowed appends per second; 0 is unlimited.
     rate: AtomicU32,
-    /// Number of appends, watched by reads that wait.
+    /// Number of appends; waiting reads watch it.
     changed: watch::Sender<u64>,
 }
 
@@ -185,6 +192,7 @@
         offset
     }
 
+    /// Appends a record for a client, subject to the rate limit.
     fn write(&self, stream: &str, body: Bytes) -> Answer {
         let admitted = lock(&self.state).admit(self.rate.load(Relaxed));
         if !admitted {
@@ -200,14 +208,16 @@
         Answer::json(&Appended { offset }).written()
     }
 
+    /// Reads a page; waits until there are records at or after `from`, a gap shows or `wait` is
+    /// over.
     async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Answer {
         let mut changed = self.changed.subscribe();
         let end = Instant::now() + wait.min(MAX_WAIT);
         loop {
             changed.borrow_and_update();
             let page = self.page(stream, from);
-            let news = !page.records.is_empty() || page.first > from;
-            if news || timeout_at(end, changed.changed()).await.is_err() {
+            let has_update = !page.records.is_empty() || page.first > from;
+            if has_update || timeout_at(end, changed.changed()).await.is_err() {
                 return Answer::new(StatusCode::OK, page.encode());
             }
         }
@@ -234,10 +244,12 @@
     }
 }
 
+/// Returns the stream name in the path of a log request.
 fn stream(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/streams/")?.strip_suffix("/records")
 }
 
+/// Returns the value of a numeric query parameter.
 fn number(query: &str, name: &str) -> Option<u64> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,12 +1,12 @@
-//! A stand-in for a plain service. A `POST` has an effect, which is counted by its idempotency key,
-//! or by its body where it has none; the answer is text that only this path and body give.
+//! A stand-in for a plain service. The effect of a `POST` is counted by its idempotency key, or by
+//! its body if it has no key. The answer is text derived from the path and the body.
 
 mod fault;
 
-use crate::life::{self, Gate, Life, Serve, lock};
+use crate::lifecycle::{self, Connection, Lifecycle, Serve, lock};
 use bytes::Bytes;
+pub use fault::CrashPoint;
 use fault::Fault;
-pub use fault::Moment;
 use futures::{StreamExt, stream};
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
@@ -26,24 +26,24 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Header that names a call, so that a second one with the same name can be told.
-pub const KEY: &str = "idempotency-key";
+/// Header with the idempotency key, which identifies retries of the same call.
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Longest body of a call.
-const BODY_LIMIT: usize = 16 << 20;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How a service is set up.
+/// Configuration of a service.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where to listen; port 0 takes any.
+    /// Address to listen on; port 0 picks a free port.
     pub addr: SocketAddr,
-    /// Pieces that an answer is sent in; one piece has a length, more are chunked.
+    /// Number of pieces of an answer. One piece is sent with a content length, several are chunked.
     pub pieces: usize,
-    /// Wait before each piece but the first.
+    /// Delay before each piece except the first.
     pub piece_time: Duration,
-    /// Bytes of each piece, at least.
+    /// Minimum size of a piece, in bytes.
     pub piece_bytes: usize,
-    /// When it comes back by itself after a crash; `None` waits for [`Handle::restart`].
+    /// Delay of the automatic restart after a crash; `None` waits for [`Handle::restart`].
     pub restart_after: Option<Duration>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The text that answers a call, by piece.
+/// Returns the expected answer to a call, by piece.
 pub fn answer(config: &Config, path: &str, body: &[u8]) -> Vec<String> {
     let hash = xxh3_64(body);
     let piece = |number: usize| {
@@ -72,8 +72,9 @@
 #[derive(Debug)]
 struct State {
     config: Config,
-    life: Life,
+    lifecycle: Lifecycle,
     fault: Fault,
+    /// Number of effects, by idempotency key or body.
     effects: Mutex<BTreeMap<String, u64>>,
     calls: AtomicU64,
 }
@@ -85,30 +86,30 @@
 impl Service {
     /// Starts a service on the current runtime.
     pub async fn start(config: Config) -> io::Result<Handle> {
-        let listener = life::bind(config.addr).await?;
+        let listener = lifecycle::bind(config.addr).await?;
         let addr = listener.local_addr()?;
         let state = Arc::new(State {
-            life: Life::new(addr, config.restart_after),
+            lifecycle: Lifecycle::new(addr, config.restart_after),
             fault: Fault::default(),
             effects: Mutex::default(),
             calls: AtomicU64::new(0),
             config,
         });
-        life::start(&state, listener);
+        lifecycle::start(&state, listener);
         Ok(Handle { addr, state })
     }
 }
 
-/// A running service: its switches for faults and its counts.
+/// Controls the faults of a running service and reads its counters.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// Where it listens.
+    /// Address that the service listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
 
 impl Handle {
-    /// Effects of calls with this key, or this body where they have no key.
+    /// Number of effects of calls with this idempotency key, or with this body if they had no key.
     pub fn effects(&self, key: &str) -> u64 {
         lock(&self.state.effects)
             .get(key)
@@ -116,58 +117,59 @@
             .unwrap_or_default()
     }
 
-    /// Effects of all calls.
+    /// Number of effects by idempotency key or body, of all calls.
     pub fn all_effects(&self) -> BTreeMap<String, u64> {
         lock(&self.state.effects).clone()
     }
 
-    /// Calls that arrived whole.
-    pub fn calls(&self) -> u64 {
+    /// Number of calls received completely, health checks excluded.
+    pub fn call_count(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted so far.
-    pub fn connections(&self) -> u64 {
-        self.state.life.connections()
+    /// Number of connections accepted so far.
+    pub fn connection_count(&self) -> u64 {
+        self.state.lifecycle.connection_count()
     }
 
-    /// Dies now: the listener and all connections close. Counts of effects are kept.
-    pub fn die(&self) {
-        life::die(&self.state);
+    /// Crashes the service: the listener and all connections close. Counts of effects are kept.
+    pub fn crash(&self) {
+        lifecycle::crash(&self.state);
     }
 
-    /// Dies at this moment of each call.
-    pub fn die_at(&self, moment: Option<Moment>) {
-        self.state.fault.set_die(moment);
+    /// Crashes the service at this point of each call; `None` turns this off.
+    pub fn crash_at(&self, point: Option<CrashPoint>) {
+        self.state.fault.set_crash(point);
     }
 
-    /// Comes back on the same address.
+    /// Restarts a crashed service on the same address.
     pub async fn restart(&self) -> io::Result<()> {
-        life::restart(&self.state).await
+        lifecycle::restart(&self.state).await
     }
 
-    /// Goes silent on the connections open now; new ones work.
-    pub fn silence_open(&self) {
-        self.state.life.silence_open();
+    /// Stops answering on the connections that are open now; new connections work.
+    pub fn hang_open_connections(&self) {
+        self.state.lifecycle.hang_open_connections();
     }
 
-    /// Goes silent wholly: connections are accepted and nothing is answered.
-    pub fn silence(&self, on: bool) {
-        self.state.life.silence(on);
+    /// Accepts connections but answers nothing on any of them while `on`. Connections that were
+    /// used meanwhile stay unresponsive after it is turned off.
+    pub fn set_unresponsive(&self, on: bool) {
+        self.state.lifecycle.set_unresponsive(on);
     }
 
-    /// Has its effect and begins its answer this much late.
-    pub fn late(&self, by: Duration) {
-        self.state.fault.set_late(by);
+    /// Delays the effect and the answer of each call by `delay`.
+    pub fn set_delay(&self, delay: Duration) {
+        self.state.fault.set_delay(delay);
     }
 
-    /// Cuts each answer off in the middle.
-    pub fn halve(&self, on: bool) {
-        self.state.fault.half.store(on, Ordering::SeqCst);
+    /// Truncates each answer to about half and then closes the connection, while `on`.
+    pub fn truncate_answers(&self, on: bool) {
+        self.state.fault.truncate.store(on, Ordering::SeqCst);
     }
 
-    /// Refuses each call with 503 and `retry-after: 1`, without an effect.
-    pub fn busy(&self, on: bool) {
+    /// Refuses each call with status 503 and `retry-after: 1`, without an effect, while `on`.
+    pub fn set_busy(&self, on: bool) {
         self.state.fault.busy.store(on, Ordering::SeqCst);
     }
 }
@@ -176,19 +178,21 @@
 type Answer = StreamBody<Pin<Box<dyn futures::Stream<Item = Piece> + Send>>>;
 
 impl Serve for State {
-    fn life(&self) -> &Life {
-        &self.life
+    fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
-    fn begin(self: &Arc<Self>) {}
+    fn on_start(self: &Arc<Self>) {}
 
-    async fn serve(self: Arc<Self>, gate: Gate) {
+    async fn serve(self: Arc<Self>, connection: Connection) {
         let service = service_fn(move |request| {
             let state = self.clone();
             async move { Ok::<_, Infallible>(state.call(request).await) }
         });
         let server = auto::Builder::new(TokioExecutor::new());
-        let _ = server.serve_connection(TokioIo::new(gate), service).await;
+        let _ = server
+            .serve_connection(TokioIo::new(connection), service)
+            .await;
     }
 }
 
@@ -199,7 +203,7 @@
         if parts.method == Method::GET && path == "/health" {
             return plain(StatusCode::OK);
         }
-        let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
+        let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
             return plain(StatusCode::BAD_REQUEST);
         };
         let body = body.to_bytes();
@@ -209,20 +213,21 @@
             response.headers_mut().insert(RETRY_AFTER, 1.into());
             return response;
         }
-        self.crash(Moment::Before).await;
-        sleep(self.fault.late()).await;
+        self.crash_if_due(CrashPoint::Before).await;
+        sleep(self.fault.delay()).await;
         if parts.method == Method::POST {
             *lock(&self.effects)
                 .entry(key(&parts.headers, &body))
                 .or_default() += 1;
         }
-        self.crash(Moment::After).await;
+        self.crash_if_due(CrashPoint::After).await;
         self.answer(&path, &body)
     }
 
-    async fn crash(self: &Arc<Self>, moment: Moment) {
-        if self.fault.die() == Some(moment) {
-            life::die(self);
+    /// Crashes the service if the fault switch selects this point, and then never returns.
+    async fn crash_if_due(self: &Arc<Self>, point: CrashPoint) {
+        if self.fault.crash() == Some(point) {
+            lifecycle::crash(self);
             futures::future::pending::<()>().await;
         }
     }
@@ -234,8 +239,8 @@
             .collect();
         let length = answer(&self.config, path, body).concat().len();
         let is_single = pieces.len() == 1;
-        if self.fault.half.load(Ordering::SeqCst) {
-            cut(&mut pieces);
+        if self.fault.truncate.load(Ordering::SeqCst) {
+            truncate(&mut pieces);
         }
         let wait = self.config.piece_time;
         let pieces =
@@ -253,8 +258,9 @@
     }
 }
 
-/// Leaves the first half, and an error that closes the connection.
-fn cut(pieces: &mut Vec<Piece>) {
+/// Keeps the first half of the pieces, or of a single piece, and appends an error that closes the
+/// connection.
+fn truncate(pieces: &mut Vec<Piece>) {
     let half = pieces.len() / 2;
     pieces.truncate(half.max(1));
     if let [Ok(frame)] = pieces.as_mut_slice()
@@ -265,12 +271,15 @@
     pieces.push(Err(io::ErrorKind::ConnectionReset.into()));
 }
 
-/// What names a call.
+/// Returns the idempotency key of a call, or its body if it has none.
 fn key(headers: &HeaderMap, body: &[u8]) -> String {
-    let named = headers.get(KEY).and_then(|key| key.to_str().ok());
+    let named = headers
+        .get(IDEMPOTENCY_KEY)
+        .and_then(|key| key.to_str().ok());
     named.map_or_else(|| String::from_utf8_lossy(body).into_owned(), str::to_owned)
 }
 
+/// Creates a response without a body.
 fn plain(status: StatusCode) -> Response<Answer> {
     let mut response = Response::new(StreamBody::new(stream::empty().boxed()));
     *response.status_mut() = status;
--- a/crates/standin/tests/driver/silent.rs
+++ b/crates/standin/tests/driver/silent.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent, and answers that come late.
+//! Unresponsive connections, and delayed answers.
 
 use crate::common::{LAYERS, LIMIT, expected, job, pipeline, run, run_with, tokens, until};
 use engine::chain::{Cause, Event};
@@ -6,14 +6,14 @@
 use standin::engine::{Config, Counters};
 use std::time::Duration;
 
-/// Short, since the answer is known never to come.
-const NEVER: Duration = Duration::from_millis(200);
+/// Timeout of a probe that is never answered; short, since no answer is expected.
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[tokio::test]
-async fn an_open_connection_goes_silent_while_new_ones_work() {
-    // Something between the two ends lost track of the connection: after two tokens nothing comes,
-    // and no error either. A probe on a new connection answers, so the endpoint isn't to blame; the
-    // pool forgets the connection, which ends the attempt, and the next one goes through.
+async fn an_unresponsive_connection_ends_the_attempt_while_new_connections_work() {
+    // The connection is lost without notice: after two tokens neither data nor an error arrives. A
+    // probe on a new connection is answered, so the endpoint works. The pool drops the connection,
+    // which ends the attempt, and the next request succeeds.
     let engines = pipeline(&[0, 4, 8, LAYERS], Config::default()).await;
     let pool = Pool::default();
     let first = job(1, &engines, "soup", 16);
@@ -23,13 +23,13 @@
     let attempt = run_with(&pool, &first, |event, _| {
         count += usize::from(matches!(event, Event::Token(_)));
         if count == 2 {
-            engines[1].silence_open();
+            engines[1].hang_open_connections();
         }
     });
     let router = async {
         until(|| Counters::get(&engines[0].counters().steps) == 3).await;
         probed.set(Some(prober.probe(addr, LIMIT).await));
-        prober.forget(addr);
+        prober.drop_connections(addr);
     };
     let (events, ()) = tokio::join!(attempt, router);
     assert_eq!(probed.get(), Some(true));
@@ -47,15 +47,16 @@
 }
 
 #[tokio::test]
-async fn an_open_that_is_swallowed_was_not_sent() {
-    // The kept connection is silent when the request comes: the open vanishes. The router cancels
-    // for lack of progress. No step left, so the request may be called "not run".
+async fn a_lost_open_frame_is_not_sent() {
+    // The pooled connection is unresponsive when the request arrives, so the open frame is lost.
+    // The router cancels for lack of progress. No step was sent, so the request may be reported as
+    // "not run".
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
     let pool = Pool::default();
     let first = job(1, &engines, "soup", 4);
     assert_eq!(tokens(&run(&pool, &first).await), expected(&first));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
-    engines[1].silence_open();
+    engines[1].hang_open_connections();
     let second = job(2, &engines, "bread", 4);
     let events = run_with(&pool, &second, |event, cancel| {
         if *event == (Event::Progress { hop: 0, step: 0 }) {
@@ -66,31 +67,31 @@
     assert!(!events.contains(&Event::Sent));
     until(|| engines.iter().all(|engine| engine.running() == 0)).await;
     assert_eq!(Counters::get(&engines[1].counters().opened), 1);
-    pool.forget(engines[1].addr);
+    pool.drop_connections(engines[1].addr);
     assert_eq!(tokens(&run(&pool, &second).await), expected(&second));
 }
 
 #[tokio::test]
-async fn a_probe_tells_a_silent_endpoint_from_a_live_one() {
-    // Connections to the silent endpoint are accepted, and nothing is answered on any of them.
+async fn a_probe_distinguishes_an_unresponsive_endpoint_from_a_live_one() {
+    // The unresponsive endpoint accepts connections but answers nothing on them.
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
     let pool = Pool::default();
     assert!(pool.probe(engines[0].addr, LIMIT).await);
-    engines[0].silence(true);
-    assert!(!pool.probe(engines[0].addr, NEVER).await);
-    engines[0].silence(false);
+    engines[0].set_unresponsive(true);
+    assert!(!pool.probe(engines[0].addr, NO_RESPONSE_TIMEOUT).await);
+    engines[0].set_unresponsive(false);
     assert!(pool.probe(engines[0].addr, LIMIT).await);
-    engines[0].die();
+    engines[0].crash();
     assert!(!pool.probe(engines[0].addr, LIMIT).await);
 }
 
 #[tokio::test]
-async fn a_late_stage_reports_that_it_works() {
-    // Each step takes longer than the time between two reports of work: the router sees progress
-    // and leaves the attempt alone, and the answer is whole. What is named is the hop before the
-    // one that works.
+async fn a_slow_stage_reports_progress() {
+    // Each step takes longer than the interval of progress replies: the router sees progress and
+    // does not cancel, and the answer is complete. Progress names the hop before the one that
+    // computes.
     let engines = pipeline(&[0, 4, LAYERS], Config::default()).await;
-    engines[1].late(Duration::from_millis(600));
+    engines[1].set_delay(Duration::from_millis(600));
     let job = job(1, &engines, "soup", 2);
     let events = run(&Pool::default(), &job).await;
     assert_eq!(tokens(&events), expected(&job));
--- a/crates/standin/tests/status.rs
+++ b/crates/standin/tests/status.rs
@@ -1,4 +1,4 @@
-//! Load reports, orders and pacing of the stand-in engine, over real sockets on loopback.
+//! Load reports, orders and step scheduling of the stand-in engine, over loopback sockets.
 
 #[path = "driver/common.rs"]
 mod common;
@@ -7,7 +7,7 @@
     LAYERS, LIMIT, MODEL, VERSION, expected, job, pipeline, run, run_with, tokens, until,
 };
 use engine::chain::{Cause, Event};
-use engine::order::{self, Answer, Order, What};
+use engine::order::{self, Answer, Command, Order};
 use engine::pool::{Error, Pool};
 use engine::{load, prefix};
 use standin::engine::{Config, Engine, Span};
@@ -15,7 +15,7 @@
 
 fn load_order(fence: u64, version: &str, from: u16, to: u16) -> Order {
     let (model, version) = (MODEL.to_owned(), version.to_owned());
-    let what = What::Load {
+    let command = Command::Load {
         model,
         version,
         layers: LAYERS,
@@ -23,11 +23,11 @@
         from,
         to,
     };
-    Order { fence, what }
+    Order { fence, command }
 }
 
 #[tokio::test]
-async fn orders_change_what_an_engine_holds() {
+async fn orders_load_and_unload_layers() {
     let engine = Engine::start(Config::default()).await.expect("starts");
     let pool = Pool::default();
     for _ in 0..2 {
@@ -52,7 +52,7 @@
         })
     ));
 
-    let unload = What::Unload {
+    let unload = Command::Unload {
         model: MODEL.into(),
         version: VERSION.into(),
     };
@@ -61,7 +61,7 @@
         engine.addr,
         Order {
             fence: 3,
-            what: unload,
+            command: unload,
         },
     )
     .await;
@@ -72,9 +72,10 @@
 }
 
 #[tokio::test]
-async fn only_some_engines_refuse_an_old_fencing_number() {
-    // A lease holder that was paused sends its order late. A fenced engine refuses it; one that
-    // ignores the number carries it out, so that its sender must not rely on the refusal.
+async fn only_fenced_engines_refuse_a_stale_fencing_number() {
+    // A paused lease holder sends its order late, with a stale fencing number. A fenced engine
+    // refuses it. An engine that ignores the number executes it, so senders must not rely on the
+    // refusal.
     for (fenced, answer) in [(true, Answer::OldFence), (false, Answer::Done)] {
         let config = Config {
             fenced,
@@ -96,7 +97,7 @@
     let pool = Pool::default();
     let stop = Order {
         fence: 1,
-        what: What::Serve(false),
+        command: Command::Serve(false),
     };
     assert_eq!(
         order::send(&pool, engines[0].addr, stop).await,
@@ -113,9 +114,9 @@
 }
 
 #[tokio::test]
-async fn reports_lag_and_cache_events_have_gaps() {
-    // Each third event is lost: the numbers that remain show the gaps. A report stays as it was
-    // until the lag has passed.
+async fn load_reports_lag_and_cache_events_have_gaps() {
+    // Every third event is dropped, and the numbers of the others show the gaps. A report does not
+    // change until the report lag has passed.
     let config = Config {
         event_loss: 3,
         prefix_blocks: 8,
@@ -127,7 +128,7 @@
     let job = job(1, &engines, &prompt, 2);
     run(&pool, &job).await;
     let report = load::fetch(&pool, engines[0].addr).await.expect("reports");
-    let blocks = prefix::chain(MODEL, VERSION, None, prompt.as_bytes());
+    let blocks = prefix::block_hashes(MODEL, VERSION, None, prompt.as_bytes());
     assert_eq!(blocks.len(), 4);
     let seen: Vec<_> = report
         .cache
@@ -149,17 +150,18 @@
 }
 
 #[tokio::test]
-async fn questions_to_a_dead_engine_fail() {
+async fn a_load_report_of_an_unreachable_engine_fails() {
     let engines = pipeline(&[0, LAYERS], Config::default()).await;
-    engines[0].die();
+    engines[0].crash();
     let answer = load::fetch(&Pool::default(), engines[0].addr).await;
     assert_eq!(answer, Err(Error::Connect));
 }
 
 #[tokio::test]
 async fn urgent_steps_go_first() {
-    // Eight requests of low priority keep a stage that computes one step at a time busy. An urgent
-    // one passes all that wait: it has its ten tokens while they had few.
+    // Eight requests of low priority saturate a stage that computes one step at a time. The steps
+    // of an urgent request go ahead of all waiting ones: it gets its ten tokens while the others
+    // get few.
     let config = Config {
         batch: 1,
         layer_time: Duration::from_millis(1),
@@ -174,7 +176,7 @@
     let done = std::cell::Cell::new(false);
     let low = (1..=8).map(|request| {
         let mut job = job(request, &engines, &format!("menu {request}"), 1000);
-        job.priority_rank = 5;
+        job.priority = 5;
         let (pool, done) = (&pool, &done);
         async move {
             let mut count = 0;
@@ -197,7 +199,7 @@
         done.set(true);
     };
     let (counts, ()) = tokio::join!(futures::future::join_all(low), urgent);
-    // Without priorities each of the eight would have about as many tokens as the urgent one.
+    // Without priorities each of the eight would get about as many tokens as the urgent request.
     assert!(counts.iter().sum::<usize>() < 40, "{counts:?}");
     assert!(pool.probe(engines[0].addr, LIMIT).await);
 }
--- a/crates/wire/examples/frame_cost.rs
+++ b/crates/wire/examples/frame_cost.rs
@@ -1,5 +1,6 @@
-//! Bytes on a loopback connection between two nodes: for a new connection, for a frame of some
-//! sizes, and for an answer on the same connection. Without the headers of IP and TCP.
+//! Measures the bytes on a loopback connection between two nodes, without the headers of IP and
+//! TCP: for frames of several sizes and for opening a connection. Also measures the time to encode
+//! and decode a frame.
 
 #[path = "../tests/support/bare.rs"]
 mod bare;
@@ -8,7 +9,7 @@
 #[path = "../tests/support/proxy.rs"]
 mod proxy;
 
-use bare::{Bare, note, until};
+use bare::{BareLink, numbered_message, wait_until};
 use member::message::{Body, Message, Summary};
 use node::KEY;
 use proxy::Proxy;
@@ -17,7 +18,7 @@
 use wire::frame::Frame;
 use wire::limits::Limits;
 
-/// Frames sent to measure one.
+/// Number of frames over which the bytes of one frame are averaged.
 const FRAMES: u64 = 200;
 
 fn digest(number: u64, versions: usize) -> Message {
@@ -27,15 +28,15 @@
     };
     Message {
         body: Body::Digest(vec![summary; 16]),
-        ..note(number)
+        ..numbered_message(number)
     }
 }
 
 async fn measure(versions: usize) {
-    let mut far = Bare::start(KEY, Limits::default()).await;
+    let mut far = BareLink::start(KEY, Limits::default()).await;
     let (_target, watch) = tokio::sync::watch::channel(far.link.addr());
     let proxy = Proxy::start(watch).await;
-    let near = Bare::start(KEY, Limits::default()).await;
+    let near = BareLink::start(KEY, Limits::default()).await;
     let bytes = || proxy.bytes.load(Ordering::Relaxed);
     let settle = || tokio::time::sleep(Duration::from_millis(100));
     near.link
@@ -50,7 +51,7 @@
             .expect("queued");
         far.next().await;
         let confirmed = || near.link.counters().sent.get() > number;
-        until("sent", confirmed).await;
+        wait_until("sent", confirmed).await;
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     settle().await;
@@ -59,9 +60,9 @@
         .encode()
         .expect("encodes")
         .len();
-    let open = first as f64 - each;
+    let handshake = first as f64 - each;
     println!(
-        "| {frame} | {each:.0} | {:.0} | {open:.0} |",
+        "| {frame} | {each:.0} | {:.0} | {handshake:.0} |",
         each - frame as f64
     );
 }
@@ -70,12 +71,12 @@
     let frame = Frame::send(digest(1, 24));
     let bytes = frame.encode().expect("encodes");
     let rounds = 20_000u32;
-    let begun = Instant::now();
+    let started = Instant::now();
     (0..rounds).for_each(|_| drop(std::hint::black_box(frame.encode())));
-    let encode = begun.elapsed() / rounds;
-    let begun = Instant::now();
+    let encode = started.elapsed() / rounds;
+    let started = Instant::now();
     (0..rounds).for_each(|_| drop(std::hint::black_box(Frame::decode(&bytes))));
-    let decode = begun.elapsed() / rounds;
+    let decode = started.elapsed() / rounds;
     println!(
         "\nA digest frame of {} bytes: encode {encode:?}, decode and check {decode:?}",
         bytes.len()
--- a/crates/wire/src/counters.rs
+++ b/crates/wire/src/counters.rs
@@ -1,58 +1,59 @@
-//! Counters of a link.
+//! Event counters of a link.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A counter.
+/// A counter that only grows.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     /// Adds `n`.
     pub(crate) fn add(&self, n: u64) {
         self.0.fetch_add(n, Ordering::Relaxed);
     }
 
-    /// The value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What happened so far.
+/// Counters of a link since its start. Their `Display` is one line per counter with its name.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Connections opened.
-    pub dialed: Count,
-    /// Connections accepted.
-    pub accepted: Count,
-    /// Connections refused over the bound.
-    pub refused: Count,
+    /// Connections that this node opened, counted when the stream is requested.
+    pub dialed: Counter,
+    /// Connections accepted from peers, before their handshake.
+    pub accepted: Counter,
+    /// Connections refused because `max_inbound_connections` were open.
+    pub refused: Counter,
     /// Frames sent.
-    pub sent: Count,
-    /// Bytes of frames sent, with length and MAC.
-    pub sent_bytes: Count,
+    pub sent: Counter,
+    /// Bytes of frames sent, including length prefix and MAC.
+    pub sent_bytes: Counter,
     /// Frames received.
-    pub received: Count,
-    /// Bytes of frames received, with length and MAC.
-    pub received_bytes: Count,
-    /// Connections closed for a wrong MAC.
-    pub bad_mac: Count,
-    /// Connections closed for a frame that is too long or cannot be read.
-    pub bad_frame: Count,
-    /// Connections that did not finish their handshake in time.
-    pub slow_hello: Count,
-    /// Connections that went silent.
-    pub silent: Count,
-    /// Peers that could not be reached over a new connection.
-    pub unreached: Count,
-    /// Frames dropped for a full queue.
-    pub dropped: Count,
+    pub received: Counter,
+    /// Bytes of frames received, including length prefix and MAC.
+    pub received_bytes: Counter,
+    /// Connections closed because of a wrong MAC.
+    pub bad_mac: Counter,
+    /// Connections closed because of a frame that is too long, can't be decoded or has an
+    /// unsupported version.
+    pub bad_frame: Counter,
+    /// Accepted connections that did not finish their handshake in time.
+    pub slow_hello: Counter,
+    /// Connections closed as unresponsive: a frame was not taken or a ping not answered in time.
+    pub silent: Counter,
+    /// Attempts to open a connection to a peer that failed.
+    pub unreached: Counter,
+    /// Frames dropped because the queue to their peer was full.
+    pub dropped: Counter,
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let rows = [
+        let counters = [
             ("dialed", &self.dialed),
             ("accepted", &self.accepted),
             ("refused", &self.refused),
@@ -67,7 +68,8 @@
             ("unreached", &self.unreached),
             ("dropped", &self.dropped),
         ];
-        rows.iter()
+        counters
+            .iter()
             .try_for_each(|(name, count)| writeln!(f, "{name} {}", count.get()))
     }
 }
