--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,9 +1,9 @@
-//! The link of a node to its peers.
+//! The link of a node to its peers: sends messages, calls peers and delivers what they send.
 
 use crate::auth::Key;
 use crate::counters::Counters;
 use crate::error::{Error, Result};
-use crate::frame::{Body, Call, CopyAsk, Frame, HeadAsk, Kind, Status};
+use crate::frame::{Body, CallId, CopyRequest, Frame, HeadRequest, Kind, Status};
 use crate::limits::Limits;
 use crate::listen;
 use crate::route::{Outgoing, Routes};
@@ -16,53 +16,53 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// What comes from peers.
+/// What a link delivers to its node.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A message for the group.
+    /// A message of the membership protocol.
     Member {
-        /// Where its sender listens.
+        /// Address that the sender's peers connect to.
         from: SocketAddr,
         /// The message.
         message: member::Message,
     },
-    /// A peer asks for the records that lead to a version.
+    /// A peer requests the records that lead to a version of the bundle.
     Head {
-        /// What it wants.
-        ask: HeadAsk,
-        /// Takes the answer.
+        /// The request.
+        request: HeadRequest,
+        /// Sends the response.
         reply: Reply<Option<Vec<u8>>>,
     },
-    /// A peer asks for the changes of a table.
+    /// A peer requests the changes of a table.
     Copy {
-        /// What it wants.
-        ask: CopyAsk,
-        /// Takes the answer.
+        /// The request.
+        request: CopyRequest,
+        /// Sends the response.
         reply: Reply<Option<Vec<u8>>>,
     },
-    /// A peer asks what is in force.
+    /// A peer requests this node's status.
     Status {
-        /// Takes the answer.
+        /// Sends the response.
         reply: Reply<Status>,
     },
-    /// A new connection to this address failed.
-    Unreached(SocketAddr),
+    /// No new connection to this address could be opened.
+    ConnectFailed(SocketAddr),
 }
 
-/// How a link is set up.
+/// Settings of a link.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Address that peers connect to; the one listened on if nothing.
+    /// Address that peers connect to; the address listened on if `None`.
     pub advertise: Option<SocketAddr>,
     /// The key that all nodes share.
     pub key: Key,
-    /// Bounds.
+    /// Limits and timeouts.
     pub limits: Limits,
 }
 
-/// What all tasks of a link share.
+/// State shared by all tasks of a link.
 pub(crate) struct Shared {
     pub(crate) addr: SocketAddr,
     pub(crate) key: Key,
@@ -71,24 +71,31 @@
     pub(crate) inbound: mpsc::Sender<Inbound>,
     pub(crate) cancel: CancellationToken,
     pub(crate) routes: Routes,
-    calls: Mutex<HashMap<Call, Waiting>>,
-    next: AtomicU64,
+    calls: Mutex<HashMap<CallId, PendingCall>>,
+    next_call: AtomicU64,
 }
 
-/// An ask that waits.
-struct Waiting {
+/// A call in flight.
+struct PendingCall {
     peer: SocketAddr,
-    answer: oneshot::Sender<Body>,
+    response: oneshot::Sender<Body>,
 }
 
-/// A link; clones share it.
+/// A link to all peers of a node. Clones refer to the same link.
 #[derive(Clone)]
 pub struct Link {
     pub(crate) shared: Arc<Shared>,
 }
 
 impl Link {
-    /// Listens, and serves until `cancel`.
+    /// Binds the listener and serves connections until `cancel` is cancelled.
+    ///
+    /// Messages and requests of peers are sent to `inbound`; while it is full, connections are not
+    /// read.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address can't be bound.
     pub async fn start(
         setup: Setup,
         inbound: mpsc::Sender<Inbound>,
@@ -105,7 +112,7 @@
             cancel,
             routes: Routes::default(),
             calls: Mutex::default(),
-            next: AtomicU64::new(1),
+            next_call: AtomicU64::new(1),
         };
         let link = Self {
             shared: Arc::new(shared),
@@ -114,125 +121,148 @@
         Ok(link)
     }
 
-    /// The address that peers connect to.
+    /// Returns the address that peers connect to.
     pub fn addr(&self) -> SocketAddr {
         self.shared.addr
     }
 
-    /// Its counters.
+    /// Returns the link's counters.
     pub fn counters(&self) -> &Counters {
         &self.shared.counters
     }
 
-    /// Peers with an open route.
-    pub fn routes(&self) -> usize {
+    /// Returns the number of peers to which there is a route.
+    pub fn route_count(&self) -> usize {
         self.shared.routes.len()
     }
 
-    /// Sends a message. It is dropped and counted if the queue to that peer is full.
+    /// Queues a message to a peer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message is too long, or if the queue to the peer is full: then the message is
+    /// dropped and counted.
     pub fn send(&self, to: SocketAddr, message: member::Message) -> Result<()> {
-        self.push(to, &Frame::send(message))
+        self.enqueue(to, &Frame::send(message))
     }
 
-    /// Asks a peer for the records that lead to a version.
-    pub async fn head(&self, to: SocketAddr, ask: HeadAsk) -> Result<Option<Vec<u8>>> {
-        match self.ask(to, Body::HeadAsk(ask)).await? {
-            Body::HeadGive(bytes) => Ok(bytes),
-            _ => Err(Error::Field("answer")),
+    /// Requests from a peer the records that lead to a version of the bundle; `None` if the peer
+    /// can't provide them.
+    ///
+    /// # Errors
+    ///
+    /// Every request fails if it can't be queued, if the peer is unreachable ([`Error::Closed`]) or
+    /// if there is no response within `call_timeout` ([`Error::Timeout`]).
+    pub async fn request_head(
+        &self,
+        to: SocketAddr,
+        request: HeadRequest,
+    ) -> Result<Option<Vec<u8>>> {
+        match self.call(to, Body::HeadRequest(request)).await? {
+            Body::HeadResponse(bytes) => Ok(bytes),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
-    /// Asks a peer for the changes of a table.
-    pub async fn copy(&self, to: SocketAddr, ask: CopyAsk) -> Result<Option<Vec<u8>>> {
-        match self.ask(to, Body::CopyAsk(ask)).await? {
-            Body::CopyGive(bytes) => Ok(bytes),
-            _ => Err(Error::Field("answer")),
+    /// Requests from a peer the changes of a table; `None` if the peer has no copy of it.
+    pub async fn request_copy(
+        &self,
+        to: SocketAddr,
+        request: CopyRequest,
+    ) -> Result<Option<Vec<u8>>> {
+        match self.call(to, Body::CopyRequest(request)).await? {
+            Body::CopyResponse(bytes) => Ok(bytes),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
-    /// Asks a peer what it has in force.
-    pub async fn status(&self, to: SocketAddr) -> Result<Status> {
-        match self.ask(to, Body::StatusAsk).await? {
-            Body::StatusGive(status) => Ok(status),
-            _ => Err(Error::Field("answer")),
+    /// Requests a peer's status.
+    pub async fn request_status(&self, to: SocketAddr) -> Result<Status> {
+        match self.call(to, Body::StatusRequest).await? {
+            Body::StatusResponse(status) => Ok(status),
+            _ => Err(Error::InvalidField("answer")),
         }
     }
 
-    async fn ask(&self, to: SocketAddr, body: Body) -> Result<Body> {
-        let call = self.shared.next.fetch_add(1, Ordering::Relaxed);
-        let (answer, wait) = oneshot::channel();
-        self.calls().insert(call, Waiting { peer: to, answer });
-        let _guard = Forget { link: self, call };
-        self.push(
+    /// Sends a request and waits for its response, at most for `call_timeout`.
+    async fn call(&self, to: SocketAddr, body: Body) -> Result<Body> {
+        let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
+        let (response, received) = oneshot::channel();
+        self.calls()
+            .insert(call, PendingCall { peer: to, response });
+        let _guard = CallGuard { link: self, call };
+        self.enqueue(
             to,
             &Frame {
-                kind: Kind::Ask(call),
+                kind: Kind::Request(call),
                 body,
             },
         )?;
-        let limit = self.shared.limits.ask;
-        match tokio::time::timeout(limit, wait).await {
+        let limit = self.shared.limits.call_timeout;
+        match tokio::time::timeout(limit, received).await {
             Ok(Ok(body)) => Ok(body),
             Ok(Err(_)) => Err(Error::Closed),
             Err(_) => Err(Error::Timeout(to)),
         }
     }
 
-    /// Ends the asks to a peer that is gone: it has lost them, and nothing else would tell before their
-    /// time limit.
-    pub(crate) fn end_calls(&self, peer: SocketAddr) {
-        self.calls().retain(|_, waiting| waiting.peer != peer);
+    /// Fails the calls in flight to an unreachable peer with [`Error::Closed`], so that they don't
+    /// wait for their timeout.
+    pub(crate) fn fail_calls(&self, peer: SocketAddr) {
+        self.calls().retain(|_, pending| pending.peer != peer);
     }
 
-    /// Whether an ask to a peer waits for its answer.
-    pub(crate) fn awaits(&self, peer: SocketAddr) -> bool {
-        self.calls().values().any(|waiting| waiting.peer == peer)
+    /// Returns whether a call to the peer is in flight.
+    pub(crate) fn has_pending_call(&self, peer: SocketAddr) -> bool {
+        self.calls().values().any(|pending| pending.peer == peer)
     }
 
-    fn calls(&self) -> std::sync::MutexGuard<'_, HashMap<Call, Waiting>> {
+    fn calls(&self) -> std::sync::MutexGuard<'_, HashMap<CallId, PendingCall>> {
         self.shared
             .calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn push(&self, to: SocketAddr, frame: &Frame) -> Result<()> {
+    /// Encodes a frame and queues it on the route to a peer.
+    pub(crate) fn enqueue(&self, to: SocketAddr, frame: &Frame) -> Result<()> {
         let bytes = Bytes::from(frame.encode()?);
-        if bytes.len() > self.shared.limits.frame {
-            return Err(Error::Long(bytes.len()));
+        if bytes.len() > self.shared.limits.max_frame_len {
+            return Err(Error::FrameTooLong(bytes.len()));
         }
-        let pushed = self
+        let queued = self
             .shared
             .routes
-            .push(self, to, Outgoing { bytes, tries: 0 });
-        if pushed.is_err() {
+            .push(self, to, Outgoing { bytes, attempts: 0 });
+        if queued.is_err() {
             self.shared.counters.dropped.add(1);
         }
-        pushed
+        queued
     }
 
-    /// Gives a frame to whom it is for.
+    /// Delivers a received frame: a response to its call, a message or request to `inbound`.
     pub(crate) async fn deliver(&self, from: SocketAddr, frame: Frame) {
         let inbound = match (frame.kind, frame.body) {
-            (Kind::Send, Body::Member(message)) => Inbound::Member { from, message },
-            (Kind::Ask(call), Body::HeadAsk(ask)) => Inbound::Head {
-                ask,
-                reply: self.reply(from, call, Body::HeadGive),
+            (Kind::OneWay, Body::Member(message)) => Inbound::Member { from, message },
+            (Kind::Request(call), Body::HeadRequest(request)) => Inbound::Head {
+                request,
+                reply: self.reply(from, call, Body::HeadResponse),
             },
-            (Kind::Ask(call), Body::CopyAsk(ask)) => Inbound::Copy {
-                ask,
-                reply: self.reply(from, call, Body::CopyGive),
+            (Kind::Request(call), Body::CopyRequest(request)) => Inbound::Copy {
+                request,
+                reply: self.reply(from, call, Body::CopyResponse),
             },
-            (Kind::Ask(call), Body::StatusAsk) => Inbound::Status {
-                reply: self.reply(from, call, Body::StatusGive),
+            (Kind::Request(call), Body::StatusRequest) => Inbound::Status {
+                reply: self.reply(from, call, Body::StatusResponse),
             },
-            (Kind::Answer(call), body) => return self.answered(from, call, body),
+            (Kind::Response(call), body) => return self.complete_call(from, call, body),
             _ => return,
         };
         let _ = self.shared.inbound.send(inbound).await;
     }
 
-    fn reply<T>(&self, to: SocketAddr, call: Call, body: fn(T) -> Body) -> Reply<T> {
+    /// Creates the handle for the response to a peer's request.
+    fn reply<T>(&self, to: SocketAddr, call: CallId, body: fn(T) -> Body) -> Reply<T> {
         Reply {
             link: self.clone(),
             to,
@@ -241,35 +271,36 @@
         }
     }
 
-    /// An answer counts only from the peer that was asked.
-    fn answered(&self, from: SocketAddr, call: Call, body: Body) {
+    /// Completes a call with its response. Ignores responses of peers other than the one called.
+    fn complete_call(&self, from: SocketAddr, call: CallId, body: Body) {
         let mut calls = self.calls();
-        if calls.get(&call).is_none_or(|w| w.peer != from) {
+        if calls.get(&call).is_none_or(|pending| pending.peer != from) {
             return;
         }
-        if let Some(waiting) = calls.remove(&call) {
-            let _ = waiting.answer.send(body);
+        if let Some(pending) = calls.remove(&call) {
+            let _ = pending.response.send(body);
         }
     }
 }
 
-/// Forgets an ask when its future is dropped, so that those that time out do not pile up.
-struct Forget<'a> {
+/// Removes a call when its future ends or is dropped, so that calls that time out don't
+/// accumulate.
+struct CallGuard<'a> {
     link: &'a Link,
-    call: Call,
+    call: CallId,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.link.calls().remove(&self.call);
     }
 }
 
-/// Where the answer to a peer's ask goes.
+/// Sends the response to a peer's request.
 pub struct Reply<T> {
     link: Link,
     to: SocketAddr,
-    call: Call,
+    call: CallId,
     body: fn(T) -> Body,
 }
 
@@ -280,12 +311,16 @@
 }
 
 impl<T> Reply<T> {
-    /// Answers.
-    pub fn send(self, answer: T) -> Result<()> {
+    /// Queues the response to the peer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the response is too long or the queue to the peer is full.
+    pub fn send(self, response: T) -> Result<()> {
         let frame = Frame {
-            kind: Kind::Answer(self.call),
-            body: (self.body)(answer),
+            kind: Kind::Response(self.call),
+            body: (self.body)(response),
         };
-        self.link.push(self.to, &frame)
+        self.link.enqueue(self.to, &frame)
     }
 }
--- a/crates/wire/src/raw.rs
+++ b/crates/wire/src/raw.rs
@@ -1,9 +1,13 @@
-//! Frames as the codec reads and writes them.
+//! Encoded form of frames.
 //!
-//! Ids, hashes and runs are bytes, since as variable-length numbers they would be longer.
+//! The order of fields and variants is the format, since `bincode` writes no names; the `rename`
+//! attributes keep the names of the format. Ids, hashes and incarnations are arrays of bytes: their
+//! values are large, and as variable-length integers they would be longer.
+//!
+//! Types that have the name of a type in `member::message` or `member::item` are its encoded form.
 
-mod from;
-mod into;
+mod decode;
+mod encode;
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -12,7 +16,7 @@
 type Hash = [u8; 4];
 type Digest = [u8; 32];
 
-/// A frame.
+/// Encoded form of [`crate::frame::Frame`].
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Frame {
     kind: Kind,
@@ -21,26 +25,35 @@
 
 #[derive(Serialize, Deserialize)]
 enum Kind {
-    Send,
-    Ask(u64),
-    Answer(u64),
+    #[serde(rename = "Send")]
+    OneWay,
+    #[serde(rename = "Ask")]
+    Request(u64),
+    #[serde(rename = "Answer")]
+    Response(u64),
 }
 
 #[derive(Serialize, Deserialize)]
 enum Body {
     Member(Message),
-    HeadAsk {
+    #[serde(rename = "HeadAsk")]
+    HeadRequest {
         number: u64,
         have: u64,
     },
-    HeadGive(Option<Vec<u8>>),
-    CopyAsk {
+    #[serde(rename = "HeadGive")]
+    HeadResponse(Option<Vec<u8>>),
+    #[serde(rename = "CopyAsk")]
+    CopyRequest {
         table: u8,
         from: u64,
     },
-    CopyGive(Option<Vec<u8>>),
-    StatusAsk,
-    StatusGive {
+    #[serde(rename = "CopyGive")]
+    CopyResponse(Option<Vec<u8>>),
+    #[serde(rename = "StatusAsk")]
+    StatusRequest,
+    #[serde(rename = "StatusGive")]
+    StatusResponse {
         number: u64,
         digest: Digest,
         incarnation: u64,
@@ -48,24 +61,41 @@
     },
 }
 
+/// A message of the membership protocol; `head` is a version's number and digest.
 #[derive(Serialize, Deserialize)]
 struct Message {
     from: Id,
     incarnation: Id,
     head: Option<(u64, Digest)>,
-    news: Vec<News>,
-    body: Matter,
+    #[serde(rename = "news")]
+    updates: Vec<Update>,
+    body: MemberBody,
 }
 
+/// Body of a membership message.
 #[derive(Serialize, Deserialize)]
-enum Matter {
-    Ping { seq: u32, to: Id },
-    Ack { seq: u32, of: Id },
-    Relay { seq: u32, to: Id, addr: SocketAddr },
-    Who,
+enum MemberBody {
+    Ping {
+        seq: u32,
+        to: Id,
+    },
+    Ack {
+        seq: u32,
+        of: Id,
+    },
+    #[serde(rename = "Relay")]
+    IndirectPing {
+        seq: u32,
+        to: Id,
+        addr: SocketAddr,
+    },
+    #[serde(rename = "Who")]
+    Identify,
     Rows(Vec<Row>),
-    Note,
-    Rumour(Vec<Item>),
+    #[serde(rename = "Note")]
+    Empty,
+    #[serde(rename = "Rumour")]
+    Items(Vec<Item>),
     Digest(Vec<Summary>),
     Delta(Delta),
 }
@@ -77,11 +107,12 @@
     zone: String,
     region: String,
     incarnation: Id,
-    turn: u32,
+    #[serde(rename = "turn")]
+    refutations: u32,
 }
 
 #[derive(Serialize, Deserialize)]
-enum News {
+enum Update {
     Join(Row),
     Suspect(Run),
     Alive(Run),
@@ -92,7 +123,8 @@
 struct Run {
     id: Id,
     incarnation: Id,
-    turn: u32,
+    #[serde(rename = "turn")]
+    refutations: u32,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -103,14 +135,16 @@
 
 #[derive(Serialize, Deserialize)]
 struct Delta {
-    groups: Vec<Group>,
+    groups: Vec<BucketItems>,
     rows: Vec<Row>,
-    whole: Vec<u8>,
-    wants: Vec<Want>,
+    #[serde(rename = "whole")]
+    complete: Vec<u8>,
+    #[serde(rename = "wants")]
+    requests: Vec<Request>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Group {
+struct BucketItems {
     bucket: u8,
     hash: Hash,
     batches: Vec<Batch>,
@@ -118,27 +152,32 @@
 
 #[derive(Serialize, Deserialize)]
 struct Batch {
-    place: u8,
-    upto: u32,
-    prints: Vec<Print>,
+    #[serde(rename = "place")]
+    row: u8,
+    #[serde(rename = "upto")]
+    up_to: u32,
+    #[serde(rename = "prints")]
+    publications: Vec<Publication>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Print {
+struct Publication {
     version: u32,
     items: Vec<Observation>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Want {
+struct Request {
     bucket: u8,
     hash: Hash,
-    gaps: Vec<Gap>,
+    #[serde(rename = "gaps")]
+    known: Vec<KnownVersion>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Gap {
-    place: u8,
+struct KnownVersion {
+    #[serde(rename = "place")]
+    row: u8,
     version: u32,
 }
 
@@ -150,7 +189,7 @@
     body: Observation,
 }
 
-/// Times to live are in seconds, rounded up.
+/// Encoded form of `member::item::Observation`; a `ttl` is in seconds, rounded up.
 #[derive(Serialize, Deserialize)]
 enum Observation {
     Demand {
@@ -181,7 +220,8 @@
         fingerprint: Id,
         ttl: u32,
     },
-    Moving {
+    #[serde(rename = "Moving")]
+    Releasing {
         name: String,
         ttl: u32,
     },
--- a/crates/wire/src/route.rs
+++ b/crates/wire/src/route.rs
@@ -1,6 +1,6 @@
-//! Routes: one queue and one task per peer that is sent to.
+//! Routes: one queue of frames and one task for each peer that this node sends to.
 
-use crate::conn::{self, Conn, End};
+use crate::conn::{self, CloseReason, Conn};
 use crate::dial;
 use crate::error::{Error, Result};
 use crate::peer::{Inbound, Link};
@@ -12,17 +12,21 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio_util::sync::CancellationToken;
 
-/// Connections that a frame is sent over at most: the one at hand and a new one.
-const TRIES: u8 = 2;
+/// Maximum number of times that a frame is sent: once over the existing connection and once over a
+/// new one.
+const MAX_SEND_ATTEMPTS: u8 = 2;
 
-/// A frame to send.
+/// A frame to send, or one that was sent and is not confirmed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
+    /// The encoded frame, without length prefix and MAC.
     pub(crate) bytes: Bytes,
-    pub(crate) tries: u8,
+    /// Times that the frame was sent. While a ping is open, `conn` also sets the bit
+    /// `PING_COVERS_FRAME` in it.
+    pub(crate) attempts: u8,
 }
 
-/// Routes by the peer's listening address.
+/// The routes of a link, by the address that the peer listens on.
 #[derive(Default)]
 pub(crate) struct Routes {
     table: Mutex<Table>,
@@ -30,13 +34,17 @@
 
 #[derive(Default)]
 struct Table {
-    rows: HashMap<SocketAddr, Row>,
+    routes: HashMap<SocketAddr, Route>,
+    /// Counts uses of routes; orders them by last use and numbers new ones.
     clock: u64,
 }
 
-struct Row {
-    number: u64,
-    used: u64,
+/// The table's side of a route, whose [`Task`] sends the frames.
+struct Route {
+    /// Distinguishes the route from earlier and later ones to the same peer.
+    id: u64,
+    /// Value of the table's clock when the route was last used.
+    last_used: u64,
     queue: mpsc::Sender<Outgoing>,
     stop: CancellationToken,
 }
@@ -46,21 +54,22 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Number of routes.
     pub(crate) fn len(&self) -> usize {
-        self.table().rows.len()
+        self.table().routes.len()
     }
 
-    /// Queues a frame, over a new route if there is none.
+    /// Queues a frame, on a new route if there is none or its task has ended.
     pub(crate) fn push(&self, link: &Link, to: SocketAddr, frame: Outgoing) -> Result<()> {
         let mut table = self.table();
         table.clock += 1;
         let clock = table.clock;
-        let frame = match table.rows.get_mut(&to) {
-            Some(row) => {
-                row.used = clock;
-                match row.queue.try_send(frame) {
+        let frame = match table.routes.get_mut(&to) {
+            Some(route) => {
+                route.last_used = clock;
+                match route.queue.try_send(frame) {
                     Ok(()) => return Ok(()),
-                    Err(TrySendError::Full(_)) => return Err(Error::Full),
+                    Err(TrySendError::Full(_)) => return Err(Error::QueueFull),
                     Err(TrySendError::Closed(frame)) => frame,
                 }
             }
@@ -68,16 +77,16 @@
         };
         let (task, queue) = table.open(link, to, None);
         tokio::spawn(task.run());
-        queue.try_send(frame).map_err(|_| Error::Full)
+        queue.try_send(frame).map_err(|_| Error::QueueFull)
     }
 
-    /// Serves a connection that a peer opened; it becomes the route to that peer if there is
-    /// none, so that answers need no connection of their own.
+    /// Serves a connection that a peer opened. If there is no route to the peer, the connection
+    /// becomes it, so that responses don't need a connection in the other direction.
     pub(crate) async fn serve(&self, link: &Link, conn: Conn) {
         let addr = conn.peer;
-        let busy = self.table().rows.contains_key(&addr);
-        if busy {
-            let (_hold, mut queue) = mpsc::channel(1);
+        let has_route = self.table().routes.contains_key(&addr);
+        if has_route {
+            let (_queue_sender, mut queue) = mpsc::channel(1);
             conn.run(link, &mut queue, VecDeque::new(), &CancellationToken::new())
                 .await;
             return;
@@ -86,38 +95,40 @@
         task.run().await;
     }
 
-    fn remove(&self, addr: SocketAddr, number: u64) {
+    /// Removes a route unless another one has replaced it.
+    fn remove(&self, addr: SocketAddr, id: u64) {
         let mut table = self.table();
-        if table.rows.get(&addr).is_some_and(|r| r.number == number) {
-            table.rows.remove(&addr);
+        if table.routes.get(&addr).is_some_and(|r| r.id == id) {
+            table.routes.remove(&addr);
         }
     }
 }
 
 impl Table {
+    /// Adds a route, which starts on `conn` if there is one; the caller runs its task.
     fn open(
         &mut self,
         link: &Link,
         addr: SocketAddr,
         conn: Option<Conn>,
     ) -> (Task, mpsc::Sender<Outgoing>) {
-        self.evict(link.shared.limits.routes);
-        let (queue, frames) = mpsc::channel(link.shared.limits.queue);
+        self.evict(link.shared.limits.max_routes);
+        let (queue, frames) = mpsc::channel(link.shared.limits.queue_capacity);
         self.clock += 1;
-        let number = self.clock;
+        let id = self.clock;
         let stop = link.shared.cancel.child_token();
-        let row = Row {
-            number,
-            used: number,
+        let route = Route {
+            id,
+            last_used: id,
             queue: queue.clone(),
             stop: stop.clone(),
         };
-        self.rows.insert(addr, row);
+        self.routes.insert(addr, route);
         (
             Task {
                 link: link.clone(),
                 addr,
-                number,
+                id,
                 frames,
                 stop,
                 conn,
@@ -126,36 +137,38 @@
         )
     }
 
-    /// Closes the least used routes, so that their number is bounded.
-    fn evict(&mut self, most: usize) {
-        while self.rows.len() >= most.max(1) {
-            let oldest = self
-                .rows
+    /// Closes the least recently used routes until there is space for one more within
+    /// `max_routes`.
+    fn evict(&mut self, max_routes: usize) {
+        while self.routes.len() >= max_routes.max(1) {
+            let least_used = self
+                .routes
                 .iter()
-                .min_by_key(|(_, r)| r.used)
+                .min_by_key(|(_, r)| r.last_used)
                 .map(|(a, _)| *a);
-            let Some(row) = oldest.and_then(|a| self.rows.remove(&a)) else {
+            let Some(route) = least_used.and_then(|a| self.routes.remove(&a)) else {
                 return;
             };
-            row.stop.cancel();
+            route.stop.cancel();
         }
     }
 }
 
-/// The task of one route.
+/// The task of one route, which opens connections and sends the queued frames.
 struct Task {
     link: Link,
     addr: SocketAddr,
-    number: u64,
+    id: u64,
     frames: mpsc::Receiver<Outgoing>,
     stop: CancellationToken,
     conn: Option<Conn>,
 }
 
 impl Task {
-    /// Runs connections to the peer, one after another, while there is something to send.
+    /// Runs connections to the peer, one after another, while frames are left to send or a call to
+    /// the peer lost its connection.
     async fn run(mut self) {
-        let mut unsent = VecDeque::new();
+        let mut to_resend = VecDeque::new();
         loop {
             let conn = match self.conn.take() {
                 Some(conn) => conn,
@@ -164,41 +177,43 @@
                     Err(_) => return self.fail().await,
                 },
             };
-            let (end, left) = conn
-                .run(&self.link, &mut self.frames, unsent, &self.stop)
+            let (reason, unconfirmed) = conn
+                .run(&self.link, &mut self.frames, to_resend, &self.stop)
                 .await;
-            unsent = retry(left);
-            // A peer that lives closes connections too, and answers over another one. Whether it lives
-            // shows when a new one is opened.
-            let awaits = end == End::Closed && self.link.awaits(self.addr);
-            let done = unsent.is_empty() && self.frames.is_empty() && !awaits;
-            if done || end == End::Refused || self.stop.is_cancelled() {
+            to_resend = retryable(unconfirmed);
+            // A live peer also closes connections, for instance to bound its routes, and responds
+            // over another one. Only a new connection shows whether the peer is reachable.
+            let awaits_response =
+                reason == CloseReason::Closed && self.link.has_pending_call(self.addr);
+            let done = to_resend.is_empty() && self.frames.is_empty() && !awaits_response;
+            if done || reason == CloseReason::ProtocolError || self.stop.is_cancelled() {
                 return self.close();
             }
         }
     }
 
-    /// The peer answers on no new connection either: that is worth telling, while the end of an
-    /// old connection is not.
+    /// Removes the route, fails the calls to the peer and reports it as unreachable. This happens
+    /// only if a new connection fails; the end of an existing connection is not reported, since the
+    /// peer may still be reachable.
     async fn fail(self) {
-        self.link.shared.routes.remove(self.addr, self.number);
+        self.link.shared.routes.remove(self.addr, self.id);
         if self.stop.is_cancelled() {
             return;
         }
         self.link.shared.counters.unreached.add(1);
-        self.link.end_calls(self.addr);
+        self.link.fail_calls(self.addr);
         let _ = self
             .link
             .shared
             .inbound
-            .send(Inbound::Unreached(self.addr))
+            .send(Inbound::ConnectFailed(self.addr))
             .await;
     }
 
-    /// Takes the route away, then passes on what was queued in between.
+    /// Removes the route, then queues the frames that arrived in the meantime on a new one.
     fn close(mut self) {
         let routes = &self.link.shared.routes;
-        routes.remove(self.addr, self.number);
+        routes.remove(self.addr, self.id);
         self.frames.close();
         if self.link.shared.cancel.is_cancelled() {
             return;
@@ -209,6 +224,10 @@
     }
 }
 
-fn retry(left: VecDeque<conn::Unsent>) -> VecDeque<conn::Unsent> {
-    left.into_iter().filter(|f| f.tries < TRIES).collect()
+/// Returns the frames that may be sent again.
+fn retryable(unconfirmed: VecDeque<conn::Unconfirmed>) -> VecDeque<conn::Unconfirmed> {
+    unconfirmed
+        .into_iter()
+        .filter(|f| f.attempts < MAX_SEND_ATTEMPTS)
+        .collect()
 }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! The frame codec: good frames survive, bad ones give an error, none a panic.
+//! The frame codec: valid frames round-trip, invalid ones give an error and never a panic.
 
 use member::head::Head;
 use member::identity::Identity;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use wire::auth::{Hello, Key, Session, Side};
 use wire::error::Error;
-use wire::frame::{Body as Matter, CopyAsk, Frame, HeadAsk, Kind, Status};
+use wire::frame::{Body as FrameBody, CopyRequest, Frame, HeadRequest, Kind, Status};
 
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
@@ -58,14 +58,14 @@
 }
 
 fn delta() -> Delta {
-    let print = Publication {
+    let publication = Publication {
         version: 4,
         observations: observations(),
     };
     let batch = Batch {
         row: 2,
         up_to: 5,
-        publications: vec![print],
+        publications: vec![publication],
     };
     Delta {
         items: vec![BucketItems {
@@ -122,7 +122,7 @@
         incarnation: 2,
         refutations: 3,
     };
-    let news = vec![
+    let updates = vec![
         Update::Join(row()),
         Update::Suspect(run),
         Update::Alive(run),
@@ -136,7 +136,7 @@
         from: 1,
         incarnation: 2,
         head,
-        updates: news.clone(),
+        updates: updates.clone(),
         body,
     };
     let mut frames: Vec<Frame> = bodies()
@@ -150,38 +150,38 @@
         leaving: true,
     };
     frames.push(Frame {
-        kind: Kind::Ask(1),
-        body: Matter::StatusAsk,
+        kind: Kind::Request(1),
+        body: FrameBody::StatusRequest,
     });
     frames.push(Frame {
-        kind: Kind::Answer(1),
-        body: Matter::StatusGive(status),
+        kind: Kind::Response(1),
+        body: FrameBody::StatusResponse(status),
     });
     frames.push(Frame {
-        kind: Kind::Ask(2),
-        body: Matter::HeadAsk(HeadAsk { number: 2, have: 1 }),
+        kind: Kind::Request(2),
+        body: FrameBody::HeadRequest(HeadRequest { number: 2, have: 1 }),
     });
     frames.push(Frame {
-        kind: Kind::Answer(2),
-        body: Matter::HeadGive(Some(vec![7; 1000])),
+        kind: Kind::Response(2),
+        body: FrameBody::HeadResponse(Some(vec![7; 1000])),
     });
     frames.push(Frame {
-        kind: Kind::Answer(3),
-        body: Matter::HeadGive(None),
+        kind: Kind::Response(3),
+        body: FrameBody::HeadResponse(None),
     });
     frames.push(Frame {
-        kind: Kind::Ask(4),
-        body: Matter::CopyAsk(CopyAsk { table: 1, from: 70 }),
+        kind: Kind::Request(4),
+        body: FrameBody::CopyRequest(CopyRequest { table: 1, from: 70 }),
     });
     frames.push(Frame {
-        kind: Kind::Answer(4),
-        body: Matter::CopyGive(Some(vec![3; 1000])),
+        kind: Kind::Response(4),
+        body: FrameBody::CopyResponse(Some(vec![3; 1000])),
     });
     frames
 }
 
 #[test]
-fn frames_survive_the_wire() {
+fn frames_round_trip() {
     for frame in frames() {
         let bytes = frame.encode().expect("encodes");
         assert_eq!(Frame::decode(&bytes).expect("decodes"), frame);
@@ -189,13 +189,16 @@
 }
 
 #[test]
-fn a_kind_fits_its_body() {
+fn kind_that_does_not_match_the_body_is_refused() {
     let frame = Frame {
-        kind: Kind::Send,
-        body: Matter::StatusAsk,
+        kind: Kind::OneWay,
+        body: FrameBody::StatusRequest,
     };
     let bytes = frame.encode().expect("encodes");
-    assert!(matches!(Frame::decode(&bytes), Err(Error::Field("kind"))));
+    assert!(matches!(
+        Frame::decode(&bytes),
+        Err(Error::InvalidField("kind"))
+    ));
 }
 
 #[test]
@@ -221,7 +224,7 @@
         hash: 0,
         versions: vec![0; 257],
     }];
-    let forever = Observation::Condemned {
+    let excessive_ttl = Observation::Condemned {
         fingerprint: 1,
         ttl: Duration::from_secs(1 << 30),
     };
@@ -229,7 +232,7 @@
         origin: 1,
         incarnation: 1,
         version: 1,
-        body: forever,
+        body: excessive_ttl,
     };
     let bad = [
         Body::Rows(vec![long]),
@@ -242,14 +245,14 @@
     for body in bad {
         let bytes = message(body.clone()).encode().expect("encodes");
         assert!(
-            matches!(Frame::decode(&bytes), Err(Error::Field(_))),
+            matches!(Frame::decode(&bytes), Err(Error::InvalidField(_))),
             "{body:?}"
         );
     }
 }
 
-/// A peer sends rubbish, by a fault or on purpose: every byte string is an error or a frame, and
-/// a length that promises more than there is allocates nothing for it.
+/// Guards against a peer that sends garbage, by a fault or on purpose: every byte string decodes to
+/// an error or a frame, without a panic.
 #[test]
 fn garbage_and_mutated_frames_never_panic() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -257,7 +260,7 @@
         .iter()
         .map(|f| f.encode().expect("encodes"))
         .collect();
-    let mut read = 0;
+    let mut decoded = 0;
     for step in 0..40_000usize {
         let mut bytes = good[step % good.len()].clone();
         match step % 4 {
@@ -279,20 +282,21 @@
             step % 4 != 2 || frame.is_err(),
             "trailing bytes are refused"
         );
-        read += usize::from(frame.is_ok());
+        decoded += usize::from(frame.is_ok());
     }
-    assert!(read > 0, "some mutations stay frames");
+    assert!(decoded > 0, "some mutations stay frames");
 }
 
+/// Guards against allocating memory for a length that a frame claims but doesn't have.
 #[test]
-fn promised_lengths_allocate_nothing() {
-    // A record of 2^62 bytes in a frame of a few.
+fn claimed_lengths_are_not_allocated() {
+    // The frame has a few bytes and claims to hold a record of 2^62 bytes.
     let mut bytes = vec![2, 1, 2, 1, 253];
     bytes.extend_from_slice(&(1u64 << 62).to_le_bytes());
     assert!(Frame::decode(&bytes).is_err());
     assert!(matches!(
-        Frame::decode(&vec![0; wire::limits::MAX_FRAME + 1]),
-        Err(Error::Long(_))
+        Frame::decode(&vec![0; wire::limits::MAX_FRAME_LEN + 1]),
+        Err(Error::FrameTooLong(_))
     ));
 }
 
@@ -313,8 +317,8 @@
     [payload, &tag].concat()
 }
 
-/// Somebody on the way records frames and plays them again, on the same connection or another,
-/// back to the sender, in another order or with a changed byte. None of these verifies.
+/// Guards against an attacker on the path who replays frames on the same connection or another,
+/// reflects them to the sender, reorders them or changes a byte. None of these may verify.
 #[test]
 fn replayed_reflected_and_changed_frames_are_refused() {
     let (mut client, mut server) = sessions();
@@ -334,7 +338,7 @@
 }
 
 #[test]
-fn keys_are_long_and_hidden() {
+fn short_keys_are_refused_and_debug_hides_keys() {
     assert!(Key::try_from("00ff").is_err());
     assert!(Key::try_from("not hexadecimal").is_err());
     let key = Key::try_from(KEY).expect("key");
--- a/crates/wire/tests/support/bare.rs
+++ b/crates/wire/tests/support/bare.rs
@@ -1,7 +1,7 @@
-//! A link without a group.
+//! A link without a membership group.
 #![allow(dead_code)]
 
-use crate::node::PATIENCE;
+use crate::node::WAIT_TIMEOUT;
 use member::message::{Body, Message};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -10,17 +10,17 @@
 use wire::limits::Limits;
 use wire::peer::{Inbound, Link, Setup};
 
-/// A link and what comes from it.
-pub struct Bare {
+/// A link and the queue that it delivers to.
+pub struct BareLink {
     /// The link.
     pub link: Link,
-    /// What comes.
+    /// What the link delivers.
     pub inbound: mpsc::Receiver<Inbound>,
-    /// Ends it.
+    /// Stops the link.
     pub cancel: CancellationToken,
 }
 
-impl Bare {
+impl BareLink {
     /// Starts a link on a free port.
     pub async fn start(key: &str, limits: Limits) -> Self {
         let (inbound, frames) = mpsc::channel(64);
@@ -43,18 +43,18 @@
         }
     }
 
-    /// The sender's number in the next message.
+    /// Waits for the next message and returns its number.
     pub async fn next(&mut self) -> u64 {
-        let inbound = tokio::time::timeout(PATIENCE, self.inbound.recv()).await;
-        match inbound.expect("in time") {
+        let inbound = tokio::time::timeout(WAIT_TIMEOUT, self.inbound.recv()).await;
+        match inbound.expect("message within the timeout") {
             Some(Inbound::Member { message, .. }) => message.from,
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// A message with a number in it.
-pub fn note(number: u64) -> Message {
+/// Creates an empty message that carries a number as its sender's id.
+pub fn numbered_message(number: u64) -> Message {
     Message {
         from: number,
         incarnation: 1,
@@ -64,14 +64,14 @@
     }
 }
 
-/// Waits until `test` holds.
-pub async fn until(what: &str, test: impl Fn() -> bool) {
+/// Waits until `test` holds; panics with `what` after [`WAIT_TIMEOUT`].
+pub async fn wait_until(what: &str, test: impl Fn() -> bool) {
     let wait = async {
         while !test() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(WAIT_TIMEOUT, wait)
         .await
-        .unwrap_or_else(|_| panic!("{what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting: {what}"));
 }
--- a/crates/wire/tests/support/node.rs
+++ b/crates/wire/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A group driven over a real link, as the control thread does.
+//! A node that drives a membership group over a real link, as the control thread does.
 #![allow(dead_code)]
 
 use member::action::Action;
@@ -15,37 +15,37 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 use wire::auth::Key;
-use wire::frame::{HeadAsk, Status};
+use wire::frame::{HeadRequest, Status};
 use wire::limits::Limits;
 use wire::peer::{Inbound, Link, Setup};
 
-/// The key of the tests.
+/// The shared key of the tests.
 pub const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
-/// Generous bound of everything that is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of every wait of the tests; long, so that a busy host doesn't fail them.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a test sees of a node.
+/// State of a node as a test sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Number of the head in force.
+    /// Number of the head that the node applies.
     pub head: u64,
     /// Peers that are up.
     pub up: Vec<Id>,
-    /// Peers judged dead or parted.
+    /// Peers that the group holds for dead or parted.
     pub gone: Vec<Id>,
-    /// Items learned.
+    /// Items received from other nodes.
     pub items: Vec<Item>,
 }
 
 /// A running node.
 pub struct Node {
-    /// Its link.
+    /// The node's link.
     pub link: Link,
-    /// Events from the test.
+    /// Events that the test sends to the group.
     pub events: mpsc::Sender<Event>,
-    /// What it knows.
+    /// Latest state of the node.
     pub seen: watch::Receiver<Seen>,
-    /// Ends it.
+    /// Stops the node.
     pub cancel: CancellationToken,
     entry: Entry,
 }
@@ -84,12 +84,12 @@
         };
         let group = Group::new(identity, 7, settings);
         let (events, commands) = mpsc::channel(64);
-        let (show, seen) = watch::channel(Seen::default());
+        let (snapshot, seen) = watch::channel(Seen::default());
         let run = Run {
             group,
             link: link.clone(),
-            begun: Instant::now(),
-            show,
+            started: Instant::now(),
+            snapshot,
         };
         tokio::spawn(run.run(frames, commands, cancel.clone()));
         Self {
@@ -101,27 +101,27 @@
         }
     }
 
-    /// Its line in the instance list.
+    /// Returns the node's entry in the instance list.
     pub fn entry(&self) -> Entry {
         self.entry.clone()
     }
 
-    /// Its id.
+    /// Returns the node's id.
     pub fn id(&self) -> Id {
         member::identity::id(&self.entry.name)
     }
 
-    /// Gives it an event.
-    pub async fn tell(&self, event: Event) {
+    /// Sends an event to the node's group.
+    pub async fn send_event(&self, event: Event) {
         self.events.send(event).await.expect("node runs");
     }
 
-    /// Waits until `test` holds.
-    pub async fn until(&self, what: &str, test: impl Fn(&Seen) -> bool) {
+    /// Waits until `test` holds for the node's state; panics with `what` after [`WAIT_TIMEOUT`].
+    pub async fn wait_until(&self, what: &str, test: impl Fn(&Seen) -> bool) {
         let mut seen = self.seen.clone();
-        let wait = tokio::time::timeout(PATIENCE, seen.wait_for(|s| test(s)));
+        let wait = tokio::time::timeout(WAIT_TIMEOUT, seen.wait_for(|s| test(s)));
         wait.await
-            .unwrap_or_else(|_| panic!("{what}"))
+            .unwrap_or_else(|_| panic!("timed out waiting: {what}"))
             .expect("node runs");
     }
 }
@@ -129,8 +129,8 @@
 struct Run {
     group: Group,
     link: Link,
-    begun: Instant,
-    show: watch::Sender<Seen>,
+    started: Instant,
+    snapshot: watch::Sender<Seen>,
 }
 
 impl Run {
@@ -170,7 +170,7 @@
                     ..Status::default()
                 });
             }
-            Inbound::Unreached(addr) => {
+            Inbound::ConnectFailed(addr) => {
                 let id = self
                     .group
                     .roster()
@@ -188,7 +188,7 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
-            self.group.handle(self.begun.elapsed(), event, &mut out);
+            self.group.handle(self.started.elapsed(), event, &mut out);
             for action in out {
                 events.extend(self.act(action).await);
             }
@@ -204,7 +204,7 @@
         };
         let (up, gone) = (of(|s| s == State::Up), of(|s| s > State::Suspect));
         let head = self.group.head().map_or(0, |h| h.number);
-        self.show
+        self.snapshot
             .send_modify(|s| (s.head, s.up, s.gone) = (head, up, gone));
     }
 
@@ -216,7 +216,7 @@
             }
             Action::FetchHead { head, addr, .. } => self.fetch(head, addr).await,
             Action::Learned(item) => {
-                self.show.send_modify(|s| s.items.push(item));
+                self.snapshot.send_modify(|s| s.items.push(item));
                 None
             }
             Action::StateChanged { .. } => None,
@@ -224,11 +224,11 @@
     }
 
     async fn fetch(&self, head: Head, addr: SocketAddr) -> Option<Event> {
-        let ask = HeadAsk {
+        let ask = HeadRequest {
             number: head.number,
             have: 0,
         };
-        let bytes = self.link.head(addr, ask).await.ok()??;
+        let bytes = self.link.request_head(addr, ask).await.ok()??;
         let number = u64::from_le_bytes(bytes.try_into().ok()?);
         (number == head.number).then_some(Event::Head(head))
     }
--- a/crates/wire/tests/support/proxy.rs
+++ b/crates/wire/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! A relay between two sockets that can lose track of its connections.
+//! A TCP proxy that can stop relaying on its open connections without closing them.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -8,34 +8,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A running relay.
+/// A running proxy.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub addr: SocketAddr,
-    /// Connections made so far.
-    pub made: Arc<AtomicUsize>,
-    /// Bytes relayed in both directions.
+    /// Number of connections accepted so far.
+    pub connections: Arc<AtomicUsize>,
+    /// Bytes received in both directions, those that are discarded included.
     pub bytes: Arc<AtomicU64>,
-    mute: watch::Sender<usize>,
+    /// Number of the first connection whose data is relayed.
+    first_working: watch::Sender<usize>,
 }
 
 impl Proxy {
-    /// Relays to what `target` says at the time of a connection.
+    /// Starts a proxy. Each connection is relayed to the value of `target` when it is accepted.
     pub async fn start(target: watch::Receiver<SocketAddr>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listen");
         let addr = listener.local_addr().expect("address");
-        let (mute, muted) = watch::channel(0);
-        let (made, bytes) = (Arc::default(), Arc::default());
+        let (first_working, working_from) = watch::channel(0);
+        let (connections, bytes) = (Arc::default(), Arc::default());
         let proxy = Self {
             addr,
-            made,
+            connections,
             bytes,
-            mute,
+            first_working,
         };
-        let (made, bytes) = (proxy.made.clone(), proxy.bytes.clone());
+        let (connections, bytes) = (proxy.connections.clone(), proxy.bytes.clone());
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                let number = made.fetch_add(1, Ordering::Relaxed);
+                let number = connections.fetch_add(1, Ordering::Relaxed);
                 let to = *target.borrow();
                 let Ok(far) = TcpStream::connect(to).await else {
                     continue;
@@ -46,14 +47,14 @@
                     near_in,
                     far_out,
                     number,
-                    muted.clone(),
+                    working_from.clone(),
                     bytes.clone(),
                 ));
                 tokio::spawn(relay(
                     far_in,
                     near_out,
                     number,
-                    muted.clone(),
+                    working_from.clone(),
                     bytes.clone(),
                 ));
             }
@@ -61,10 +62,11 @@
         proxy
     }
 
-    /// Lets all connections made so far go silent; new ones work.
-    pub fn forget(&self) {
-        let made = self.made.load(Ordering::Relaxed);
-        self.mute.send_replace(made);
+    /// Discards all further data of the connections accepted so far, which stay open. New
+    /// connections work.
+    pub fn silence_connections(&self) {
+        let connections = self.connections.load(Ordering::Relaxed);
+        self.first_working.send_replace(connections);
     }
 }
 
@@ -72,7 +74,7 @@
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     number: usize,
-    muted: watch::Receiver<usize>,
+    working_from: watch::Receiver<usize>,
     bytes: Arc<AtomicU64>,
 ) {
     let mut buffer = vec![0; 16 << 10];
@@ -81,7 +83,7 @@
             break;
         }
         bytes.fetch_add(len as u64, Ordering::Relaxed);
-        if number >= *muted.borrow() && to.write_all(&buffer[..len]).await.is_err() {
+        if number >= *working_from.borrow() && to.write_all(&buffer[..len]).await.is_err() {
             break;
         }
     }
