--- a/crates/rig/examples/added.rs
+++ b/crates/rig/examples/added.rs
@@ -89,9 +89,9 @@
     let caller = Caller::new();
     let pool = Pool::default();
     for number in 0..REQUESTS {
-        let mut ask = ChatRequest::new(format!("latency {number}"));
-        ask.max_tokens = TOKENS;
-        let answer = caller.chat(fleet.node(0).callers, &ask).await?;
+        let mut request = ChatRequest::new(format!("latency {number}"));
+        request.max_tokens = TOKENS;
+        let answer = caller.chat(fleet.node(0).callers, &request).await?;
         if !answer.complete() {
             return Err(eyre!("an answer is not whole: {answer:?}"));
         }
@@ -215,9 +215,9 @@
 
 /// Sends a streamed request and returns the response with its body unread.
 async fn stream(fleet: &Fleet, number: usize) -> Result<Response<Incoming>> {
-    let mut ask = ChatRequest::new(format!("stream {number}"));
-    ask.max_tokens = 512;
-    Caller::new().open(fleet.node(0).callers, &ask).await
+    let mut request = ChatRequest::new(format!("stream {number}"));
+    request.max_tokens = 512;
+    Caller::new().open(fleet.node(0).callers, &request).await
 }
 
 /// Returns the resident memory, in KB.
--- a/crates/rig/examples/demo.rs
+++ b/crates/rig/examples/demo.rs
@@ -161,12 +161,12 @@
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
-        let mut ask = ChatRequest::new(format!("watch {number}"));
-        ask.max_tokens = 64;
-        let Ok(answer) = caller.chat(addr, &ask).await else {
+        let mut request = ChatRequest::new(format!("watch {number}"));
+        request.max_tokens = 64;
+        let Ok(answer) = caller.chat(addr, &request).await else {
             continue;
         };
-        debug_assert!(rig::expect::text(&plan, &ask).starts_with(&answer.text));
+        debug_assert!(rig::expect::text(&plan, &request).starts_with(&answer.text));
         let gaps = answer.times.windows(2).map(|w| w[1].saturating_sub(w[0]));
         longest = gaps.max().unwrap_or_default().max(longest);
     }
--- a/crates/rig/src/caller.rs
+++ b/crates/rig/src/caller.rs
@@ -190,21 +190,25 @@
     }
 
     /// Sends a chat completion request and returns the response with its body unread.
-    pub async fn open(&self, addr: SocketAddr, ask: &ChatRequest) -> Result<Response<Incoming>> {
+    pub async fn open(
+        &self,
+        addr: SocketAddr,
+        request: &ChatRequest,
+    ) -> Result<Response<Incoming>> {
         let mut headers = vec![
-            ("authorization", format!("Bearer {}", ask.team.key)),
+            ("authorization", format!("Bearer {}", request.team.key)),
             ("content-type", "application/json".to_owned()),
         ];
-        headers.extend(ask.headers.iter().map(|(n, v)| (*n, v.clone())));
+        headers.extend(request.headers.iter().map(|(n, v)| (*n, v.clone())));
         let path = "/v1/chat/completions";
-        self.send(addr, Method::POST, path, &headers, ask.body())
+        self.send(addr, Method::POST, path, &headers, request.body())
             .await
     }
 
     /// Sends a chat completion request and reads its answer to the end.
-    pub async fn chat(&self, addr: SocketAddr, ask: &ChatRequest) -> Result<Answer> {
+    pub async fn chat(&self, addr: SocketAddr, request: &ChatRequest) -> Result<Answer> {
         let start = Instant::now();
-        let response = self.open(addr, ask).await?;
+        let response = self.open(addr, request).await?;
         Ok(read(response, start).await)
     }
 }
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -228,8 +228,8 @@
     format!("entry-{index}")
 }
 
-/// Returns the maximum speed of a stage for the bundle. A stage whose `layer_time` is zero gets a
-/// speed above anything that the machine reaches.
+/// Returns the maximum speed of a stage for the bundle. A stage whose `layer_time` is zero is
+/// limited only by the machine and gets a fixed high value.
 fn layers_per_second(layer_time: Duration, batch: usize) -> f64 {
     let time = layer_time.as_secs_f64();
     if time <= 0.0 {
--- a/crates/rig/tests/completions.rs
+++ b/crates/rig/tests/completions.rs
@@ -77,7 +77,7 @@
     call(fleet, Method::POST, path, body).await
 }
 
-fn ask(message: &str) -> ChatRequest {
+fn chat_request(message: &str) -> ChatRequest {
     ChatRequest {
         max_tokens: MAX_TOKENS,
         ..ChatRequest::new(message)
@@ -137,7 +137,7 @@
     );
     assert_eq!(
         choice["message"]["content"],
-        expect::text(&fleet.plan, &ask("flag the sesame"))
+        expect::text(&fleet.plan, &chat_request("flag the sesame"))
     );
     let prompt = "<|user|>\nflag the sesame\n<|assistant|>\n";
     let (prompted, made) = (
@@ -219,7 +219,10 @@
             with_usage,
             "/choices/0/delta/content",
         );
-        assert_eq!(given, expect::text(&fleet.plan, &ask("explain the swap")));
+        assert_eq!(
+            given,
+            expect::text(&fleet.plan, &chat_request("explain the swap"))
+        );
 
         let mut body = text("once upon");
         body["stream"] = json!(true);
@@ -256,7 +259,10 @@
         false,
         "/choices/0/delta/content",
     );
-    assert_eq!(given, expect::text(&fleet.plan, &ask("explain the swap")));
+    assert_eq!(
+        given,
+        expect::text(&fleet.plan, &chat_request("explain the swap"))
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -348,7 +354,7 @@
     body["messages"][0]["content"] =
         json!([{"type": "text", "text": "flag "}, {"type": "text", "text": "the sesame"}]);
     let value = post(&fleet, CHAT, &body).await.json();
-    let whole = expect::text(&fleet.plan, &ask("flag the sesame"));
+    let whole = expect::text(&fleet.plan, &chat_request("flag the sesame"));
     assert_eq!(value["choices"][0]["message"]["content"], whole);
 }
 
@@ -451,7 +457,7 @@
     fleet.start_node(0).expect("node");
     wait("the node answers", || async {
         Caller::new()
-            .chat(fleet.node(0).callers, &ask("a"))
+            .chat(fleet.node(0).callers, &chat_request("a"))
             .await
             .is_ok()
     })
--- a/crates/rig/tests/crash.rs
+++ b/crates/rig/tests/crash.rs
@@ -56,10 +56,10 @@
     let lost = count_dead(&fleet).await;
     assert!(lost <= 2, "{lost} endpoints lost");
     for n in 0..12 {
-        let ask = ChatRequest::new(format!("menu {n}"));
-        let answer = caller.chat(fleet.node(n % 3).callers, &ask).await;
+        let request = ChatRequest::new(format!("menu {n}"));
+        let answer = caller.chat(fleet.node(n % 3).callers, &request).await;
         let answer = answer.expect("answer");
         assert!(answer.complete(), "{answer:?}");
-        assert_eq!(answer.text, expect::text(&fleet.plan, &ask));
+        assert_eq!(answer.text, expect::text(&fleet.plan, &request));
     }
 }
--- a/crates/rig/tests/drain.rs
+++ b/crates/rig/tests/drain.rs
@@ -36,13 +36,13 @@
             };
             // Some requests start before the node leaves and some while it drains.
             tokio::time::sleep(Duration::from_millis(15 * n)).await;
-            let ask = ChatRequest {
+            let request = ChatRequest {
                 max_tokens: 48,
                 ..ChatRequest::new(format!("menu {n}"))
             };
-            let answer = caller.chat(addr, &ask).await.expect("answer");
+            let answer = caller.chat(addr, &request).await.expect("answer");
             assert!(answer.complete(), "{answer:?}");
-            assert_eq!(answer.text, expect::text(&plan, &ask));
+            assert_eq!(answer.text, expect::text(&plan, &request));
         });
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -86,8 +86,8 @@
     let before = Counters::get(&leaving.engine.counters().opened);
     let caller = Caller::new();
     for n in 0..30 {
-        let ask = ChatRequest::new(format!("note {n}"));
-        let answer = caller.chat(fleet.node(n % 3).callers, &ask).await;
+        let request = ChatRequest::new(format!("note {n}"));
+        let answer = caller.chat(fleet.node(n % 3).callers, &request).await;
         assert!(answer.expect("answer").complete());
     }
     assert_eq!(Counters::get(&leaving.engine.counters().opened), before);
--- a/crates/rig/tests/hostile.rs
+++ b/crates/rig/tests/hostile.rs
@@ -44,10 +44,10 @@
 /// Checks that the node answers a valid request, at the latest once it can accept another
 /// connection.
 async fn still_answers(fleet: &Fleet) {
-    let ask = ChatRequest::new("flag the sesame");
+    let request = ChatRequest::new("flag the sesame");
     wait("a good answer", || async {
-        let answer = Caller::new().chat(addr(fleet), &ask).await;
-        answer.is_ok_and(|a| a.complete() && a.text == expect::text(&fleet.plan, &ask))
+        let answer = Caller::new().chat(addr(fleet), &request).await;
+        answer.is_ok_and(|a| a.complete() && a.text == expect::text(&fleet.plan, &request))
     })
     .await
     .expect("the node answers");
@@ -369,20 +369,23 @@
         ..plan()
     };
     let fleet = Fleet::start(plan).await.expect("fleet");
-    let ask = |n: usize| ChatRequest {
+    let request = |n: usize| ChatRequest {
         team: limited.clone(),
         ..ChatRequest::new(format!("menu {n}"))
     };
     let caller = Caller::http2();
     wait("the team's share reaches the node", || async {
-        let answer = caller.chat(addr(&fleet), &ask(0)).await;
+        let answer = caller.chat(addr(&fleet), &request(0)).await;
         answer.is_ok_and(|a| a.complete())
     })
     .await
     .expect("a share");
-    let asks: Vec<ChatRequest> = (0..30).map(ask).collect();
-    let asked: FuturesUnordered<_> = asks.iter().map(|a| caller.chat(addr(&fleet), a)).collect();
-    let answers: Vec<_> = asked.map(|a| a.expect("answer")).collect().await;
+    let requests: Vec<ChatRequest> = (0..30).map(request).collect();
+    let pending: FuturesUnordered<_> = requests
+        .iter()
+        .map(|a| caller.chat(addr(&fleet), a))
+        .collect();
+    let answers: Vec<_> = pending.map(|a| a.expect("answer")).collect().await;
     let (complete, refused): (Vec<Answer>, Vec<Answer>) =
         answers.into_iter().partition(Answer::complete);
     assert!(
--- a/crates/rig/tests/once.rs
+++ b/crates/rig/tests/once.rs
@@ -70,8 +70,9 @@
     assert_eq!(effects(&fleet, &key), 1);
 }
 
-// Concurrent requests with one key at all nodes get the same answer, and the request runs once. The
-// claim with the lowest offset in the log decides which node runs it.
+// Concurrent requests with one key at all nodes get the same answer or are redirected to the node
+// that owns the key, and the request runs once. The claim with the lowest offset in the log decides
+// which node runs it.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_sends_to_all_nodes_run_once() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
@@ -113,8 +114,8 @@
 }
 
 // While the log is unavailable, a claim of a dated key can't be settled: the request is refused and
-// does not run. A ticket needs no claim because only the node that issued it may run it; a retry
-// with it gets the same answer.
+// does not run. A ticket still works, because only the node that issued it may run it; a retry with
+// it gets the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn tickets_work_while_the_log_is_out() {
     let fleet = Fleet::start(Plan::default()).await.expect("fleet");
--- a/crates/rig/tests/outcomes.rs
+++ b/crates/rig/tests/outcomes.rs
@@ -25,16 +25,16 @@
 
 /// Builds a request that is not repeatable.
 fn not_repeatable(message: &str, stream: bool) -> ChatRequest {
-    let ask = ChatRequest {
+    let request = ChatRequest {
         stream,
         max_tokens: 64,
         ..ChatRequest::new(message)
     };
-    ask.header("x-wigeonshelf-repeatable", "false")
+    request.header("x-wigeonshelf-repeatable", "false")
 }
 
-async fn ask(fleet: &Fleet, ask: &ChatRequest) -> Answer {
-    let answer = Caller::new().chat(fleet.node(0).callers, ask).await;
+async fn send(fleet: &Fleet, request: &ChatRequest) -> Answer {
+    let answer = Caller::new().chat(fleet.node(0).callers, request).await;
     answer.expect("answer")
 }
 
@@ -50,7 +50,7 @@
     for stream in [true, false] {
         let fleet = single().await;
         fleet.endpoints[1].engine.crash_at_step(2);
-        let answer = ask(&fleet, &not_repeatable("lock the tower", stream)).await;
+        let answer = send(&fleet, &not_repeatable("lock the tower", stream)).await;
         assert!(answer.unknown(), "{answer:?}");
         assert!(!answer.done, "{answer:?}");
         assert!(steps(&fleet) > 0);
@@ -64,7 +64,7 @@
     let fleet = single().await;
     fleet.endpoints[0].engine.crash_at_step(4);
     let request = not_repeatable("repair steps", true);
-    let answer = ask(&fleet, &request).await;
+    let answer = send(&fleet, &request).await;
     assert!(answer.status.is_success(), "{answer:?}");
     assert!(!answer.text.is_empty());
     assert!(expect::text(&fleet.plan, &request).starts_with(&answer.text));
@@ -79,7 +79,7 @@
     let fleet = single().await;
     fleet.endpoints[0].engine.crash_at_step(4);
     let request = not_repeatable("repair steps", true).header("x-wigeonshelf-whole", "true");
-    let answer = ask(&fleet, &request).await;
+    let answer = send(&fleet, &request).await;
     assert_eq!(answer.status.as_u16(), 502);
     assert!(answer.unknown() && answer.text.is_empty(), "{answer:?}");
     let retry = answer.headers.get("x-should-retry");
@@ -87,25 +87,25 @@
 }
 
 // Every stage refuses the request before any step runs, and the deadline ends the search for
-// another chain: the outcome is "not run", and no step has run.
+// another chain: the outcome is "not run" with a retry-after delay, and no step has run.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_runs_no_step() {
     let fleet = single().await;
     fleet.endpoints[1].engine.set_leaving(true);
     let request = not_repeatable("sesame swap", false).header("x-wigeonshelf-deadline-ms", "400");
-    let answer = ask(&fleet, &request).await;
+    let answer = send(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
     assert!(answer.status.is_server_error());
     assert_eq!(steps(&fleet), 0);
 }
 
-// The outcome is "not run" if no endpoint serves the model.
+// The outcome is "not run", without a wait, if no endpoint serves the model.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_fleet_refuses() {
     let fleet = single().await;
     fleet.endpoints[0].engine.crash();
     let request = ChatRequest::new("hello").header("x-wigeonshelf-deadline-ms", "1500");
-    let answer = ask(&fleet, &request).await;
+    let answer = send(&fleet, &request).await;
     assert!(answer.not_run(), "{answer:?}");
     assert_eq!(steps(&fleet), 0);
 }
--- a/crates/rig/tests/path.rs
+++ b/crates/rig/tests/path.rs
@@ -13,13 +13,13 @@
     let addr = named.addresses[0].addr().expect("address");
     let caller = Caller::new();
     for stream in [true, false] {
-        let ask = ChatRequest {
+        let request = ChatRequest {
             stream,
             ..ChatRequest::new("flag the sesame")
         };
-        let answer = caller.chat(addr, &ask).await.expect("answer");
+        let answer = caller.chat(addr, &request).await.expect("answer");
         assert!(answer.complete(), "{answer:?}");
-        assert_eq!(answer.text, expect::text(&fleet.plan, &ask));
+        assert_eq!(answer.text, expect::text(&fleet.plan, &request));
     }
 }
 
@@ -33,10 +33,10 @@
         ..plain.clone()
     };
     let caller = Caller::http2();
-    for ask in [&plain, &adapted] {
-        let answer = caller.chat(addr, ask).await.expect("answer");
+    for request in [&plain, &adapted] {
+        let answer = caller.chat(addr, request).await.expect("answer");
         assert!(answer.complete(), "{answer:?}");
-        assert_eq!(answer.text, expect::text(&fleet.plan, ask));
+        assert_eq!(answer.text, expect::text(&fleet.plan, request));
     }
     assert_ne!(
         expect::text(&fleet.plan, &plain),
--- a/crates/rig/tests/roll.rs
+++ b/crates/rig/tests/roll.rs
@@ -44,11 +44,11 @@
             "the roll did not end before the timeout"
         );
         number += 1;
-        let ask = ChatRequest::new(format!("note {number}"));
-        let answer = caller.chat(fleet.node(number % 3).callers, &ask).await;
+        let request = ChatRequest::new(format!("note {number}"));
+        let answer = caller.chat(fleet.node(number % 3).callers, &request).await;
         let answer = answer.expect("answer");
         assert!(answer.complete(), "{answer:?}");
-        let either = [VERSION, NEXT].map(|v| expect::text_of(&fleet.plan, &ask, v));
+        let either = [VERSION, NEXT].map(|v| expect::text_of(&fleet.plan, &request, v));
         assert!(either.contains(&answer.text), "{answer:?}");
         sleep(Duration::from_millis(20)).await;
     }
@@ -68,10 +68,10 @@
     sleep(Duration::from_secs(2)).await;
     let caller = Caller::new();
     for node in fleet.nodes.iter().flatten() {
-        let ask = ChatRequest::new("after the roll");
-        let answer = caller.chat(node.callers, &ask).await.expect("answer");
+        let request = ChatRequest::new("after the roll");
+        let answer = caller.chat(node.callers, &request).await.expect("answer");
         assert!(answer.complete(), "{answer:?}");
-        assert_eq!(answer.text, expect::text_of(&fleet.plan, &ask, NEXT));
+        assert_eq!(answer.text, expect::text_of(&fleet.plan, &request, NEXT));
     }
 }
 
@@ -99,9 +99,9 @@
             Instant::now() < end,
             "the roll did not end before the timeout"
         );
-        let ask = ChatRequest::new("note");
+        let request = ChatRequest::new("note");
         let node = fleet.nodes.iter().flatten().next().expect("a node");
-        let answer = Caller::new().chat(node.callers, &ask).await;
+        let answer = Caller::new().chat(node.callers, &request).await;
         assert!(answer.expect("answer").complete());
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/rig/tests/stages.rs
+++ b/crates/rig/tests/stages.rs
@@ -23,29 +23,32 @@
 }
 
 /// Sends a request to node 0 and checks that the answer is complete and has the expected text.
-async fn check_complete(fleet: &Fleet, ask: &ChatRequest) -> Answer {
+async fn check_complete(fleet: &Fleet, request: &ChatRequest) -> Answer {
     let caller = Caller::new();
-    let answer = caller.chat(fleet.node(0).callers, ask).await;
+    let answer = caller.chat(fleet.node(0).callers, request).await;
     let answer = answer.expect("answer");
     assert!(answer.complete(), "{answer:?}");
-    assert_eq!(answer.text, expect::text(&fleet.plan, ask));
+    assert_eq!(answer.text, expect::text(&fleet.plan, request));
     answer
 }
 
 /// Returns a request whose answer has `max_tokens` tokens.
 fn long(fleet: &Fleet, max_tokens: u32) -> ChatRequest {
-    let asks = (0..1000).map(|n| ChatRequest {
+    let requests = (0..1000).map(|n| ChatRequest {
         max_tokens,
         ..ChatRequest::new(format!("a long repair guide {n}"))
     });
-    let runs = |ask: &ChatRequest| {
+    let runs = |request: &ChatRequest| {
         let shorter = ChatRequest {
             max_tokens: max_tokens - 1,
-            ..ask.clone()
+            ..request.clone()
         };
-        expect::text(&fleet.plan, ask).len() > expect::text(&fleet.plan, &shorter).len()
+        expect::text(&fleet.plan, request).len() > expect::text(&fleet.plan, &shorter).len()
     };
-    asks.into_iter().find(runs).expect("some answer is long")
+    requests
+        .into_iter()
+        .find(runs)
+        .expect("some answer is long")
 }
 
 // All first stages but one refuse connections. The node's connection is refused before it sends a
@@ -69,15 +72,15 @@
         let dying = &fleet.endpoints[1].engine;
         dying.crash_at_step(step);
         for n in 0..12 {
-            let ask = ChatRequest {
+            let request = ChatRequest {
                 seed: n,
                 ..long(&fleet, 24)
             };
             let caller = Caller::new();
-            let answer = caller.chat(fleet.node(0).callers, &ask).await;
+            let answer = caller.chat(fleet.node(0).callers, &request).await;
             let answer = answer.expect("answer");
             assert!(answer.complete(), "{answer:?}");
-            assert_eq!(answer.text, expect::text(&fleet.plan, &ask));
+            assert_eq!(answer.text, expect::text(&fleet.plan, &request));
         }
         assert!(
             Counters::get(&dying.counters().steps) + 1 >= step,
@@ -92,11 +95,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn open_connections_hang() {
     let fleet = paced().await;
-    let ask = long(&fleet, 48);
+    let request = long(&fleet, 48);
     let running = tokio::spawn({
         let addr = fleet.node(0).callers;
-        let ask = ask.clone();
-        async move { Caller::new().chat(addr, &ask).await }
+        let request = request.clone();
+        async move { Caller::new().chat(addr, &request).await }
     });
     let started = || async { fleet.endpoints.iter().any(|e| e.engine.running() > 0) };
     wait("the answer is in flight", started)
@@ -107,7 +110,7 @@
     }
     let answer = running.await.expect("task").expect("answer");
     assert!(answer.complete(), "{answer:?}");
-    assert_eq!(answer.text, expect::text(&fleet.plan, &ask));
+    assert_eq!(answer.text, expect::text(&fleet.plan, &request));
 }
 
 // A stage sends frames of an ended attempt, of another request, of another step or of other layers,
@@ -141,15 +144,15 @@
     for n in 0..200 {
         let addr = fleet.node(n % 3).callers;
         let plan = fleet.plan.clone();
-        let ask = ChatRequest {
+        let request = ChatRequest {
             team: plan.teams[n % 2].clone(),
             stream: n % 3 != 0,
             ..ChatRequest::new(format!("note {n}"))
         };
         running.spawn(async move {
-            let answer = Caller::new().chat(addr, &ask).await.expect("answer");
+            let answer = Caller::new().chat(addr, &request).await.expect("answer");
             assert!(answer.complete(), "{answer:?}");
-            assert_eq!(answer.text, expect::text(&plan, &ask));
+            assert_eq!(answer.text, expect::text(&plan, &request));
         });
     }
     while let Some(done) = running.join_next().await {
@@ -162,9 +165,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn work_of_a_disconnected_caller_is_cancelled() {
     let fleet = paced().await;
-    let ask = long(&fleet, 200);
+    let request = long(&fleet, 200);
     let caller = Caller::new();
-    let response = caller.open(fleet.node(0).callers, &ask).await;
+    let response = caller.open(fleet.node(0).callers, &request).await;
     assert!(response.expect("answer").status().is_success());
     drop(caller);
     let idle = || async { fleet.endpoints.iter().all(|e| e.engine.running() == 0) };
--- a/crates/rig/tests/tls.rs
+++ b/crates/rig/tests/tls.rs
@@ -99,7 +99,7 @@
     fleet
 }
 
-fn request(addr: SocketAddr, ask: &ChatRequest, version: Version) -> Request<Full<Bytes>> {
+fn request(addr: SocketAddr, chat: &ChatRequest, version: Version) -> Request<Full<Bytes>> {
     let path = "/v1/chat/completions";
     let uri = match version {
         Version::HTTP_2 => format!("https://{addr}{path}"),
@@ -109,14 +109,14 @@
         .version(version)
         .header("host", "localhost");
     let builder = builder.header("authorization", format!("Bearer {}", KITCHENS.key));
-    builder.body(Full::from(ask.body())).expect("a request")
+    builder.body(Full::from(chat.body())).expect("a request")
 }
 
 /// Sends a chat completion request over a connection, with the protocol negotiated by ALPN.
 async fn chat(
     stream: TlsStream<TcpStream>,
     addr: SocketAddr,
-    ask: &ChatRequest,
+    chat: &ChatRequest,
 ) -> (StatusCode, Bytes) {
     let agreed = stream.get_ref().1.alpn_protocol().map(<[u8]>::to_vec);
     let io = TokioIo::new(stream);
@@ -126,13 +126,13 @@
             .expect("http2");
         tokio::spawn(conn);
         sender
-            .send_request(request(addr, ask, Version::HTTP_2))
+            .send_request(request(addr, chat, Version::HTTP_2))
             .await
     } else {
         let (mut sender, conn) = http1::handshake(io).await.expect("http1");
         tokio::spawn(conn);
         sender
-            .send_request(request(addr, ask, Version::HTTP_11))
+            .send_request(request(addr, chat, Version::HTTP_11))
             .await
     };
     let response = response.expect("answer");
@@ -162,7 +162,7 @@
     }
 
     async fn chat(&mut self, addr: SocketAddr) -> StatusCode {
-        let request = request(addr, &ask(), Version::HTTP_2);
+        let request = request(addr, &chat_request(), Version::HTTP_2);
         let response = self.0.send_request(request).await.expect("answer");
         let status = response.status();
         response.into_body().collect().await.expect("body");
@@ -170,7 +170,7 @@
     }
 }
 
-fn ask() -> ChatRequest {
+fn chat_request() -> ChatRequest {
     ChatRequest {
         stream: false,
         ..ChatRequest::new("flag the sesame")
@@ -199,9 +199,9 @@
     for (offered, agreed) in cases {
         let stream = pair.connect(addr, offered).await.expect("connected");
         assert_eq!(stream.get_ref().1.alpn_protocol(), agreed, "{offered:?}");
-        let (status, body) = chat(stream, addr, &ask()).await;
+        let (status, body) = chat(stream, addr, &chat_request()).await;
         assert_eq!(status, StatusCode::OK);
-        assert_eq!(text(&body), expect::text(&fleet.plan, &ask()));
+        assert_eq!(text(&body), expect::text(&fleet.plan, &chat_request()));
     }
     let mut stream = pair.connect(addr, &["http/1.1"]).await.expect("connected");
     let named = addresses(&mut stream).await;
@@ -236,7 +236,7 @@
     assert!(!bytes.starts_with(b"HTTP"), "plain text was answered");
     drop(TcpStream::connect(addr).await.expect("connected"));
     let stream = pair.connect(addr, &["h2"]).await.expect("connected");
-    assert_eq!(chat(stream, addr, &ask()).await.0, StatusCode::OK);
+    assert_eq!(chat(stream, addr, &chat_request()).await.0, StatusCode::OK);
 }
 
 // A renewed certificate is served without a restart, and open connections continue. While the key
