--- a/crates/ctl/src/admin.rs
+++ b/crates/ctl/src/admin.rs
@@ -14,23 +14,23 @@
 
 /// Longest time of a call. A node settles a publish itself before it answers, backing off from
 /// a slow log, so this is longer than the node's own limit.
-const LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Longest time to make a connection.
-const CONNECT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Largest answer, in bytes.
-const MAX_BODY: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// An answer.
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// The body, if the status says success.
     pub fn success(self) -> Result<Bytes> {
         if self.status.is_success() {
@@ -59,19 +59,19 @@
     }
 
     /// Posts `body` to `path`.
-    pub async fn post(self, path: &str, body: Bytes) -> Result<Answer> {
+    pub async fn post(self, path: &str, body: Bytes) -> Result<Response> {
         self.call(Method::POST, path, body).await
     }
 
     /// One call on a connection of its own, since a kept one may have gone silent.
-    async fn call(self, method: Method, path: &str, body: Bytes) -> Result<Answer> {
-        let call = timeout(LIMIT, self.exchange(method, path, body));
+    async fn call(self, method: Method, path: &str, body: Bytes) -> Result<Response> {
+        let call = timeout(CALL_TIMEOUT, self.exchange(method, path, body));
         let answer = call.await.wrap_err("time limit passed")?;
         answer.wrap_err_with(|| format!("node {}", self.0))
     }
 
-    async fn exchange(self, method: Method, path: &str, body: Bytes) -> Result<Answer> {
-        let connect = timeout(CONNECT, TcpStream::connect(self.0));
+    async fn exchange(self, method: Method, path: &str, body: Bytes) -> Result<Response> {
+        let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.0));
         let stream = connect.await.wrap_err("no connection")??;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
@@ -83,9 +83,9 @@
             .body(Full::new(body))?;
         let response = sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MAX_BODY).collect().await;
+        let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
         let body = body.map_err(|e| eyre!("answer: {e}"))?.to_bytes();
-        Ok(Answer {
+        Ok(Response {
             status: parts.status,
             body,
         })
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -43,7 +43,7 @@
 
 /// Checks a bundle's text.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
-    let sections = files::sections(files::path(args, "file"))?;
+    let sections = files::sections(files::path_arg(args, "file"))?;
     let report = verify::verify(&sections);
     let findings = report.findings.rows().to_vec();
     let bundle = report.bundle.ok_or(Failure::Findings(report.findings))?;
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -37,29 +37,29 @@
 
 /// Shows what turns one bundle into another.
 pub fn run(args: &ArgMatches, output: Output) -> Result {
-    let old = old(files::path(args, "old"))?;
-    let new = files::sections(files::path(args, "new"))?;
+    let old = old_sections(files::path_arg(args, "old"))?;
+    let new = files::sections(files::path_arg(args, "new"))?;
     let delta = Delta::between(&old, &new);
     let (changed, added): (Vec<&Key>, Vec<&Key>) =
         delta.set.keys().partition(|key| old.get(key).is_some());
     output.show(&Difference {
-        added: headers(added),
-        changed: headers(changed),
-        removed: headers(delta.removed.iter()),
+        added: to_text(added),
+        changed: to_text(changed),
+        removed: to_text(delta.removed.iter()),
     });
     Ok(())
 }
 
 /// The sections of a text, or of a record with a full bundle.
-fn old(path: &Path) -> Result<Sections> {
+fn old_sections(path: &Path) -> Result<Sections> {
     if !files::bytes(path)?.trim_ascii_start().starts_with(b"{") {
         return files::sections(path);
     }
-    let whole = files::record(path)?.sections();
-    whole.map_err(|e| input(eyre::eyre!("not a whole bundle: it {e}")))
+    let sections = files::record(path)?.sections();
+    sections.map_err(|e| input(eyre::eyre!("not a whole bundle: it {e}")))
 }
 
 /// Headers as text.
-fn headers<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
+fn to_text<'a>(keys: impl IntoIterator<Item = &'a Key>) -> Vec<String> {
     keys.into_iter().map(Key::to_string).collect()
 }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -3,7 +3,7 @@
 //! Lines of all nodes may come in any order and with any text before the JSON object, such as a
 //! node's name and a time. Beside the request's own lines, the last changes before it of what its
 //! node depends on and of the endpoints that it was sent to are part of the story: they are the
-//! beliefs that decided.
+//! changes that decided.
 
 use crate::failure::{Result, failed};
 use crate::line::{Line, Reader};
@@ -14,17 +14,17 @@
 use std::fmt;
 
 /// Changes of belief before the request that are shown, at the most.
-const BELIEFS: usize = 12;
+const MAX_STATE_CHANGES: usize = 12;
 /// Milliseconds before the request from which on changes of belief are shown.
-const BEFORE: u64 = 10_000;
+const LOOKBACK_MS: u64 = 10_000;
 
 impl Line {
-    fn about(&self, id: &str) -> bool {
+    fn is_about(&self, id: &str) -> bool {
         self.text("id") == id
     }
 
     /// Whether it changes what decides about a request that used these stages.
-    fn belief(&self, stages: &str) -> bool {
+    fn is_relevant_change(&self, stages: &str) -> bool {
         match self.event.as_str() {
             "endpoint" | "order" => {
                 let run = self.text("run");
@@ -36,7 +36,7 @@
     }
 
     /// The line for a reader, with its time after `start`.
-    fn tell(&self, start: u64) -> String {
+    fn describe(&self, start: u64) -> String {
         let fields = self.fields.iter().filter(|(name, _)| *name != "id");
         let fields: Vec<String> = fields
             .map(|(name, value)| match value {
@@ -44,12 +44,12 @@
                 other => format!("{name}={other}"),
             })
             .collect();
-        let after = self.time as i64 - start as i64;
+        let offset = self.time as i64 - start as i64;
         format!(
-            "{after:>7} ms  {:<10} {}  {}",
+            "{offset:>7} ms  {:<10} {}  {}",
             self.event,
             fields.join(" "),
-            self.from
+            self.prefix
         )
     }
 }
@@ -59,44 +59,44 @@
     let id: &String = args.get_one("id").expect("clap requires it");
     let mut reader = Reader::new(std::io::stdin().lock(), "standard input");
     let lines: Vec<Line> = reader.by_ref().collect();
-    reader.end()?;
-    let story = story(lines, id).ok_or_else(|| {
+    reader.finish()?;
+    let timeline = timeline(lines, id).ok_or_else(|| {
         failed(eyre::eyre!(
             "no line is about {id}; another node may have had it, or its lines were dropped"
         ))
     })?;
-    output.show(&story);
+    output.show(&timeline);
     Ok(())
 }
 
 /// A request's story, a line each.
 #[derive(Debug, Serialize)]
-struct Story {
+struct Timeline {
     lines: Vec<String>,
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.lines.join("\n"))
     }
 }
 
 /// The lines of a request in the order of their times; nothing if there are none.
-fn story(mut lines: Vec<Line>, id: &str) -> Option<Story> {
+fn timeline(mut lines: Vec<Line>, id: &str) -> Option<Timeline> {
     lines.sort_by_key(|l| l.time);
-    let own: Vec<&Line> = lines.iter().filter(|l| l.about(id)).collect();
+    let own: Vec<&Line> = lines.iter().filter(|l| l.is_about(id)).collect();
     let (start, end) = (own.first()?.time, own.last()?.time);
     let stages: Vec<&str> = own.iter().map(|l| l.text("stages")).collect();
     let stages = stages.join(",");
-    let near = |l: &&Line| l.time + BEFORE >= start && l.time <= end;
-    let beliefs: Vec<&Line> = lines
+    let in_window = |l: &&Line| l.time + LOOKBACK_MS >= start && l.time <= end;
+    let changes: Vec<&Line> = lines
         .iter()
-        .filter(near)
-        .filter(|l| !l.about(id) && l.belief(&stages))
+        .filter(in_window)
+        .filter(|l| !l.is_about(id) && l.is_relevant_change(&stages))
         .collect();
-    let skipped = beliefs.len().saturating_sub(BELIEFS);
-    let mut told: Vec<&Line> = beliefs.into_iter().skip(skipped).chain(own).collect();
-    told.sort_by_key(|l| l.time);
-    let lines = told.into_iter().map(|l| l.tell(start)).collect();
-    Some(Story { lines })
+    let skipped = changes.len().saturating_sub(MAX_STATE_CHANGES);
+    let mut selected: Vec<&Line> = changes.into_iter().skip(skipped).chain(own).collect();
+    selected.sort_by_key(|l| l.time);
+    let lines = selected.into_iter().map(|l| l.describe(start)).collect();
+    Some(Timeline { lines })
 }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 /// The path under argument `name`, which clap requires.
-pub fn path<'a>(args: &'a ArgMatches, name: &str) -> &'a Path {
+pub fn path_arg<'a>(args: &'a ArgMatches, name: &str) -> &'a Path {
     args.get_one::<PathBuf>(name)
         .map_or(Path::new(""), PathBuf::as_path)
 }
@@ -54,18 +54,18 @@
 
 /// A record of the log.
 pub fn record(path: &Path) -> Result<Record> {
-    read_record(&bytes(path)?)
+    decode_record(&bytes(path)?)
         .wrap_err_with(|| path.display().to_string())
         .map_err(input)
 }
 
 /// Reads a record.
-pub fn read_record(bytes: &[u8]) -> record::Result<Record> {
+pub fn decode_record(bytes: &[u8]) -> record::Result<Record> {
     Record::decode(bytes.trim_ascii())
 }
 
 /// The trusted keys under `--trust`: the section `[trust]` of a node's settings.
-pub fn trusted(args: &ArgMatches) -> Result<Vec<Signer>> {
+pub fn trusted_signers(args: &ArgMatches) -> Result<Vec<Signer>> {
     let Some(path) = args.get_one::<PathBuf>("trust") else {
         return Ok(Vec::new());
     };
@@ -74,7 +74,7 @@
         .wrap_err_with(at)
         .map_err(input)?;
     let entries = ini.section_all(Some("trust")).flat_map(|s| s.iter());
-    let signers = entries.map(|(name, key)| signer(name, key));
+    let signers = entries.map(|(name, key)| parse_signer(name, key));
     let signers: Vec<Signer> = signers.collect::<eyre::Result<_>>().map_err(input)?;
     if signers.is_empty() {
         return Err(input(eyre!("{}: no key in a section [trust]", at())));
@@ -83,7 +83,7 @@
 }
 
 /// One trusted key.
-fn signer(name: &str, key: &str) -> eyre::Result<Signer> {
+fn parse_signer(name: &str, key: &str) -> eyre::Result<Signer> {
     let key = bundle::signer::parse_key(key);
     let key = key.ok_or_else(|| eyre!("[trust] {name}: not an ed25519 public key in hex"))?;
     Ok(Signer {
--- a/crates/ctl/src/history.rs
+++ b/crates/ctl/src/history.rs
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 
 /// Path of the versions that a node remembers.
-const HISTORY: &str = "/admin/v1/history";
+const HISTORY_PATH: &str = "/admin/v1/history";
 
 /// Shows the versions that were in force, as a node or the log tells.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let history: History = match args.get_one::<SocketAddr>("admin") {
         Some(addr) => {
-            let body = Admin(*addr).get(HISTORY).await.map_err(failed)?;
+            let body = Admin(*addr).get(HISTORY_PATH).await.map_err(failed)?;
             serde_json::from_slice(&body)
                 .wrap_err("history")
                 .map_err(failed)?
--- a/crates/ctl/src/keygen.rs
+++ b/crates/ctl/src/keygen.rs
@@ -16,7 +16,7 @@
 use std::path::Path;
 
 /// Only its owner may read a private key.
-const MODE: u32 = 0o600;
+const PRIVATE_KEY_MODE: u32 = 0o600;
 
 /// The new key's public half, as the settings of nodes hold it.
 #[derive(Serialize)]
@@ -42,7 +42,7 @@
     drawn.wrap_err("random numbers").map_err(failed)?;
     let key = sign::key_from_seed(seed);
     let pem = sign::to_pem(&key).map_err(failed)?;
-    write_new(files::path(args, "key"), &pem)?;
+    write_new(files::path_arg(args, "key"), &pem)?;
     let public = sign::public_key_hex(&key);
     output.show(&Key { name, public });
     Ok(())
@@ -51,7 +51,11 @@
 /// Writes a file that must not exist: overwriting a key would lose it for good.
 fn write_new(path: &Path, text: &str) -> Result {
     let mut options = OpenOptions::new();
-    let file = options.write(true).create_new(true).mode(MODE).open(path);
+    let file = options
+        .write(true)
+        .create_new(true)
+        .mode(PRIVATE_KEY_MODE)
+        .open(path);
     let mut file = file
         .wrap_err_with(|| path.display().to_string())
         .map_err(input)?;
--- a/crates/ctl/src/line.rs
+++ b/crates/ctl/src/line.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Line {
     /// What stands before the object, such as the node's name.
-    pub from: String,
+    pub prefix: String,
     /// Unix time in milliseconds.
     pub time: u64,
     /// What kind of event it tells.
@@ -23,11 +23,11 @@
 }
 
 impl Line {
-    fn of(mut fields: Map<String, Value>, from: &str) -> Option<Self> {
+    fn from_fields(mut fields: Map<String, Value>, prefix: &str) -> Option<Self> {
         let time = fields.remove("time")?.as_u64()?;
         let event = fields.remove("event")?.as_str()?.to_owned();
         Some(Self {
-            from: from.trim().to_owned(),
+            prefix: prefix.trim().to_owned(),
             time,
             event,
             fields,
@@ -48,24 +48,29 @@
 
 /// Lines that were left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Unread {
+pub struct Skipped {
     /// Lines without a JSON object, or whose object tells no event of a node.
     pub foreign: u64,
     /// Lines whose object ends too early or is mixed with other text.
-    pub cut: u64,
+    #[serde(rename = "cut")]
+    pub malformed: u64,
     /// Number of the first line that is cut, from 1; 0 if there is none.
-    pub first_cut: u64,
+    #[serde(rename = "first_cut")]
+    pub first_malformed: u64,
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for Skipped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             foreign,
-            cut,
-            first_cut,
+            malformed,
+            first_malformed,
         } = self;
-        write!(f, "{foreign} lines of other origin, {cut} cut or mixed")?;
-        match first_cut {
+        write!(
+            f,
+            "{foreign} lines of other origin, {malformed} cut or mixed"
+        )?;
+        match first_malformed {
             0 => Ok(()),
             line => write!(f, ", the first of them line {line}"),
         }
@@ -77,10 +82,10 @@
 pub struct Reader<R> {
     input: R,
     name: String,
-    number: u64,
-    read: u64,
-    unread: Unread,
-    failure: Option<std::io::Error>,
+    line_number: u64,
+    parsed: u64,
+    skipped: Skipped,
+    error: Option<std::io::Error>,
 }
 
 impl<R: BufRead> Reader<R> {
@@ -89,33 +94,33 @@
         Self {
             input,
             name: name.into(),
-            number: 0,
-            read: 0,
-            unread: Unread::default(),
-            failure: None,
+            line_number: 0,
+            parsed: 0,
+            skipped: Skipped::default(),
+            error: None,
         }
     }
 
     /// What was left out; an error if the input broke or held no line of a node.
-    pub fn end(self) -> Result<Unread> {
+    pub fn finish(self) -> Result<Skipped> {
         let Self {
             name,
-            number,
-            read,
-            unread,
-            failure,
+            line_number,
+            parsed,
+            skipped,
+            error,
             ..
         } = self;
-        if let Some(error) = failure {
-            let place = format!("{name}, after line {number}");
+        if let Some(error) = error {
+            let place = format!("{name}, after line {line_number}");
             return Err(input(eyre::Report::new(error).wrap_err(place)));
         }
-        if read == 0 {
+        if parsed == 0 {
             return Err(input(eyre::eyre!(
-                "{name}: none of {number} lines is a node's: {unread}"
+                "{name}: none of {line_number} lines is a node's: {skipped}"
             )));
         }
-        Ok(unread)
+        Ok(skipped)
     }
 
     fn parse(&mut self, text: &str) -> Option<Line> {
@@ -123,20 +128,20 @@
             return None;
         }
         let Some(start) = text.find('{') else {
-            self.unread.foreign += 1;
+            self.skipped.foreign += 1;
             return None;
         };
         let Ok(fields) = serde_json::from_str(&text[start..]) else {
-            self.unread.cut += 1;
-            if self.unread.first_cut == 0 {
-                self.unread.first_cut = self.number;
+            self.skipped.malformed += 1;
+            if self.skipped.first_malformed == 0 {
+                self.skipped.first_malformed = self.line_number;
             }
             return None;
         };
-        let line = Line::of(fields, &text[..start]);
+        let line = Line::from_fields(fields, &text[..start]);
         match line {
-            Some(_) => self.read += 1,
-            None => self.unread.foreign += 1,
+            Some(_) => self.parsed += 1,
+            None => self.skipped.foreign += 1,
         }
         line
     }
@@ -151,9 +156,9 @@
             bytes.clear();
             match self.input.read_until(b'\n', &mut bytes) {
                 Ok(0) => return None,
-                Ok(_) => self.number += 1,
+                Ok(_) => self.line_number += 1,
                 Err(error) => {
-                    self.failure = Some(error);
+                    self.error = Some(error);
                     return None;
                 }
             }
--- a/crates/ctl/src/losses.rs
+++ b/crates/ctl/src/losses.rs
@@ -6,19 +6,19 @@
 //! Requests whose end no line tells are counted apart, and so are losses whose cause the lines do not
 //! show, requests that the catalog does not allow, and lines that can't be read.
 
-mod account;
 mod cause;
 mod chart;
 mod compare;
+mod request;
 
 use crate::failure::{Result, input};
-use crate::line::{Reader, Unread};
+use crate::line::{Reader, Skipped};
 use crate::output::Output;
-use account::{Account, Limits};
 use cause::Cause;
 use clap::ArgMatches;
 use compare::Comparison;
 use eyre::WrapErr;
+use request::{Limits, Request};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -31,18 +31,18 @@
 pub fn run(args: &ArgMatches, output: Output) -> Result {
     let number = |name: &str| *args.get_one::<u64>(name).expect("it has a default");
     let limits = Limits {
-        head: Duration::from_millis(number("head")),
+        head_time: Duration::from_millis(number("head")),
         pause: Duration::from_millis(number("pause")),
     };
-    let every = Duration::from_secs(number("every"));
+    let interval = Duration::from_secs(number("every"));
     if let Some(files) = args.get_many::<PathBuf>("compare") {
-        let runs = files.map(|file| Losses::of(open(file)?, &limits, every));
+        let runs = files.map(|file| Losses::read(open(file)?, &limits, interval));
         let runs: Vec<Losses> = runs.collect::<Result<_>>()?;
-        output.show(&Comparison::of(&runs[0], &runs[1]));
+        output.show(&Comparison::new(&runs[0], &runs[1]));
         return Ok(());
     }
     let input = Reader::new(std::io::stdin().lock(), "standard input");
-    let losses = Losses::of(input, &limits, every)?;
+    let losses = Losses::read(input, &limits, interval)?;
     output.show(&losses);
     match args.get_one::<PathBuf>("svg") {
         Some(file) => chart::write(&losses, file),
@@ -59,7 +59,7 @@
 
 /// All requests of one cause.
 #[derive(Debug, Default, Serialize)]
-struct Sum {
+struct Total {
     count: u64,
     /// Time past the limits, over all of them, in milliseconds.
     over_ms: u64,
@@ -73,59 +73,62 @@
     /// Those that no catalog allows: without a route, or with a key that no team has.
     denied: u64,
     /// Requests that were sent and whose end is not told: their node died, or its lines were dropped.
-    untold: u64,
+    #[serde(rename = "untold")]
+    unfinished: u64,
     /// Seconds of an interval.
-    every: u64,
-    causes: BTreeMap<Cause, Sum>,
+    #[serde(rename = "every")]
+    interval_s: u64,
+    causes: BTreeMap<Cause, Total>,
     /// Counts by the interval in which requests came, since the first of them, in seconds.
     intervals: BTreeMap<u64, BTreeMap<Cause, u64>>,
-    unread: Unread,
+    #[serde(rename = "unread")]
+    skipped: Skipped,
 }
 
 impl Losses {
-    fn of<R: BufRead>(mut lines: Reader<R>, limits: &Limits, every: Duration) -> Result<Self> {
-        let mut accounts: BTreeMap<String, Account> = BTreeMap::new();
+    fn read<R: BufRead>(mut lines: Reader<R>, limits: &Limits, interval: Duration) -> Result<Self> {
+        let mut requests: BTreeMap<String, Request> = BTreeMap::new();
         for line in lines.by_ref() {
             let id = line.text("id");
             if !id.is_empty() {
-                accounts.entry(id.to_owned()).or_default().take(&line);
+                requests.entry(id.to_owned()).or_default().record(&line);
             }
         }
-        let start = accounts.values().filter_map(Account::came).min();
+        let start = requests.values().filter_map(Request::received_at).min();
         let start = start.unwrap_or_default();
         let mut losses = Self {
             ended: 0,
             denied: 0,
-            untold: 0,
-            every: every.as_secs().max(1),
+            unfinished: 0,
+            interval_s: interval.as_secs().max(1),
             causes: BTreeMap::new(),
             intervals: BTreeMap::new(),
-            unread: lines.end()?,
+            skipped: lines.finish()?,
         };
-        for account in accounts.values() {
-            losses.add(account, limits, start);
+        for request in requests.values() {
+            losses.add(request, limits, start);
         }
         Ok(losses)
     }
 
-    fn add(&mut self, account: &Account, limits: &Limits, start: u64) {
-        let Some(came) = account.came() else {
-            self.untold += 1;
+    fn add(&mut self, request: &Request, limits: &Limits, start: u64) {
+        let Some(received_at) = request.received_at() else {
+            self.unfinished += 1;
             return;
         };
         self.ended += 1;
-        let Some((cause, over)) = account.loss(limits) else {
+        let Some((cause, over)) = request.loss(limits) else {
             return;
         };
-        if cause.denied() {
+        if cause.is_denied() {
             self.denied += 1;
             return;
         }
-        let sum = self.causes.entry(cause).or_default();
-        sum.count += 1;
-        sum.over_ms += over.as_millis() as u64;
-        let second = (came - start) / 1000;
-        let interval = self.intervals.entry(second - second % self.every);
+        let total = self.causes.entry(cause).or_default();
+        total.count += 1;
+        total.over_ms += over.as_millis() as u64;
+        let second = (received_at - start) / 1000;
+        let interval = self.intervals.entry(second - second % self.interval_s);
         *interval.or_default().entry(cause).or_default() += 1;
     }
 }
@@ -136,19 +139,19 @@
         writeln!(
             f,
             "{} requests ended, {lost} of them lost or late; {} without an end",
-            self.ended, self.untold
+            self.ended, self.unfinished
         )?;
         writeln!(
             f,
             "{} without a route or with an unknown key, not among the lost; {}",
-            self.denied, self.unread
+            self.denied, self.skipped
         )?;
         writeln!(f, "\n{:>7} {:>9}  cause", "count", "over, s")?;
         let mut causes: Vec<_> = self.causes.iter().collect();
-        causes.sort_by_key(|(cause, sum)| (std::cmp::Reverse(sum.count), **cause));
-        for (cause, sum) in causes {
-            let over = Duration::from_millis(sum.over_ms).as_secs_f64();
-            writeln!(f, "{:>7} {over:>9.1}  {cause}", sum.count)?;
+        causes.sort_by_key(|(cause, total)| (std::cmp::Reverse(total.count), **cause));
+        for (cause, total) in causes {
+            let over = Duration::from_millis(total.over_ms).as_secs_f64();
+            writeln!(f, "{:>7} {over:>9.1}  {cause}", total.count)?;
         }
         writeln!(f, "\n{:>7}  losses by cause", "second")?;
         for (second, counts) in &self.intervals {
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -8,13 +8,17 @@
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
     /// Late: a stage of its chain was replaced under way.
-    Moved,
+    #[serde(rename = "moved")]
+    Rerouted,
     /// Late: it was sent more than once.
-    Resent,
+    #[serde(rename = "resent")]
+    Retried,
     /// Late, though its chain was whole; the chain went from zone to zone.
-    Crossing,
+    #[serde(rename = "crossing")]
+    CrossZone,
     /// Late, though its chain was whole and in one zone.
-    Whole,
+    #[serde(rename = "whole")]
+    SameZone,
     /// Refused: no endpoint had room.
     Room,
     /// Refused: some layer was held by no endpoint in use.
@@ -34,7 +38,8 @@
     /// Lost: it may have run, and was not or could not be sent again.
     Lost,
     /// Broken off in the middle of its answer.
-    Broken,
+    #[serde(rename = "broken")]
+    Interrupted,
     /// The endpoint's own failure.
     Failed,
     /// The caller left while events kept coming.
@@ -63,13 +68,13 @@
 
 impl Cause {
     /// Whether it is the answer that the operator's catalog asks for: nothing was lost.
-    pub fn denied(self) -> bool {
+    pub fn is_denied(self) -> bool {
         matches!(self, Self::Route | Self::Key)
     }
 
     /// The cause that a refusal's reason tells.
-    pub fn of_refusal(why: &str) -> Self {
-        let found = REASONS.iter().find(|(words, _)| why.contains(words));
+    pub fn from_reason(reason: &str) -> Self {
+        let found = REASONS.iter().find(|(words, _)| reason.contains(words));
         found.map_or(Self::Unknown, |&(_, cause)| cause)
     }
 }
@@ -77,10 +82,10 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Moved => "late, a stage was replaced",
-            Self::Resent => "late, sent again",
-            Self::Crossing => "late, chain whole, between zones",
-            Self::Whole => "late, chain whole, in one zone",
+            Self::Rerouted => "late, a stage was replaced",
+            Self::Retried => "late, sent again",
+            Self::CrossZone => "late, chain whole, between zones",
+            Self::SameZone => "late, chain whole, in one zone",
             Self::Room => "refused, no room",
             Self::Layers => "refused, layers missing",
             Self::Endpoints => "refused, no endpoint",
@@ -90,7 +95,7 @@
             Self::Key => "refused, key unknown",
             Self::Caller => "refused, the request's own fault",
             Self::Lost => "lost, may have run",
-            Self::Broken => "broken off",
+            Self::Interrupted => "broken off",
             Self::Failed => "failed by the endpoint",
             Self::Left => "caller left, events kept coming",
             Self::Starved => "caller left, after a long wait",
--- a/crates/ctl/src/losses/chart.rs
+++ b/crates/ctl/src/losses/chart.rs
@@ -6,9 +6,9 @@
 use std::path::Path;
 
 /// Width and height in pixels.
-const SIZE: (u32, u32) = (1000, 480);
+const SIZE_PX: (u32, u32) = (1000, 480);
 /// Pixels of the axes' labels.
-const LABELS: u32 = 48;
+const LABEL_AREA_PX: u32 = 48;
 
 /// Writes the chart.
 pub fn write(losses: &Losses, file: &Path) -> Result {
@@ -19,23 +19,23 @@
 }
 
 fn draw(losses: &Losses, text: &mut String) -> std::result::Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let root = SVGBackend::with_string(text, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let end = losses
         .intervals
         .keys()
         .max()
-        .map_or(1, |last| last + losses.every);
+        .map_or(1, |last| last + losses.interval_s);
     let sums = losses
         .intervals
         .values()
         .map(|counts| counts.values().sum::<u64>());
-    let most = sums.max().unwrap_or_default().max(1);
+    let max_count = sums.max().unwrap_or_default().max(1);
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS)
-        .build_cartesian_2d(0..end, 0..most)?;
+        .x_label_area_size(LABEL_AREA_PX)
+        .y_label_area_size(LABEL_AREA_PX)
+        .build_cartesian_2d(0..end, 0..max_count)?;
     let mut mesh = chart.configure_mesh();
     mesh.disable_x_mesh();
     mesh.x_desc("second in which requests came")
@@ -46,7 +46,7 @@
         let bars = losses.intervals.iter().filter_map(|(&from, counts)| {
             let count = *counts.get(&cause)?;
             let below: u64 = counts.range(..cause).map(|(_, n)| n).sum();
-            let corners = [(from, below), (from + losses.every, below + count)];
+            let corners = [(from, below), (from + losses.interval_s, below + count)];
             Some(Rectangle::new(corners, color.filled()))
         });
         let series = chart.draw_series(bars)?.label(cause.to_string());
--- a/crates/ctl/src/losses/compare.rs
+++ b/crates/ctl/src/losses/compare.rs
@@ -18,17 +18,18 @@
 #[derive(Debug, Serialize)]
 pub struct Comparison {
     ended: [u64; 2],
-    untold: [u64; 2],
+    #[serde(rename = "untold")]
+    unfinished: [u64; 2],
     causes: BTreeMap<Cause, Row>,
 }
 
 impl Comparison {
     /// Compares two runs. Requests that no catalog allows count in neither.
-    pub fn of(a: &Losses, b: &Losses) -> Self {
+    pub fn new(a: &Losses, b: &Losses) -> Self {
         let runs = [a, b];
         let ended = runs.map(|run| run.ended - run.denied);
         let row = |cause: Cause| {
-            let counts = runs.map(|run| run.causes.get(&cause).map_or(0, |sum| sum.count));
+            let counts = runs.map(|run| run.causes.get(&cause).map_or(0, |total| total.count));
             let share = |run: usize| counts[run] as f64 / ended[run].max(1) as f64;
             let shares = [share(0), share(1)];
             (cause, Row { counts, shares })
@@ -36,7 +37,7 @@
         let causes = a.causes.keys().chain(b.causes.keys());
         Self {
             ended,
-            untold: runs.map(|run| run.untold),
+            unfinished: runs.map(|run| run.unfinished),
             causes: causes.map(|&cause| row(cause)).collect(),
         }
     }
@@ -45,7 +46,7 @@
 impl fmt::Display for Comparison {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [a, b] = self.ended;
-        let [c, d] = self.untold;
+        let [c, d] = self.unfinished;
         writeln!(f, "{a} and {b} requests ended, {c} and {d} without an end")?;
         writeln!(
             f,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -32,11 +32,11 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let matches = cli::command().get_matches();
-    let output = Output::of(&matches);
+    let output = Output::from_args(&matches);
     match run(&matches, output).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            output.failure(&failure);
+            output.show_failure(&failure);
             failure.code()
         }
     }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -25,7 +25,7 @@
 
 impl Output {
     /// The form asked for.
-    pub fn of(matches: &ArgMatches) -> Self {
+    pub fn from_args(matches: &ArgMatches) -> Self {
         match matches.get_one::<String>("output").map(String::as_str) {
             Some("json") => Self::Json,
             _ => Self::Text,
@@ -35,38 +35,38 @@
     /// Writes `value`, as its text or as JSON.
     pub fn show<T: Display + Serialize>(self, value: &T) {
         match self {
-            Self::Text => line(&mut io::stdout(), value),
-            Self::Json => line(&mut io::stdout(), json(value)),
+            Self::Text => write_line(&mut io::stdout(), value),
+            Self::Json => write_line(&mut io::stdout(), to_json(value)),
         }
     }
 
     /// Writes why the command ended early.
-    pub fn failure(self, failure: &Failure) {
+    pub fn show_failure(self, failure: &Failure) {
         let none = Findings::default();
         let (error, findings) = match failure {
             Failure::Input(report) | Failure::Failed(report) => (format!("{report:#}"), &none),
             Failure::Findings(findings) => ("the bundle is wrong".into(), findings),
         };
         match self {
-            Self::Text => line(
+            Self::Text => write_line(
                 &mut io::stderr(),
                 format_args!("error: {error}\n{findings}"),
             ),
             Self::Json => {
                 let findings = findings.rows();
-                line(&mut io::stderr(), json(&Error { error, findings }));
+                write_line(&mut io::stderr(), to_json(&Error { error, findings }));
             }
         }
     }
 }
 
 /// JSON text of a value.
-fn json(value: &impl Serialize) -> String {
+fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
 
 /// Writes one line. A reader that closed its end early (`| head`) is no error.
-fn line(to: &mut impl Write, text: impl Display) {
+fn write_line(to: &mut impl Write, text: impl Display) {
     let text = text.to_string();
     let _ = writeln!(to, "{}", text.trim_end());
 }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -18,26 +18,26 @@
 use std::time::Duration;
 
 /// Path of the admin API's one write.
-const BUNDLES: &str = "/admin/v1/bundles";
+const BUNDLES_PATH: &str = "/admin/v1/bundles";
 
 /// Calls to a node that may fail before giving up; repeating is safe, see [`bundle::publish`].
 const MAX_CALLS: u32 = 4;
 
 /// How long a read waits for the own record to turn up.
-const WAIT: Duration = Duration::from_millis(500);
+const PAGE_WAIT: Duration = Duration::from_millis(500);
 
 /// Publishes a signed version.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
-    let body = files::bytes(files::path(args, "file"))?;
+    let body = files::bytes(files::path_arg(args, "file"))?;
     let body = body.trim_ascii().to_vec();
     let publish = Publisher::new(body)
         .wrap_err("signed version")
         .map_err(input)?;
     let answer = match args.get_one::<SocketAddr>("admin") {
-        Some(addr) => by_node(Admin(*addr), publish.body()).await?,
-        None => by_log(source::tail(args)?, publish).await,
+        Some(addr) => publish_through_node(Admin(*addr), publish.body()).await?,
+        None => publish_to_log(source::tail(args)?, publish).await,
     };
-    finish(&answer)?;
+    check_outcome(&answer)?;
     output.show(&answer);
     if args.get_flag("wait")
         && let Some(addr) = args.get_one::<SocketAddr>("admin")
@@ -50,8 +50,8 @@
 }
 
 /// An answer other than acceptance as a failure.
-fn finish(answer: &Answer) -> Result {
-    let told = eyre!("{}", answer.message);
+fn check_outcome(answer: &Answer) -> Result {
+    let message = eyre!("{}", answer.message);
     match answer.outcome {
         OutcomeKind::Accepted => Ok(()),
         OutcomeKind::Refused => {
@@ -61,34 +61,34 @@
                 .iter()
                 .for_each(|f| findings.push(f.clone()));
             if findings.is_empty() {
-                Err(input(told))
+                Err(input(message))
             } else {
                 Err(Failure::Findings(findings))
             }
         }
         OutcomeKind::Lost => {
-            let told = match answer.signer.as_str() {
-                "" => told,
+            let message = match answer.signer.as_str() {
+                "" => message,
                 signer => eyre!("lost to version {} by {signer}", answer.number),
             };
-            Err(failed(told))
+            Err(failed(message))
         }
-        OutcomeKind::Failed | OutcomeKind::Unsure => Err(failed(told)),
+        OutcomeKind::Failed | OutcomeKind::Unsure => Err(failed(message)),
     }
 }
 
 /// Publishes through a node.
-async fn by_node(admin: Admin, body: &[u8]) -> Result<Answer> {
+async fn publish_through_node(admin: Admin, body: &[u8]) -> Result<Answer> {
     let mut backoff = backoff();
     loop {
-        let called = admin.post(BUNDLES, Bytes::copy_from_slice(body)).await;
+        let called = admin.post(BUNDLES_PATH, Bytes::copy_from_slice(body)).await;
         let answer = called.and_then(|answer| answer.json::<Answer>());
         match answer {
             Ok(answer) => return Ok(answer),
             Err(e) if backoff.failures() + 1 >= MAX_CALLS => {
-                let told = "the node gave no answer; the version may be in force, publish the \
+                let message = "the node gave no answer; the version may be in force, publish the \
                             same file again to learn it";
-                return Err(failed(e.wrap_err(told)));
+                return Err(failed(e.wrap_err(message)));
             }
             Err(_) => tokio::time::sleep(backoff.record_failure(None)).await,
         }
@@ -96,7 +96,7 @@
 }
 
 /// Publishes into the log.
-async fn by_log(mut tail: Tail, mut publish: Publisher) -> Answer {
+async fn publish_to_log(mut tail: Tail, mut publish: Publisher) -> Answer {
     let mut backoff = backoff();
     let mut action = publish.start();
     loop {
@@ -123,7 +123,7 @@
 
 /// Reads a page; waits after a failure.
 async fn read(tail: &mut Tail, backoff: &mut Backoff) -> Event {
-    match tail.page(WAIT).await {
+    match tail.read_page(PAGE_WAIT).await {
         Ok(end) => Event::Read { end },
         Err(e) => {
             tokio::time::sleep(backoff.record_failure(e.retry_after())).await;
--- a/crates/ctl/src/restore.rs
+++ b/crates/ctl/src/restore.rs
@@ -45,7 +45,7 @@
 
 /// Writes a head into a log that can't be judged.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
-    let Record::Checkpoint(head) = files::record(files::path(args, "file"))? else {
+    let Record::Checkpoint(head) = files::record(files::path_arg(args, "file"))? else {
         return Err(input(eyre!("not a head; `dump --format head` gives one")));
     };
     let mut tail = source::tail(args)?;
@@ -55,7 +55,7 @@
             "the log can be judged; nothing is to be restored"
         )));
     }
-    let trusted = files::trusted(args)?;
+    let trusted = files::trusted_signers(args)?;
     let trust = head.envelope.check(&trusted, &[]);
     trust.map_err(|e| input(eyre!("{e}")))?;
     let written = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -3,7 +3,7 @@
 use crate::admin::Admin;
 use crate::failure::{Result, failed, input};
 use crate::output::Output;
-use crate::source::HEAD;
+use crate::source::HEAD_PATH;
 use clap::ArgMatches;
 use eyre::{WrapErr, eyre};
 use serde_json::Value;
@@ -11,43 +11,43 @@
 use std::net::SocketAddr;
 
 /// Path of a node's state in short.
-const STATUS: &str = "/admin/v1/status";
+const STATUS_PATH: &str = "/admin/v1/status";
 
 /// Shows a node's state in short.
 pub async fn status(args: &ArgMatches, output: Output) -> Result {
-    let body = admin(args)?.get(STATUS).await.map_err(failed)?;
+    let body = admin_arg(args)?.get(STATUS_PATH).await.map_err(failed)?;
     if output == Output::Json {
-        return write(&body);
+        return write_raw(&body);
     }
     let value: Value = serde_json::from_slice(&body)
         .wrap_err("status")
         .map_err(failed)?;
     let mut text = String::new();
     flatten("", &value, &mut text);
-    write(text.as_bytes())
+    write_raw(text.as_bytes())
 }
 
 /// Shows a node's whole state, or its head as a record.
 pub async fn dump(args: &ArgMatches, output: Output) -> Result {
     let format = args.get_one::<String>("format").map(String::as_str);
     let path = match (format, output) {
-        (Some("head"), _) => HEAD,
+        (Some("head"), _) => HEAD_PATH,
         (Some("json"), _) | (None, Output::Json) => "/dump?format=json",
         _ => "/dump?format=text",
     };
-    let body = admin(args)?.get(path).await.map_err(failed)?;
-    write(&body)
+    let body = admin_arg(args)?.get(path).await.map_err(failed)?;
+    write_raw(&body)
 }
 
 /// The node under `--admin`.
-fn admin(args: &ArgMatches) -> Result<Admin> {
+fn admin_arg(args: &ArgMatches) -> Result<Admin> {
     let addr = args.get_one::<SocketAddr>("admin");
     addr.map(|a| Admin(*a))
         .ok_or_else(|| input(eyre!("--admin is missing")))
 }
 
 /// Writes bytes as they are, with a last newline.
-fn write(bytes: &[u8]) -> Result {
+fn write_raw(bytes: &[u8]) -> Result {
     let mut out = std::io::stdout();
     let written = out
         .write_all(bytes.trim_ascii_end())
@@ -57,15 +57,17 @@
 
 /// Writes a JSON value as lines of `path value`.
 fn flatten(path: &str, value: &Value, text: &mut String) {
-    let below = |name: &str| match path {
+    let child_path = |name: &str| match path {
         "" => name.to_owned(),
         _ => format!("{path}.{name}"),
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(k, v)| flatten(&below(k), v, text)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(k, v)| flatten(&child_path(k), v, text)),
         Value::Array(rows) => {
             let numbered = rows.iter().enumerate();
-            numbered.for_each(|(i, v)| flatten(&below(&i.to_string()), v, text));
+            numbered.for_each(|(i, v)| flatten(&child_path(&i.to_string()), v, text));
         }
         Value::String(s) => *text += &format!("{path} {s}\n"),
         other => *text += &format!("{path} {other}\n"),
--- a/crates/ctl/src/sign.rs
+++ b/crates/ctl/src/sign.rs
@@ -46,10 +46,10 @@
 /// Signs a bundle's text as the version after the head.
 pub async fn run(args: &ArgMatches, output: Output) -> Result {
     let name = args.get_one::<String>("name").map_or("", String::as_str);
-    let key = files::key(files::path(args, "key"))?;
-    let child = files::bundle(files::path(args, "file"))?;
+    let key = files::key(files::path_arg(args, "key"))?;
+    let child = files::bundle(files::path_arg(args, "file"))?;
     let parent = source::head(args).await?;
-    let version = sign::sign_bundle(parent.as_ref(), &child, name, &key).map_err(failure)?;
+    let version = sign::sign_bundle(parent.as_ref(), &child, name, &key).map_err(sign_failure)?;
     let header = &version.envelope.header;
     let signed = Signed {
         number: header.number,
@@ -77,7 +77,7 @@
 }
 
 /// A failure to sign is always one of the input.
-fn failure(error: Error) -> Failure {
+fn sign_failure(error: Error) -> Failure {
     match error {
         Error::Bundle(findings) => Failure::Findings(findings),
         other => input(eyre!("{other}")),
--- a/crates/ctl/src/source.rs
+++ b/crates/ctl/src/source.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 
 /// Path of the head in force, as a full record.
-pub const HEAD: &str = "/admin/v1/head";
+pub const HEAD_PATH: &str = "/admin/v1/head";
 
 /// The head to sign on; `None` for the first version.
 pub async fn head(args: &ArgMatches) -> Result<Option<Bundle>> {
@@ -21,13 +21,13 @@
         return Ok(None);
     }
     if let Some(path) = args.get_one::<PathBuf>("parent") {
-        return of_record(&files::record(path)?).map(Some);
+        return parent_bundle(&files::record(path)?).map(Some);
     }
     if let Some(addr) = args.get_one::<SocketAddr>("admin") {
-        let body = Admin(*addr).get(HEAD).await.map_err(failed)?;
-        let record = files::read_record(&body);
+        let body = Admin(*addr).get(HEAD_PATH).await.map_err(failed)?;
+        let record = files::decode_record(&body);
         let record = record.wrap_err("the node's head").map_err(failed)?;
-        return of_record(&record).map(Some);
+        return parent_bundle(&record).map(Some);
     }
     let mut tail = tail(args)?;
     tail.catch_up().await?;
@@ -43,14 +43,14 @@
 pub fn tail(args: &ArgMatches) -> Result<Tail> {
     let addr = args.get_one::<SocketAddr>("log");
     let addr = addr.ok_or_else(|| input(eyre!("--log is missing")))?;
-    Ok(Tail::new(*addr, files::trusted(args)?))
+    Ok(Tail::new(*addr, files::trusted_signers(args)?))
 }
 
 /// The bundle of a record. Its signature isn't checked: the new version is signed with the whole
 /// text that the operator gives, and a wrong parent only makes it lose.
-fn of_record(record: &Record) -> Result<Bundle> {
-    let whole = record.sections();
-    let sections = whole.map_err(|e| input(eyre!("parent is not a whole bundle: it {e}")))?;
+fn parent_bundle(record: &Record) -> Result<Bundle> {
+    let sections = record.sections();
+    let sections = sections.map_err(|e| input(eyre!("parent is not a whole bundle: it {e}")))?;
     let bundle = fold::build_bundle(&sections, &record.envelope().header);
     bundle.map_err(|e| input(eyre!("parent: {e}")))
 }
--- a/crates/ctl/src/tail.rs
+++ b/crates/ctl/src/tail.rs
@@ -32,7 +32,7 @@
     }
 
     /// Reads one page, waiting up to `wait` for one; whether the log's end was reached.
-    pub async fn page(&mut self, wait: Duration) -> platform::Result<bool> {
+    pub async fn read_page(&mut self, wait: Duration) -> platform::Result<bool> {
         let from = self.fold.next_offset();
         let page = self.log.read(STREAM, from, wait).await?;
         let records = page.records.iter().map(|r| (r.offset, &r.body[..]));
@@ -44,7 +44,7 @@
     pub async fn catch_up(&mut self) -> Result {
         let mut backoff = backoff();
         loop {
-            match self.page(Duration::ZERO).await {
+            match self.read_page(Duration::ZERO).await {
                 Ok(true) => return Ok(()),
                 Ok(false) => backoff.record_success(),
                 Err(e) if backoff.failures() + 1 >= MAX_FAILURES => {
@@ -58,7 +58,7 @@
 
 /// Waits between calls that fail.
 pub fn backoff() -> Backoff {
-    let least = Duration::from_millis(100);
-    let most = Duration::from_secs(2);
-    Backoff::new(least, most, rand::random())
+    let min = Duration::from_millis(100);
+    let max = Duration::from_secs(2);
+    Backoff::new(min, max, rand::random())
 }
--- a/crates/ctl/src/wait.rs
+++ b/crates/ctl/src/wait.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 /// Path of every listed node's version in force.
-const FLEET: &str = "/admin/v1/fleet";
+const FLEET_PATH: &str = "/admin/v1/fleet";
 
 /// Time between two looks.
-const STEP: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Nodes that the progress line names.
-const MAX_NAMED: usize = 4;
+const MAX_LISTED_NODES: usize = 4;
 
 /// How far it is.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -40,28 +40,32 @@
     }
 
     /// Whether every listed node has it. A list without any node is not an answer yet.
-    fn done(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.nodes > 0 && self.behind.is_empty()
     }
 
     /// As one line.
-    fn line(&self, passed: Duration) -> String {
+    fn format_line(&self, elapsed: Duration) -> String {
         let Self {
             number,
             nodes,
             in_force,
             behind,
         } = self;
-        let seconds = passed.as_secs_f64();
+        let seconds = elapsed.as_secs_f64();
         let mut line = format!("version {number}: in force on {in_force} of {nodes} nodes");
         if !behind.is_empty() {
-            let named: Vec<&str> = behind.iter().take(MAX_NAMED).map(String::as_str).collect();
-            let more = if behind.len() > MAX_NAMED {
+            let listed: Vec<&str> = behind
+                .iter()
+                .take(MAX_LISTED_NODES)
+                .map(String::as_str)
+                .collect();
+            let more = if behind.len() > MAX_LISTED_NODES {
                 ", ..."
             } else {
                 ""
             };
-            line += &format!(", waiting for {}{more}", named.join(", "));
+            line += &format!(", waiting for {}{more}", listed.join(", "));
         }
         line + &format!(" ({seconds:.1} s)")
     }
@@ -73,10 +77,10 @@
     let mut last = None;
     let mut error = None;
     while start.elapsed() < limit {
-        match look(admin, number).await {
+        match fetch_progress(admin, number).await {
             Ok(progress) => {
                 show(&progress, last.as_ref(), start.elapsed(), output);
-                if progress.done() {
+                if progress.is_done() {
                     end_line(output);
                     return Ok(());
                 }
@@ -84,26 +88,26 @@
             }
             Err(e) => error = Some(e),
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     end_line(output);
-    let told = match (last, error) {
-        (Some(progress), _) => eyre!("time limit passed: {}", progress.line(limit)),
+    let message = match (last, error) {
+        (Some(progress), _) => eyre!("time limit passed: {}", progress.format_line(limit)),
         (None, Some(e)) => e.wrap_err("time limit passed"),
         (None, None) => eyre!("time limit passed"),
     };
-    Err(failed(told))
+    Err(failed(message))
 }
 
-/// One look at the fleet.
-async fn look(admin: Admin, number: u64) -> eyre::Result<Progress> {
-    let body = admin.get(FLEET).await?;
+/// One fetch_progress at the fleet.
+async fn fetch_progress(admin: Admin, number: u64) -> eyre::Result<Progress> {
+    let body = admin.get(FLEET_PATH).await?;
     let fleet: Fleet = serde_json::from_slice(&body).wrap_err("the node's fleet")?;
     Ok(Progress::new(&fleet, number))
 }
 
 /// Shows progress: in place on a terminal, else one line for each change.
-fn show(progress: &Progress, last: Option<&Progress>, passed: Duration, output: Output) {
+fn show(progress: &Progress, last: Option<&Progress>, elapsed: Duration, output: Output) {
     let changed = last != Some(progress);
     let mut err = io::stderr();
     let _ = match output {
@@ -112,9 +116,9 @@
             writeln!(err, "{json}")
         }
         Output::Text if err.is_terminal() => {
-            write!(err, "\r\x1b[K{}", progress.line(passed)).and_then(|()| err.flush())
+            write!(err, "\r\x1b[K{}", progress.format_line(elapsed)).and_then(|()| err.flush())
         }
-        Output::Text if changed => writeln!(err, "{}", progress.line(passed)),
+        Output::Text if changed => writeln!(err, "{}", progress.format_line(elapsed)),
         _ => Ok(()),
     };
 }
